--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -4,6 +4,7 @@
 //! All rules are checked as things happen; in the end everything asked for must be served.
 
 mod days;
+mod effect_digests;
 mod failures;
 mod script;
 mod world;
--- a/tests/world/controllers.rs
+++ b/tests/world/controllers.rs
@@ -186,6 +186,7 @@
             self.breaks("start_held_back", format!("n{node} was about to start a task twice"));
         }
         for effect in effects {
+            self.effect_digest.add(self.now, node, &effect);
             self.effect(node, effect);
         }
         self.one_owner();
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -4,6 +4,7 @@
 mod allowance;
 mod cloud;
 mod controllers;
+mod effect_digest;
 mod event;
 mod faults;
 mod odd;
@@ -18,6 +19,7 @@
 use allowance::Allowance;
 use cloud::Cloud;
 use controllers::{Asker, Controller};
+use effect_digest::EffectDigest;
 use event::Timed;
 use faults::Network;
 use ochredrum::core::{Core, Input, RequestId};
@@ -63,6 +65,8 @@
     pub broken: Vec<String>,
     pub log: Vec<String>,
     pub work: Work,
+    /// What the controllers asked and answered so far.
+    pub effect_digest: EffectDigest,
     pub limits: Limits,
     /// The limits that hold from some moment on.
     pub next_limits: Option<Limits>,
@@ -127,6 +131,7 @@
             broken: Vec::new(),
             log: Vec::new(),
             work: Work::default(),
+            effect_digest: EffectDigest::default(),
             limits: Limits { value_kb: 4.0, txn_ops: 8, rps: 120.0, write_rps: 25.0 },
             next_limits: None,
             allowance: Allowance::default(),
