--- a/crates/failure-detector/src/detector.rs
+++ b/crates/failure-detector/src/detector.rs
@@ -30,8 +30,15 @@
 impl<C: Ord + Clone> Detector<C> {
     /// An observer of these controllers, all of them alive until they are silent for long enough.
     pub fn new(others: impl IntoIterator<Item = C>, settings: Settings) -> Self {
-        let peers = others.into_iter().map(|other| (other, Peer::new())).collect();
-        Self { settings, peers, health: LocalHealth::new() }
+        let peers = others
+            .into_iter()
+            .map(|other| (other, Peer::new()))
+            .collect();
+        Self {
+            settings,
+            peers,
+            health: LocalHealth::new(),
+        }
     }
 
     /// The thresholds that it goes by.
@@ -75,9 +82,23 @@
 
     /// What another observer thinks of others.
     pub fn opinions(&mut self, from: &C, opinions: Vec<Opinion<C>>, now: Seconds) {
-        for Opinion { of, incarnation, silence_s, suspects } in opinions {
+        for Opinion {
+            of,
+            incarnation,
+            silence_s,
+            suspects,
+        } in opinions
+        {
             if let Some(peer) = self.peers.get_mut(&of) {
-                peer.opinion(from, Received { incarnation, suspects, silence_s, at: now });
+                peer.opinion(
+                    from,
+                    Received {
+                        incarnation,
+                        suspects,
+                        silence_s,
+                        at: now,
+                    },
+                );
             }
         }
     }
@@ -105,7 +126,12 @@
             let from = std::mem::replace(&mut peer.stage, to);
             if from != to {
                 let evidence = peer.evidence(&self.settings, counts_from, stretch, now);
-                changes.push(StageChange { of: of.clone(), from, to, evidence });
+                changes.push(StageChange {
+                    of: of.clone(),
+                    from,
+                    to,
+                    evidence,
+                });
             }
         }
         changes
@@ -127,7 +153,9 @@
 
     /// How long the answers of a controller have been missing; none of one that is not known.
     pub fn silence(&self, of: &C, now: Seconds) -> Seconds {
-        self.peers.get(of).map_or(0.0, |peer| peer.silence(self.health.counts_from, now))
+        self.peers
+            .get(of)
+            .map_or(0.0, |peer| peer.silence(self.health.counts_from, now))
     }
 
     /// Whether any other controller has answered lately.
@@ -165,8 +193,18 @@
     pub fn told_of(&self, of: &C, now: Seconds) -> Vec<(C, Opinion<C>, Seconds)> {
         let told = self.peers.get(of).into_iter().flat_map(Peer::told);
         let opinion = |(from, received): (&C, &Received)| {
-            let Received { incarnation, suspects, silence_s, at } = *received;
-            let opinion = Opinion { of: of.clone(), incarnation, silence_s, suspects };
+            let Received {
+                incarnation,
+                suspects,
+                silence_s,
+                at,
+            } = *received;
+            let opinion = Opinion {
+                of: of.clone(),
+                incarnation,
+                silence_s,
+                suspects,
+            };
             (from.clone(), opinion, now - at)
         };
         told.map(opinion).collect()
@@ -176,7 +214,10 @@
     pub fn evidence(&self, now: Seconds) -> BTreeMap<C, Evidence> {
         let (counts_from, stretch) = (self.health.counts_from, self.health.stretch());
         let of = |(of, peer): (&C, &Peer<C>)| {
-            (of.clone(), peer.evidence(&self.settings, counts_from, stretch, now))
+            (
+                of.clone(),
+                peer.evidence(&self.settings, counts_from, stretch, now),
+            )
         };
         self.peers.iter().map(of).collect()
     }
--- a/crates/failure-detector/src/interval.rs
+++ b/crates/failure-detector/src/interval.rs
@@ -21,7 +21,11 @@
     /// Takes up one interval.
     pub fn add(&mut self, interval: Seconds) {
         if !self.known {
-            *self = Self { mean: interval, deviation: interval / 2.0, known: true };
+            *self = Self {
+                mean: interval,
+                deviation: interval / 2.0,
+                known: true,
+            };
             return;
         }
         let error = interval - self.mean;
--- a/crates/failure-detector/src/local_health.rs
+++ b/crates/failure-detector/src/local_health.rs
@@ -18,7 +18,12 @@
 impl LocalHealth {
     /// Of an observer that has not taken a step yet.
     pub fn new() -> Self {
-        Self { last_step: None, counts_from: 0.0, stretch: 1.0, stretched: 0.0 }
+        Self {
+            last_step: None,
+            counts_from: 0.0,
+            stretch: 1.0,
+            stretched: 0.0,
+        }
     }
 
     /// A step of the observer begins.
--- a/crates/failure-detector/src/peer.rs
+++ b/crates/failure-detector/src/peer.rs
@@ -146,7 +146,8 @@
     }
 
     fn has_lost_workers(&self, settings: &Settings, now: Seconds) -> bool {
-        self.workers_left.is_some_and(|at| now - at < settings.suspect_after_s)
+        self.workers_left
+            .is_some_and(|at| now - at < settings.suspect_after_s)
     }
 
     /// Who was suspected wrongly is suspected more slowly for a while.
@@ -154,7 +155,9 @@
         if now - self.refuted_at > settings.refuted_lasts_s {
             return 1.0;
         }
-        1.5_f64.powi(self.refuted.min(8) as i32).min(settings.stretch_at_most)
+        1.5_f64
+            .powi(self.refuted.min(8) as i32)
+            .min(settings.stretch_at_most)
     }
 
     /// Observers that hear no process of it, `own` if this one does not. What was said long ago does not
--- a/crates/failure-detector/tests/model.rs
+++ b/crates/failure-detector/tests/model.rs
@@ -23,8 +23,14 @@
 const REMEMBERED_S: f64 = 9.0;
 
 enum Message {
-    Heartbeat { opinions: Vec<Opinion<usize>> },
-    Answer { incarnation: Incarnation, sent: f64, opinions: Vec<Opinion<usize>> },
+    Heartbeat {
+        opinions: Vec<Opinion<usize>>,
+    },
+    Answer {
+        incarnation: Incarnation,
+        sent: f64,
+        opinions: Vec<Opinion<usize>>,
+    },
 }
 
 struct Envelope {
@@ -90,7 +96,9 @@
     }
 
     fn passes(&self, from: usize, to: usize) -> bool {
-        self.cuts.get(&(from, to)).is_none_or(|until| self.now >= *until)
+        self.cuts
+            .get(&(from, to))
+            .is_none_or(|until| self.now >= *until)
     }
 
     fn send(&mut self, from: usize, to: usize, sent: f64, message: Message) {
@@ -102,7 +110,13 @@
         if self.rng.random_bool(self.loss) {
             delay += self.rng.random_range(0.2..0.37);
         }
-        self.messages.push(Envelope { at: self.now + delay, from, to, sent, message });
+        self.messages.push(Envelope {
+            at: self.now + delay,
+            from,
+            to,
+            sent,
+            message,
+        });
     }
 
     fn trouble(&mut self) {
@@ -146,7 +160,14 @@
             .partition(|envelope| envelope.at <= self.now && self.runs(envelope.to));
         self.messages = later;
         let due: Vec<Envelope> = due;
-        for Envelope { from, to, sent, message, .. } in due {
+        for Envelope {
+            from,
+            to,
+            sent,
+            message,
+            ..
+        } in due
+        {
             let now = self.now;
             let node = &mut self.nodes[to];
             match message {
@@ -155,11 +176,20 @@
                     node.detector.opinions(&from, opinions, now);
                     let incarnation = node.incarnation;
                     let opinions = node.detector.opinions_to_tell(now);
-                    let answer = Message::Answer { incarnation, sent, opinions };
+                    let answer = Message::Answer {
+                        incarnation,
+                        sent,
+                        opinions,
+                    };
                     self.send(to, from, sent, answer);
                 }
-                Message::Answer { incarnation, sent, opinions } if now - sent < DEADLINE_S => {
-                    node.detector.heartbeat_answered(&from, incarnation, sent, now);
+                Message::Answer {
+                    incarnation,
+                    sent,
+                    opinions,
+                } if now - sent < DEADLINE_S => {
+                    node.detector
+                        .heartbeat_answered(&from, incarnation, sent, now);
                     node.detector.opinions(&from, opinions, now);
                     let next = self.rng.random_range(0.75..1.25) * HEARTBEAT_S + sent;
                     node.next_heartbeat.insert(from, next);
@@ -190,7 +220,9 @@
     /// Those that have been in touch with a node for long.
     fn in_touch_for_long(&self, node: usize) -> usize {
         let others = (0..self.nodes.len()).filter(|other| *other != node);
-        others.filter(|other| self.now - self.apart[node][*other] > REMEMBERED_S).count()
+        others
+            .filter(|other| self.now - self.apart[node][*other] > REMEMBERED_S)
+            .count()
     }
 
     /// Whether so many others have been in touch with it for long that the rest are no quorum.
@@ -238,9 +270,13 @@
             }
         }
         self.deliver();
-        for node in (0..count).filter(|node| self.runs(*node)).collect::<Vec<_>>() {
-            let before: Vec<Stage> =
-                (0..count).map(|of| self.nodes[node].detector.stage(&of)).collect();
+        for node in (0..count)
+            .filter(|node| self.runs(*node))
+            .collect::<Vec<_>>()
+        {
+            let before: Vec<Stage> = (0..count)
+                .map(|of| self.nodes[node].detector.stage(&of))
+                .collect();
             self.nodes[node].detector.judge(self.now);
             self.heartbeats(node);
             self.check(node, &before);
@@ -296,7 +332,10 @@
 #[test]
 fn if_those_who_hear_nobody_tell_their_opinions_they_confirm_a_failure() {
     let confirmed = |alone_tells: bool| {
-        let settings = Settings { alone_tells, ..settings(5) };
+        let settings = Settings {
+            alone_tells,
+            ..settings(5)
+        };
         let mut play = Play::new(1, 5, settings);
         for (from, to) in [(0, 1), (1, 0)] {
             play.cut(from, to, PLAY_S);
@@ -316,7 +355,10 @@
 #[test]
 fn without_noticing_its_own_standstill_an_observer_suspects_others() {
     let found = found(|settings| settings.standstill_s = f64::INFINITY);
-    assert!(found.contains_key("suspected by who stood still"), "{found:?}");
+    assert!(
+        found.contains_key("suspected by who stood still"),
+        "{found:?}"
+    );
 }
 
 #[test]
--- a/crates/failure-detector/tests/unit.rs
+++ b/crates/failure-detector/tests/unit.rs
@@ -27,14 +27,25 @@
 }
 
 fn suspicion(of: u8, incarnation: Incarnation) -> Vec<Opinion<u8>> {
-    vec![Opinion { of, incarnation: Some(incarnation), silence_s: 3.0, suspects: true }]
+    vec![Opinion {
+        of,
+        incarnation: Some(incarnation),
+        silence_s: 3.0,
+        suspects: true,
+    }]
 }
 
 #[test]
 fn suspicion_allows_for_one_lost_message() {
     let hasty = Settings::new(HEARTBEAT_S, 0.5, 3);
-    assert_eq!(hasty.suspect_after_s, HEARTBEAT_S * LEAST_SUSPECT_HEARTBEATS);
-    assert_eq!((settings(3).quorum, settings(4).quorum, settings(5).quorum), (2, 3, 3));
+    assert_eq!(
+        hasty.suspect_after_s,
+        HEARTBEAT_S * LEAST_SUSPECT_HEARTBEATS
+    );
+    assert_eq!(
+        (settings(3).quorum, settings(4).quorum, settings(5).quorum),
+        (2, 3, 3)
+    );
 }
 
 #[test]
@@ -47,10 +58,17 @@
     assert_eq!(detector.stage(&1), Stage::Suspected);
     detector.opinions(&2, suspicion(1, FIRST), 7.2);
     detector.judge(7.2);
-    assert_eq!(detector.stage(&1), Stage::Suspected, "two of five are no quorum");
+    assert_eq!(
+        detector.stage(&1),
+        Stage::Suspected,
+        "two of five are no quorum"
+    );
     detector.opinions(&3, suspicion(1, SECOND), 7.2);
     let changes = detector.judge(7.2);
-    assert_eq!((changes.len(), changes[0].to, changes[0].evidence.votes), (1, Stage::Confirmed, 3));
+    assert_eq!(
+        (changes.len(), changes[0].to, changes[0].evidence.votes),
+        (1, Stage::Confirmed, 3)
+    );
     assert!(detector.judge(7.2).is_empty(), "told once");
     assert!(detector.has_failed(&1) && !detector.has_failed(&2));
     detector.owns_nothing(&1, true);
@@ -67,7 +85,11 @@
     advance(&mut detector, 0.0, 5.0, &[1, 2]);
     detector.opinions(&2, suspicion(1, FIRST), 5.0);
     advance(&mut detector, 5.0, 7.5, &[2]);
-    assert_eq!(detector.stage(&1), Stage::Suspected, "what was said 2.5 s ago does not count");
+    assert_eq!(
+        detector.stage(&1),
+        Stage::Suspected,
+        "what was said 2.5 s ago does not count"
+    );
 }
 
 #[test]
@@ -84,9 +106,15 @@
     let mut detector = Detector::new([1, 2], settings(3));
     advance(&mut detector, 0.0, 5.0, &[1, 2]);
     advance(&mut detector, 25.0, 26.0, &[]);
-    assert_eq!((detector.stage(&1), detector.stage(&2)), (Stage::Alive, Stage::Alive));
+    assert_eq!(
+        (detector.stage(&1), detector.stage(&2)),
+        (Stage::Alive, Stage::Alive)
+    );
     advance(&mut detector, 26.0, 33.0, &[2]);
-    assert_eq!((detector.stage(&1), detector.stage(&2)), (Stage::Suspected, Stage::Alive));
+    assert_eq!(
+        (detector.stage(&1), detector.stage(&2)),
+        (Stage::Suspected, Stage::Alive)
+    );
 }
 
 #[test]
@@ -120,13 +148,21 @@
         detector.judge(now);
         now += 0.4;
     }
-    assert_eq!(detector.stage(&1), Stage::Alive, "its own steps are 0.4 s apart");
+    assert_eq!(
+        detector.stage(&1),
+        Stage::Alive,
+        "its own steps are 0.4 s apart"
+    );
     while now < 12.0 {
         detector.step(now);
         detector.judge(now);
         now += 0.4;
     }
-    assert_eq!(detector.stage(&1), Stage::Suspected, "at most twelve heartbeats");
+    assert_eq!(
+        detector.stage(&1),
+        Stage::Suspected,
+        "at most twelve heartbeats"
+    );
 }
 
 #[test]
@@ -161,34 +197,86 @@
 
 #[test]
 fn a_cut_from_the_workers_needs_that_others_hear_them() {
-    let silent = OwnContact { workers_silent_s: 5.0, ..contact() };
-    assert_eq!(silent.partial_failure(), None, "all machines may have failed");
-    let few = OwnContact { machines_elsewhere: 4, ..silent };
+    let silent = OwnContact {
+        workers_silent_s: 5.0,
+        ..contact()
+    };
+    assert_eq!(
+        silent.partial_failure(),
+        None,
+        "all machines may have failed"
+    );
+    let few = OwnContact {
+        machines_elsewhere: 4,
+        ..silent
+    };
     assert_eq!(few.partial_failure(), None);
-    let most = OwnContact { machines_elsewhere: 5, ..silent };
+    let most = OwnContact {
+        machines_elsewhere: 5,
+        ..silent
+    };
     assert_eq!(most.partial_failure(), Some(PartialFailure::CutFromWorkers));
-    let just_now = OwnContact { workers_silent_s: 4.0, ..most };
-    assert_eq!(just_now.partial_failure(), None, "workers report every 3 s, give or take");
-    let some = OwnContact { others_get_workers: true, ..silent };
+    let just_now = OwnContact {
+        workers_silent_s: 4.0,
+        ..most
+    };
+    assert_eq!(
+        just_now.partial_failure(),
+        None,
+        "workers report every 3 s, give or take"
+    );
+    let some = OwnContact {
+        others_get_workers: true,
+        ..silent
+    };
     assert_eq!(
         some.partial_failure(),
         None,
         "a worker may change controllers for reasons of its own"
     );
-    let for_long = OwnContact { workers_silent_s: 6.1, ..some };
-    assert_eq!(for_long.partial_failure(), Some(PartialFailure::CutFromWorkers));
-    let without = OwnContact { machines: 0, ..most };
+    let for_long = OwnContact {
+        workers_silent_s: 6.1,
+        ..some
+    };
+    assert_eq!(
+        for_long.partial_failure(),
+        Some(PartialFailure::CutFromWorkers)
+    );
+    let without = OwnContact {
+        machines: 0,
+        ..most
+    };
     assert_eq!(without.partial_failure(), None, "nobody to hear from");
 }
 
 #[test]
 fn an_outage_for_all_is_no_refusal_of_one() {
-    let refused = OwnContact { state_silent_s: 3.0, refusals: 3, ..contact() };
+    let refused = OwnContact {
+        state_silent_s: 3.0,
+        refusals: 3,
+        ..contact()
+    };
     assert_eq!(refused.partial_failure(), None);
-    let others_served = OwnContact { others_served: 3, ..refused };
-    assert_eq!(others_served.partial_failure(), Some(PartialFailure::RefusedByState));
-    let half = OwnContact { others_served: 2, ..refused };
-    assert_eq!(half.partial_failure(), None, "the service may be failing for all");
-    let slow = OwnContact { refusals: 0, ..others_served };
+    let others_served = OwnContact {
+        others_served: 3,
+        ..refused
+    };
+    assert_eq!(
+        others_served.partial_failure(),
+        Some(PartialFailure::RefusedByState)
+    );
+    let half = OwnContact {
+        others_served: 2,
+        ..refused
+    };
+    assert_eq!(
+        half.partial_failure(),
+        None,
+        "the service may be failing for all"
+    );
+    let slow = OwnContact {
+        refusals: 0,
+        ..others_served
+    };
     assert_eq!(slow.partial_failure(), None, "no answer is no refusal");
 }
--- a/crates/quota-ledger/src/amount.rs
+++ b/crates/quota-ledger/src/amount.rs
@@ -28,12 +28,18 @@
 
 impl Amount {
     /// Nothing.
-    pub const ZERO: Self = Self { cpu_thousandths: 0, gpu_thousandths: 0 };
+    pub const ZERO: Self = Self {
+        cpu_thousandths: 0,
+        gpu_thousandths: 0,
+    };
 
     /// The least amount that covers this many CPUs and GPUs.
     pub fn covering(cpus: f64, gpus: f64) -> Self {
         let up = |units: f64| (units.max(0.0) * THOUSANDTHS - ROUNDING).ceil().max(0.0) as u64;
-        Self { cpu_thousandths: up(cpus), gpu_thousandths: up(gpus) }
+        Self {
+            cpu_thousandths: up(cpus),
+            gpu_thousandths: up(gpus),
+        }
     }
 
     /// CPUs and GPUs as decimal numbers.
@@ -101,7 +107,10 @@
     /// From settings, where 0 stands for no limit.
     pub fn new(cpus: f64, gpus: f64) -> Self {
         let down = |units: f64| (units > 0.0).then_some((units * THOUSANDTHS + ROUNDING) as u64);
-        Self { cpu_thousandths: down(cpus), gpu_thousandths: down(gpus) }
+        Self {
+            cpu_thousandths: down(cpus),
+            gpu_thousandths: down(gpus),
+        }
     }
 
     /// Whether anything is limited.
--- a/crates/quota-ledger/src/headroom.rs
+++ b/crates/quota-ledger/src/headroom.rs
@@ -48,7 +48,12 @@
             };
         }
         let headroom = limit.amount().part(self.part_of_limit);
-        let with = |times: f64| limit.amount().min(&needed.plus(&headroom.part(times))).max(needed);
+        let with = |times: f64| {
+            limit
+                .amount()
+                .min(&needed.plus(&headroom.part(times)))
+                .max(needed)
+        };
         if !grant.covers(&with(LOW_WATER)) {
             Target::Grow(with(1.0).max(grant))
         } else if !needed.plus(&headroom.part(HIGH_WATER)).covers(grant) {
--- a/crates/quota-ledger/src/holder.rs
+++ b/crates/quota-ledger/src/holder.rs
@@ -119,7 +119,10 @@
 
     /// What may be running at most under this holder's grant.
     pub fn grant(&self) -> Amount {
-        let stored = self.ledger.as_ref().and_then(|ledger| ledger.grant(&self.id));
+        let stored = self
+            .ledger
+            .as_ref()
+            .and_then(|ledger| ledger.grant(&self.id));
         let stored = stored.map_or(Amount::ZERO, |grant| grant.amount);
         match &self.in_doubt {
             Some(in_doubt) => stored.min(&in_doubt.amount),
@@ -130,7 +133,9 @@
     /// What a record that this holder asked to begin would cover at least. Until it is known whether
     /// that was carried out, no more may be started than that.
     pub fn beginning(&self) -> Option<Amount> {
-        self.in_doubt.filter(|_| self.ledger.is_none()).map(|in_doubt| in_doubt.amount)
+        self.in_doubt
+            .filter(|_| self.ledger.is_none())
+            .map(|in_doubt| in_doubt.amount)
     }
 
     /// What may be running at most that others started.
@@ -145,7 +150,10 @@
             return None;
         }
         let ledger = self.next_ledger(now, demand)?;
-        let proposal = Proposal { guard: self.version, ledger };
+        let proposal = Proposal {
+            guard: self.version,
+            ledger,
+        };
         self.count_as_in_doubt(&proposal);
         self.writing = Some(proposal.clone());
         Some(proposal)
@@ -153,7 +161,9 @@
 
     /// What became of the proposal under way.
     pub fn answered(&mut self, outcome: Outcome) {
-        let Some(proposal) = self.writing.take() else { return };
+        let Some(proposal) = self.writing.take() else {
+            return;
+        };
         match outcome {
             Outcome::Committed(version) => self.observe(version, Some(proposal.ledger)),
             // It may have stood beside an earlier one in doubt, which is then still counted.
@@ -166,14 +176,25 @@
         let ledger = self.ledger.as_ref()?;
         let still_used = self.limit.limited(&still_used);
         let next = ledger.release(&self.id, still_used).ok()?;
-        (next != *ledger).then_some(Proposal { guard: self.version, ledger: next })
+        (next != *ledger).then_some(Proposal {
+            guard: self.version,
+            ledger: next,
+        })
     }
 
     fn count_as_in_doubt(&mut self, proposal: &Proposal) {
-        let granted = proposal.ledger.grant(&self.id).map_or(Amount::ZERO, |grant| grant.amount);
-        let before = self.in_doubt.filter(|in_doubt| in_doubt.guard == proposal.guard);
+        let granted = proposal
+            .ledger
+            .grant(&self.id)
+            .map_or(Amount::ZERO, |grant| grant.amount);
+        let before = self
+            .in_doubt
+            .filter(|in_doubt| in_doubt.guard == proposal.guard);
         let amount = before.map_or(granted, |before| before.amount.min(&granted));
-        self.in_doubt = Some(InDoubt { guard: proposal.guard, amount });
+        self.in_doubt = Some(InDoubt {
+            guard: proposal.guard,
+            amount,
+        });
     }
 
     fn next_ledger(&mut self, now: f64, demand: &Demand) -> Option<TeamLedger> {
@@ -214,7 +235,12 @@
             Ended::Nobody => None,
             Ended::These(former) => {
                 let named = former.iter().any(|former| ledger.grant(former).is_some());
-                let absorb = || ledger.join(&self.id).absorb(&self.id, former, inherited).ok();
+                let absorb = || {
+                    ledger
+                        .join(&self.id)
+                        .absorb(&self.id, former, inherited)
+                        .ok()
+                };
                 named.then(absorb)?
             }
             Ended::AllOthers => {
@@ -230,14 +256,21 @@
         let running = self.limit.limited(&demand.used.plus(&demand.inherited));
         let waiting = self.limit.limited(&demand.waiting);
         let headroom = self.limit.amount().part(self.headroom.part_of_limit);
-        running.max(&self.limit.amount().min(&running.plus(&waiting).plus(&headroom)))
+        running.max(
+            &self
+                .limit
+                .amount()
+                .min(&running.plus(&waiting).plus(&headroom)),
+        )
     }
 
     /// What the grant should become; None if nothing is to be written now.
     fn target(&mut self, now: f64, ledger: &TeamLedger, needed: Amount) -> Option<Amount> {
         let grant = ledger.grant(&self.id)?;
         let others_lack = !ledger.wanted_by_others(&self.id).is_zero();
-        let target = self.headroom.target(&self.limit, &grant.amount, &needed, others_lack);
+        let target = self
+            .headroom
+            .target(&self.limit, &grant.amount, &needed, others_lack);
         let Target::ShrinkLater(less) = target else {
             self.surplus_since = None;
             return match target {
@@ -260,7 +293,11 @@
         let amount = wanted.min(&ledger.available(&self.id, &self.limit).max(&held));
         let lacking = needed.less(&amount);
         // One recall is enough for as long as something is lacking.
-        let lacking = if lacking.is_zero() { lacking } else { lacking.max(&recalled) };
+        let lacking = if lacking.is_zero() {
+            lacking
+        } else {
+            lacking.max(&recalled)
+        };
         let resized = ledger.resize(&self.id, amount, &self.limit);
         let next = resized.and_then(|resized| resized.recall(&self.id, lacking));
         next.unwrap_or_else(|_: Refusal| ledger.clone())
--- a/crates/quota-ledger/src/record.rs
+++ b/crates/quota-ledger/src/record.rs
@@ -98,7 +98,9 @@
 
 fn each_holder_once(grants: &[Grant], _: &()) -> garde::Result {
     let twice = |(index, grant): (usize, &Grant)| {
-        grants[..index].iter().any(|other| other.holder == grant.holder)
+        grants[..index]
+            .iter()
+            .any(|other| other.holder == grant.holder)
     };
     match grants.iter().enumerate().any(twice) {
         true => Err(garde::Error::new("a holder has two grants")),
@@ -112,14 +114,25 @@
         let ledger = Self::deserialize(value).map_err(|e| RecordError::Malformed(e.to_string()))?;
         match ledger.validate() {
             Ok(()) => Ok(ledger),
-            Err(report) => Err(RecordError::Invalid(report.to_string().trim().replace('\n', "; "))),
+            Err(report) => Err(RecordError::Invalid(
+                report.to_string().trim().replace('\n', "; "),
+            )),
         }
     }
 
     /// A new record. Its holder vouches that `amount` covers all that may run of the team.
     pub fn begin(holder: &HolderId, amount: Amount) -> Self {
-        let grant = Grant { holder: holder.clone(), amount, wanted: Amount::ZERO };
-        Self { format: FORMAT, began: holder.term, grants: vec![grant], folded: Amount::ZERO }
+        let grant = Grant {
+            holder: holder.clone(),
+            amount,
+            wanted: Amount::ZERO,
+        };
+        Self {
+            format: FORMAT,
+            began: holder.term,
+            grants: vec![grant],
+            folded: Amount::ZERO,
+        }
     }
 
     /// The term of the holder that began the record.
@@ -160,7 +173,10 @@
     /// needs one gets the whole, and none is passed over for long.
     pub fn yields(&self, holder: &HolderId) -> bool {
         let rank = |grant: &Grant| {
-            let Amount { gpu_thousandths, cpu_thousandths } = grant.amount;
+            let Amount {
+                gpu_thousandths,
+                cpu_thousandths,
+            } = grant.amount;
             (gpu_thousandths, cpu_thousandths, grant.holder.clone())
         };
         let own = self.grant(holder).map(rank);
@@ -178,7 +194,11 @@
         let mut next = self.clone();
         if self.grant(holder).is_none() {
             let (amount, wanted) = (Amount::ZERO, Amount::ZERO);
-            next.grants.push(Grant { holder: holder.clone(), amount, wanted });
+            next.grants.push(Grant {
+                holder: holder.clone(),
+                amount,
+                wanted,
+            });
             next.grants.sort_by(|a, b| a.holder.cmp(&b.holder));
             next.fold_oldest(holder);
         }
@@ -193,7 +213,10 @@
         limit: &Limit,
     ) -> Result<Self, Refusal> {
         let held = self.grant(holder).ok_or(Refusal::NotAHolder)?.amount;
-        if !held.max(&self.available(holder, limit)).covers(&limit.limited(&amount)) {
+        if !held
+            .max(&self.available(holder, limit))
+            .covers(&limit.limited(&amount))
+        {
             return Err(Refusal::LimitReached);
         }
         Ok(self.with(holder, |grant| grant.amount = amount))
@@ -216,7 +239,8 @@
         inherited: Amount,
     ) -> Result<Self, Refusal> {
         let mut next = self.clone();
-        next.grants.retain(|grant| !former.contains(&grant.holder) || grant.holder == *holder);
+        next.grants
+            .retain(|grant| !former.contains(&grant.holder) || grant.holder == *holder);
         let ended = self.outstanding(holder).less(&next.outstanding(holder));
         next.inherit(holder, inherited.min(&ended))
     }
@@ -241,7 +265,8 @@
             grant.amount = grant.amount.min(&still_used);
             grant.wanted = Amount::ZERO;
         });
-        next.grants.retain(|grant| grant.holder != *holder || !grant.amount.is_zero());
+        next.grants
+            .retain(|grant| grant.holder != *holder || !grant.amount.is_zero());
         Ok(next)
     }
 
@@ -257,7 +282,10 @@
     /// more; what it had stays counted in the sum.
     fn fold_oldest(&mut self, joining: &HolderId) {
         while self.grants.len() > MOST_GRANTS {
-            let oldest = self.grants.iter().position(|grant| grant.holder != *joining);
+            let oldest = self
+                .grants
+                .iter()
+                .position(|grant| grant.holder != *joining);
             let Some(oldest) = oldest else { return };
             let grant = self.grants.remove(oldest);
             self.folded = self.folded.plus(&grant.amount);
--- a/crates/quota-ledger/tests/interleaving.rs
+++ b/crates/quota-ledger/tests/interleaving.rs
@@ -12,7 +12,9 @@
 const TRIES: u64 = 1000;
 
 fn schedules() -> std::ops::Range<u64> {
-    let Ok(text) = std::env::var("LEDGER_SCHEDULES") else { return SCHEDULES };
+    let Ok(text) = std::env::var("LEDGER_SCHEDULES") else {
+        return SCHEDULES;
+    };
     let (from, to) = text.split_once('-').expect("from-to");
     from.parse().expect("a number")..to.parse::<u64>().expect("a number") + 1
 }
@@ -20,7 +22,9 @@
 #[test]
 fn the_limit_is_never_passed_and_everything_is_served() {
     let counts = std::thread::scope(|scope| {
-        let parts: Vec<_> = (0..THREADS).map(|part| scope.spawn(move || play_part(part))).collect();
+        let parts: Vec<_> = (0..THREADS)
+            .map(|part| scope.spawn(move || play_part(part)))
+            .collect();
         parts
             .into_iter()
             .map(|part| part.join().expect("a part"))
@@ -56,7 +60,9 @@
     let mut counts = Counts::default();
     for seed in schedules().skip(part).step_by(THREADS) {
         let mut model = Model::new(seed, Removed::Nothing);
-        model.play().unwrap_or_else(|overshoot| panic!("schedule {seed}: {overshoot}"));
+        model
+            .play()
+            .unwrap_or_else(|overshoot| panic!("schedule {seed}: {overshoot}"));
         assert_eq!(model.unsettled(), None, "schedule {seed}");
         counts = counts.plus(Counts {
             starts: model.started,
--- a/crates/quota-ledger/tests/model/mod.rs
+++ b/crates/quota-ledger/tests/model/mod.rs
@@ -74,12 +74,40 @@
 
 enum Action {
     Turn(usize),
-    Write { node: usize, term: u64, proposal: Proposal, answered: bool },
-    Answer { node: usize, term: u64, outcome: Outcome },
-    Start { node: usize, term: u64, machine: usize, token: u64, task: Task },
-    Started { node: usize, term: u64, task: u64, runs: bool },
-    Ends { machine: usize, task: u64 },
-    Told { node: usize, term: u64, machine: usize, token: u64 },
+    Write {
+        node: usize,
+        term: u64,
+        proposal: Proposal,
+        answered: bool,
+    },
+    Answer {
+        node: usize,
+        term: u64,
+        outcome: Outcome,
+    },
+    Start {
+        node: usize,
+        term: u64,
+        machine: usize,
+        token: u64,
+        task: Task,
+    },
+    Started {
+        node: usize,
+        term: u64,
+        task: u64,
+        runs: bool,
+    },
+    Ends {
+        machine: usize,
+        task: u64,
+    },
+    Told {
+        node: usize,
+        term: u64,
+        machine: usize,
+        token: u64,
+    },
     Crash(usize),
     Return(usize),
     Freeze(usize, f64),
@@ -105,8 +133,19 @@
 }
 
 fn holder(node: usize, term: u64, limit: Limit) -> Holder {
-    let id = HolderId { term, incarnation: term, node: format!("n{node}") };
-    Holder::new(id, limit, Headroom { part_of_limit: 0.125, patience_s: 5.0 })
+    let id = HolderId {
+        term,
+        incarnation: term,
+        node: format!("n{node}"),
+    };
+    Holder::new(
+        id,
+        limit,
+        Headroom {
+            part_of_limit: 0.125,
+            patience_s: 5.0,
+        },
+    )
 }
 
 impl Model {
@@ -132,12 +171,25 @@
         });
         let machines = (0..MACHINES).map(|machine| {
             let owner = machine % CONTROLLERS;
-            Machine { owner, term: owner as u64 + 1, seen: 0, running: BTreeMap::new() }
+            Machine {
+                owner,
+                term: owner as u64 + 1,
+                seen: 0,
+                running: BTreeMap::new(),
+            }
+        });
+        let outages = (0..2).map(|_| {
+            (
+                rng.random_range(0.0..TROUBLE_S),
+                rng.random_range(1.0..40.0),
+            )
         });
-        let outages =
-            (0..2).map(|_| (rng.random_range(0.0..TROUBLE_S), rng.random_range(1.0..40.0)));
         let outages: Vec<(f64, f64)> = outages.collect();
-        let first = HolderId { term: 0, incarnation: 0, node: "founder".into() };
+        let first = HolderId {
+            term: 0,
+            incarnation: 0,
+            node: "founder".into(),
+        };
         let mut model = Self {
             now: 0.0,
             sequence: 0,
@@ -168,7 +220,9 @@
             let at = self.rng.random_range(5.0..TROUBLE_S);
             let node = self.rng.random_range(0..CONTROLLERS);
             if self.rng.random_bool(0.5) {
-                let pause = *[0.5, 3.0, 7.0, 25.0].get(self.rng.random_range(0..4)).unwrap_or(&1.0);
+                let pause = *[0.5, 3.0, 7.0, 25.0]
+                    .get(self.rng.random_range(0..4))
+                    .unwrap_or(&1.0);
                 self.after(at, Action::Freeze(node, pause));
             } else {
                 let back = self.rng.random_range(0.3..30.0);
@@ -196,7 +250,10 @@
                 break;
             }
             self.happen(action);
-            let running = self.machines.iter().flat_map(|machine| machine.running.values());
+            let running = self
+                .machines
+                .iter()
+                .flat_map(|machine| machine.running.values());
             let running: f64 = running.map(|(gpus, _)| gpus).sum();
             self.most_running = self.most_running.max(running);
             if running > LIMIT_GPUS + 1e-6 {
@@ -225,23 +282,50 @@
     fn happen(&mut self, action: Action) {
         match action {
             Action::Turn(node) => self.turn(node),
-            Action::Write { node, term, proposal, answered } => {
+            Action::Write {
+                node,
+                term,
+                proposal,
+                answered,
+            } => {
                 let outcome = self.write(proposal);
                 if answered {
-                    self.after(0.005, Action::Answer { node, term, outcome });
+                    self.after(
+                        0.005,
+                        Action::Answer {
+                            node,
+                            term,
+                            outcome,
+                        },
+                    );
                 }
             }
-            Action::Answer { node, term, outcome } => {
+            Action::Answer {
+                node,
+                term,
+                outcome,
+            } => {
                 let controller = &mut self.controllers[node];
                 if controller.alive && controller.term == term {
                     controller.holder.answered(outcome);
                     controller.unconfirmed = Amount::ZERO;
                 }
             }
-            Action::Start { node, term, machine, token, task } => {
+            Action::Start {
+                node,
+                term,
+                machine,
+                token,
+                task,
+            } => {
                 self.start(node, term, machine, token, task);
             }
-            Action::Started { node, term, task, runs } => {
+            Action::Started {
+                node,
+                term,
+                task,
+                runs,
+            } => {
                 let controller = &mut self.controllers[node];
                 if controller.term == term
                     && let Some(tracked) = controller.tasks.get_mut(&task)
@@ -258,7 +342,12 @@
                 self.controllers[node].tasks.remove(&task);
                 self.controllers[node].found.remove(&task);
             }
-            Action::Told { node, term, machine, token } => self.told(node, term, machine, token),
+            Action::Told {
+                node,
+                term,
+                machine,
+                token,
+            } => self.told(node, term, machine, token),
             Action::Crash(node) => {
                 let controller = &mut self.controllers[node];
                 self.crashes += usize::from(controller.alive);
@@ -280,7 +369,9 @@
         let idle = !controller.had_machines;
         // Whoever its machines were taken over from before has ended as well.
         let mut former: Vec<(HolderId, BTreeSet<usize>)> = controller.former.clone();
-        former.iter_mut().for_each(|(_, machines)| *machines = held.clone());
+        former
+            .iter_mut()
+            .for_each(|(_, machines)| *machines = held.clone());
         former.push((ended, held.clone()));
         *controller = Controller {
             alive: true,
@@ -292,7 +383,11 @@
             had_machines: false,
             tasks: BTreeMap::new(),
             found: BTreeMap::new(),
-            former: if held.is_empty() && !idle { Vec::new() } else { former },
+            former: if held.is_empty() && !idle {
+                Vec::new()
+            } else {
+                former
+            },
             waiting: Vec::new(),
             unconfirmed: Amount::ZERO,
         };
@@ -303,7 +398,10 @@
 
     fn owned_by(&self, node: usize) -> BTreeSet<usize> {
         let machines = self.machines.iter().enumerate();
-        machines.filter(|(_, machine)| machine.owner == node).map(|(index, _)| index).collect()
+        machines
+            .filter(|(_, machine)| machine.owner == node)
+            .map(|(index, _)| index)
+            .collect()
     }
 
     /// The leader gives the machines of controllers that have lapsed to another, under a new term.
@@ -318,13 +416,17 @@
             let lives = |other: &usize| {
                 self.controllers[*other].alive && now - self.controllers[*other].heard < LAPSE_S
             };
-            let successor = (0..CONTROLLERS).filter(lives).min_by_key(|n| self.owned_by(*n).len());
+            let successor = (0..CONTROLLERS)
+                .filter(lives)
+                .min_by_key(|n| self.owned_by(*n).len());
             let Some(successor) = successor else { continue };
             let term = self.next_term;
             self.next_term += 1;
             let ended = controller.holder.id().clone();
             let mut former = self.controllers[node].former.clone();
-            former.iter_mut().for_each(|(_, machines)| *machines = held.clone());
+            former
+                .iter_mut()
+                .for_each(|(_, machines)| *machines = held.clone());
             former.push((ended, held.clone()));
             self.controllers[successor].former.extend(former);
             for machine in held {
@@ -356,19 +458,29 @@
         self.write_when_due(node);
         if self.rng.random_bool(0.025) && self.troubled() {
             self.next_task += 1;
-            let (gpus, run_s) =
-                (f64::from(self.rng.random_range(1..4)), self.rng.random_range(2.0..40.0));
-            self.controllers[node].waiting.push(Task { id: self.next_task, gpus, run_s });
+            let (gpus, run_s) = (
+                f64::from(self.rng.random_range(1..4)),
+                self.rng.random_range(2.0..40.0),
+            );
+            self.controllers[node].waiting.push(Task {
+                id: self.next_task,
+                gpus,
+                run_s,
+            });
         }
     }
 
     fn in_outage(&self) -> bool {
-        self.outages.iter().any(|(from, length)| (*from..from + length).contains(&self.now))
+        self.outages
+            .iter()
+            .any(|(from, length)| (*from..from + length).contains(&self.now))
     }
 
     fn read(&mut self, node: usize) {
         let owned = self.owned_by(node);
-        let machines = owned.iter().map(|machine| (*machine, self.machines[*machine].term));
+        let machines = owned
+            .iter()
+            .map(|machine| (*machine, self.machines[*machine].term));
         let machines: BTreeMap<usize, u64> = machines.collect();
         let (version, ledger) = self.store.clone();
         let controller = &mut self.controllers[node];
@@ -378,7 +490,15 @@
         controller.had_machines |= !machines.is_empty();
         for (machine, token) in machines {
             let delay = self.rng.random_range(0.01..1.5);
-            self.after(delay, Action::Told { node, term, machine, token });
+            self.after(
+                delay,
+                Action::Told {
+                    node,
+                    term,
+                    machine,
+                    token,
+                },
+            );
         }
     }
 
@@ -388,8 +508,11 @@
             return;
         }
         self.machines[machine].seen = self.machines[machine].seen.max(token);
-        let found: Vec<(u64, f64)> =
-            self.machines[machine].running.iter().map(|(id, (gpus, _))| (*id, *gpus)).collect();
+        let found: Vec<(u64, f64)> = self.machines[machine]
+            .running
+            .iter()
+            .map(|(id, (gpus, _))| (*id, *gpus))
+            .collect();
         let controller = &mut self.controllers[node];
         if !controller.alive || controller.term != term || self.now < controller.frozen_until {
             return;
@@ -417,13 +540,18 @@
     /// Grants that have passed over: what was found counts towards the own grant from then on.
     fn take_over(&mut self, node: usize) {
         let controller = &mut self.controllers[node];
-        let Some(ledger) = controller.holder.ledger() else { return };
+        let Some(ledger) = controller.holder.ledger() else {
+            return;
+        };
         let before = controller.former.len();
         controller
             .former
             .retain(|(id, machines)| !machines.is_empty() || ledger.grant(id).is_some());
         if controller.former.len() < before {
-            let found = controller.found.iter().map(|(id, gpus)| (*id, (*gpus, true)));
+            let found = controller
+                .found
+                .iter()
+                .map(|(id, gpus)| (*id, (*gpus, true)));
             controller.tasks.extend(found);
         }
         // Whose the rest is can't be told, so it counts for every other former holder as well.
@@ -445,7 +573,10 @@
             grant = grant.max(&controller.unconfirmed);
         }
         if self.removed == Removed::Doubt {
-            let stored = controller.holder.ledger().and_then(|l| l.grant(controller.holder.id()));
+            let stored = controller
+                .holder
+                .ledger()
+                .and_then(|l| l.grant(controller.holder.id()));
             grant = stored.map_or(Amount::ZERO, |grant| grant.amount);
         }
         let waiting = std::mem::take(&mut controller.waiting);
@@ -457,7 +588,9 @@
                 continue;
             }
             used = needed;
-            self.controllers[node].tasks.insert(task.id, (task.gpus, false));
+            self.controllers[node]
+                .tasks
+                .insert(task.id, (task.gpus, false));
             let (machine, token) = machines[self.rng.random_range(0..machines.len())];
             let late = self.troubled() && self.rng.random_bool(0.1);
             let delay = if late {
@@ -465,7 +598,16 @@
             } else {
                 self.rng.random_range(0.01..0.3)
             };
-            self.after(delay, Action::Start { node, term, machine, token, task });
+            self.after(
+                delay,
+                Action::Start {
+                    node,
+                    term,
+                    machine,
+                    token,
+                    task,
+                },
+            );
         }
     }
 
@@ -473,11 +615,27 @@
         let fenced = token < self.machines[machine].seen && self.removed != Removed::Fencing;
         if !fenced {
             self.machines[machine].seen = self.machines[machine].seen.max(token);
-            self.machines[machine].running.insert(task.id, (task.gpus, task.run_s));
+            self.machines[machine]
+                .running
+                .insert(task.id, (task.gpus, task.run_s));
             self.started += 1;
-            self.after(task.run_s, Action::Ends { machine, task: task.id });
+            self.after(
+                task.run_s,
+                Action::Ends {
+                    machine,
+                    task: task.id,
+                },
+            );
         }
-        self.after(0.02, Action::Started { node, term, task: task.id, runs: !fenced });
+        self.after(
+            0.02,
+            Action::Started {
+                node,
+                term,
+                task: task.id,
+                runs: !fenced,
+            },
+        );
     }
 
     fn write_when_due(&mut self, node: usize) {
@@ -485,11 +643,17 @@
         let evidence = self.removed == Removed::Evidence;
         let now = self.now;
         let controller = &mut self.controllers[node];
-        let ended =
-            controller.former.iter().filter(|(_, machines)| evidence || machines.is_empty());
+        let ended = controller
+            .former
+            .iter()
+            .filter(|(_, machines)| evidence || machines.is_empty());
         let ended: Vec<HolderId> = ended.map(|(id, _)| id.clone()).collect();
         // Who has no machine can start nothing, and so asks for nothing.
-        let startable = if controller.machines.is_empty() { &[][..] } else { &controller.waiting };
+        let startable = if controller.machines.is_empty() {
+            &[][..]
+        } else {
+            &controller.waiting
+        };
         let waiting = startable.iter().map(|task| task.gpus).sum();
         let next = startable.first().map_or(0.0, |task| task.gpus);
         let demand = Demand {
@@ -497,18 +661,47 @@
             used,
             waiting: Amount::covering(0.0, waiting),
             inherited: Amount::covering(0.0, controller.found.values().sum()),
-            ended: if ended.is_empty() { Ended::Nobody } else { Ended::These(ended) },
+            ended: if ended.is_empty() {
+                Ended::Nobody
+            } else {
+                Ended::These(ended)
+            },
+        };
+        let Some(proposal) = controller.holder.propose(now, &demand) else {
+            return;
         };
-        let Some(proposal) = controller.holder.propose(now, &demand) else { return };
         let granted = proposal.ledger.grant(controller.holder.id());
         controller.unconfirmed = granted.map_or(Amount::ZERO, |grant| grant.amount);
         let term = controller.term;
-        let fate = if self.troubled() { self.rng.random_range(0..10) } else { 0 };
+        let fate = if self.troubled() {
+            self.rng.random_range(0..10)
+        } else {
+            0
+        };
         let answered = fate < 8;
-        let delay = if fate == 9 { self.rng.random_range(1.0..40.0) } else { 0.01 };
-        self.after(delay, Action::Write { node, term, proposal, answered });
+        let delay = if fate == 9 {
+            self.rng.random_range(1.0..40.0)
+        } else {
+            0.01
+        };
+        self.after(
+            delay,
+            Action::Write {
+                node,
+                term,
+                proposal,
+                answered,
+            },
+        );
         if !answered {
-            self.after(1.0, Action::Answer { node, term, outcome: Outcome::Unknown });
+            self.after(
+                1.0,
+                Action::Answer {
+                    node,
+                    term,
+                    outcome: Outcome::Unknown,
+                },
+            );
         }
     }
 
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -11,7 +11,10 @@
 use tracing_subscriber::filter::LevelFilter;
 
 #[derive(Parser)]
-#[command(version, about = "A scheduler for fleets of machines that serve language models")]
+#[command(
+    version,
+    about = "A scheduler for fleets of machines that serve language models"
+)]
 struct Args {
     /// Run a controller with this settings file.
     #[arg(long, value_name = "FILE")]
--- a/src/cloud_client.rs
+++ b/src/cloud_client.rs
@@ -22,8 +22,15 @@
         let (method, path, body) = match &call {
             CloudCall::Types => (Method::GET, "/flavors".to_owned(), Vec::new()),
             CloudCall::List { after } => {
-                let after = after.as_ref().map(|id| format!("from={id}&")).unwrap_or_default();
-                (Method::GET, format!("/rentals?{after}page={PAGE}"), Vec::new())
+                let after = after
+                    .as_ref()
+                    .map(|id| format!("from={id}&"))
+                    .unwrap_or_default();
+                (
+                    Method::GET,
+                    format!("/rentals?{after}page={PAGE}"),
+                    Vec::new(),
+                )
             }
             CloudCall::Rent(rental) => (Method::POST, "/rentals".into(), encode(rental)),
             CloudCall::Release(names) => (Method::POST, "/rentals/release".into(), encode(names)),
--- a/src/config.rs
+++ b/src/config.rs
@@ -9,11 +9,17 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     #[error("cannot read settings file {path}: {source}")]
-    Read { path: String, source: std::io::Error },
+    Read {
+        path: String,
+        source: std::io::Error,
+    },
     #[error("settings: {0}")]
     Parse(String),
     #[error("settings: {field}: {problem}")]
-    Invalid { field: String, problem: &'static str },
+    Invalid {
+        field: String,
+        problem: &'static str,
+    },
 }
 
 #[derive(Debug, Clone, Deserialize)]
@@ -115,9 +121,15 @@
     fn lower(&mut self) {
         let Some(next) = self.next.take() else { return };
         self.rps = next.rps.map_or(self.rps, |rps| self.rps.min(rps));
-        self.write_rps = next.write_rps.map_or(self.write_rps, |rps| self.write_rps.min(rps));
-        self.value_kb = next.value_kb.map_or(self.value_kb, |kb| self.value_kb.min(kb));
-        self.txn_ops = next.txn_ops.map_or(self.txn_ops, |ops| self.txn_ops.min(ops));
+        self.write_rps = next
+            .write_rps
+            .map_or(self.write_rps, |rps| self.write_rps.min(rps));
+        self.value_kb = next
+            .value_kb
+            .map_or(self.value_kb, |kb| self.value_kb.min(kb));
+        self.txn_ops = next
+            .txn_ops
+            .map_or(self.txn_ops, |ops| self.txn_ops.min(ops));
     }
 }
 
@@ -135,8 +147,10 @@
 
 impl Config {
     pub fn load(path: &Path) -> Result<Self, ConfigError> {
-        let text = std::fs::read_to_string(path)
-            .map_err(|source| ConfigError::Read { path: path.display().to_string(), source })?;
+        let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Read {
+            path: path.display().to_string(),
+            source,
+        })?;
         Self::parse(&text)
     }
 
@@ -199,7 +213,9 @@
         }
         for (i, sibling) in self.siblings.iter().enumerate() {
             if sibling.node == self.node
-                || self.siblings[..i].iter().any(|other| other.node == sibling.node)
+                || self.siblings[..i]
+                    .iter()
+                    .any(|other| other.node == sibling.node)
             {
                 return invalid("siblings.host_name", "each controller must be named once");
             }
@@ -212,8 +228,14 @@
             }
         }
         for objective in &d.objectives {
-            if objective.within_s.is_some_and(|s| !(s.is_finite() && s > 0.0)) {
-                return invalid("deployment.objectives.within_s", "must be a positive number");
+            if objective
+                .within_s
+                .is_some_and(|s| !(s.is_finite() && s > 0.0))
+            {
+                return invalid(
+                    "deployment.objectives.within_s",
+                    "must be a positive number",
+                );
             }
         }
         Ok(())
@@ -225,7 +247,10 @@
 
     /// A team's guarantee and limit, if the settings name it.
     pub fn team_limits(&self, team: &Team) -> Option<&TeamLimits> {
-        self.deployment.teams.iter().find(|limits| limits.name == *team)
+        self.deployment
+            .teams
+            .iter()
+            .find(|limits| limits.name == *team)
     }
 
     /// The tightest objective on a class's starts, if it has one.
@@ -246,7 +271,10 @@
 }
 
 fn invalid<T>(field: &str, problem: &'static str) -> Result<T, ConfigError> {
-    Err(ConfigError::Invalid { field: field.into(), problem })
+    Err(ConfigError::Invalid {
+        field: field.into(),
+        problem,
+    })
 }
 
 #[cfg(test)]
--- a/src/core/authority.rs
+++ b/src/core/authority.rs
@@ -108,7 +108,9 @@
 /// See the argument above.
 fn outlast(workers: &Workers) -> Time {
     let tasks_end = workers.lease_s * (1.0 + DRIFT) + workers.report_s * 0.5;
-    (workers.cancel_s * 0.5).min((workers.cancel_s - tasks_end) * 0.9).max(0.0)
+    (workers.cancel_s * 0.5)
+        .min((workers.cancel_s - tasks_end) * 0.9)
+        .max(0.0)
 }
 
 impl Authority {
@@ -227,7 +229,8 @@
         let revoked = self.revoked.contains(&(node.clone(), incarnation));
         let yes = known && blind && !revoked && now > self.voucher;
         if yes {
-            self.promised.insert(node.clone(), now + self.voucher * (1.0 + DRIFT));
+            self.promised
+                .insert(node.clone(), now + self.voucher * (1.0 + DRIFT));
         }
         yes
     }
@@ -245,7 +248,10 @@
         let free = match own {
             // Its own word stands behind its authority for as long as that lasts.
             true => !self.entitled(now),
-            false => self.promised.get(&process.0).is_none_or(|until| *until < now),
+            false => self
+                .promised
+                .get(&process.0)
+                .is_none_or(|until| *until < now),
         };
         let yes = free && now > self.voucher;
         if yes {
@@ -260,7 +266,10 @@
 
     /// Controllers that have consented to the hand-over of a process's share by hello, and how many it takes.
     pub fn consents_to(&self, process: &Process) -> (usize, usize) {
-        (self.consents.get(process).map_or(0, BTreeSet::len), self.majority)
+        (
+            self.consents.get(process).map_or(0, BTreeSet::len),
+            self.majority,
+        )
     }
 
     pub fn consented(&mut self, from: &Node, processes: &[Process]) {
@@ -290,7 +299,10 @@
         let own = self.consent(process, now).then(|| self.node.clone());
         self.has_new_question |= !self.consents.contains_key(process);
         let asked = self.consents.entry(process.clone()).or_default();
-        let stored = view.nodes().iter().filter(|(_, n)| n.record.consents.contains(process));
+        let stored = view
+            .nodes()
+            .iter()
+            .filter(|(_, n)| n.record.consents.contains(process));
         let stored = stored.map(|(node, _)| node);
         let consents: BTreeSet<&Node> = asked.iter().chain(stored).chain(&own).collect();
         let over = since + self.outlast * (1.0 + DRIFT) + self.margin;
@@ -310,17 +322,25 @@
         }
         self.next_stored_consents = now + self.ttl * CONSENT_TTLS;
         let unheard = |node: &Node| *node != self.node && !peers.hears(node, now);
-        if !view.leader().is_some_and(|leader| unheard(&leader.record.node)) {
+        if !view
+            .leader()
+            .is_some_and(|leader| unheard(&leader.record.node))
+        {
             return;
         }
         let owners = view.owners();
         let owners = owners.teams.values().chain(owners.machines.values());
-        let owners: BTreeSet<Process> =
-            owners.map(|owner| (owner.node.clone(), owner.incarnation)).collect();
-        let gone = owners.into_iter().filter(|(node, _)| view.node(node).is_none());
+        let owners: BTreeSet<Process> = owners
+            .map(|owner| (owner.node.clone(), owner.incarnation))
+            .collect();
+        let gone = owners
+            .into_iter()
+            .filter(|(node, _)| view.node(node).is_none());
         let gone: Vec<Process> = gone.collect();
-        self.stored_consents =
-            gone.into_iter().filter(|process| self.consent(process, now)).collect();
+        self.stored_consents = gone
+            .into_iter()
+            .filter(|process| self.consent(process, now))
+            .collect();
     }
 
     /// The map names only these processes: questions about others are closed.
@@ -404,7 +424,8 @@
         self.authority.lost(self.io.now + pause);
         if let Some(owner) = self.owner.take() {
             self.hints = owner.known_images();
-            self.unresponsive.note(owner.unresponsive(self.io.now), self.io.now);
+            self.unresponsive
+                .note(owner.unresponsive(self.io.now), self.io.now);
         }
         self.leader = None;
     }
@@ -442,7 +463,9 @@
     fn end_predecessor(&mut self) {
         let keys = [self.view.node(&self.config.node), self.view.leader()];
         let mine = keys.into_iter().flatten().map(|key| &key.record);
-        let earlier = mine.filter(|record| record.node == self.config.node).map(|r| r.lease);
+        let earlier = mine
+            .filter(|record| record.node == self.config.node)
+            .map(|r| r.lease);
         for lease in earlier.collect::<BTreeSet<u64>>() {
             if self.authority.ended_predecessor.replace(lease) != Some(lease) {
                 let pending = Pending::Authority(AuthorityCall::End);
@@ -469,15 +492,27 @@
         let (key, version, call) = if known.is_none_or(|known| known.record != record) {
             // Guarded, so that a late write of an earlier process cannot replace it.
             let version = known.map_or(0, |known| known.version);
-            (node_key(&record.node), version, AuthorityCall::Register { lease })
+            (
+                node_key(&record.node),
+                version,
+                AuthorityCall::Register { lease },
+            )
         } else if self.view.leader().is_none() && self.authority.entitled(now) {
             (LEADER_KEY.to_owned(), 0, AuthorityCall::Claim { lease })
         } else if let Some(worn) = self.leader.as_ref().filter(|leader| leader.is_worn()) {
             // Under the key's new revision there are fresh terms. It stays this process's key.
-            (LEADER_KEY.to_owned(), worn.term, AuthorityCall::Claim { lease })
+            (
+                LEADER_KEY.to_owned(),
+                worn.term,
+                AuthorityCall::Claim { lease },
+            )
         } else if let Some(version) = self.failed_leader() {
             tracing::info!("takes over from the leader, which has failed");
-            (LEADER_KEY.to_owned(), version, AuthorityCall::Claim { lease })
+            (
+                LEADER_KEY.to_owned(),
+                version,
+                AuthorityCall::Claim { lease },
+            )
         } else {
             return;
         };
@@ -486,7 +521,8 @@
             guards: vec![guard(&key, version)],
             writes: vec![put(&key, &record, Some(lease))],
         };
-        self.io.state(Pending::Authority(call), StateCall::Commit(transaction));
+        self.io
+            .state(Pending::Authority(call), StateCall::Commit(transaction));
     }
 }
 
--- a/src/core/authority/tests.rs
+++ b/src/core/authority/tests.rs
@@ -3,7 +3,13 @@
 use super::*;
 
 fn workers(report_s: f64, lease_s: f64, cancel_s: f64) -> Workers {
-    Workers { report_s, lease_s, gang_wait_s: 30.0, gang_peer_s: 5.0, cancel_s }
+    Workers {
+        report_s,
+        lease_s,
+        gang_wait_s: 30.0,
+        gang_peer_s: 5.0,
+        cancel_s,
+    }
 }
 
 /// The sum of the argument above, for the figures of several deployments: a cancellation that was
@@ -25,7 +31,11 @@
             "{lease_s} {cancel_s}"
         );
     }
-    assert_eq!(outlast(&workers(3.0, 14.0, 10.0)), 0.0, "better idle than late");
+    assert_eq!(
+        outlast(&workers(3.0, 14.0, 10.0)),
+        0.0,
+        "better idle than late"
+    );
 }
 
 fn held(siblings: usize) -> Authority {
@@ -49,7 +59,9 @@
     let (n1, n2) = (Node::from("n1"), Node::from("n2"));
     let vouch = |authority: &mut Authority, now: Time| {
         for node in [&n1, &n2] {
-            authority.vouchers.insert(node.clone(), now + authority.voucher);
+            authority
+                .vouchers
+                .insert(node.clone(), now + authority.voucher);
         }
         authority.entitled(now + 1.0)
     };
@@ -57,7 +69,10 @@
     assert!(vouch(&mut authority, outlast - 1.5));
     assert!(!vouch(&mut authority, outlast), "nothing heard since");
     authority.told(&n1, outlast);
-    assert!(!vouch(&mut authority, outlast), "one of them may have confirmed it");
+    assert!(
+        !vouch(&mut authority, outlast),
+        "one of them may have confirmed it"
+    );
     authority.told(&n2, outlast - 2.0);
     assert!(vouch(&mut authority, outlast));
     assert!(!vouch(&mut authority, outlast * 2.0 - 2.0));
@@ -75,12 +90,18 @@
     let since = 100.0;
     let over = since + authority.outlast * (1.0 + DRIFT) + authority.margin;
     assert!(!authority.lapsed(&process, &view, &peers, since));
-    assert!(!authority.lapsed(&process, &view, &peers, over + 1.0), "a version that may go on");
+    assert!(
+        !authority.lapsed(&process, &view, &peers, over + 1.0),
+        "a version that may go on"
+    );
     peers.says_authority_ends(&process);
     assert!(!authority.lapsed(&process, &view, &peers, over - 0.01));
     assert!(authority.lapsed(&process, &view, &peers, over + 0.01));
     let other = (Node::from("n1"), 8);
-    assert!(!authority.lapsed(&other, &view, &peers, over + 1.0), "another process");
+    assert!(
+        !authority.lapsed(&other, &view, &peers, over + 1.0),
+        "another process"
+    );
 }
 
 /// A leader whose terms are running out claims its key anew, guarded by the key's revision; a fleet that
@@ -99,7 +120,8 @@
         consents: Vec::new(),
         claims: Vec::new(),
     };
-    core.view.apply_write(&put(&node_key(&record.node), &record, Some(5)), 7);
+    core.view
+        .apply_write(&put(&node_key(&record.node), &record, Some(5)), 7);
     core.view.apply_write(&put(LEADER_KEY, &record, Some(5)), 8);
     core.leader = Some(Leader::new(&core.config, 8, &core.view, 1.0));
     core.write_keys(5);
@@ -109,6 +131,8 @@
     }
     core.write_keys(5);
     let effects = core.io.take_effects();
-    let [Effect::State(_, StateCall::Commit(claim))] = &effects[..] else { panic!("{effects:?}") };
+    let [Effect::State(_, StateCall::Commit(claim))] = &effects[..] else {
+        panic!("{effects:?}")
+    };
     assert_eq!(claim.guards, [guard(LEADER_KEY, 8)]);
 }
--- a/src/core/cancelled.rs
+++ b/src/core/cancelled.rs
@@ -51,7 +51,10 @@
         let first = JobId::from("");
         let by_time = self.by_time.range((since.wall_ms, first.clone())..);
         let by_version = self.by_version.range((since.version + 1, first)..);
-        by_time.map(|(_, id)| id).chain(by_version.map(|(_, id)| id)).collect()
+        by_time
+            .map(|(_, id)| id)
+            .chain(by_version.map(|(_, id)| id))
+            .collect()
     }
 
     /// The version of the newest record that doesn't describe itself.
--- a/src/core/catalog.rs
+++ b/src/core/catalog.rs
@@ -24,7 +24,10 @@
 impl Catalog {
     #[cfg(test)]
     pub fn with_types(types: Vec<MachineType>) -> Self {
-        Self { types, ..Self::default() }
+        Self {
+            types,
+            ..Self::default()
+        }
     }
 
     pub fn known(&self) -> bool {
@@ -42,7 +45,10 @@
     }
 
     pub fn boot_s(&self, name: &TypeName) -> Time {
-        self.types.iter().find(|t| t.name == *name).map_or(60.0, |t| t.boot_s.max(1.0))
+        self.types
+            .iter()
+            .find(|t| t.name == *name)
+            .map_or(60.0, |t| t.boot_s.max(1.0))
     }
 
     pub fn price(&self, name: &TypeName, spot: bool) -> f64 {
@@ -55,11 +61,15 @@
         if !self.known() {
             return None;
         }
-        let Some(limits) = limits(config, spec) else { return Some(true) };
+        let Some(limits) = limits(config, spec) else {
+            return Some(true);
+        };
         let (cpus, gpus) = least_need(spec);
         let need = Resources::of(spec);
         let fits = |t: &MachineType| {
-            spec.types.as_ref().is_none_or(|types| types.contains(&t.name))
+            spec.types
+                .as_ref()
+                .is_none_or(|types| types.contains(&t.name))
                 && total_room(t).holds(&need)
         };
         let allowed = within(cpus, limits.cpus_max) && within(gpus, limits.gpus_max);
@@ -73,7 +83,10 @@
     let need = Resources::of(spec);
     let suits = |of_type: &MachineType| {
         of_type.gpus <= 0.0
-            && spec.types.as_ref().is_none_or(|types| types.contains(&of_type.name))
+            && spec
+                .types
+                .as_ref()
+                .is_none_or(|types| types.contains(&of_type.name))
             && total_room(of_type).holds(&need)
     };
     need.gpus <= 0.0 && types.iter().any(suits)
@@ -81,13 +94,25 @@
 
 /// All that a machine of a type has.
 pub fn total_room(of: &MachineType) -> Resources {
-    Resources { cpus: of.cpus, gpus: of.gpus, memory_gb: of.memory_gb }
+    Resources {
+        cpus: of.cpus,
+        gpus: of.gpus,
+        memory_gb: of.memory_gb,
+    }
 }
 
 /// How many tasks of this size fit on an empty machine of a type.
 pub fn tasks_per_machine(of: &MachineType, need: &Resources) -> f64 {
-    let per = |have: f64, need: f64| if need > 0.0 { (have / need).floor() } else { f64::MAX };
-    per(of.cpus, need.cpus).min(per(of.gpus, need.gpus)).min(per(of.memory_gb, need.memory_gb))
+    let per = |have: f64, need: f64| {
+        if need > 0.0 {
+            (have / need).floor()
+        } else {
+            f64::MAX
+        }
+    };
+    per(of.cpus, need.cpus)
+        .min(per(of.gpus, need.gpus))
+        .min(per(of.memory_gb, need.memory_gb))
 }
 
 impl Core {
@@ -119,7 +144,9 @@
 
     fn store_types(&mut self) {
         let Some(leader) = &self.leader else { return };
-        let record = MachineTypes { types: self.catalog.types.clone() };
+        let record = MachineTypes {
+            types: self.catalog.types.clone(),
+        };
         let stored = self.view.types();
         if stored.is_some_and(|stored| stored.record == record) {
             return;
@@ -131,8 +158,12 @@
         }
         let version = stored.map_or(0, |stored| stored.version);
         let guards = vec![guard(LEADER_KEY, leader.term), guard(TYPES_KEY, version)];
-        let transaction = Transaction { guards, writes: vec![write.clone()] };
-        self.io.state(Pending::Types(write), StateCall::Commit(transaction));
+        let transaction = Transaction {
+            guards,
+            writes: vec![write.clone()],
+        };
+        self.io
+            .state(Pending::Types(write), StateCall::Commit(transaction));
     }
 
     pub(super) fn catalog_reply(&mut self, reply: CloudReply) {
--- a/src/core/catalog/tests.rs
+++ b/src/core/catalog/tests.rs
@@ -33,13 +33,20 @@
     let no_gpus = |job: &mut JobSpec| (job.gpus, job.memory_gb) = (0.0, 512.0);
     assert_eq!(refusal(unlike_kinds(), no_gpus), Some(false));
     let no_such_kind = |job: &mut JobSpec| job.types = Some(vec!["c16".into()]);
-    assert_eq!(refusal(unlike_kinds(), no_such_kind), Some(true), "it needs GPUs");
+    assert_eq!(
+        refusal(unlike_kinds(), no_such_kind),
+        Some(true),
+        "it needs GPUs"
+    );
 }
 
 /// Neither says that the job can never run: images are fetched whatever the cache holds, and zones come back.
 #[test]
 fn large_images_and_kinds_without_a_zone_are_no_reason_to_refuse() {
-    assert_eq!(refusal(unlike_kinds(), |job| job.image_gb = 5000.0), Some(false));
+    assert_eq!(
+        refusal(unlike_kinds(), |job| job.image_gb = 5000.0),
+        Some(false)
+    );
     let mut nowhere = unlike_kinds();
     nowhere.iter_mut().for_each(|kind| kind.zones.clear());
     assert_eq!(refusal(nowhere, |_| ()), Some(false));
@@ -65,5 +72,8 @@
     assert!(fits_without_gpus(&unlike_kinds(), &front));
     assert!(!fits_without_gpus(&types(), &front), "all kinds have GPUs");
     front.cpus = 32.0;
-    assert!(!fits_without_gpus(&unlike_kinds(), &front), "too large for those without");
+    assert!(
+        !fits_without_gpus(&unlike_kinds(), &front),
+        "too large for those without"
+    );
 }
--- a/src/core/consolidation.rs
+++ b/src/core/consolidation.rs
@@ -27,14 +27,21 @@
     /// Empties the machine that costs most for each replica on it, if all of them fit elsewhere.
     pub(super) fn consolidate(&mut self, bins: &[Bin], catalog: &Catalog, now: Time) {
         let sources = bins.iter().filter(|bin| !bin.planned);
-        let mut sources: Vec<Source> =
-            sources.filter_map(|bin| self.source(bin, catalog, now)).collect();
+        let mut sources: Vec<Source> = sources
+            .filter_map(|bin| self.source(bin, catalog, now))
+            .collect();
         sources.sort_by(|a, b| b.worth.total_cmp(&a.worth));
-        let Some(source) = sources.into_iter().find(|source| self.fit_elsewhere(source, bins, now))
+        let Some(source) = sources
+            .into_iter()
+            .find(|source| self.fit_elsewhere(source, bins, now))
         else {
             return;
         };
-        tracing::info!("{} is emptied: {} replicas move", source.id, source.replicas.len());
+        tracing::info!(
+            "{} is emptied: {} replicas move",
+            source.id,
+            source.replicas.len()
+        );
         if let Some(machine) = self.machines.get_mut(&source.id) {
             machine.emptying = true;
         }
@@ -45,8 +52,11 @@
 
     fn source(&self, bin: &Bin, catalog: &Catalog, now: Time) -> Option<Source> {
         let machine = self.machines.get(bin.machine.as_ref()?)?;
-        let live: Vec<(&(TaskId, Attempt), &TrackedAttempt)> =
-            machine.attempts.iter().filter(|(_, tracked)| !tracked.exited()).collect();
+        let live: Vec<(&(TaskId, Attempt), &TrackedAttempt)> = machine
+            .attempts
+            .iter()
+            .filter(|(_, tracked)| !tracked.exited())
+            .collect();
         if !machine.usable(now) || live.is_empty() {
             return None;
         }
@@ -80,18 +90,29 @@
             return None;
         }
         let worth = catalog.price(&machine.type_name, machine.spot) / replicas.len() as f64;
-        Some(Source { id: machine.id.clone(), replicas, worth })
+        Some(Source {
+            id: machine.id.clone(),
+            replicas,
+            worth,
+        })
     }
 
     /// Whether every replica finds room, beside what is planned, on machines in use that hold its
     /// image.
     fn fit_elsewhere(&self, source: &Source, bins: &[Bin], now: Time) -> bool {
-        let Some(from) = self.machines.get(&source.id) else { return false };
+        let Some(from) = self.machines.get(&source.id) else {
+            return false;
+        };
         // A replica that had to wait for opportunistic work to make way would be missed meanwhile.
-        let mut free: Vec<_> = bins.iter().map(|bin| bin.free.less(&bin.opportunistic)).collect();
+        let mut free: Vec<_> = bins
+            .iter()
+            .map(|bin| bin.free.less(&bin.opportunistic))
+            .collect();
         let mut zones: BTreeMap<&JobId, BTreeMap<Zone, u32>> = BTreeMap::new();
         for (task, _) in &source.replicas {
-            let Some(job) = self.jobs.get(&task.job) else { return false };
+            let Some(job) = self.jobs.get(&task.job) else {
+                return false;
+            };
             let need = job.need();
             // Of several replicas of a job here each one's move counts for the next.
             let counts = zones.entry(&task.job).or_insert_with(|| job.zones.clone());
@@ -115,7 +136,9 @@
                     machine.is_some_and(|machine| suits(bin, machine))
                 })
                 .min_by(|(a, _), (b, _)| free[*a].gpus.total_cmp(&free[*b].gpus));
-            let Some((at, bin)) = target else { return false };
+            let Some((at, bin)) = target else {
+                return false;
+            };
             free[at] = free[at].less(&need);
             *counts.entry(bin.offer.1.clone()).or_default() += 1;
         }
--- a/src/core/dependencies.rs
+++ b/src/core/dependencies.rs
@@ -21,20 +21,34 @@
 impl Urgency {
     fn of(record: &JobRecord) -> Option<Self> {
         let spec = record.spec.as_ref()?;
-        let due_ms = spec.deadline_s.map(|due| record.accepted_ms + (due * 1e3) as u64);
-        Some(Self { priority: spec.priority, due_ms })
+        let due_ms = spec
+            .deadline_s
+            .map(|due| record.accepted_ms + (due * 1e3) as u64);
+        Some(Self {
+            priority: spec.priority,
+            due_ms,
+        })
     }
 
     fn most(self, other: Option<&Self>) -> Self {
         let Some(other) = other else { return self };
         let due_ms = [self.due_ms, other.due_ms].into_iter().flatten().min();
-        Self { priority: self.priority.max(other.priority), due_ms }
+        Self {
+            priority: self.priority.max(other.priority),
+            due_ms,
+        }
     }
 
     /// What it asks of those before a job: to be done in time for the job itself.
     fn before(self, record: &JobRecord) -> Self {
-        let estimate = record.spec.as_ref().map_or(0, |spec| (spec.estimate_s * 1e3) as u64);
-        Self { due_ms: self.due_ms.map(|due| due.saturating_sub(estimate)), ..self }
+        let estimate = record
+            .spec
+            .as_ref()
+            .map_or(0, |spec| (spec.estimate_s * 1e3) as u64);
+        Self {
+            due_ms: self.due_ms.map(|due| due.saturating_sub(estimate)),
+            ..self
+        }
     }
 }
 
@@ -72,7 +86,10 @@
         changed: &mut BTreeSet<JobId>,
     ) {
         if record.is_final() {
-            for needed in before.and_then(|b| b.spec.as_ref()).iter().flat_map(|s| &s.dependencies)
+            for needed in before
+                .and_then(|b| b.spec.as_ref())
+                .iter()
+                .flat_map(|s| &s.dependencies)
             {
                 if let Some(others) = self.dependents.get_mut(needed) {
                     others.remove(id);
@@ -89,7 +106,9 @@
             }
             return changed.extend(dependents);
         }
-        let Some(spec) = record.spec.as_ref().filter(|_| before.is_none()) else { return };
+        let Some(spec) = record.spec.as_ref().filter(|_| before.is_none()) else {
+            return;
+        };
         let mut dependency_cancelled = false;
         for needed in &spec.dependencies {
             // A full read shows jobs in the order of their ids, perhaps before those they need.
@@ -97,7 +116,10 @@
             dependency_cancelled |= needs.is_some_and(|needs| needs.stance == JobStatus::Cancelled);
             dependency_cancelled |= self.dependency_cancelled.contains(needed);
             if !needs.is_some_and(JobRecord::is_final) {
-                self.dependents.entry(needed.clone()).or_default().insert(id.clone());
+                self.dependents
+                    .entry(needed.clone())
+                    .or_default()
+                    .insert(id.clone());
             }
         }
         if dependency_cancelled {
@@ -125,9 +147,15 @@
     ) {
         let mut asking: Vec<(JobId, Urgency)> = Vec::new();
         let ask = |asking: &mut Vec<(JobId, Urgency)>, this: &Self, id: &JobId, of: &JobRecord| {
-            let Some((own, spec)) = Urgency::of(of).zip(of.spec.as_ref()) else { return };
+            let Some((own, spec)) = Urgency::of(of).zip(of.spec.as_ref()) else {
+                return;
+            };
             let urgency = own.most(this.inherited.get(id)).before(of);
-            asking.extend(spec.dependencies.iter().map(|needed| (needed.clone(), urgency)));
+            asking.extend(
+                spec.dependencies
+                    .iter()
+                    .map(|needed| (needed.clone(), urgency)),
+            );
         };
         ask(&mut asking, self, id, record);
         while let Some((needed, urgency)) = asking.pop() {
--- a/src/core/dependencies/tests.rs
+++ b/src/core/dependencies/tests.rs
@@ -31,7 +31,8 @@
     fn put(&mut self, number: usize, record: JobRecord) -> BTreeSet<JobId> {
         let (jobs, mut changed) = (&self.jobs, BTreeSet::new());
         let job = |id: &JobId| jobs.get(id).map(|job| &**job);
-        self.index.take(&id(number), job(&id(number)), &record, job, &mut changed);
+        self.index
+            .take(&id(number), job(&id(number)), &record, job, &mut changed);
         self.jobs.insert(id(number), Rc::new(record));
         self.changed += changed.len();
         changed
@@ -45,7 +46,11 @@
     for backwards in [false, true] {
         let mut records = Records::default();
         let chain: Vec<usize> = (2..=LENGTH).collect();
-        let order: Vec<usize> = if backwards { chain.into_iter().rev().collect() } else { chain };
+        let order: Vec<usize> = if backwards {
+            chain.into_iter().rev().collect()
+        } else {
+            chain
+        };
         for number in order {
             records.put(number, record("pending", &[number - 1], "standard", None));
         }
@@ -78,8 +83,14 @@
         records.put(number, record("pending", &[1, 2], "standard", None));
     }
     let before = records.changed;
-    assert_eq!(records.put(1, record("done", &[], "standard", None)).len(), 300);
-    assert_eq!(records.put(3, record("done", &[], "standard", None)).len(), 0);
+    assert_eq!(
+        records.put(1, record("done", &[], "standard", None)).len(),
+        300
+    );
+    assert_eq!(
+        records.put(3, record("done", &[], "standard", None)).len(),
+        0
+    );
     assert_eq!(records.changed - before, 300);
     assert!(!records.index.dependents.contains_key(&id(1)));
 }
@@ -89,16 +100,37 @@
     let mut records = Records::default();
     records.put(1, record("pending", &[], "best_effort", None));
     records.put(2, record("pending", &[1], "best_effort", None));
-    assert_eq!(records.index.inherited(&id(1)).unwrap().priority, Priority::Low);
+    assert_eq!(
+        records.index.inherited(&id(1)).unwrap().priority,
+        Priority::Low
+    );
     let changed = records.put(3, record("pending", &[2], "high", Some(60.0)));
     assert_eq!(changed, [id(1), id(2)].into());
     // Due 61 s, less its own 10 s; and less another 10 s for the one between.
     let asked = |records: &Records, number| *records.index.inherited(&id(number)).unwrap();
-    assert_eq!(asked(&records, 2), Urgency { priority: Priority::High, due_ms: Some(51_000) });
-    assert_eq!(asked(&records, 1), Urgency { priority: Priority::High, due_ms: Some(41_000) });
+    assert_eq!(
+        asked(&records, 2),
+        Urgency {
+            priority: Priority::High,
+            due_ms: Some(51_000)
+        }
+    );
+    assert_eq!(
+        asked(&records, 1),
+        Urgency {
+            priority: Priority::High,
+            due_ms: Some(41_000)
+        }
+    );
     records.put(4, record("pending", &[1], "standard", Some(600.0)));
     records.put(3, record("withdrawn", &[], "high", None));
-    assert_eq!(asked(&records, 1), Urgency { priority: Priority::High, due_ms: Some(41_000) });
+    assert_eq!(
+        asked(&records, 1),
+        Urgency {
+            priority: Priority::High,
+            due_ms: Some(41_000)
+        }
+    );
     // What is read before what it needs passes on all the same.
     records.put(12, record("pending", &[11], "critical", None));
     records.put(11, record("pending", &[10], "best_effort", None));
--- a/src/core/failure_detection.rs
+++ b/src/core/failure_detection.rs
@@ -102,8 +102,12 @@
 
     /// Whether nobody needs to be told any more that this controller's last process has ended.
     fn resignation_is_known(&self) -> bool {
-        let Some((resigned, since)) = &self.detection.resigned else { return false };
-        let gone = !self.view.is_registered(&self.config.node, resigned.incarnation);
+        let Some((resigned, since)) = &self.detection.resigned else {
+            return false;
+        };
+        let gone = !self
+            .view
+            .is_registered(&self.config.node, resigned.incarnation);
         let tell_for = self.config.deployment.workers.lease_s * TELL_RESIGNED_LEASES;
         (gone && self.has_state()) || self.io.now - since > tell_for
     }
@@ -133,7 +137,11 @@
         self.acts_on_failures().then(|| Detection {
             opinions: self.peers.detector().opinions_to_tell(now),
             state_age: self.view.state_silence(now).min(f64::MAX),
-            resigned: self.detection.resigned.as_ref().map(|(resigned, _)| resigned.clone()),
+            resigned: self
+                .detection
+                .resigned
+                .as_ref()
+                .map(|(resigned, _)| resigned.clone()),
         })
     }
 
@@ -142,7 +150,9 @@
         if !self.acts_on_failures() {
             return;
         }
-        self.peers.detector_mut().opinions(from, detection.opinions, self.io.now);
+        self.peers
+            .detector_mut()
+            .opinions(from, detection.opinions, self.io.now);
         if let Some(resigned) = detection.resigned.filter(|r| r.incarnation != incarnation) {
             self.end_resigned(from, &resigned);
         }
@@ -160,7 +170,10 @@
         tracing::info!("{of} has given up its share; its lease is ended");
         self.detection.ended = Some(resigned.lease);
         let lease = resigned.lease;
-        self.io.state(Pending::Authority(AuthorityCall::End), StateCall::LeaseEnd { lease });
+        self.io.state(
+            Pending::Authority(AuthorityCall::End),
+            StateCall::LeaseEnd { lease },
+        );
         self.view.want_sync();
     }
 
@@ -182,7 +195,10 @@
                 self.peers.sync_soon(now);
             }
             Some(PartialFailure::RefusedByState) => {
-                let resigned = Resigned { incarnation: self.authority.incarnation(), lease };
+                let resigned = Resigned {
+                    incarnation: self.authority.incarnation(),
+                    lease,
+                };
                 self.detection.resigned = Some((resigned, now));
                 self.begin_anew("the state service refuses this controller alone", 0.0);
                 self.peers.sync_soon(now);
@@ -202,7 +218,11 @@
             ..OwnContact::default()
         };
         // Looks at the whole share, so only when there is something to find.
-        if let Some(owner) = self.owner.as_ref().filter(|_| workers_silent_s > workers.report_s) {
+        if let Some(owner) = self
+            .owner
+            .as_ref()
+            .filter(|_| workers_silent_s > workers.report_s)
+        {
             contact.machines = owner.machine_count();
             contact.others_get_workers = self.peers.siblings_get_workers(now);
             if self.acts_on_failures() {
@@ -248,7 +268,10 @@
 
     /// Whether a sibling with a name before this controller's could lead as well.
     fn has_rival(&self) -> bool {
-        let mut heard = self.peers.heard(self.io.now).filter(|other| **other < self.config.node);
+        let mut heard = self
+            .peers
+            .heard(self.io.now)
+            .filter(|other| **other < self.config.node);
         heard.any(|other| self.can_serve(other))
     }
 
@@ -276,7 +299,12 @@
 
 /// One line for each change of stage.
 fn log_change(change: &StageChange<Node>) {
-    let StageChange { of, from, to, evidence } = change;
+    let StageChange {
+        of,
+        from,
+        to,
+        evidence,
+    } = change;
     let (silence, votes) = (evidence.silence_s, evidence.votes);
     let process = evidence.incarnation.map_or(0, |incarnation| incarnation.0);
     match to {
@@ -285,7 +313,11 @@
             tracing::info!("{of} is suspected: no answer for {silence:.1} s, process {process}");
         }
         Stage::Confirmed => {
-            let gone = if evidence.key_gone { ", its key has gone" } else { "" };
+            let gone = if evidence.key_gone {
+                ", its key has gone"
+            } else {
+                ""
+            };
             tracing::info!("{of} has failed: {votes} controllers do not hear it{gone}");
         }
         Stage::HandedOver => tracing::info!("{of} has failed and owns nothing any more"),
--- a/src/core/failure_detection/tests.rs
+++ b/src/core/failure_detection/tests.rs
@@ -19,11 +19,20 @@
 
 fn suspicion(of: &str) -> Vec<Opinion<Node>> {
     let incarnation = Some(Incarnation(1));
-    vec![Opinion { of: of.into(), incarnation, silence_s: 3.0, suspects: true }]
+    vec![Opinion {
+        of: of.into(),
+        incarnation,
+        silence_s: 3.0,
+        suspects: true,
+    }]
 }
 
 fn detection(opinions: Vec<Opinion<Node>>) -> Detection {
-    Detection { opinions, state_age: 0.1, resigned: None }
+    Detection {
+        opinions,
+        state_age: 0.1,
+        resigned: None,
+    }
 }
 
 /// n0, which leads, has been silent for 2.5 s; the others answer.
@@ -56,10 +65,12 @@
     assert_eq!(core.failed_leader(), Some(10));
     core.io.take_effects();
     core.keep_authority();
-    let claims = state_calls(&mut core).into_iter().filter_map(|call| match call {
-        StateCall::Commit(Transaction { guards, .. }) => Some(guards),
-        _ => None,
-    });
+    let claims = state_calls(&mut core)
+        .into_iter()
+        .filter_map(|call| match call {
+            StateCall::Commit(Transaction { guards, .. }) => Some(guards),
+            _ => None,
+        });
     assert_eq!(claims.collect::<Vec<_>>(), [[guard(LEADER_KEY, 10)]]);
 }
 
@@ -71,7 +82,12 @@
     assert!(!core.has_rival(), "n0 is not heard");
     core.peers.answered(&"n0".into(), 2, now);
     assert!(core.has_rival());
-    core.view.apply_write(&crate::wire::Write::Delete { key: "ochredrum/node/n0".into() }, 21);
+    core.view.apply_write(
+        &crate::wire::Write::Delete {
+            key: "ochredrum/node/n0".into(),
+        },
+        21,
+    );
     assert!(!core.has_rival());
 }
 
@@ -90,8 +106,16 @@
     answered_until(&mut core, &others, START + 1.0, START + 2.0);
     core.resign_if_failed_in_part(OWN_LEASE);
     assert!(core.owner.is_none() && core.authority.incarnation() != incarnation);
-    let told = core.own_detection().and_then(|detection| detection.resigned);
-    assert_eq!(told, Some(Resigned { incarnation, lease: OWN_LEASE }));
+    let told = core
+        .own_detection()
+        .and_then(|detection| detection.resigned);
+    assert_eq!(
+        told,
+        Some(Resigned {
+            incarnation,
+            lease: OWN_LEASE
+        })
+    );
 }
 
 #[test]
@@ -118,7 +142,10 @@
     };
     let ended = |core: &mut Core| -> Vec<StateCall> {
         let calls = state_calls(core);
-        calls.into_iter().filter(|call| matches!(call, StateCall::LeaseEnd { .. })).collect()
+        calls
+            .into_iter()
+            .filter(|call| matches!(call, StateCall::LeaseEnd { .. }))
+            .collect()
     };
     core.take_detection(&"n2".into(), 1, resigned(1, 9));
     assert_eq!(ended(&mut core), [], "the very process that says so");
@@ -138,7 +165,10 @@
     core.io.begin(later, 0);
     assert!(core.renews_for_nobody());
     core.peers.answered(&"n2".into(), 1, later);
-    assert!(!core.renews_for_nobody(), "an outage of the state service for all");
+    assert!(
+        !core.renews_for_nobody(),
+        "an outage of the state service for all"
+    );
 }
 
 #[test]
--- a/src/core/forecast.rs
+++ b/src/core/forecast.rs
@@ -24,7 +24,10 @@
     pub fn new(config: &Config) -> Self {
         let deployment = &config.deployment;
         let most = deployment.state.write_rps * deployment.workers.cancel_s * HISTORY_CANCELS;
-        Self { arrivals: VecDeque::new(), most: (most as usize).max(1) }
+        Self {
+            arrivals: VecDeque::new(),
+            most: (most as usize).max(1),
+        }
     }
 
     /// A job arrived, perhaps at another owner and a while ago.
@@ -55,7 +58,11 @@
             if is_tight(config, types, spec) {
                 let fresh = || (spec.clone(), 0);
                 let entry = images.entry(spec.image.clone()).or_insert_with(fresh);
-                entry.1 += if now - at <= boot * HISTORY_BOOTS { spec.tasks } else { 0 };
+                entry.1 += if now - at <= boot * HISTORY_BOOTS {
+                    spec.tasks
+                } else {
+                    0
+                };
             }
         }
         images
--- a/src/core/gained_machines.rs
+++ b/src/core/gained_machines.rs
@@ -50,14 +50,18 @@
 
     /// Drops those of machines that are gone.
     pub fn prune(&mut self, owners: &Owners) {
-        self.0.retain(|machine, _| owners.machines.contains_key(machine));
+        self.0
+            .retain(|machine, _| owners.machines.contains_key(machine));
     }
 }
 
 impl Owner {
     /// Where the machines of this share are reached.
     pub(super) fn contacts(&self) -> MachineContacts {
-        let mine = self.machines.values().filter(|machine| machine.mine && machine.trusted);
+        let mine = self
+            .machines
+            .values()
+            .filter(|machine| machine.mine && machine.trusted);
         let contact = mine.map(|machine| {
             let (address, session) = (machine.address.clone(), machine.session);
             (machine.id.clone(), MachineContact { address, session })
@@ -88,7 +92,9 @@
 impl Core {
     /// Asks machines that this share has gained what they hold, as many at once as there may be.
     pub(super) fn ask_gained_machines(&mut self) {
-        let Some(owner) = self.owner.as_mut() else { return };
+        let Some(owner) = self.owner.as_mut() else {
+            return;
+        };
         if !self.config.features.acts_on_failures() {
             return owner.gained.clear();
         }
@@ -102,14 +108,20 @@
                 continue;
             };
             let orders = Vec::new();
-            let message = DirectOrders { token: machine.token, session: contact.session, orders };
+            let message = DirectOrders {
+                token: machine.token,
+                session: contact.session,
+                orders,
+            };
             self.io.question(&id, &contact.address, message);
         }
     }
 
     /// A machine that was asked has answered, or not: then its report is waited for.
     pub(super) fn question_answered(&mut self, id: &MachineId, reply: WorkerReply) {
-        let Some(owner) = self.owner.as_mut() else { return };
+        let Some(owner) = self.owner.as_mut() else {
+            return;
+        };
         match reply {
             WorkerReply::Executed(report) if report.machine == *id => {
                 owner.take_answer(&mut self.io, &self.view, &self.catalog, &report);
--- a/src/core/gained_machines/tests.rs
+++ b/src/core/gained_machines/tests.rs
@@ -11,8 +11,12 @@
 fn core_with_gained_machine(answered: Time) -> Core {
     let mut core = running_core(2, NOW);
     let id = MachineId::from("m-1");
-    let contact = MachineContact { address: "10.0.0.1:9000".into(), session: 1 };
-    core.contacts.extend(MachineContacts(BTreeMap::from([(id.clone(), contact)])));
+    let contact = MachineContact {
+        address: "10.0.0.1:9000".into(),
+        session: 1,
+    };
+    core.contacts
+        .extend(MachineContacts(BTreeMap::from([(id.clone(), contact)])));
     let owner = core.owner.as_mut().unwrap();
     let mut machine = Machine::named(id.clone(), TERM, answered);
     machine.mine = true;
@@ -39,13 +43,20 @@
 #[test]
 fn a_gained_machine_is_asked_at_once_and_settles_by_its_answer() {
     let mut core = core_with_gained_machine(NOW);
-    let orders = DirectOrders { token: TERM, session: 1, orders: Vec::new() };
+    let orders = DirectOrders {
+        token: TERM,
+        session: 1,
+        orders: Vec::new(),
+    };
     assert_eq!(questions(&mut core), [("10.0.0.1:9000".into(), orders)]);
     assert_eq!(questions(&mut core), [], "once");
     let earlier = report("m-1", 1, 7, Term(8));
     core.question_answered(&"m-1".into(), WorkerReply::Executed(earlier));
     assert!(!machine(&core).settled(), "it has not shown the token");
-    core.question_answered(&"m-1".into(), WorkerReply::Executed(report("m-1", 1, 8, TERM)));
+    core.question_answered(
+        &"m-1".into(),
+        WorkerReply::Executed(report("m-1", 1, 8, TERM)),
+    );
     assert!(machine(&core).settled());
 }
 
@@ -66,7 +77,10 @@
 fn a_session_that_has_just_begun_is_not_over_with_the_one_before() {
     let lease = running_core(2, NOW).config.deployment.workers.lease_s;
     let mut core = core_with_gained_machine(NOW - lease);
-    core.question_answered(&"m-1".into(), WorkerReply::Executed(report("m-1", 2, 1, TERM)));
+    core.question_answered(
+        &"m-1".into(),
+        WorkerReply::Executed(report("m-1", 2, 1, TERM)),
+    );
     core.view.current_as_of = NOW + 0.5;
     let owner = core.owner.as_mut().unwrap();
     owner.expire_machines(&core.view, NOW + 0.5);
@@ -82,7 +96,10 @@
     gone.session = 1;
     gone.end_session();
     owner.machines.insert("m-1".into(), gone);
-    core.question_answered(&"m-1".into(), WorkerReply::Executed(report("m-1", 1, 8, TERM)));
+    core.question_answered(
+        &"m-1".into(),
+        WorkerReply::Executed(report("m-1", 1, 8, TERM)),
+    );
     assert!(machine(&core).empty && !machine(&core).trusted);
 }
 
--- a/src/core/io.rs
+++ b/src/core/io.rs
@@ -149,18 +149,31 @@
     }
 
     pub fn worker(&mut self, machine: &MachineId, address: &str, orders: DirectOrders) -> CallId {
-        self.direct(Pending::Orders { machine: machine.clone() }, address, orders)
+        self.direct(
+            Pending::Orders {
+                machine: machine.clone(),
+            },
+            address,
+            orders,
+        )
     }
 
     /// Asks a machine what it holds, by orders that order nothing.
     pub fn question(&mut self, machine: &MachineId, address: &str, orders: DirectOrders) {
-        self.direct(Pending::Question { machine: machine.clone() }, address, orders);
+        self.direct(
+            Pending::Question {
+                machine: machine.clone(),
+            },
+            address,
+            orders,
+        );
     }
 
     fn direct(&mut self, pending: Pending, address: &str, orders: DirectOrders) -> CallId {
         self.direct_orders += 1;
         let call = self.call(pending);
-        self.effects.push(Effect::Worker(call, address.to_owned(), orders));
+        self.effects
+            .push(Effect::Worker(call, address.to_owned(), orders));
         call
     }
 
@@ -191,7 +204,11 @@
         match reply {
             StateReply::Busy => {
                 let spread = self.jitter(1.0);
-                let pacing = if change { &mut self.changes } else { &mut self.requests };
+                let pacing = if change {
+                    &mut self.changes
+                } else {
+                    &mut self.requests
+                };
                 pacing.refused(now, spread);
             }
             StateReply::Refused | StateReply::Unknown => {}
--- a/src/core/job_records.rs
+++ b/src/core/job_records.rs
@@ -59,7 +59,8 @@
         visits: &mut u64,
     ) -> Option<JobId> {
         let open = |id: &JobId| {
-            jobs.get(id).filter(|job| job.unrecorded_since.is_some() && !job.write_out)
+            jobs.get(id)
+                .filter(|job| job.unrecorded_since.is_some() && !job.write_out)
         };
         for _ in 0..self.completed.len() {
             let id = self.completed.pop_front()?;
@@ -70,7 +71,11 @@
                 None => {}
             }
         }
-        while self.progressed.front().is_some_and(|(since, _)| now >= since + leisure) {
+        while self
+            .progressed
+            .front()
+            .is_some_and(|(since, _)| now >= since + leisure)
+        {
             let (_, id) = self.progressed.pop_front()?;
             *visits += 1;
             match open(&id) {
@@ -94,7 +99,9 @@
 impl Owner {
     /// A job has progress, or its end, to be recorded.
     pub(super) fn note_progress(&mut self, id: &JobId, now: Time) {
-        let Some(job) = self.jobs.get_mut(id) else { return };
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
         let first = job.unrecorded_since.is_none();
         job.unrecorded_since.get_or_insert(now);
         if first || job.all_done() {
@@ -107,10 +114,16 @@
         let mut batch = Vec::new();
         while io.may_write() && self.record_rate.has_token(io.now) {
             let leisure = self.config.deployment.workers.report_s;
-            let due = self.unrecorded.next(&self.jobs, leisure, io.now, &mut self.visits);
+            let due = self
+                .unrecorded
+                .next(&self.jobs, leisure, io.now, &mut self.visits);
             let Some(id) = due else { break };
-            let Some(write) = self.next_record(&id, io.wall_ms) else { continue };
-            let Some(job) = self.jobs.get_mut(&id) else { continue };
+            let Some(write) = self.next_record(&id, io.wall_ms) else {
+                continue;
+            };
+            let Some(job) = self.jobs.get_mut(&id) else {
+                continue;
+            };
             self.record_rate.take(io.now);
             job.write_out = true;
             job.unrecorded_since = None;
@@ -127,8 +140,11 @@
     fn next_record(&mut self, id: &JobId, wall_ms: u64) -> Option<RecordWrite> {
         let value_limit = self.config.deployment.state.value_kb * 1024.0;
         let job = self.jobs.get_mut(id)?;
-        let record =
-            if job.all_done() { job.record.done(wall_ms) } else { progress(job, value_limit) };
+        let record = if job.all_done() {
+            job.record.done(wall_ms)
+        } else {
+            progress(job, value_limit)
+        };
         let write = put(&job_key(id), &record, None);
         let bytes = write.bytes();
         // Accepted when values could be larger: its progress is recorded with its end only.
@@ -137,7 +153,11 @@
             job.unrecorded_since = None;
             return None;
         }
-        Some(RecordWrite { job: id.clone(), version: job.version, write })
+        Some(RecordWrite {
+            job: id.clone(),
+            version: job.version,
+            write,
+        })
     }
 
     /// Writes down that jobs are cancelled with one that they need. Everybody derives it anyway, so
@@ -149,20 +169,27 @@
             let team = record.spec.as_ref().map(|spec| &spec.team);
             !record.is_final() && team.is_some_and(|team| self.teams.contains_key(team))
         };
-        self.dependency_cancelled.retain(|id, _| view.job(id).is_some_and(|job| ours(&job.record)));
+        self.dependency_cancelled
+            .retain(|id, _| view.job(id).is_some_and(|job| ours(&job.record)));
         let mut batch = Vec::new();
         for (id, not_before) in &mut self.dependency_cancelled {
             if !io.may_write() {
                 break;
             }
-            let Some(job) = view.job(id).filter(|_| now >= *not_before) else { continue };
+            let Some(job) = view.job(id).filter(|_| now >= *not_before) else {
+                continue;
+            };
             if !self.record_rate.take(now) {
                 break;
             }
             *not_before = now + io.jitter(pause);
             let record = job.record.cancelled_unstarted(io.wall_ms);
             let write = put(&job_key(id), &record, None);
-            batch.push(RecordWrite { job: id.clone(), version: job.version, write });
+            batch.push(RecordWrite {
+                job: id.clone(),
+                version: job.version,
+                write,
+            });
         }
         self.commit_batches(io, batch);
     }
@@ -213,7 +240,11 @@
                         // Cancelled meanwhile, or outcome unknown: the view tells before the next try.
                         view.want_sync();
                         let conflict = *other == StateReply::Conflict;
-                        let pause = if conflict { CONFLICT_PAUSE } else { FAILURE_PAUSE };
+                        let pause = if conflict {
+                            CONFLICT_PAUSE
+                        } else {
+                            FAILURE_PAUSE
+                        };
                         job.write_after = io.now + io.jitter(pause);
                     }
                 }
@@ -232,7 +263,9 @@
 
     /// What is recorded as done may be forgotten by its machines.
     fn recorded(&mut self, io: &Io, view: &View, id: &JobId) {
-        let Some(job) = self.jobs.get_mut(id) else { return };
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
         job.write_alone = false;
         let Some(stored) = view.job(id) else { return };
         let (record, version) = (stored.record.clone(), stored.version);
@@ -247,13 +280,21 @@
     let ranges = (value_limit / 2.0 / RANGE_BYTES) as usize;
     let mut done = job.done.clone();
     done.keep_largest(ranges.max(1));
-    JobRecord { done, ..(*job.record).clone() }
+    JobRecord {
+        done,
+        ..(*job.record).clone()
+    }
 }
 
 fn commit(io: &mut Io, records: Vec<RecordWrite>) {
-    let guards = records.iter().map(|record| guard(&job_key(&record.job), record.version));
+    let guards = records
+        .iter()
+        .map(|record| guard(&job_key(&record.job), record.version));
     let writes = records.iter().map(|record| record.write.clone());
-    let transaction = Transaction { guards: guards.collect(), writes: writes.collect() };
+    let transaction = Transaction {
+        guards: guards.collect(),
+        writes: writes.collect(),
+    };
     io.state(Pending::Records(records), StateCall::Commit(transaction));
 }
 
--- a/src/core/job_records/tests.rs
+++ b/src/core/job_records/tests.rs
@@ -8,8 +8,12 @@
 
 /// A transaction of records, and what it was sent as.
 fn records(io: &mut Io, effect: Effect) -> (Vec<RecordWrite>, Transaction) {
-    let Effect::State(call, StateCall::Commit(transaction)) = effect else { panic!("{effect:?}") };
-    let Some(Pending::Records(writes)) = io.finish(call) else { panic!("not of records") };
+    let Effect::State(call, StateCall::Commit(transaction)) = effect else {
+        panic!("{effect:?}")
+    };
+    let Some(Pending::Records(writes)) = io.finish(call) else {
+        panic!("not of records")
+    };
     (writes, transaction)
 }
 
@@ -18,7 +22,11 @@
 #[test]
 fn a_record_refused_for_its_size_is_not_written_again_unchanged() {
     let (mut share, mut io, mut view) = share();
-    let mine = Share { owner: owner("n0"), teams: vec!["red".into()], machines: vec![] };
+    let mine = Share {
+        owner: owner("n0"),
+        teams: vec!["red".into()],
+        machines: vec![],
+    };
     map(&mut view, 5, vec![mine]);
     share.follow_map(&mut io, &view, &UnresponsiveMachines::default());
     let id = JobId::from("req-000001");
@@ -41,7 +49,10 @@
     assert!(write_after(&mut share, &mut io, 20.0).is_none());
     assert!(write_after(&mut share, &mut io, 30.0).is_none());
     done(&mut share, 1);
-    assert!(write_after(&mut share, &mut io, 40.0).is_some(), "the end fits");
+    assert!(
+        write_after(&mut share, &mut io, 40.0).is_some(),
+        "the end fits"
+    );
 }
 
 /// Jobs that end together are recorded together, within the limit on operations; a conflict of one
@@ -49,7 +60,11 @@
 #[test]
 fn ends_are_recorded_together_and_one_conflict_fails_no_other() {
     let (mut share, mut io, mut view) = share();
-    let mine = Share { owner: owner("n0"), teams: vec!["red".into()], machines: vec![] };
+    let mine = Share {
+        owner: owner("n0"),
+        teams: vec!["red".into()],
+        machines: vec![],
+    };
     map(&mut view, 5, vec![mine]);
     share.follow_map(&mut io, &view, &UnresponsiveMachines::default());
     let id = |number: u32| JobId::from(format!("req-{number:06}"));
@@ -65,12 +80,19 @@
         io.begin(now, 0);
         share.record_progress(io);
         let effects = io.take_effects();
-        effects.into_iter().map(|effect| records(io, effect)).collect::<Vec<_>>()
+        effects
+            .into_iter()
+            .map(|effect| records(io, effect))
+            .collect::<Vec<_>>()
     };
     let mut first = sent(&mut share, &mut io, 1.0);
     let sizes: Vec<usize> = first.iter().map(|(_, sent)| sent.writes.len()).collect();
     assert_eq!(sizes, [8, 3], "at most eight operations each");
-    assert!(first.iter().all(|(_, sent)| sent.guards.len() == sent.writes.len()));
+    assert!(
+        first
+            .iter()
+            .all(|(_, sent)| sent.guards.len() == sent.writes.len())
+    );
     let (second_writes, _) = first.remove(1);
     share.records_written(&mut io, &mut view, second_writes, StateReply::Committed(12));
     let (first_writes, _) = first.remove(0);
--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -71,13 +71,27 @@
         submitted: Time,
         settled: bool,
     ) -> Self {
-        let fresh = if settled { Task::Waiting } else { Task::Unsettled };
+        let fresh = if settled {
+            Task::Waiting
+        } else {
+            Task::Unsettled
+        };
         let done = record.done.clone();
         let tasks: Vec<Task> = (0..spec.tasks)
-            .map(|index| if done.contains(index) { Task::Done } else { fresh.clone() })
+            .map(|index| {
+                if done.contains(index) {
+                    Task::Done
+                } else {
+                    fresh.clone()
+                }
+            })
             .collect();
         let open = |task: &Task| *task == Task::Waiting;
-        let waiting = (0..).zip(&tasks).filter(|(_, t)| open(t)).map(|(i, _)| i).collect();
+        let waiting = (0..)
+            .zip(&tasks)
+            .filter(|(_, t)| open(t))
+            .map(|(i, _)| i)
+            .collect();
         let unsettled = tasks.iter().filter(|t| **t == Task::Unsettled).count() as u32;
         Self {
             priority: spec.priority,
@@ -115,7 +129,9 @@
 
     /// Changes a task's state; a done task stays done. `zone`: of the machine it is on.
     pub fn set(&mut self, index: u32, task: Task, zone: Option<&Zone>) {
-        let Some(slot) = self.tasks.get_mut(index as usize) else { return };
+        let Some(slot) = self.tasks.get_mut(index as usize) else {
+            return;
+        };
         if *slot == Task::Done {
             return;
         }
@@ -202,7 +218,11 @@
     if spec.zone.as_ref().is_some_and(|only| only != zone) {
         return false;
     }
-    if spec.one_zone && zones.iter().any(|(other, count)| other != zone && *count > 0) {
+    if spec.one_zone
+        && zones
+            .iter()
+            .any(|(other, count)| other != zone && *count > 0)
+    {
         return false;
     }
     !spec.spread || zones.get(zone).copied().unwrap_or(0) < spec.tasks.div_ceil(2)
--- a/src/core/leader.rs
+++ b/src/core/leader.rs
@@ -123,8 +123,11 @@
     ) {
         let now = io.now;
         self.terms.clear();
-        let living: BTreeMap<Node, u64> =
-            view.nodes().iter().map(|(node, n)| (node.clone(), n.record.incarnation)).collect();
+        let living: BTreeMap<Node, u64> = view
+            .nodes()
+            .iter()
+            .map(|(node, n)| (node.clone(), n.record.incarnation))
+            .collect();
         self.needs.retain(|node, _| living.contains_key(node));
         let may_write = !self.writing && now >= self.next_write && io.may_write();
         if may_write && !living.is_empty() {
@@ -158,7 +161,13 @@
             // Out of terms: leadership has to be taken anew; until then nothing more changes.
             None => *self.terms.entry(process).or_insert(self.map.next_term()?),
         };
-        Some(Owner { node: node.clone(), incarnation, term, former: None, prior: None })
+        Some(Owner {
+            node: node.clone(),
+            incarnation,
+            term,
+            former: None,
+            prior: None,
+        })
     }
 
     pub(super) fn give_team(&mut self, team: &Team, to: &Node, incarnation: u64) {
@@ -207,9 +216,15 @@
                 self.give_team(&team, &node, incarnation);
             }
         }
-        let owners = self.map.owners.teams.values().chain(self.map.owners.machines.values());
-        let processes: BTreeSet<Process> =
-            owners.map(|owner| (owner.node.clone(), owner.incarnation)).collect();
+        let owners = self
+            .map
+            .owners
+            .teams
+            .values()
+            .chain(self.map.owners.machines.values());
+        let processes: BTreeSet<Process> = owners
+            .map(|owner| (owner.node.clone(), owner.incarnation))
+            .collect();
         let ended: BTreeSet<Process> = processes
             .into_iter()
             .filter(|(node, incarnation)| living.get(node) != Some(incarnation))
@@ -223,7 +238,9 @@
                 Some(incarnation) => Some((process.0.clone(), *incarnation)),
                 None => self.fewest_teams(living, peers),
             };
-            let Some((successor, incarnation)) = successor else { continue };
+            let Some((successor, incarnation)) = successor else {
+                continue;
+            };
             tracing::info!("the share of {} goes to {successor}", process.0);
             // It has lapsed as of this version of its key.
             let registered = view.node(&process.0).map_or(0, |n| n.version);
@@ -231,7 +248,12 @@
             let of = |owner: &Owner| owner.is(&process.0, process.1);
             let teams = self.map.owners.teams.iter().filter(|(_, owner)| of(owner));
             let teams: Vec<Team> = teams.map(|(team, _)| team.clone()).collect();
-            let machines = self.map.owners.machines.iter().filter(|(_, owner)| of(owner));
+            let machines = self
+                .map
+                .owners
+                .machines
+                .iter()
+                .filter(|(_, owner)| of(owner));
             // Whom it had a machine from, if that lives, may still have to let go of it.
             let lives = |former: &Process| living.get(&former.0) == Some(&former.1);
             let machines: Vec<(MachineId, Option<Process>, Option<Term>)> = machines
@@ -247,7 +269,14 @@
             }
             for (id, former, prior) in machines {
                 if let Some(owner) = self.owner(&successor, incarnation) {
-                    self.map.set_machine(&id, Owner { former, prior, ..owner });
+                    self.map.set_machine(
+                        &id,
+                        Owner {
+                            former,
+                            prior,
+                            ..owner
+                        },
+                    );
                 }
             }
         }
@@ -255,14 +284,21 @@
     }
 
     pub(super) fn teams_of(&self, node: &Node) -> usize {
-        self.map.owners.teams.values().filter(|owner| owner.node == *node).count()
+        self.map
+            .owners
+            .teams
+            .values()
+            .filter(|owner| owner.node == *node)
+            .count()
     }
 
     /// The controller with the fewest teams, of those that answer if any does.
     fn fewest_teams(&self, living: &BTreeMap<Node, u64>, peers: &Peers) -> Option<Process> {
         let acts_on_failures = self.config.features.acts_on_failures();
         let silent = |node: &Node| acts_on_failures && peers.detector().stage(node) != Stage::Alive;
-        let node = living.keys().min_by_key(|node| (silent(node), self.teams_of(node)))?;
+        let node = living
+            .keys()
+            .min_by_key(|node| (silent(node), self.teams_of(node)))?;
         Some((node.clone(), living[node]))
     }
 
@@ -290,8 +326,9 @@
     /// The machines of living controllers that have teams.
     fn machine_counts(&self, living: &BTreeMap<Node, u64>) -> BTreeMap<Node, MachineCount> {
         let with_teams = living.keys().filter(|node| self.teams_of(node) > 0);
-        let mut counts: BTreeMap<Node, MachineCount> =
-            with_teams.map(|node| (node.clone(), MachineCount::default())).collect();
+        let mut counts: BTreeMap<Node, MachineCount> = with_teams
+            .map(|node| (node.clone(), MachineCount::default()))
+            .collect();
         for (id, owner) in &self.map.owners.machines {
             if let Some(count) = counts.get_mut(&owner.node) {
                 match self.cloud.offer_of(id) {
@@ -315,7 +352,13 @@
                 }
             }
             for team in std::mem::take(&mut need.worn) {
-                if self.map.owners.teams.get(&team).is_some_and(|o| o.is(node, incarnation)) {
+                if self
+                    .map
+                    .owners
+                    .teams
+                    .get(&team)
+                    .is_some_and(|o| o.is(node, incarnation))
+                {
                     self.give_team(&team, node, incarnation);
                 }
             }
@@ -335,7 +378,10 @@
             writes.push(put(key, chunk, None));
         }
         self.writing = true;
-        let pending = Pending::Map(MapWrite { term: self.term, writes: writes.clone() });
+        let pending = Pending::Map(MapWrite {
+            term: self.term,
+            writes: writes.clone(),
+        });
         io.state(pending, StateCall::Commit(Transaction { guards, writes }));
     }
 
@@ -410,5 +456,8 @@
 }
 
 fn versions(view: &View) -> BTreeMap<String, Version> {
-    view.map().iter().map(|(key, stored)| (key.clone(), stored.version)).collect()
+    view.map()
+        .iter()
+        .map(|(key, stored)| (key.clone(), stored.version))
+        .collect()
 }
--- a/src/core/lease_expiry.rs
+++ b/src/core/lease_expiry.rs
@@ -42,8 +42,10 @@
 
     /// What siblings are to know of machines that are not answered any more.
     pub(super) fn unresponsive(&self, now: Time) -> Vec<Unresponsive> {
-        let unresponsive =
-            self.machines.values().filter(|machine| machine.mine && machine.unresponsive);
+        let unresponsive = self
+            .machines
+            .values()
+            .filter(|machine| machine.mine && machine.unresponsive);
         unresponsive
             .map(|machine| Unresponsive {
                 machine: machine.id.clone(),
@@ -58,11 +60,18 @@
     /// whose reads are slow, may otherwise take a machine for silent that has moved to a sibling.
     pub(super) fn expire_machines(&mut self, view: &View, now: Time) {
         let (lease, current) = (self.lease(), view.current_as_of);
-        let ours = self.machines.values().filter(|m| m.mine && !m.empty && m.former.is_none());
-        let expired: Vec<MachineId> =
-            ours.filter(|m| current > m.answered + lease).map(|m| m.id.clone()).collect();
+        let ours = self
+            .machines
+            .values()
+            .filter(|m| m.mine && !m.empty && m.former.is_none());
+        let expired: Vec<MachineId> = ours
+            .filter(|m| current > m.answered + lease)
+            .map(|m| m.id.clone())
+            .collect();
         for id in expired {
-            let Some(machine) = self.machines.get_mut(&id) else { continue };
+            let Some(machine) = self.machines.get_mut(&id) else {
+                continue;
+            };
             let gone: Vec<_> = machine.attempts.keys().cloned().collect();
             tracing::info!("{id} is silent; {} tasks on it are gone", gone.len());
             machine.end_session();
@@ -76,7 +85,9 @@
 
     /// The cloud has deleted the machine.
     pub(super) fn remove_machine(&mut self, id: &MachineId, now: Time) {
-        let Some(machine) = self.machines.get(id) else { return };
+        let Some(machine) = self.machines.get(id) else {
+            return;
+        };
         let gone: Vec<_> = machine.attempts.keys().cloned().collect();
         for (task, attempt) in gone {
             self.drop_attempt(id, &task, attempt, now);
--- a/src/core/machine_claims.rs
+++ b/src/core/machine_claims.rs
@@ -54,14 +54,22 @@
     /// What stands in this process's key.
     pub fn told(&self) -> Vec<MachineClaim> {
         let claims = self.claims.iter();
-        claims.map(|(id, (term, _))| MachineClaim { machine: id.clone(), term: *term }).collect()
+        claims
+            .map(|(id, (term, _))| MachineClaim {
+                machine: id.clone(),
+                term: *term,
+            })
+            .collect()
     }
 
     /// Claims a machine; whether there is room for it. Claims that the map has overtaken make room.
     fn add(&mut self, machine: &MachineId, term: Term, owners: &Owners, now: Time) -> bool {
         let standing = self.standing;
         self.claims.retain(|id, (term, since)| {
-            let open = owners.machines.get(id).is_some_and(|owner| owner.term == *term);
+            let open = owners
+                .machines
+                .get(id)
+                .is_some_and(|owner| owner.term == *term);
             open && now - *since < standing
         });
         let known = self.claims.contains_key(machine);
@@ -95,10 +103,18 @@
     pub(super) fn claim(&mut self, request: RequestId, report: Report, owner: &MapOwner) {
         let now = self.io.now;
         let full = self.waiting_reports.are_full();
-        if full || !self.claims.add(&report.machine, owner.term, self.view.owners(), now) {
+        if full
+            || !self
+                .claims
+                .add(&report.machine, owner.term, self.view.owners(), now)
+        {
             return self.send_elsewhere(request, &owner.node);
         }
-        tracing::debug!("{} can't reach {} and is claimed", report.machine, owner.node);
+        tracing::debug!(
+            "{} can't reach {} and is claimed",
+            report.machine,
+            owner.node
+        );
         self.wait_for_map(request, report, owner, WaitsFor::Claim);
     }
 }
@@ -111,7 +127,9 @@
         for (node, process) in view.nodes() {
             let incarnation = process.record.incarnation;
             for claim in &process.record.claims {
-                let Some(owner) = self.map.owners.machines.get(&claim.machine) else { continue };
+                let Some(owner) = self.map.owners.machines.get(&claim.machine) else {
+                    continue;
+                };
                 let former = (owner.node.clone(), owner.incarnation);
                 let lives = living.get(&former.0) == Some(&former.1);
                 if owner.term != claim.term || owner.node == *node || !lives {
--- a/src/core/machine_claims/tests.rs
+++ b/src/core/machine_claims/tests.rs
@@ -17,10 +17,24 @@
     let term = owner("n1").term;
     let claimed = (0..all).filter(|number| claims.add(&machine(*number), term, &owners, 1.0));
     assert_eq!(claimed.count(), most, "no more than a value holds");
-    assert!(claims.add(&machine(0), term, &owners, 1.5), "it is claimed already");
-    owners.machines.insert(machine(0), MapOwner { term: Term(term.0 + 1), ..owner("n2") });
+    assert!(
+        claims.add(&machine(0), term, &owners, 1.5),
+        "it is claimed already"
+    );
+    owners.machines.insert(
+        machine(0),
+        MapOwner {
+            term: Term(term.0 + 1),
+            ..owner("n2")
+        },
+    );
     assert!(claims.add(&machine(most), term, &owners, 2.0));
-    assert!(!claims.told().iter().any(|claim| claim.machine == machine(0)));
+    assert!(
+        !claims
+            .told()
+            .iter()
+            .any(|claim| claim.machine == machine(0))
+    );
     let later = 2.0 + claims.standing;
     assert!(claims.add(&machine(most + 1), term, &owners, later));
     assert_eq!(claims.told().len(), 1, "claims end");
--- a/src/core/machine_orders.rs
+++ b/src/core/machine_orders.rs
@@ -36,8 +36,15 @@
         describe(&mut tracked, &self.config, &job.spec);
         tracked.priority = job.priority;
         tracked.opportunistic = job.is_opportunistic(&self.config);
-        job.set(index, Task::Placed(machine.id.clone(), attempt), Some(&machine.zone));
-        let task = TaskId { job: id.clone(), index };
+        job.set(
+            index,
+            Task::Placed(machine.id.clone(), attempt),
+            Some(&machine.zone),
+        );
+        let task = TaskId {
+            job: id.clone(),
+            index,
+        };
         let (waited, spec) = (now - job.submitted, &job.spec);
         let ready = machine.ready_in(&spec.image, spec.image_gb, now);
         tracing::debug!(
@@ -66,7 +73,13 @@
                     && *same == attempt
                     && index != task.index
                 {
-                    targets.push((other.clone(), TaskId { job: task.job.clone(), index }));
+                    targets.push((
+                        other.clone(),
+                        TaskId {
+                            job: task.job.clone(),
+                            index,
+                        },
+                    ));
                 }
             }
         }
@@ -93,7 +106,9 @@
         while io.direct_orders() < most
             && let Some(id) = self.unsent_orders.pop_first()
         {
-            let Some(machine) = self.machines.get_mut(&id) else { continue };
+            let Some(machine) = self.machines.get_mut(&id) else {
+                continue;
+            };
             if !machine.mine {
                 self.sync_soon = true;
                 continue;
@@ -106,9 +121,14 @@
                 continue;
             }
             let (token, session) = (machine.token, machine.session);
-            let message = DirectOrders { token, session, orders: list };
+            let message = DirectOrders {
+                token,
+                session,
+                orders: list,
+            };
             let call = io.worker(&id, &machine.address, message);
-            self.starts_in_flight.sent(&id, call, (token, session), starts);
+            self.starts_in_flight
+                .sent(&id, call, (token, session), starts);
         }
     }
 
@@ -168,7 +188,10 @@
         };
         machine.suspect = true;
         let issued = |key: &AttemptKey| {
-            machine.attempts.get(key).is_some_and(|tracked| tracked.phase == Phase::Issued)
+            machine
+                .attempts
+                .get(key)
+                .is_some_and(|tracked| tracked.phase == Phase::Issued)
         };
         let unsent: Vec<AttemptKey> = starts
             .into_iter()
--- a/src/core/machines.rs
+++ b/src/core/machines.rs
@@ -195,8 +195,11 @@
 
     pub fn set_type(&mut self, types: &[MachineType]) {
         if let Some(of_type) = types.iter().find(|t| t.name == self.type_name) {
-            self.total =
-                Resources { cpus: of_type.cpus, gpus: of_type.gpus, memory_gb: of_type.memory_gb };
+            self.total = Resources {
+                cpus: of_type.cpus,
+                gpus: of_type.gpus,
+                memory_gb: of_type.memory_gb,
+            };
             self.fetch_rate = of_type.fetch_gb_per_s;
             self.cache_gb = of_type.cache_gb;
         }
@@ -289,7 +292,10 @@
     /// What the attempts that count leave; nothing if it is not known what one of them takes.
     fn free_beside(&self, counts: impl Fn(&TrackedAttempt) -> bool) -> Resources {
         let mut free = self.total;
-        for tracked in self.attempts.values().filter(|tracked| !tracked.exited() && counts(tracked))
+        for tracked in self
+            .attempts
+            .values()
+            .filter(|tracked| !tracked.exited() && counts(tracked))
         {
             match &tracked.room {
                 Some(room) => free = free.less(room),
@@ -302,8 +308,10 @@
     /// What runs and was not told to stop takes, by priority.
     pub fn running_by_priority(&self) -> [Resources; Priority::COUNT] {
         let mut running = [Resources::default(); Priority::COUNT];
-        for tracked in
-            self.attempts.values().filter(|tracked| !tracked.exited() && tracked.stop.is_none())
+        for tracked in self
+            .attempts
+            .values()
+            .filter(|tracked| !tracked.exited() && tracked.stop.is_none())
         {
             if let Some(room) = &tracked.room {
                 let sum = &mut running[tracked.priority as usize];
@@ -319,7 +327,10 @@
             |tracked: &&TrackedAttempt| !tracked.exited() && tracked.priority > Priority::Normal;
         let taken = self.attempts.values().filter(urgent);
         self.total.gpus
-            - taken.filter_map(|tracked| tracked.room).map(|room| room.gpus).sum::<f64>()
+            - taken
+                .filter_map(|tracked| tracked.room)
+                .map(|room| room.gpus)
+                .sum::<f64>()
     }
 
     pub fn idle(&self) -> bool {
@@ -328,7 +339,11 @@
 
     /// An attempt has ended or goes: perhaps the last one that was not opportunistic.
     pub fn note_end(&mut self, key: &AttemptKey, now: Time) {
-        if self.attempts.get(key).is_none_or(|attempt| attempt.opportunistic) {
+        if self
+            .attempts
+            .get(key)
+            .is_none_or(|attempt| attempt.opportunistic)
+        {
             return;
         }
         let mut others = self.attempts.iter().filter(|(other, _)| *other != key);
@@ -370,7 +385,11 @@
     /// Seconds for the longest fetch of what it holds.
     pub fn longest_fetch(&self) -> Time {
         let largest = self.images.iter().map(|(_, gb)| *gb).fold(0.0, f64::max);
-        if self.fetch_rate > 0.0 { largest / self.fetch_rate } else { 0.0 }
+        if self.fetch_rate > 0.0 {
+            largest / self.fetch_rate
+        } else {
+            0.0
+        }
     }
 
     pub fn images(&self) -> &[(Image, f64)] {
@@ -399,7 +418,11 @@
         }
         let alone = self.fetch_s(gb);
         let mut fetching: BTreeMap<&Image, Time> = BTreeMap::new();
-        for tracked in self.attempts.values().filter(|h| !h.exited() && !h.has_image()) {
+        for tracked in self
+            .attempts
+            .values()
+            .filter(|h| !h.exited() && !h.has_image())
+        {
             if let Some((other, _)) = &tracked.image {
                 let since = fetching.entry(other).or_insert(tracked.issued);
                 *since = since.min(tracked.issued);
@@ -430,7 +453,11 @@
                     orders.starts.insert(key.clone());
                 }
                 (Phase::Issued | Phase::Seen(_), Some(grace_s)) => {
-                    orders.list.push(Order::Stop { task, attempt, grace_s });
+                    orders.list.push(Order::Stop {
+                        task,
+                        attempt,
+                        grace_s,
+                    });
                 }
                 // While a start may still arrive, forgetting would let it start again.
                 (Phase::Exited(_), _) if tracked.forget && !in_flight.may_arrive(&self.id, key) => {
--- a/src/core/machines/tests.rs
+++ b/src/core/machines/tests.rs
@@ -14,12 +14,21 @@
         Freshness::NewReport { new_session: false }
     );
     assert_eq!(machine.freshness(&report(1, 5), false), Freshness::Copy);
-    assert_eq!(machine.freshness(&report(1, 8), true), Freshness::NewReport { new_session: false });
-    assert_eq!(machine.freshness(&report(1, 7), false), Freshness::Overtaken);
+    assert_eq!(
+        machine.freshness(&report(1, 8), true),
+        Freshness::NewReport { new_session: false }
+    );
+    assert_eq!(
+        machine.freshness(&report(1, 7), false),
+        Freshness::Overtaken
+    );
     assert_eq!(machine.freshness(&report(1, 6), false), Freshness::Copy);
     machine.end_session();
     assert_eq!(machine.freshness(&report(1, 99), false), Freshness::Copy);
-    assert_eq!(machine.freshness(&report(2, 1), false), Freshness::NewReport { new_session: true });
+    assert_eq!(
+        machine.freshness(&report(2, 1), false),
+        Freshness::NewReport { new_session: true }
+    );
 }
 
 /// Its lease ran out under another owner, whose tasks then came here with it: they live in the
@@ -44,9 +53,18 @@
         machine.freshness(&report(2, 1), false),
         Freshness::NewReport { new_session: false }
     );
-    let shows = |session, seq| Report { token: Term(3), ..report(session, seq) };
-    assert_eq!(machine.freshness(&shows(2, 2), false), Freshness::NewReport { new_session: false });
-    assert_eq!(machine.freshness(&shows(3, 1), false), Freshness::NewReport { new_session: true });
+    let shows = |session, seq| Report {
+        token: Term(3),
+        ..report(session, seq)
+    };
+    assert_eq!(
+        machine.freshness(&shows(2, 2), false),
+        Freshness::NewReport { new_session: false }
+    );
+    assert_eq!(
+        machine.freshness(&shows(3, 1), false),
+        Freshness::NewReport { new_session: true }
+    );
 }
 
 #[test]
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -156,25 +156,49 @@
 
 impl Answer {
     pub fn value(status: u16, body: Value) -> Self {
-        Self { status, body: Body::Value(body), retry_after: None }
+        Self {
+            status,
+            body: Body::Value(body),
+            retry_after: None,
+        }
     }
     pub fn empty(status: u16) -> Self {
-        Self { status, body: Body::Empty, retry_after: None }
+        Self {
+            status,
+            body: Body::Empty,
+            retry_after: None,
+        }
     }
     /// Cannot be taken now; says at once when to come back.
     pub fn unavailable() -> Self {
-        Self { status: 503, body: Body::Empty, retry_after: Some(1) }
+        Self {
+            status: 503,
+            body: Body::Empty,
+            retry_after: Some(1),
+        }
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum StateCall {
-    List { prefix: &'static str, from: Option<String> },
-    Changes { prefix: &'static str, from: Version },
+    List {
+        prefix: &'static str,
+        from: Option<String>,
+    },
+    Changes {
+        prefix: &'static str,
+        from: Version,
+    },
     Commit(Transaction),
-    LeaseCreate { ttl_ms: u64 },
-    LeaseRenew { lease: u64 },
-    LeaseEnd { lease: u64 },
+    LeaseCreate {
+        ttl_ms: u64,
+    },
+    LeaseRenew {
+        lease: u64,
+    },
+    LeaseEnd {
+        lease: u64,
+    },
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -321,7 +345,10 @@
     /// Starts of this process's share that the last guard has held back so far: more than none is a
     /// fault of the tracking.
     pub fn starts_held_back(&self) -> u64 {
-        self.owner.as_ref().map(|owner| owner.starts_held_back).unwrap_or_default()
+        self.owner
+            .as_ref()
+            .map(|owner| owner.starts_held_back)
+            .unwrap_or_default()
     }
 
     fn input(&mut self, input: Input) {
@@ -377,7 +404,10 @@
             Pending::Sync { sent } => {
                 self.synced(sent, reply);
                 // A process whose key has gone learns no more, so that its authority ends.
-                if self.view.is_registered(&self.config.node, self.authority.incarnation()) {
+                if self
+                    .view
+                    .is_registered(&self.config.node, self.authority.incarnation())
+                {
                     self.authority.informed(self.view.current_as_of);
                 }
             }
@@ -434,7 +464,12 @@
         if self.authority.entitled(now) {
             if let Some(owner) = self.owner.as_mut() {
                 owner.resuming = resuming;
-                owner.advance(&mut self.io, &mut self.view, &self.catalog, &self.unresponsive);
+                owner.advance(
+                    &mut self.io,
+                    &mut self.view,
+                    &self.catalog,
+                    &self.unresponsive,
+                );
                 owner.plan_when_due(&self.io, &self.view, &self.catalog);
                 if !owner.has_machines() {
                     // Nobody to hear from: silence says nothing.
@@ -481,10 +516,12 @@
         let leads = self.authority.leads(&self.view);
         if self.leader.as_ref().map(|leader| leader.term) != leads {
             // The map as of the key's own revision has every change of earlier leaders.
-            self.leader = leads.filter(|term| self.view.revision() >= *term).map(|term| {
-                tracing::info!("leading under term {term}");
-                Leader::new(&self.config, term, &self.view, now)
-            });
+            self.leader = leads
+                .filter(|term| self.view.revision() >= *term)
+                .map(|term| {
+                    tracing::info!("leading under term {term}");
+                    Leader::new(&self.config, term, &self.view, now)
+                });
         }
     }
 }
--- a/src/core/opportunistic.rs
+++ b/src/core/opportunistic.rs
@@ -38,7 +38,9 @@
 impl Machine {
     /// Whether nothing but opportunistic work is on it, or nothing at all.
     pub fn holds_only_opportunistic(&self) -> bool {
-        self.attempts.values().all(|tracked| tracked.exited() || tracked.opportunistic)
+        self.attempts
+            .values()
+            .all(|tracked| tracked.exited() || tracked.opportunistic)
     }
 
     /// What opportunistic work takes that was not told to stop.
@@ -55,7 +57,9 @@
 /// How long one machine would be busy with this many tasks of a job, on whatever type that takes least.
 pub fn machine_time(types: &[MachineType], spec: &JobSpec, tasks: u32) -> Time {
     let need = Resources::of(spec);
-    let per_machine = types.iter().map(|of_type| tasks_per_machine(of_type, &need));
+    let per_machine = types
+        .iter()
+        .map(|of_type| tasks_per_machine(of_type, &need));
     let most = per_machine.fold(1.0, f64::max);
     f64::from(tasks) * spec.estimate_s / most
 }
@@ -72,10 +76,16 @@
     let need = Resources::of(spec);
     let price = |t: &MachineType| t.spot_price / tasks_per_machine(t, &need);
     let runs = |t: &&MachineType| {
-        spec.types.as_ref().is_none_or(|types| types.contains(&t.name))
+        spec.types
+            .as_ref()
+            .is_none_or(|types| types.contains(&t.name))
             && total_room(t).holds(&need)
     };
-    let least = types.iter().filter(runs).map(price).fold(f64::INFINITY, f64::min);
+    let least = types
+        .iter()
+        .filter(runs)
+        .map(price)
+        .fold(f64::INFINITY, f64::min);
     let of_type = types.iter().find(|t| t.name == *type_name);
     *spot && of_type.is_some_and(|t| price(t) <= least * PRICE_MARGIN)
 }
@@ -87,7 +97,10 @@
     pub(super) fn machines_of_starved_jobs(&self) -> BTreeSet<MachineId> {
         let is_spot = |id: &MachineId| self.machines.get(id).is_some_and(|machine| machine.spot);
         let mut kept = BTreeSet::new();
-        let starved = self.jobs.iter().filter(|(_, job)| job.starved && job.placed() > 0);
+        let starved = self
+            .jobs
+            .iter()
+            .filter(|(_, job)| job.starved && job.placed() > 0);
         for (id, _) in starved {
             let machines = self.task_index.machines_of(id);
             let provided = |id: &MachineId| is_spot(id) || kept.contains(id);
@@ -101,11 +114,15 @@
     /// Stops the opportunistic work of a machine that is to be returned; what can't save its progress
     /// runs to its end.
     pub(super) fn return_from_opportunistic(&mut self, id: &MachineId) {
-        let Some(machine) = self.machines.get(id) else { return };
+        let Some(machine) = self.machines.get(id) else {
+            return;
+        };
         let saves = machine.attempts.iter().filter(|(_, tracked)| {
             !tracked.exited() && tracked.stop.is_none() && tracked.save_s > 0.0
         });
-        let stops: Vec<_> = saves.map(|(key, tracked)| (key.clone(), tracked.save_s)).collect();
+        let stops: Vec<_> = saves
+            .map(|(key, tracked)| (key.clone(), tracked.save_s))
+            .collect();
         for ((task, attempt), grace) in stops {
             self.stop(id, &task, attempt, grace);
         }
--- a/src/core/opportunistic/tests.rs
+++ b/src/core/opportunistic/tests.rs
@@ -54,7 +54,10 @@
     };
     assert!(!with(|spec| spec.priority = Priority::Normal));
     assert!(!with(|spec| spec.deadline_s = Some(600.0)));
-    assert!(!with(|spec| spec.class = "chat".into()), "its class has an objective on starts");
+    assert!(
+        !with(|spec| spec.class = "chat".into()),
+        "its class has an objective on starts"
+    );
 }
 
 /// A guest's array asked for 50 machines of every kind and took all that the cloud had (inc-df01).
@@ -63,13 +66,23 @@
     let none = BTreeSet::new();
     // 100 tasks of 30 s, eight at a time: 375 s of one machine's time, 20 s for each rental.
     let need = wanted(&guest_array(30.0), false, &none);
-    assert!(need.wants.iter().all(|want| want.offer.2 && want.opportunistic), "{need:?}");
+    assert!(
+        need.wants
+            .iter()
+            .all(|want| want.offer.2 && want.opportunistic),
+        "{need:?}"
+    );
     assert_eq!(need.wanted(), 13, "100 tasks fit on 13 machines");
-    assert_eq!(need.queued, 0.0, "no reason to move machines that are in use");
+    assert_eq!(
+        need.queued, 0.0,
+        "no reason to move machines that are in use"
+    );
     // Seconds of work are over before a machine is up.
     assert_eq!(wanted(&guest_array(1.0), false, &none).wanted(), 0);
-    let cheap: BTreeSet<Offer> =
-        ["a", "b"].iter().map(|zone| (TypeName::from("g8"), Zone::from(*zone), true)).collect();
+    let cheap: BTreeSet<Offer> = ["a", "b"]
+        .iter()
+        .map(|zone| (TypeName::from("g8"), Zone::from(*zone), true))
+        .collect();
     // The other type is nearly as cheap, but takes four at a time: the work is worth no 25 of them.
     assert_eq!(wanted(&guest_array(30.0), false, &cheap).wanted(), 18);
 }
@@ -80,7 +93,11 @@
     let types = types();
     let all: BTreeSet<Offer> = types
         .iter()
-        .flat_map(|t| t.zones.iter().map(|zone| (t.name.clone(), zone.clone(), true)))
+        .flat_map(|t| {
+            t.zones
+                .iter()
+                .map(|zone| (t.name.clone(), zone.clone(), true))
+        })
         .collect();
     assert_eq!(wanted(&guest_array(1.0), false, &all).wanted(), 0);
     let need = wanted(&guest_array(1.0), true, &all);
@@ -96,10 +113,16 @@
     let bin = Bin {
         free: full,
         opportunistic: full,
-        ..Bin::empty(Some("m-1".into()), (TypeName::from("g8"), Zone::from("a"), false))
+        ..Bin::empty(
+            Some("m-1".into()),
+            (TypeName::from("g8"), Zone::from("a"), false),
+        )
     };
     let (mut plan, mut need) = (Plan::new(&types, &refused, vec![bin], 400), Need::default());
-    plan.serve(Wanted::expected(&types, service("chat", "x", 1.0), 2), &mut need);
+    plan.serve(
+        Wanted::expected(&types, service("chat", "x", 1.0), 2),
+        &mut need,
+    );
     assert_eq!(need.wanted(), 0);
     // Opportunistic work itself finds none there.
     plan.count_opportunistic();
@@ -118,7 +141,10 @@
     assert!(!is_cheap(&types, &spot("g4"), &spec));
     assert!(is_cheap(&types, &spot("g8"), &spec));
     let (type_name, zone, _) = spot("g8");
-    assert!(!is_cheap(&types, &(type_name, zone, false), &spec), "not an ordinary one");
+    assert!(
+        !is_cheap(&types, &(type_name, zone, false), &spec),
+        "not an ordinary one"
+    );
 }
 
 /// A machine of a type with 64 CPUs, trusted, with one task of the array on it since the beginning.
@@ -133,7 +159,10 @@
     let mut spec = (*guest_array(30.0)).clone();
     (spec.checkpoint_s, spec.save_s) = (5.0, 2.0);
     describe(&mut tracked, &owner.config, &spec);
-    machine.attempts.insert((TaskId::parse("req-000001/0").unwrap(), Attempt(1)), tracked);
+    machine.attempts.insert(
+        (TaskId::parse("req-000001/0").unwrap(), Attempt(1)),
+        tracked,
+    );
     owner.machines.insert("m-1".into(), machine);
     (owner, io, view)
 }
@@ -153,7 +182,11 @@
         assert_eq!(owner.need.yielding, vec![MachineId::from("m-1")]);
         assert_eq!(grace(&owner), None, "not idle for long");
         io.begin(100.0, 100_000);
-        owner.machines.get_mut(&MachineId::from("m-1")).unwrap().answered = 100.0;
+        owner
+            .machines
+            .get_mut(&MachineId::from("m-1"))
+            .unwrap()
+            .answered = 100.0;
         owner.plan_when_due(&io, &view, &catalog);
         assert_eq!(grace(&owner), if spot { None } else { Some(2.0) });
     }
--- a/src/core/owned_jobs.rs
+++ b/src/core/owned_jobs.rs
@@ -41,14 +41,18 @@
             return self.make_urgent(view, id, (now, wall_ms));
         }
         let Some(spec) = &record.spec else { return };
-        let Some(team) = self.teams.get(&spec.team) else { return };
+        let Some(team) = self.teams.get(&spec.team) else {
+            return;
+        };
         if view.dependency_cancelled(id) {
             self.dependency_cancelled.entry(id.clone()).or_insert(now);
             return;
         }
         // Until all that it needs is done, durably and as read here, it is no work of this share. Its
         // view takes it up again with the last of them.
-        let Some(ready_ms) = view.ready_ms(record) else { return };
+        let Some(ready_ms) = view.ready_ms(record) else {
+            return;
+        };
         // The team's former owner may have started everything that it could read before it saw the
         // change of the map. A leader that takes the team for itself knows its own write before
         // its next sync brings the jobs that came before that; so it is the versions that tell, not
@@ -74,8 +78,10 @@
         }
         for (machine, task, attempt) in exits {
             let key = (task.clone(), attempt);
-            let tracked =
-                self.machines.get(&machine).and_then(|machine| machine.attempts.get(&key));
+            let tracked = self
+                .machines
+                .get(&machine)
+                .and_then(|machine| machine.attempts.get(&key));
             if let Some(Phase::Exited(why)) = tracked.map(|tracked| tracked.phase.clone()) {
                 self.task_exited(&machine, &task, attempt, why, now);
             }
@@ -94,7 +100,11 @@
             if tracked.exited() {
                 exits.push((at.machine.clone(), at.task.clone(), at.attempt));
             } else if matches!(job.task(index), Some(Task::Waiting | Task::Unsettled)) {
-                job.set(index, Task::Placed(at.machine.clone(), at.attempt), Some(at.zone));
+                job.set(
+                    index,
+                    Task::Placed(at.machine.clone(), at.attempt),
+                    Some(at.zone),
+                );
                 job.began |= tracked.began.is_some();
             }
         });
@@ -103,15 +113,38 @@
 
     /// Looks at every attempt of a job that may be on a machine.
     fn each_attempt(&mut self, id: &JobId, mut look: impl FnMut(&AttemptAt, &mut TrackedAttempt)) {
-        let first = (TaskId { job: id.clone(), index: 0 }, Attempt(0));
-        let last = (TaskId { job: id.clone(), index: u32::MAX }, Attempt(u64::MAX));
+        let first = (
+            TaskId {
+                job: id.clone(),
+                index: 0,
+            },
+            Attempt(0),
+        );
+        let last = (
+            TaskId {
+                job: id.clone(),
+                index: u32::MAX,
+            },
+            Attempt(u64::MAX),
+        );
         for machine in self.task_index.machines_of(id) {
-            let Some(Machine { id, zone, attempts, .. }) = self.machines.get_mut(&machine) else {
+            let Some(Machine {
+                id, zone, attempts, ..
+            }) = self.machines.get_mut(&machine)
+            else {
                 continue;
             };
             for ((task, attempt), tracked) in attempts.range_mut(first.clone()..=last.clone()) {
                 self.visits += 1;
-                look(&AttemptAt { machine: id, zone, task, attempt: *attempt }, tracked);
+                look(
+                    &AttemptAt {
+                        machine: id,
+                        zone,
+                        task,
+                        attempt: *attempt,
+                    },
+                    tracked,
+                );
             }
         }
     }
@@ -120,12 +153,15 @@
     pub(super) fn other_attempt(&self, task: &TaskId) -> Option<(MachineId, Attempt)> {
         let first = (task.clone(), Attempt(0));
         let last = (task.clone(), Attempt(u64::MAX));
-        self.task_index.machines_of(&task.job).into_iter().find_map(|id| {
-            let machine = self.machines.get(&id)?;
-            let mut attempts = machine.attempts.range(first.clone()..=last.clone());
-            let (_, attempt) = attempts.find(|(_, tracked)| !tracked.exited())?.0;
-            Some((id, *attempt))
-        })
+        self.task_index
+            .machines_of(&task.job)
+            .into_iter()
+            .find_map(|id| {
+                let machine = self.machines.get(&id)?;
+                let mut attempts = machine.attempts.range(first.clone()..=last.clone());
+                let (_, attempt) = attempts.find(|(_, tracked)| !tracked.exited())?.0;
+                Some((id, *attempt))
+            })
     }
 
     /// Tasks of a job of which an attempt may be on some machine.
@@ -141,7 +177,9 @@
 
     /// A job takes the priority and the deadline of those that need it.
     fn make_urgent(&mut self, view: &View, id: &JobId, (now, wall_ms): (Time, u64)) {
-        let Some(job) = self.jobs.get_mut(id) else { return };
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
         let on_clock = |ms: u64| now + (ms as f64 - wall_ms as f64) / 1e3;
         let finish = self.config.finish_objective(&job.spec.class);
         let own = job.spec.deadline_s.filter(|_| finish.is_none());
@@ -192,7 +230,10 @@
 
     /// Tasks done and running of all jobs that run, for display.
     pub fn running(&self) -> Vec<(JobId, u32, u32)> {
-        self.running.iter().map(|(id, &(done, running))| (id.clone(), done, running)).collect()
+        self.running
+            .iter()
+            .map(|(id, &(done, running))| (id.clone(), done, running))
+            .collect()
     }
 
     pub(super) fn count_running(&mut self, now: Time) {
@@ -219,7 +260,9 @@
     /// A gang's tasks complete together: if one is done, they all are. The others' machines may
     /// be lost before they can say so.
     pub(super) fn gang_done(&mut self, id: &JobId) {
-        let Some(job) = self.jobs.get_mut(id) else { return };
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
         for index in 0..job.spec.tasks {
             let zone = match job.task(index) {
                 Some(Task::Placed(machine, _)) => {
@@ -233,12 +276,24 @@
 
     /// One task of a gang is gone: the others cannot go on, so they make room at once.
     pub(super) fn gang_lost_one(&mut self, id: &JobId, attempt: Attempt) {
-        let Some(job) = self.jobs.get(id).filter(|job| job.is_gang() && job.spec.tasks > 1) else {
+        let Some(job) = self
+            .jobs
+            .get(id)
+            .filter(|job| job.is_gang() && job.spec.tasks > 1)
+        else {
             return;
         };
         for index in 0..job.spec.tasks {
-            let Some(Task::Placed(machine, other)) = job.task(index) else { continue };
-            let key = (TaskId { job: id.clone(), index }, attempt);
+            let Some(Task::Placed(machine, other)) = job.task(index) else {
+                continue;
+            };
+            let key = (
+                TaskId {
+                    job: id.clone(),
+                    index,
+                },
+                attempt,
+            );
             if *other == attempt
                 && let Some(machine) = self.machines.get_mut(machine)
                 && let Some(tracked) = machine.attempts.get_mut(&key)
@@ -258,7 +313,11 @@
     tracked.image = Some((spec.image.clone(), spec.image_gb));
     tracked.priority = spec.priority;
     tracked.opportunistic = is_opportunistic(config, spec);
-    tracked.save_s = if spec.checkpoint_s > 0.0 { spec.save_s } else { 0.0 };
+    tracked.save_s = if spec.checkpoint_s > 0.0 {
+        spec.save_s
+    } else {
+        0.0
+    };
 }
 
 /// What is left of a cancelled job, as its record tells.
--- a/src/core/owner.rs
+++ b/src/core/owner.rs
@@ -187,7 +187,8 @@
             }
             // A successor of its process has registered, so that has ended.
             let ended = |(node, incarnation): &Process| {
-                view.node(node).is_some_and(|n| n.record.incarnation != *incarnation)
+                view.node(node)
+                    .is_some_and(|n| n.record.incarnation != *incarnation)
             };
             if machine.former.as_ref().is_some_and(ended) {
                 machine.former_let_go(now);
@@ -237,12 +238,15 @@
         self.release_grants(io, view, &lost);
         let owners = view.owners();
         let with_teams: BTreeSet<&Node> = owners.teams.values().map(|owner| &owner.node).collect();
-        self.record_rate.set_rate(write_rate(&self.config, with_teams.len().max(1)));
+        self.record_rate
+            .set_rate(write_rate(&self.config, with_teams.len().max(1)));
         let mine = |o: &part_map::Owner| o.is(&self.config.node, self.incarnation);
         let sibling = |(node, _): &Process| *node != self.config.node;
         for (id, owner) in &owners.machines {
             let mine = mine(owner);
-            let answered = owner.prior.and_then(|prior| unresponsive.answered(id, prior));
+            let answered = owner
+                .prior
+                .and_then(|prior| unresponsive.answered(id, prior));
             match self.machines.get_mut(id) {
                 Some(machine) if machine.mine != mine || machine.token != owner.term => {
                     // A fresh token says nothing of whether a former owner has let go.
@@ -274,9 +278,14 @@
             }
         }
         // The leader takes a machine off the map once it is deleted.
-        self.starts_in_flight.retain(|id| owners.machines.contains_key(id));
-        let gone: Vec<MachineId> =
-            self.machines.keys().filter(|id| !owners.machines.contains_key(*id)).cloned().collect();
+        self.starts_in_flight
+            .retain(|id| owners.machines.contains_key(id));
+        let gone: Vec<MachineId> = self
+            .machines
+            .keys()
+            .filter(|id| !owners.machines.contains_key(*id))
+            .cloned()
+            .collect();
         for id in gone {
             self.remove_machine(&id, now);
         }
@@ -297,7 +306,10 @@
         }
         let (teams, index) = (&self.teams, &mut self.task_index);
         let ours = |tracked: &TrackedAttempt| {
-            tracked.team.as_ref().is_some_and(|team| teams.contains_key(team))
+            tracked
+                .team
+                .as_ref()
+                .is_some_and(|team| teams.contains_key(team))
         };
         self.machines.retain(|_, machine| {
             if !machine.mine {
@@ -317,7 +329,8 @@
     fn teams_on_map(&self, view: &View) -> BTreeMap<Team, Term> {
         let teams = view.owners().teams.iter();
         let mine = teams.filter(|(_, owner)| owner.is(&self.config.node, self.incarnation));
-        mine.map(|(team, owner)| (team.clone(), owner.term)).collect()
+        mine.map(|(team, owner)| (team.clone(), owner.term))
+            .collect()
     }
 
     /// Teams that are no longer ours. Under another term a team may have been elsewhere since this
@@ -335,7 +348,13 @@
         let unsettled = view.owners().machines.keys().cloned().collect();
         let gained = view.map_revision();
         let grant = self.new_team_grant(&team, term);
-        let owned = OwnedTeam { term, gained, unsettled, attempts: 0, grant };
+        let owned = OwnedTeam {
+            term,
+            gained,
+            unsettled,
+            attempts: 0,
+            grant,
+        };
         self.teams.insert(team.clone(), owned);
         self.follow_grants(view);
         self.settle_when_known(view);
@@ -343,7 +362,13 @@
         for (id, stored) in view.jobs() {
             // One of our own writes, newer than the view, waits for the next sync.
             if of_team(&stored.record) && stored.version <= view.revision() {
-                self.take_job(view, id, &stored.record, stored.version, (io.now, io.wall_ms));
+                self.take_job(
+                    view,
+                    id,
+                    &stored.record,
+                    stored.version,
+                    (io.now, io.wall_ms),
+                );
             }
         }
     }
@@ -355,7 +380,8 @@
         let settled = |id: &MachineId| machines.get(id).is_some_and(|m| m.mine && m.settled());
         for (name, team) in &mut self.teams {
             if !team.unsettled.is_empty() {
-                team.unsettled.retain(|id| on_map.contains_key(id) && !settled(id));
+                team.unsettled
+                    .retain(|id| on_map.contains_key(id) && !settled(id));
                 if team.unsettled.is_empty() {
                     tracing::info!("team {name} is settled");
                 }
@@ -367,7 +393,11 @@
             let Some(job) = self.jobs.get_mut(&id).filter(|job| job.unsettled() > 0) else {
                 continue;
             };
-            if self.teams.get(&job.spec.team).is_some_and(|team| team.unsettled.is_empty()) {
+            if self
+                .teams
+                .get(&job.spec.team)
+                .is_some_and(|team| team.unsettled.is_empty())
+            {
                 job.settle();
                 self.changed = true;
                 if job.is_gang() && job.placed() > 0 && !job.waiting().is_empty() {
@@ -392,7 +422,10 @@
 
     /// Machines of this share.
     pub fn machine_count(&self) -> usize {
-        self.machines.values().filter(|machine| machine.mine).count()
+        self.machines
+            .values()
+            .filter(|machine| machine.mine)
+            .count()
     }
 
     /// Machines of this share whose reports a sibling has relayed since this moment.
@@ -409,7 +442,10 @@
     }
 
     pub fn settled_teams(&self) -> Vec<Team> {
-        let settled = self.teams.iter().filter(|(_, team)| team.unsettled.is_empty());
+        let settled = self
+            .teams
+            .iter()
+            .filter(|(_, team)| team.unsettled.is_empty());
         settled.map(|(name, _)| name.clone()).collect()
     }
 
@@ -423,12 +459,17 @@
 
     /// Whether an attempt of a team's task was started here since the team was gained.
     pub(super) fn started_here(&self, team: &Team, attempt: Attempt) -> bool {
-        self.teams.get(team).is_some_and(|owned| attempt.0 / ATTEMPTS == owned.term.0)
+        self.teams
+            .get(team)
+            .is_some_and(|owned| attempt.0 / ATTEMPTS == owned.term.0)
     }
 
     /// Teams whose term is running out of attempt numbers.
     pub(super) fn worn_teams(&self) -> Vec<Team> {
-        let worn = self.teams.iter().filter(|(_, team)| team.attempts > ATTEMPTS / 2);
+        let worn = self
+            .teams
+            .iter()
+            .filter(|(_, team)| team.attempts > ATTEMPTS / 2);
         worn.map(|(team, _)| team.clone()).collect()
     }
 }
--- a/src/core/pacing.rs
+++ b/src/core/pacing.rs
@@ -24,7 +24,11 @@
     /// Open, for the given limits.
     pub fn new(config: &Config) -> Self {
         let shortest = PAUSE_WRITES / config.deployment.state.write_rps;
-        Self { shortest, resume: Time::NEG_INFINITY, refusals: 0 }
+        Self {
+            shortest,
+            resume: Time::NEG_INFINITY,
+            refusals: 0,
+        }
     }
 
     /// Whether requests that can wait may be sent.
--- a/src/core/part_map.rs
+++ b/src/core/part_map.rs
@@ -71,11 +71,19 @@
     pub fn read<'a>(chunks: impl Iterator<Item = &'a MapChunk>) -> Self {
         let mut owners = Self::default();
         for chunk in chunks {
-            owners.grants_kept_since.extend(chunk.grants_kept_since.clone());
+            owners
+                .grants_kept_since
+                .extend(chunk.grants_kept_since.clone());
             for share in &chunk.shares {
-                let teams = share.teams.iter().map(|team| (team.clone(), share.owner.clone()));
+                let teams = share
+                    .teams
+                    .iter()
+                    .map(|team| (team.clone(), share.owner.clone()));
                 owners.teams.extend(teams);
-                let machines = share.machines.iter().map(|id| (id.clone(), share.owner.clone()));
+                let machines = share
+                    .machines
+                    .iter()
+                    .map(|id| (id.clone(), share.owner.clone()));
                 owners.machines.extend(machines);
             }
         }
@@ -115,7 +123,9 @@
         let mut dirty = BTreeSet::new();
         for (key, chunk) in stored {
             let prefix = format!("{MAP_PREFIX}m");
-            let number = key.strip_prefix(&prefix).and_then(|n| n.parse::<usize>().ok());
+            let number = key
+                .strip_prefix(&prefix)
+                .and_then(|n| n.parse::<usize>().ok());
             if let Some(number) = number {
                 members.resize_with(members.len().max(number + 1), BTreeSet::new);
                 for id in chunk.record.shares.iter().flat_map(|share| &share.machines) {
@@ -129,12 +139,24 @@
             }
         }
         let teams_dirty = false;
-        Self { owners, leader, changes: 0, chunk_of, members, teams_dirty, dirty, capacity }
+        Self {
+            owners,
+            leader,
+            changes: 0,
+            chunk_of,
+            members,
+            teams_dirty,
+            dirty,
+            capacity,
+        }
     }
 
     /// Takes up what is stored, and goes on counting.
     pub fn follow(&mut self, stored: PartMap) {
-        *self = PartMap { changes: self.changes, ..stored };
+        *self = PartMap {
+            changes: self.changes,
+            ..stored
+        };
     }
 
     /// A term that nobody has used; None when this leadership has no more.
@@ -175,9 +197,13 @@
         let chunk = match self.chunk_of.get(id) {
             Some(chunk) => *chunk,
             None => {
-                let open = self.members.iter().position(|ids| ids.len() < self.capacity);
+                let open = self
+                    .members
+                    .iter()
+                    .position(|ids| ids.len() < self.capacity);
                 let chunk = open.unwrap_or(self.members.len());
-                self.members.resize_with(self.members.len().max(chunk + 1), BTreeSet::new);
+                self.members
+                    .resize_with(self.members.len().max(chunk + 1), BTreeSet::new);
                 self.members[chunk].insert(id.clone());
                 self.chunk_of.insert(id.clone(), chunk);
                 chunk
@@ -207,7 +233,10 @@
             }
             values.push((
                 teams_key(),
-                MapChunk { shares: shares.into_values().collect(), grants_kept_since },
+                MapChunk {
+                    shares: shares.into_values().collect(),
+                    grants_kept_since,
+                },
             ));
         }
         while values.len() < limit
@@ -244,7 +273,13 @@
             }
         }
         let shares = shares.into_values().collect();
-        (chunk_key(chunk), MapChunk { shares, ..MapChunk::default() })
+        (
+            chunk_key(chunk),
+            MapChunk {
+                shares,
+                ..MapChunk::default()
+            },
+        )
     }
 }
 
--- a/src/core/part_map/tests.rs
+++ b/src/core/part_map/tests.rs
@@ -2,7 +2,13 @@
 
 fn owner(node: &str, term: u64) -> Owner {
     let former = Some(("drumhead-2".into(), 1 << 51));
-    Owner { node: node.into(), incarnation: 1 << 51, term: Term(term), former, prior: None }
+    Owner {
+        node: node.into(),
+        incarnation: 1 << 51,
+        term: Term(term),
+        former,
+        prior: None,
+    }
 }
 
 #[test]
@@ -10,7 +16,10 @@
     let mut map = PartMap::new(1 << 20, &BTreeMap::new(), 4.0);
     for i in 0..200 {
         let term = map.next_term().unwrap().0;
-        map.set_machine(&MachineId::from(format!("m-{i:06}")), owner("drumhead-0", term));
+        map.set_machine(
+            &MachineId::from(format!("m-{i:06}")),
+            owner("drumhead-0", term),
+        );
     }
     map.set_team(&"a".into(), owner("drumhead-1", 7));
     let mut stored = BTreeMap::new();
@@ -18,12 +27,18 @@
         assert!(serde_json::to_string(&record).unwrap().len() <= 4096);
         stored.insert(key, Versioned { version: 9, record });
     }
-    assert!(map.take_dirty(usize::MAX, usize::MAX).is_empty(), "written only on change");
+    assert!(
+        map.take_dirty(usize::MAX, usize::MAX).is_empty(),
+        "written only on change"
+    );
     let mut next = PartMap::new(1 << 21, &stored, 4.0);
     assert_eq!(next.owners.machines, map.owners.machines);
     assert_eq!(next.owners.teams, map.owners.teams);
     let highest = map.owners.machines.values().map(|o| o.term).max().unwrap();
-    assert!(next.next_term().unwrap() > highest, "terms rise with every leader");
+    assert!(
+        next.next_term().unwrap() > highest,
+        "terms rise with every leader"
+    );
     // Limits were lowered: what is stored larger is split when it is next written, and until all is
     // written every machine stays on the map.
     let mut lower = PartMap::new(1 << 22, &stored, 2.0);
@@ -36,14 +51,27 @@
         }
         for (key, record) in values {
             assert!(serde_json::to_string(&record).unwrap().len() <= 2048);
-            lowered.insert(key, Versioned { version: 10, record });
+            lowered.insert(
+                key,
+                Versioned {
+                    version: 10,
+                    record,
+                },
+            );
         }
         let read = PartMap::new(1 << 23, &lowered, 2.0);
         assert_eq!(read.owners.machines.len(), 200);
-        assert_eq!(read.chunk_of.len(), read.members.iter().map(BTreeSet::len).sum::<usize>());
+        assert_eq!(
+            read.chunk_of.len(),
+            read.members.iter().map(BTreeSet::len).sum::<usize>()
+        );
     }
     next.remove_machine(&"m-000000".into());
-    assert_eq!(next.take_dirty(9, usize::MAX).len(), 1, "only the chunk that changed");
+    assert_eq!(
+        next.take_dirty(9, usize::MAX).len(),
+        1,
+        "only the chunk that changed"
+    );
 }
 
 /// A fleet that runs for weeks under one leader used up its terms, and then nothing changed hands any more.
--- a/src/core/peer_sync.rs
+++ b/src/core/peer_sync.rs
@@ -77,8 +77,12 @@
         contacts: MachineContacts,
     ) -> PeerUpdate {
         let owners = view.owners();
-        let theirs: BTreeSet<&Team> =
-            owners.teams.iter().filter(|(_, o)| o.node == *node).map(|(team, _)| team).collect();
+        let theirs: BTreeSet<&Team> = owners
+            .teams
+            .iter()
+            .filter(|(_, o)| o.node == *node)
+            .map(|(team, _)| team)
+            .collect();
         let (mut settled, mut observations, mut commands) = (Vec::new(), Vec::new(), Vec::new());
         let tells = self.listeners.contains(node);
         for machine in self.machines.values() {
@@ -88,10 +92,18 @@
                 if !tasks.is_empty() {
                     let (id, term, zone) =
                         (machine.id.clone(), machine.token, machine.zone.clone());
-                    observations.push(TaskObservation { machine: id, term, zone, tasks });
+                    observations.push(TaskObservation {
+                        machine: id,
+                        term,
+                        zone,
+                        tasks,
+                    });
                 }
             } else if !machine.mine
-                && owners.machines.get(&machine.id).is_some_and(|o| o.node == *node)
+                && owners
+                    .machines
+                    .get(&machine.id)
+                    .is_some_and(|o| o.node == *node)
             {
                 for ((task, attempt), tracked) in &machine.attempts {
                     if tracked.stop.is_some() || tracked.forget {
@@ -122,7 +134,8 @@
 
     pub fn own_images(&self) -> Hints {
         let mine = self.machines.values().filter(|machine| machine.mine);
-        mine.map(|machine| (machine.id.clone(), machine.images().to_vec())).collect()
+        mine.map(|machine| (machine.id.clone(), machine.images().to_vec()))
+            .collect()
     }
 
     pub fn known_images(&self) -> Hints {
@@ -134,7 +147,10 @@
     /// Whether this share waits for observations, or follows tasks on others' machines.
     fn listening(&self) -> bool {
         self.teams.values().any(|team| !team.unsettled.is_empty())
-            || self.machines.values().any(|m| !m.mine && !m.attempts.is_empty())
+            || self
+                .machines
+                .values()
+                .any(|m| !m.mine && !m.attempts.is_empty())
     }
 
     pub fn take_update(
@@ -219,13 +235,18 @@
                 }
             }
         }
-        let Some(machine) = self.machines.get(id) else { return };
+        let Some(machine) = self.machines.get(id) else {
+            return;
+        };
         let teams = &self.teams;
         let told = |team: &Option<Team>| {
             if team.as_ref().is_some_and(|team| !covers.contains(team)) {
                 return false;
             }
-            let gained = team.as_ref().and_then(|team| teams.get(team)).map(|team| team.gained);
+            let gained = team
+                .as_ref()
+                .and_then(|team| teams.get(team))
+                .map(|team| team.gained);
             gained.is_none_or(|gained| revision >= gained)
         };
         // Not shown though the sender knew whose the team is: it is not there. Nothing that was
@@ -239,7 +260,11 @@
         for (task, attempt) in gone {
             self.drop_attempt(id, &task, attempt, now);
         }
-        if self.machines.get(id).is_some_and(|m| !m.mine && m.attempts.is_empty()) {
+        if self
+            .machines
+            .get(id)
+            .is_some_and(|m| !m.mine && m.attempts.is_empty())
+        {
             self.machines.remove(id);
         }
         self.settled_elsewhere(id, revision, covers);
@@ -255,12 +280,19 @@
 
     /// Carries out what a team's owner wants of a task on one of our machines.
     fn carry_out(&mut self, view: &View, from: &Node, command: TaskCommand) {
-        let Some(task) = TaskId::parse(&command.task) else { return };
+        let Some(task) = TaskId::parse(&command.task) else {
+            return;
+        };
         let Some(machine) = self.machines.get_mut(&command.machine).filter(|m| m.mine) else {
             return;
         };
-        let Some(tracked) = machine.attempts.get_mut(&(task, command.attempt)) else { return };
-        let owner = tracked.team.as_ref().and_then(|team| view.owners().teams.get(team));
+        let Some(tracked) = machine.attempts.get_mut(&(task, command.attempt)) else {
+            return;
+        };
+        let owner = tracked
+            .team
+            .as_ref()
+            .and_then(|team| view.owners().teams.get(team));
         if owner.is_none_or(|owner| owner.node != *from) {
             return;
         }
@@ -285,7 +317,10 @@
 
 fn tasks_of(machine: &Machine, teams: &BTreeSet<&Team>) -> Vec<ReportedTask> {
     let of_teams = |team: &Option<Team>| team.as_ref().is_some_and(|team| teams.contains(team));
-    let tracked = machine.attempts.iter().filter(|(_, tracked)| of_teams(&tracked.team));
+    let tracked = machine
+        .attempts
+        .iter()
+        .filter(|(_, tracked)| of_teams(&tracked.team));
     tracked
         .map(|((task, attempt), tracked)| {
             let (state, why) = match tracked.phase {
@@ -293,7 +328,13 @@
                 Phase::Seen(state) => (state, None),
                 Phase::Exited(why) => (TaskState::Exited, Some(why)),
             };
-            ReportedTask { task: task.to_string(), attempt: *attempt, state, why, saved: None }
+            ReportedTask {
+                task: task.to_string(),
+                attempt: *attempt,
+                state,
+                why,
+                saved: None,
+            }
         })
         .collect()
 }
--- a/src/core/peers.rs
+++ b/src/core/peers.rs
@@ -72,7 +72,11 @@
         Self {
             node: config.node.clone(),
             detector: Detector::new(siblings, settings),
-            peers: config.siblings.iter().map(|s| (s.node.clone(), peer())).collect(),
+            peers: config
+                .siblings
+                .iter()
+                .map(|s| (s.node.clone(), peer()))
+                .collect(),
             next_hello: 0.0,
             interval,
             recent: interval * RECENT_HELLOS,
@@ -96,7 +100,9 @@
 
     /// Whether this process's authority is known to end a bounded time after its key has gone.
     pub fn authority_ends(&self, (node, incarnation): &Process) -> bool {
-        self.peers.get(node).is_some_and(|peer| peer.bounded == Some(*incarnation))
+        self.peers
+            .get(node)
+            .is_some_and(|peer| peer.bounded == Some(*incarnation))
     }
 
     /// What judges the siblings.
@@ -126,7 +132,9 @@
 
     /// Siblings that have answered lately and were served by the state service after this moment.
     pub fn served_since(&self, since: Time, now: Time) -> usize {
-        self.heard(now).filter(|node| self.peers[*node].served > since).count()
+        self.heard(now)
+            .filter(|node| self.peers[*node].served > since)
+            .count()
     }
 
     /// Whether a sibling has answered lately, and that it can read the state service.
@@ -137,7 +145,8 @@
     /// A sibling's process that reads the state service answers.
     #[cfg(test)]
     pub fn answered(&mut self, node: &Node, incarnation: u64, now: Time) {
-        self.detector.heartbeat_answered(node, Incarnation(incarnation), now, now);
+        self.detector
+            .heartbeat_answered(node, Incarnation(incarnation), now, now);
         if let Some(peer) = self.peers.get_mut(node) {
             peer.has_state = true;
             peer.served = now;
@@ -158,7 +167,9 @@
     }
 
     pub fn running(&self, job: &JobId) -> Option<(u32, u32)> {
-        self.peers.values().find_map(|peer| peer.running.get(job).copied())
+        self.peers
+            .values()
+            .find_map(|peer| peer.running.get(job).copied())
     }
 
     pub fn heard_workers(&mut self, now: Time) {
@@ -198,8 +209,10 @@
         let entitled = self.authority.entitled(now);
         let owner = self.owner.as_ref().filter(|_| entitled);
         let running = owner.map(Owner::running).unwrap_or_default();
-        let (wants_voucher, wants_consent) =
-            (self.authority.wants_voucher(now).is_some(), self.authority.wanted_consents());
+        let (wants_voucher, wants_consent) = (
+            self.authority.wants_voucher(now).is_some(),
+            self.authority.wanted_consents(),
+        );
         if let Some(owner) = &self.owner {
             self.unresponsive.note(owner.unresponsive(now), now);
         }
@@ -214,7 +227,9 @@
         let finals_after = (behind && self.view.complete()).then(|| self.view.finals_known());
         let nodes: Vec<Node> = self.peers.peers.keys().cloned().collect();
         for node in nodes {
-            let Some(peer) = self.peers.peers.get_mut(&node) else { continue };
+            let Some(peer) = self.peers.peers.get_mut(&node) else {
+                continue;
+            };
             if std::mem::replace(&mut peer.hello_out, true) {
                 continue;
             }
@@ -225,7 +240,11 @@
                     (false, true) => (owner.own_images(), owner.contacts()),
                     (false, false) => Default::default(),
                 };
-                let contacts = if acts_on_failures { contacts } else { Default::default() };
+                let contacts = if acts_on_failures {
+                    contacts
+                } else {
+                    Default::default()
+                };
                 owner.update_for(&node, &self.view, self.leader.as_ref(), images, contacts)
             });
             let hello = Hello {
@@ -241,8 +260,12 @@
                 authority_ends: true,
                 detection: detection.clone(),
             };
-            let pending = Pending::Hello { node: node.clone(), sent: now };
-            self.io.mesh(pending, &node, MeshMessage::Hello(Box::new(hello)));
+            let pending = Pending::Hello {
+                node: node.clone(),
+                sent: now,
+            };
+            self.io
+                .mesh(pending, &node, MeshMessage::Hello(Box::new(hello)));
         }
     }
 
@@ -264,7 +287,13 @@
 
     fn hello(&mut self, request: RequestId, hello: Hello) {
         let now = self.io.now;
-        let Hello { from, incarnation, wants_consent, unresponsive, .. } = hello;
+        let Hello {
+            from,
+            incarnation,
+            wants_consent,
+            unresponsive,
+            ..
+        } = hello;
         self.peers.detector.message_received(&from, now);
         let registered = self.view.is_registered(&from, incarnation);
         if hello.authority_ends {
@@ -281,8 +310,11 @@
         if !late {
             peer.ignorant |= peer.newest.0 != incarnation;
             peer.newest = (incarnation, hello.number);
-            peer.running =
-                hello.running.into_iter().map(|(job, done, runs)| (job, (done, runs))).collect();
+            peer.running = hello
+                .running
+                .into_iter()
+                .map(|(job, done, runs)| (job, (done, runs)))
+                .collect();
         }
         let vouches =
             hello.wants_voucher && self.authority.vouch(&from, incarnation, &self.view, now);
@@ -329,14 +361,18 @@
                 if let Some(peer) = self.peers.peers.get_mut(&node) {
                     peer.hello_out = false;
                 }
-                let Some(MeshReply::Hello(reply)) = reply else { return };
+                let Some(MeshReply::Hello(reply)) = reply else {
+                    return;
+                };
                 if let Some(peer) = self.peers.peers.get_mut(&node) {
                     peer.incarnation = Some((reply.incarnation, sent));
                     peer.has_state = reply.has_state;
                     peer.sends_workers = reply.sends_workers;
                 }
                 let incarnation = Incarnation(reply.incarnation);
-                self.peers.detector.heartbeat_answered(&node, incarnation, sent, now);
+                self.peers
+                    .detector
+                    .heartbeat_answered(&node, incarnation, sent, now);
                 if let Some(detection) = reply.detection {
                     self.peers.served(&node, sent, detection.state_age);
                     self.take_detection(&node, reply.incarnation, detection);
@@ -355,11 +391,32 @@
                 }
                 self.authority.consented(&node, &reply.consents);
             }
-            (Pending::Relay { request }, Some(MeshReply::Answer { status, body, retry_after })) => {
+            (
+                Pending::Relay { request },
+                Some(MeshReply::Answer {
+                    status,
+                    body,
+                    retry_after,
+                }),
+            ) => {
                 let body = body.map_or(Body::Empty, Body::Value);
-                self.io.answer(request, Answer { status, body, retry_after });
+                self.io.answer(
+                    request,
+                    Answer {
+                        status,
+                        body,
+                        retry_after,
+                    },
+                );
             }
-            (Pending::RelayedReport { request, owner, report }, reply) => {
+            (
+                Pending::RelayedReport {
+                    request,
+                    owner,
+                    report,
+                },
+                reply,
+            ) => {
                 let answer = match reply {
                     Some(MeshReply::ReportAnswer(answer)) => answer,
                     _ => None,
@@ -385,6 +442,7 @@
         let able = self.view.complete()
             && self.catalog.known()
             && (self.has_state() || self.peers.heard_any(self.io.now));
-        self.io.answer(request, Answer::empty(if able { 200 } else { 503 }));
+        self.io
+            .answer(request, Answer::empty(if able { 200 } else { 503 }));
     }
 }
--- a/src/core/placement.rs
+++ b/src/core/placement.rs
@@ -27,7 +27,11 @@
 impl Resources {
     /// What each task of a job takes.
     pub fn of(spec: &JobSpec) -> Resources {
-        Resources { cpus: spec.cpus, gpus: spec.gpus, memory_gb: spec.memory_gb }
+        Resources {
+            cpus: spec.cpus,
+            gpus: spec.gpus,
+            memory_gb: spec.memory_gb,
+        }
     }
 
     pub fn times(&self, count: u32) -> Resources {
@@ -93,7 +97,10 @@
 
 impl Default for Weights {
     fn default() -> Self {
-        Self { cpu: 0.5, memory: 0.5 }
+        Self {
+            cpu: 0.5,
+            memory: 0.5,
+        }
     }
 }
 
@@ -126,9 +133,17 @@
     weights: Weights,
 ) -> Option<usize> {
     let fits = |c: &&Candidate| c.free.holds(need);
-    let soonest = candidates.iter().filter(fits).map(|c| c.ready_in).min_by(Time::total_cmp)?;
+    let soonest = candidates
+        .iter()
+        .filter(fits)
+        .map(|c| c.ready_in)
+        .min_by(Time::total_cmp)?;
     // Times are estimates: those within a tenth of the soonest are as good.
-    let limit = if soonest <= slack { slack } else { soonest * 1.1 };
+    let limit = if soonest <= slack {
+        slack
+    } else {
+        soonest * 1.1
+    };
     let suffices = |(_, c): &(usize, &Candidate)| c.free.holds(need) && c.ready_in <= limit;
     let key = |c: &Candidate| {
         let left = c.free.less(need);
@@ -140,7 +155,11 @@
     let most_room = late == Late::MostRoom && soonest > slack;
     let all = candidates.iter().enumerate().filter(suffices);
     all.min_by(|(_, a), (_, b)| {
-        let (a, b) = if most_room { (key(b), key(a)) } else { (key(a), key(b)) };
+        let (a, b) = if most_room {
+            (key(b), key(a))
+        } else {
+            (key(a), key(b))
+        };
         a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1))
     })
     .map(|(index, _)| index)
--- a/src/core/placement/tests.rs
+++ b/src/core/placement/tests.rs
@@ -1,11 +1,27 @@
 use super::*;
 
 fn candidate(gpus: f64, cpus: f64, ready_in: Time) -> Candidate {
-    let total = Resources { cpus: 32.0, gpus: 8.0, memory_gb: 100.0 };
-    Candidate { free: Resources { cpus, gpus, memory_gb: 50.0 }, total, ready_in }
+    let total = Resources {
+        cpus: 32.0,
+        gpus: 8.0,
+        memory_gb: 100.0,
+    };
+    Candidate {
+        free: Resources {
+            cpus,
+            gpus,
+            memory_gb: 50.0,
+        },
+        total,
+        ready_in,
+    }
 }
 
-const NEED: Resources = Resources { cpus: 4.0, gpus: 2.0, memory_gb: 10.0 };
+const NEED: Resources = Resources {
+    cpus: 4.0,
+    gpus: 2.0,
+    memory_gb: 10.0,
+};
 
 fn pick(candidates: &[Candidate], slack: Time) -> Option<usize> {
     best_fit(&NEED, candidates, slack, Late::BestFit, Weights::default())
@@ -13,15 +29,26 @@
 
 #[test]
 fn least_gpu_room_that_suffices_wins() {
-    let all = [candidate(8.0, 32.0, 0.0), candidate(3.0, 32.0, 0.0), candidate(1.0, 32.0, 0.0)];
+    let all = [
+        candidate(8.0, 32.0, 0.0),
+        candidate(3.0, 32.0, 0.0),
+        candidate(1.0, 32.0, 0.0),
+    ];
     assert_eq!(pick(&all, 10.0), Some(1));
     assert_eq!(pick(&all[2..], 10.0), None, "GPU room is never overbooked");
-    assert_eq!(pick(&[candidate(4.0, 3.0, 0.0)], 10.0), None, "nor are CPUs");
+    assert_eq!(
+        pick(&[candidate(4.0, 3.0, 0.0)], 10.0),
+        None,
+        "nor are CPUs"
+    );
 }
 
 #[test]
 fn ties_go_to_the_machine_left_with_least_cpu_and_memory() {
-    assert_eq!(pick(&[candidate(4.0, 30.0, 0.0), candidate(4.0, 8.0, 0.0)], 10.0), Some(1));
+    assert_eq!(
+        pick(&[candidate(4.0, 30.0, 0.0), candidate(4.0, 8.0, 0.0)], 10.0),
+        Some(1)
+    );
 }
 
 #[test]
@@ -32,30 +59,57 @@
     assert_eq!(pick(&all, 1.0), Some(1), "if none suffices, the soonest");
     let cold = [candidate(2.0, 8.0, 30.0), candidate(8.0, 32.0, 30.0)];
     let pick = |slack| best_fit(&NEED, &cold, slack, Late::MostRoom, Weights::default());
-    assert_eq!((pick(40.0), pick(10.0)), (Some(0), Some(1)), "room where the image will be");
+    assert_eq!(
+        (pick(40.0), pick(10.0)),
+        (Some(0), Some(1)),
+        "room where the image will be"
+    );
 }
 
 /// Front services took the CPUs of machines with GPUs, so that a ninth of the GPUs could not be used and
 /// others were rented in their place.
 #[test]
 fn free_gpus_keep_their_part_of_cpus_and_memory() {
-    let total = Resources { cpus: 48.0, gpus: 8.0, memory_gb: 192.0 };
-    assert!(!total.beside_free_gpus(&total).holds(&FRONT), "all of it belongs to its GPUs");
-    let half_used = Resources { cpus: 32.0, gpus: 4.0, memory_gb: 146.0 };
+    let total = Resources {
+        cpus: 48.0,
+        gpus: 8.0,
+        memory_gb: 192.0,
+    };
+    assert!(
+        !total.beside_free_gpus(&total).holds(&FRONT),
+        "all of it belongs to its GPUs"
+    );
+    let half_used = Resources {
+        cpus: 32.0,
+        gpus: 4.0,
+        memory_gb: 146.0,
+    };
     let left = half_used.beside_free_gpus(&total);
     assert_eq!((left.cpus, left.gpus, left.memory_gb), (8.0, 4.0, 50.0));
     assert!(left.holds(&FRONT.times(4)) && !left.holds(&FRONT.times(5)));
-    let without_gpus = Resources { cpus: 16.0, gpus: 0.0, memory_gb: 64.0 };
+    let without_gpus = Resources {
+        cpus: 16.0,
+        gpus: 0.0,
+        memory_gb: 64.0,
+    };
     assert_eq!(without_gpus.beside_free_gpus(&without_gpus), without_gpus);
 }
 
-const FRONT: Resources = Resources { cpus: 2.0, gpus: 0.0, memory_gb: 5.8 };
+const FRONT: Resources = Resources {
+    cpus: 2.0,
+    gpus: 0.0,
+    memory_gb: 5.8,
+};
 
 #[test]
 fn a_task_without_gpus_goes_where_least_gpu_room_is_left() {
     let with_gpus = candidate(4.0, 3.0, 0.0);
     let without = candidate(0.0, 30.0, 0.0);
     let pick = |all: &[Candidate]| best_fit(&FRONT, all, 10.0, Late::BestFit, Weights::default());
-    assert_eq!(pick(&[with_gpus, without]), Some(1), "although more of its CPUs is left");
+    assert_eq!(
+        pick(&[with_gpus, without]),
+        Some(1),
+        "although more of its CPUs is left"
+    );
     assert_eq!(pick(&[with_gpus]), Some(0));
 }
--- a/src/core/plan.rs
+++ b/src/core/plan.rs
@@ -36,7 +36,14 @@
     pub fn expected(types: &[MachineType], spec: Rc<JobSpec>, count: u32) -> Self {
         let spares_gpus = fits_without_gpus(types, &spec);
         let (zones, avoided) = (BTreeMap::new(), BTreeSet::new());
-        Self { spec, count, zones, avoided, urgency: None, spares_gpus }
+        Self {
+            spec,
+            count,
+            zones,
+            avoided,
+            urgency: None,
+            spares_gpus,
+        }
     }
 }
 
@@ -103,7 +110,13 @@
         for bin in &bins {
             *machines_in_zone.entry(bin.offer.1.clone()).or_default() += 1;
         }
-        Self { most_wanted, types, refused, bins, machines_in_zone }
+        Self {
+            most_wanted,
+            types,
+            refused,
+            bins,
+            machines_in_zone,
+        }
     }
 
     pub fn bins(&self) -> &[Bin] {
@@ -125,7 +138,11 @@
     /// Finds room for tasks, and adds what they lack to `need`.
     pub fn serve(&mut self, wanted: Wanted, need: &mut Need) {
         if wanted.urgency.is_some() {
-            let size = if wanted.spec.gpus > 0.0 { wanted.spec.gpus } else { wanted.spec.cpus };
+            let size = if wanted.spec.gpus > 0.0 {
+                wanted.spec.gpus
+            } else {
+                wanted.spec.cpus
+            };
             need.queued += size * f64::from(wanted.count);
         }
         self.place(wanted, Purpose::Ordinary, need);
@@ -144,9 +161,19 @@
     }
 
     fn place(&mut self, wanted: Wanted, mut purpose: Purpose, need: &mut Need) {
-        let Wanted { spec, count, zones: mut tasks_in_zone, avoided, urgency, spares_gpus } =
-            wanted;
-        let task = PlannedTask { spec: &spec, room: Resources::of(&spec), spares_gpus };
+        let Wanted {
+            spec,
+            count,
+            zones: mut tasks_in_zone,
+            avoided,
+            urgency,
+            spares_gpus,
+        } = wanted;
+        let task = PlannedTask {
+            spec: &spec,
+            room: Resources::of(&spec),
+            spares_gpus,
+        };
         let room = task.room;
         let bound_to_zones = spec.spread || spec.one_zone;
         // Before this bin there is no room for any further task of the job.
@@ -193,20 +220,26 @@
         let PlannedTask { spec, room, .. } = task;
         let fits = |bin: &Bin| {
             task.room_in(bin).holds(room)
-                && bin.machine.as_ref().is_none_or(|machine| !avoided.contains(machine))
+                && bin
+                    .machine
+                    .as_ref()
+                    .is_none_or(|machine| !avoided.contains(machine))
                 && allowed(spec, &bin.offer.0, &bin.offer.1, bin.offer.2)
                 && open(&bin.offer.1)
         };
         let left = |bin: &Bin| (bin.free.gpus - room.gpus, bin.free.cpus - room.cpus);
         let dear = |bin: &Bin| spec.spot && !bin.offer.2;
-        self.bins[first..].iter_mut().filter(|bin| fits(bin)).min_by(|a, b| {
-            let (a_left, b_left) = (left(a), left(b));
-            (dear(a).cmp(&dear(b)))
-                .then(b.used.cmp(&a.used))
-                .then(a.emptying.cmp(&b.emptying))
-                .then(a_left.0.total_cmp(&b_left.0))
-                .then(a_left.1.total_cmp(&b_left.1))
-        })
+        self.bins[first..]
+            .iter_mut()
+            .filter(|bin| fits(bin))
+            .min_by(|a, b| {
+                let (a_left, b_left) = (left(a), left(b));
+                (dear(a).cmp(&dear(b)))
+                    .then(b.used.cmp(&a.used))
+                    .then(a.emptying.cmp(&b.emptying))
+                    .then(a_left.0.total_cmp(&b_left.0))
+                    .then(a_left.1.total_cmp(&b_left.1))
+            })
     }
 
     /// Adds the cheapest machine that would do and is worth it; the zone it would be in.
@@ -221,7 +254,11 @@
         if !purpose.may_rent(need, self.most_wanted) {
             return None;
         }
-        let PlannedTask { spec, room, spares_gpus } = task;
+        let PlannedTask {
+            spec,
+            room,
+            spares_gpus,
+        } = task;
         let has_gpus = |offer: &Offer| self.types.iter().any(|t| t.name == offer.0 && t.gpus > 0.0);
         let worth = |offer: &Offer| match purpose {
             _ if *spares_gpus && has_gpus(offer) => false,
@@ -235,7 +272,14 @@
         let (offer, total) = cheapest(self.types, spec, room, open, zones, &refused)?;
         let opportunistic = purpose.rented();
         let (wanted, gpus) = (offer.clone(), room.gpus);
-        need.want(Want { count: 1, offer: wanted, any_of, urgency, gpus, opportunistic });
+        need.want(Want {
+            count: 1,
+            offer: wanted,
+            any_of,
+            urgency,
+            gpus,
+            opportunistic,
+        });
         let zone = offer.1.clone();
         purpose.mark(self.add_rented(offer, total, room), urgency);
         Some(zone)
@@ -244,7 +288,11 @@
     /// A machine that is to be rented.
     fn add_rented(&mut self, offer: Offer, total: Resources, taken: &Resources) -> &mut Bin {
         *self.machines_in_zone.entry(offer.1.clone()).or_default() += 1;
-        self.bins.push(Bin { free: total.less(taken), total, ..Bin::empty(None, offer) });
+        self.bins.push(Bin {
+            free: total.less(taken),
+            total,
+            ..Bin::empty(None, offer)
+        });
         let last = self.bins.len() - 1;
         &mut self.bins[last]
     }
@@ -260,7 +308,11 @@
 impl PlannedTask<'_> {
     /// What it may take of a bin.
     fn room_in(&self, bin: &Bin) -> Resources {
-        if self.spares_gpus { bin.free.beside_free_gpus(&bin.total) } else { bin.free }
+        if self.spares_gpus {
+            bin.free.beside_free_gpus(&bin.total)
+        } else {
+            bin.free
+        }
     }
 }
 
@@ -314,7 +366,10 @@
     open: &dyn Fn(&Zone) -> bool,
 ) -> Vec<Offer> {
     let mut offers = Vec::new();
-    for of_type in types.iter().filter(|of_type| total_room(of_type).holds(need)) {
+    for of_type in types
+        .iter()
+        .filter(|of_type| total_room(of_type).holds(need))
+    {
         for zone in of_type.zones.iter().filter(|zone| open(zone)) {
             for spot in [false, true] {
                 if allowed(spec, &of_type.name, zone, spot) {
@@ -336,7 +391,10 @@
     refused: &BTreeSet<Offer>,
 ) -> Option<(Offer, Resources)> {
     let mut best: Option<((f64, u32), Offer, Resources)> = None;
-    for of_type in types.iter().filter(|of_type| total_room(of_type).holds(need)) {
+    for of_type in types
+        .iter()
+        .filter(|of_type| total_room(of_type).holds(need))
+    {
         let total = total_room(of_type);
         let tasks = tasks_per_machine(of_type, need);
         for zone in of_type.zones.iter().filter(|zone| open(zone)) {
@@ -348,7 +406,11 @@
                 if refused.contains(&offer) {
                     continue;
                 }
-                let price = if spot { of_type.spot_price } else { of_type.price };
+                let price = if spot {
+                    of_type.spot_price
+                } else {
+                    of_type.price
+                };
                 let key = (price / tasks, in_zone.get(zone).copied().unwrap_or(0));
                 if best.as_ref().is_none_or(|(least, _, _)| key < *least) {
                     best = Some((key, offer, total));
--- a/src/core/plan/tests.rs
+++ b/src/core/plan/tests.rs
@@ -23,10 +23,19 @@
 fn a_machine_that_a_job_avoids_is_no_room_for_it() {
     let (types, refused) = (types(), BTreeSet::new());
     let offer = || (TypeName::from("g8"), Zone::from("a"), false);
-    let bin = || Bin { free: total_room(&types[1]), ..Bin::empty(Some("m-1".into()), offer()) };
+    let bin = || Bin {
+        free: total_room(&types[1]),
+        ..Bin::empty(Some("m-1".into()), offer())
+    };
     let wants = |avoided: BTreeSet<MachineId>| {
-        let (mut plan, mut need) = (Plan::new(&types, &refused, vec![bin()], 10), Need::default());
-        let waiting = Wanted { avoided, ..Wanted::expected(&types, service("chat", "x", 1.0), 1) };
+        let (mut plan, mut need) = (
+            Plan::new(&types, &refused, vec![bin()], 10),
+            Need::default(),
+        );
+        let waiting = Wanted {
+            avoided,
+            ..Wanted::expected(&types, service("chat", "x", 1.0), 1)
+        };
         plan.serve(waiting, &mut need);
         need.wanted()
     };
@@ -42,10 +51,16 @@
     let wants = |tasks: u32| {
         let mut plan = Plan::new(&types, &refused, Vec::new(), 4000);
         let mut need = Need::default();
-        plan.serve(Wanted::expected(&types, service("chat", "x", 1.0), tasks), &mut need);
+        plan.serve(
+            Wanted::expected(&types, service("chat", "x", 1.0), tasks),
+            &mut need,
+        );
         need.wanted()
     };
-    assert_eq!((wants(400), wants(16_000), wants(100_000)), (100, 4000, 4000));
+    assert_eq!(
+        (wants(400), wants(16_000), wants(100_000)),
+        (100, 4000, 4000)
+    );
 }
 
 /// An opportunistic job keeps to its zones like any other: planned where it is never placed, it would wait
@@ -54,14 +69,21 @@
 fn opportunistic_work_is_planned_within_its_zones() {
     let (types, refused) = (types(), BTreeSet::new());
     let offer = || (TypeName::from("g8"), Zone::from("a"), true);
-    let bins = vec![Bin { free: total_room(&types[1]), ..Bin::empty(Some("m-1".into()), offer()) }];
+    let bins = vec![Bin {
+        free: total_room(&types[1]),
+        ..Bin::empty(Some("m-1".into()), offer())
+    }];
     let mut plan = Plan::new(&types, &refused, bins, 10);
     let (mut need, mut rentals) = (Need::default(), 5);
     let mut job = (*service("chat", "x", 1.0)).clone();
     (job.spread, job.spot, job.tasks) = (true, true, 4);
     let wanted = Wanted::expected(&types, job.into(), 4);
     plan.serve_opportunistic(wanted, false, &mut rentals, &mut need);
-    assert_eq!(need.wanted(), 1, "two of four may be in zone a, two more need a machine in b");
+    assert_eq!(
+        need.wanted(),
+        1,
+        "two of four may be in zone a, two more need a machine in b"
+    );
     assert_eq!(need.wants[0].offer.1, Zone::from("b"));
     assert!(need.wants[0].opportunistic && rentals == 4);
 }
@@ -71,27 +93,49 @@
 #[test]
 fn what_needs_no_gpus_wants_no_machine_that_has_some() {
     let mut types = types();
-    let without_gpus =
-        MachineType { name: "c16".into(), gpus: 0.0, price: 1.0, ..types[0].clone() };
+    let without_gpus = MachineType {
+        name: "c16".into(),
+        gpus: 0.0,
+        price: 1.0,
+        ..types[0].clone()
+    };
     let mut job = (*service("front", "x", 1.0)).clone();
     job.gpus = 0.0;
     let job = Rc::new(job);
     let machine = total_room(&types[1]);
     let offer = || (TypeName::from("g8"), Zone::from("a"), false);
     let wants = |types: &[MachineType], refused: &BTreeSet<Offer>| {
-        let bin = Bin { free: machine, total: machine, ..Bin::empty(Some("m-1".into()), offer()) };
+        let bin = Bin {
+            free: machine,
+            total: machine,
+            ..Bin::empty(Some("m-1".into()), offer())
+        };
         let (mut plan, mut need) = (Plan::new(types, refused, vec![bin], 10), Need::default());
         plan.serve(Wanted::expected(types, job.clone(), 1), &mut need);
         need.wants
     };
     let none_refused = BTreeSet::new();
-    assert!(wants(&types, &none_refused).is_empty(), "where all have GPUs it takes what there is");
+    assert!(
+        wants(&types, &none_refused).is_empty(),
+        "where all have GPUs it takes what there is"
+    );
     types.push(without_gpus);
     let wanted = wants(&types, &none_refused);
     assert_eq!(wanted.len(), 1);
-    assert!(wanted[0].any_of.iter().all(|offer| offer.0 == TypeName::from("c16")));
-    let zones = ["a", "b"].into_iter().flat_map(|zone| [(zone, false), (zone, true)]);
-    let refused =
-        zones.map(|(zone, spot)| (TypeName::from("c16"), Zone::from(zone), spot)).collect();
-    assert!(wants(&types, &refused).is_empty(), "nor while there are none of those");
+    assert!(
+        wanted[0]
+            .any_of
+            .iter()
+            .all(|offer| offer.0 == TypeName::from("c16"))
+    );
+    let zones = ["a", "b"]
+        .into_iter()
+        .flat_map(|zone| [(zone, false), (zone, true)]);
+    let refused = zones
+        .map(|(zone, spot)| (TypeName::from("c16"), Zone::from(zone), spot))
+        .collect();
+    assert!(
+        wants(&types, &refused).is_empty(),
+        "nor while there are none of those"
+    );
 }
