--- a/src/core/preemption.rs
+++ b/src/core/preemption.rs
@@ -56,8 +56,14 @@
     usage: &Usage,
     now: Time,
 ) -> Vec<Stop> {
-    let Lacking { job: id, tasks: count, spares_gpus } = lacking;
-    let Some(job) = share.jobs.get(id) else { return Vec::new() };
+    let Lacking {
+        job: id,
+        tasks: count,
+        spares_gpus,
+    } = lacking;
+    let Some(job) = share.jobs.get(id) else {
+        return Vec::new();
+    };
     let need = job.need();
     let guaranteed = limits(&share.config, &job.spec)
         .is_some_and(|limits| usage.guaranteed(limits, need.cpus, need.gpus));
@@ -76,8 +82,14 @@
             return false;
         }
         tracked.priority < job.priority
-            || (tracked.team.as_ref().is_some_and(|team| beyond.contains(&team))
-                && share.jobs.get(&task.job).is_some_and(|o| o.spec.kind != Kind::Service))
+            || (tracked
+                .team
+                .as_ref()
+                .is_some_and(|team| beyond.contains(&team))
+                && share
+                    .jobs
+                    .get(&task.job)
+                    .is_some_and(|o| o.spec.kind != Kind::Service))
     };
     let mut stops = Vec::new();
     let mut in_zone: BTreeMap<Zone, u32> = BTreeMap::new();
@@ -93,20 +105,35 @@
                 continue;
             }
             // Most machines have nothing to give, which is seen without looking at their tasks.
-            let below = if beyond.is_empty() { job.priority as usize } else { Priority::COUNT };
-            let at_most = slot.running[..below].iter().fold(slot.later, |a, room| a.plus(room));
+            let below = if beyond.is_empty() {
+                job.priority as usize
+            } else {
+                Priority::COUNT
+            };
+            let at_most = slot.running[..below]
+                .iter()
+                .fold(slot.later, |a, room| a.plus(room));
             if !at_most.holds(&need) {
                 continue;
             }
-            let Some(machine) = share.machines.get(&slot.id) else { continue };
+            let Some(machine) = share.machines.get(&slot.id) else {
+                continue;
+            };
             let found = cheapest(share, machine, slot.later, &need, &yields, now);
-            let Some((cost, victims)) = found else { continue };
-            let cost = (cost, machine.ready_in(&job.spec.image, job.spec.image_gb, now));
+            let Some((cost, victims)) = found else {
+                continue;
+            };
+            let cost = (
+                cost,
+                machine.ready_in(&job.spec.image, job.spec.image_gb, now),
+            );
             if best.as_ref().is_none_or(|(least, _, _)| cost < *least) {
                 best = Some((cost, index, victims));
             }
         }
-        let Some((_, index, victims)) = best else { break };
+        let Some((_, index, victims)) = best else {
+            break;
+        };
         let slot = &mut slots[index];
         for victim in &victims {
             if let Some(room) = share.machines[&victim.machine]
@@ -137,11 +164,17 @@
 ) -> Option<(Time, Vec<Stop>)> {
     let mut victims: Vec<(Time, Stop, Resources)> = Vec::new();
     for ((task, attempt), tracked) in &machine.attempts {
-        if let (true, Some(room), Some((cost, grace))) =
-            (yields(task, tracked), tracked.room, loss(share, task, tracked, now))
-        {
-            let stop =
-                Stop { machine: machine.id.clone(), task: task.clone(), attempt: *attempt, grace };
+        if let (true, Some(room), Some((cost, grace))) = (
+            yields(task, tracked),
+            tracked.room,
+            loss(share, task, tracked, now),
+        ) {
+            let stop = Stop {
+                machine: machine.id.clone(),
+                task: task.clone(),
+                attempt: *attempt,
+                grace,
+            };
             victims.push((cost, stop, room));
         }
     }
--- a/src/core/quota.rs
+++ b/src/core/quota.rs
@@ -24,7 +24,10 @@
 
 impl Units {
     fn of(need: &Resources) -> Self {
-        Self { cpus: need.cpus, gpus: need.gpus }
+        Self {
+            cpus: need.cpus,
+            gpus: need.gpus,
+        }
     }
 
     fn add(&mut self, other: Self) {
@@ -33,7 +36,10 @@
     }
 
     fn times(self, count: usize) -> Self {
-        Self { cpus: self.cpus * count as f64, gpus: self.gpus * count as f64 }
+        Self {
+            cpus: self.cpus * count as f64,
+            gpus: self.gpus * count as f64,
+        }
     }
 
     fn amount(self) -> Amount {
@@ -102,7 +108,11 @@
 
     /// More that a former owner of the team may have started.
     fn add_inherited(&mut self, team: &Team, cpus: f64, gpus: f64) {
-        self.teams.entry(team.clone()).or_default().all.add(Units { cpus, gpus });
+        self.teams
+            .entry(team.clone())
+            .or_default()
+            .all
+            .add(Units { cpus, gpus });
     }
 
     pub fn close(&mut self, team: &Team) {
@@ -115,7 +125,10 @@
     }
 
     fn of(&self, team: &Team) -> Units {
-        self.teams.get(team).map(|used| used.all).unwrap_or_default()
+        self.teams
+            .get(team)
+            .map(|used| used.all)
+            .unwrap_or_default()
     }
 
     /// The same without regard to grants.
@@ -130,7 +143,11 @@
 
     /// Whether the team may use this much more without passing its limit and our grant.
     pub fn allows(&self, limits: &TeamLimits, cpus: f64, gpus: f64) -> bool {
-        let need = Resources { cpus, gpus, ..Resources::default() };
+        let need = Resources {
+            cpus,
+            gpus,
+            ..Resources::default()
+        };
         self.room_in_limit(limits, &need, 1) == 1 && self.covered_by_grant(limits, &need, 1) == 1
     }
 
@@ -141,7 +158,9 @@
 
     fn covered_by_grant(&self, limits: &TeamLimits, need: &Resources, most: usize) -> usize {
         let used = self.teams.get(&limits.name);
-        used.map_or(most, |used| used.own_within(used.ceiling, limits, need, most))
+        used.map_or(most, |used| {
+            used.own_within(used.ceiling, limits, need, most)
+        })
     }
 
     /// How many of `most` tasks fit into the team's limit, less what is granted to others.
@@ -150,8 +169,9 @@
             return 0;
         }
         let of_team = self.teams.get(&limits.name);
-        let reachable =
-            of_team.map_or(most, |used| used.own_within(used.reachable, limits, need, most));
+        let reachable = of_team.map_or(most, |used| {
+            used.own_within(used.reachable, limits, need, most)
+        });
         let used = self.of(&limits.name);
         fitting(reachable, |count| {
             let more = Units::of(need).times(count);
@@ -190,14 +210,18 @@
 
     /// What our grant of a team covers, and what those of former owners do.
     pub fn under_grants(&self, team: &Team) -> (Amount, Amount) {
-        let Some(used) = self.teams.get(team) else { return Default::default() };
+        let Some(used) = self.teams.get(team) else {
+            return Default::default();
+        };
         let own = used.own.amount();
         (own, used.all.amount().less(&own))
     }
 
     /// What waits for a larger grant only, and the first of that.
     pub fn lacking(&self, team: &Team) -> (Amount, Amount) {
-        let Some(used) = self.teams.get(team) else { return Default::default() };
+        let Some(used) = self.teams.get(team) else {
+            return Default::default();
+        };
         (used.lacking.amount(), used.first_lacking.amount())
     }
 
@@ -230,8 +254,16 @@
                 };
                 let limited = limit.amount();
                 let inherited = Units {
-                    cpus: bound(used.all.cpus - used.own.cpus, cpus, limited.cpu_thousandths > 0),
-                    gpus: bound(used.all.gpus - used.own.gpus, gpus, limited.gpu_thousandths > 0),
+                    cpus: bound(
+                        used.all.cpus - used.own.cpus,
+                        cpus,
+                        limited.cpu_thousandths > 0,
+                    ),
+                    gpus: bound(
+                        used.all.gpus - used.own.gpus,
+                        gpus,
+                        limited.gpu_thousandths > 0,
+                    ),
                 };
                 used.all = used.own;
                 used.all.add(inherited);
@@ -259,7 +291,10 @@
         self.add_unsettled(&mut usage);
         self.add_cancelled(view, wall_ms, &mut usage);
         for limits in &self.config.deployment.teams {
-            let grant = self.teams.get(&limits.name).and_then(|team| team.grant.as_ref());
+            let grant = self
+                .teams
+                .get(&limits.name)
+                .and_then(|team| team.grant.as_ref());
             if let Some(grant) = grant {
                 usage.count_by_grants(limits, grant.basis());
             }
@@ -296,8 +331,11 @@
     /// Cancelled jobs' tasks run on where a stop has not arrived, and a team's new owner has to
     /// count them too until every machine has told what it holds.
     fn add_cancelled(&self, view: &View, wall_ms: u64, usage: &mut Usage) {
-        let unsettled: Vec<_> =
-            self.teams.iter().filter(|(_, team)| !team.unsettled.is_empty()).collect();
+        let unsettled: Vec<_> = self
+            .teams
+            .iter()
+            .filter(|(_, team)| !team.unsettled.is_empty())
+            .collect();
         if unsettled.is_empty() {
             return;
         }
@@ -305,7 +343,10 @@
         let recent_ms = self.config.deployment.workers.cancel_s * CANCELLED_COUNTS * 1e3;
         let recent = wall_ms.saturating_sub(recent_ms as u64);
         for (name, team) in unsettled {
-            let since = Since { wall_ms: recent, version: team.gained };
+            let since = Since {
+                wall_ms: recent,
+                version: team.gained,
+            };
             if view.undescribed_cancellation_since(since) {
                 usage.close(name);
             }
--- a/src/core/quota/tests.rs
+++ b/src/core/quota/tests.rs
@@ -2,8 +2,13 @@
 
 #[test]
 fn limits_hold_and_zero_means_none() {
-    let limits =
-        TeamLimits { name: "t".into(), cpus: 0.0, cpus_max: 0.0, gpus: 4.0, gpus_max: 8.0 };
+    let limits = TeamLimits {
+        name: "t".into(),
+        cpus: 0.0,
+        cpus_max: 0.0,
+        gpus: 4.0,
+        gpus_max: 8.0,
+    };
     let mut usage = Usage::default();
     assert!(usage.allows(&limits, 1e9, 8.0) && usage.guaranteed(&limits, 1e9, 4.0));
     usage.add(&"t".into(), 2.0, 6.0);
--- a/src/core/ranges.rs
+++ b/src/core/ranges.rs
@@ -43,7 +43,8 @@
     /// forgotten progress: the worker that finished such a task says so again when asked.
     pub fn keep_largest(&mut self, count: usize) {
         if self.0.len() > count {
-            self.0.sort_by_key(|&(start, end)| std::cmp::Reverse(end - start));
+            self.0
+                .sort_by_key(|&(start, end)| std::cmp::Reverse(end - start));
             self.0.truncate(count);
             self.0.sort_unstable();
         }
--- a/src/core/rebalance.rs
+++ b/src/core/rebalance.rs
@@ -32,14 +32,26 @@
     /// A controller that came back without teams gets one from whoever has the most; their tasks
     /// keep running where they are.
     fn even_teams(&mut self, living: &BTreeMap<Node, u64>) {
-        let most = living.keys().max_by_key(|node| self.teams_of(node)).cloned();
-        let least = living.keys().min_by_key(|node| self.teams_of(node)).cloned();
-        let (Some(most), Some(least)) = (most, least) else { return };
+        let most = living
+            .keys()
+            .max_by_key(|node| self.teams_of(node))
+            .cloned();
+        let least = living
+            .keys()
+            .min_by_key(|node| self.teams_of(node))
+            .cloned();
+        let (Some(most), Some(least)) = (most, least) else {
+            return;
+        };
         if self.teams_of(&most) < self.teams_of(&least) + 2 {
             return;
         }
         // What waits would wait longer while the new owner learns what runs where.
-        let quiet = |team: &Team| self.needs.get(&most).is_some_and(|n| n.quiet.contains(team));
+        let quiet = |team: &Team| {
+            self.needs
+                .get(&most)
+                .is_some_and(|n| n.quiet.contains(team))
+        };
         let teams = self.map.owners.teams.iter();
         let team: Option<Team> = teams
             .filter(|(team, o)| o.node == most && quiet(team))
@@ -53,7 +65,10 @@
 
     /// A controller without a team needs no share: its machines go to those that have teams.
     fn empty_teamless(&mut self, living: &BTreeMap<Node, u64>) {
-        let with: Vec<&Node> = living.keys().filter(|node| self.teams_of(node) > 0).collect();
+        let with: Vec<&Node> = living
+            .keys()
+            .filter(|node| self.teams_of(node) > 0)
+            .collect();
         if with.is_empty() {
             return;
         }
@@ -91,9 +106,12 @@
         let mut pool = self.spare_pool();
         let mut moved = BTreeSet::new();
         for node in living.keys() {
-            let Some(need) = self.needs.get_mut(node) else { continue };
-            let (wants, mut open): (Vec<Want>, Vec<Want>) =
-                std::mem::take(&mut need.wants).into_iter().partition(served);
+            let Some(need) = self.needs.get_mut(node) else {
+                continue;
+            };
+            let (wants, mut open): (Vec<Want>, Vec<Want>) = std::mem::take(&mut need.wants)
+                .into_iter()
+                .partition(served);
             for mut want in wants {
                 while want.count > 0 {
                     let found = pool.take_for(&want, node);
@@ -123,9 +141,16 @@
                 !self.cloud.releases.contains(*id) && owner.is_some_and(|o| o.node == *node)
             };
             let with_offer = |id| self.cloud.offer_of(id).map(|offer| (id, offer));
-            pool.spare.add(node, need.spare.iter().filter(usable).filter_map(with_offer));
-            pool.yielding.add(node, need.yielding.iter().filter(usable).filter_map(with_offer));
-            pool.kept.add(node, need.kept.iter().filter(usable).filter_map(with_offer));
+            pool.spare.add(
+                node,
+                need.spare.iter().filter(usable).filter_map(with_offer),
+            );
+            pool.yielding.add(
+                node,
+                need.yielding.iter().filter(usable).filter_map(with_offer),
+            );
+            pool.kept
+                .add(node, need.kept.iter().filter(usable).filter_map(with_offer));
         }
         pool
     }
@@ -150,8 +175,16 @@
             .flat_map(|(node, need)| need.roomy.iter().map(move |(id, gpus)| (node, id, *gpus)))
             .filter(|(node, id, gpus)| {
                 *gpus >= want.gpus
-                    && self.cloud.offer_of(id).is_some_and(|offer| want.any_of.contains(offer))
-                    && self.map.owners.machines.get(*id).is_some_and(|o| o.node == **node)
+                    && self
+                        .cloud
+                        .offer_of(id)
+                        .is_some_and(|offer| want.any_of.contains(offer))
+                    && self
+                        .map
+                        .owners
+                        .machines
+                        .get(*id)
+                        .is_some_and(|o| o.node == **node)
             })
             .max_by(|a, b| a.2.total_cmp(&b.2));
         let (node, id, _) = found?;
@@ -188,8 +221,15 @@
             return;
         }
         for need in self.needs.values_mut() {
-            let lists = [&mut need.spare, &mut need.kept, &mut need.yielding, &mut need.closed];
-            lists.into_iter().for_each(|list| list.retain(|id| !moved.contains(id)));
+            let lists = [
+                &mut need.spare,
+                &mut need.kept,
+                &mut need.yielding,
+                &mut need.closed,
+            ];
+            lists
+                .into_iter()
+                .for_each(|list| list.retain(|id| !moved.contains(id)));
             need.roomy.retain(|(id, _)| !moved.contains(id));
         }
     }
@@ -204,14 +244,22 @@
             .collect();
         let most = with_teams.iter().max_by(|a, b| a.1.total_cmp(&b.1));
         let least = with_teams.iter().min_by(|a, b| a.1.total_cmp(&b.1));
-        let (Some((to, most)), Some((from, least))) = (most, least) else { return };
+        let (Some((to, most)), Some((from, least))) = (most, least) else {
+            return;
+        };
         if *most <= 0.0 || *least > 0.0 || to == from {
             return;
         }
         let (to, from) = ((*to).clone(), (*from).clone());
-        let Some(need) = self.needs.get(&from) else { return };
+        let Some(need) = self.needs.get(&from) else {
+            return;
+        };
         let owned = |id: &MachineId| {
-            self.map.owners.machines.get(id).is_some_and(|owner| owner.node == from)
+            self.map
+                .owners
+                .machines
+                .get(id)
+                .is_some_and(|owner| owner.node == from)
         };
         let idle = need.spare.iter().find(|id| owned(id));
         let roomy = need.roomy.iter().map(|(id, _)| id).find(|id| owned(id));
--- a/src/core/renting.rs
+++ b/src/core/renting.rs
@@ -33,9 +33,18 @@
 
 #[derive(Debug)]
 pub enum CloudWork {
-    List { term: Version, seen: Vec<ListedMachine> },
-    Rent { term: Version, order: RentOrder },
-    Release { term: Version, machines: Vec<MachineId> },
+    List {
+        term: Version,
+        seen: Vec<ListedMachine>,
+    },
+    Rent {
+        term: Version,
+        order: RentOrder,
+    },
+    Release {
+        term: Version,
+        machines: Vec<MachineId>,
+    },
 }
 
 /// A rental, and whom each of its machines is for.
@@ -81,7 +90,11 @@
         // Some of the rate is left to other controllers and to what a late request may use.
         let rate = config.deployment.cloud.rps * 0.8;
         Self {
-            rent_after: if fresh { now + lag * 0.3 } else { now + lag * 1.2 },
+            rent_after: if fresh {
+                now + lag * 0.3
+            } else {
+                now + lag * 1.2
+            },
             next_list: now,
             listing: false,
             pending: BTreeMap::new(),
@@ -119,7 +132,10 @@
     /// they come up all the same they are used or returned as every other.
     fn replaced(&self, catalog: &Catalog, now: Time) -> BTreeSet<MachineId> {
         let usual = |pending: &PendingMachine| catalog.boot_s(&pending.offer.0) * USUAL_BOOTS;
-        let late = self.pending.iter().filter(|(_, pending)| now - pending.rented > usual(pending));
+        let late = self
+            .pending
+            .iter()
+            .filter(|(_, pending)| now - pending.rented > usual(pending));
         let mut late: Vec<(&MachineId, Time)> =
             late.map(|(id, pending)| (id, pending.rented)).collect();
         late.sort_by(|(_, a), (_, b)| a.total_cmp(b));
@@ -153,19 +169,31 @@
             let order = cloud.open.remove(0);
             cloud.renting = true;
             let rental = order.rental.clone();
-            io.cloud(Some(CloudWork::Rent { term: self.term, order }), CloudCall::Rent(rental));
+            io.cloud(
+                Some(CloudWork::Rent {
+                    term: self.term,
+                    order,
+                }),
+                CloudCall::Rent(rental),
+            );
         }
         if !cloud.releasing && !cloud.releases.is_empty() && cloud.may_call(now) {
             let machines: Vec<MachineId> =
                 cloud.releases.iter().take(RELEASE_LIMIT).cloned().collect();
             cloud.releasing = true;
-            let work = CloudWork::Release { term: self.term, machines: machines.clone() };
+            let work = CloudWork::Release {
+                term: self.term,
+                machines: machines.clone(),
+            };
             io.cloud(Some(work), CloudCall::Release(MachineNames { machines }));
         }
         if !cloud.listing && now >= cloud.next_list && cloud.may_call(now) {
             cloud.listing = true;
             cloud.next_list = now + io.jitter(lag * 0.5);
-            let work = CloudWork::List { term: self.term, seen: Vec::new() };
+            let work = CloudWork::List {
+                term: self.term,
+                seen: Vec::new(),
+            };
             io.cloud(Some(work), CloudCall::List { after: None });
         }
     }
@@ -182,13 +210,18 @@
                 if term != self.term => {}
             CloudWork::List { mut seen, .. } => {
                 self.cloud.listing = false;
-                let CloudReply::List(page) = reply else { return };
+                let CloudReply::List(page) = reply else {
+                    return;
+                };
                 let more = page.more && !page.machines.is_empty();
                 seen.extend(page.machines);
                 if more && seen.len() < LIST_LIMIT {
                     self.cloud.listing = true;
                     let after = seen.last().map(|listed| listed.machine.to_string());
-                    let work = CloudWork::List { term: self.term, seen };
+                    let work = CloudWork::List {
+                        term: self.term,
+                        seen,
+                    };
                     io.cloud(Some(work), CloudCall::List { after });
                 } else {
                     self.take_list(seen, now);
@@ -228,7 +261,11 @@
                 }
                 for (id, node) in names.machines.into_iter().zip(order.nodes) {
                     let node = Some(node);
-                    let pending = PendingMachine { offer: offer.clone(), rented: now, node };
+                    let pending = PendingMachine {
+                        offer: offer.clone(),
+                        rented: now,
+                        node,
+                    };
                     self.cloud.pending.insert(id, pending);
                 }
             }
@@ -252,7 +289,11 @@
                 && !self.map.owners.machines.contains_key(&id)
             {
                 let rented = now - listed.age_s;
-                let fresh = PendingMachine { offer, rented, node: None };
+                let fresh = PendingMachine {
+                    offer,
+                    rented,
+                    node: None,
+                };
                 self.cloud.pending.entry(id).or_insert(fresh);
             } else {
                 self.cloud.offers.insert(id, offer);
@@ -269,13 +310,17 @@
     ) {
         let mut zones: BTreeMap<Zone, ZoneMachines> = BTreeMap::new();
         for (id, owner) in &self.map.owners.machines {
-            let Some((_, zone, _)) = self.cloud.offer_of(id) else { continue };
+            let Some((_, zone, _)) = self.cloud.offer_of(id) else {
+                continue;
+            };
             let machines = zones.entry(zone.clone()).or_default();
             machines.all += 1;
             machines.silent += usize::from(unresponsive.answered(id, owner.term).is_some());
         }
         let cloud = &mut self.cloud;
-        cloud.zone_contact.update(&zones, &self.config.deployment.workers, now);
+        cloud
+            .zone_contact
+            .update(&zones, &self.config.deployment.workers, now);
         let cut_off = cloud.zone_contact.cut_off();
         cloud.refused.retain(|_, until| now < *until);
         for of_type in catalog.types() {
@@ -305,13 +350,21 @@
         let replaced = self.cloud.replaced(catalog, now);
         let cut_off =
             |pending: &PendingMachine| self.cloud.zone_contact.is_cut_off(&pending.offer.1);
-        let awaited = self.cloud.pending.iter().filter(|(id, _)| !replaced.contains(*id));
-        let awaited = awaited.map(|(_, pending)| pending).filter(|pending| !cut_off(pending));
+        let awaited = self
+            .cloud
+            .pending
+            .iter()
+            .filter(|(id, _)| !replaced.contains(*id));
+        let awaited = awaited
+            .map(|(_, pending)| pending)
+            .filter(|pending| !cut_off(pending));
         let awaited: Vec<&PendingMachine> = awaited.collect();
         let mut unclaimed = awaited.iter().filter(|c| c.node.is_none()).count() as u32;
         let mut lacks: BTreeMap<Offer, Vec<(&Node, u32)>> = BTreeMap::new();
         for node in living.keys() {
-            let Some(need) = self.needs.get(node) else { continue };
+            let Some(need) = self.needs.get(node) else {
+                continue;
+            };
             let mut pending: BTreeMap<&Offer, u32> = BTreeMap::new();
             for c in awaited.iter().filter(|c| c.node.as_ref() == Some(node)) {
                 *pending.entry(&c.offer).or_default() += 1;
@@ -334,7 +387,10 @@
                 let served = count.min(unclaimed);
                 unclaimed -= served;
                 if count > served && !self.cloud.refused.contains_key(offer) {
-                    lacks.entry(offer.clone()).or_default().push((node, count - served));
+                    lacks
+                        .entry(offer.clone())
+                        .or_default()
+                        .push((node, count - served));
                 }
             }
         }
@@ -347,8 +403,17 @@
                 self.cloud.counter += 1;
                 let request = format!("r-{}-{}", self.term, self.cloud.counter);
                 let (type_name, zone, count) = (type_name.clone(), zone.clone(), nodes.len());
-                let rental = Rental { request, type_name, zone, spot, count: count as u32 };
-                self.cloud.open.push(RentOrder { rental, nodes: nodes.to_vec() });
+                let rental = Rental {
+                    request,
+                    type_name,
+                    zone,
+                    spot,
+                    count: count as u32,
+                };
+                self.cloud.open.push(RentOrder {
+                    rental,
+                    nodes: nodes.to_vec(),
+                });
             }
         }
     }
--- a/src/core/renting/tests.rs
+++ b/src/core/renting/tests.rs
@@ -6,8 +6,14 @@
     let mut requests = CloudRequests::new(&config(), 0.0, true);
     for (number, &rented) in rented.iter().enumerate() {
         let offer = ("g8".into(), "a".into(), false);
-        let pending = PendingMachine { offer, rented, node: None };
-        requests.pending.insert(format!("m-{number}").as_str().into(), pending);
+        let pending = PendingMachine {
+            offer,
+            rented,
+            node: None,
+        };
+        requests
+            .pending
+            .insert(format!("m-{number}").as_str().into(), pending);
     }
     requests
 }
@@ -18,7 +24,10 @@
     let catalog = Catalog::with_types(types());
     let requests = on_their_way(&[0.0, 10.0]);
     assert!(requests.replaced(&catalog, 15.0).is_empty());
-    assert_eq!(requests.replaced(&catalog, 17.0), BTreeSet::from(["m-0".into()]));
+    assert_eq!(
+        requests.replaced(&catalog, 17.0),
+        BTreeSet::from(["m-0".into()])
+    );
     assert_eq!(requests.replaced(&catalog, 27.0).len(), 2);
 }
 
--- a/src/core/report_routing.rs
+++ b/src/core/report_routing.rs
@@ -77,7 +77,10 @@
         if self.under_way >= self.most {
             return Route::Elsewhere;
         }
-        let fresh = Relayed { since: now, last: now };
+        let fresh = Relayed {
+            since: now,
+            last: now,
+        };
         let relayed = self.machines.entry(machine.clone()).or_insert(fresh);
         relayed.last = now;
         if now - relayed.since > self.lease * RELAY_LEASES {
@@ -101,7 +104,8 @@
             let seen = known.get(&owner.term).copied().unwrap_or(since);
             self.terms.entry(owner.term).or_insert(seen);
         }
-        self.sent.retain(|id, term| owners.machines.get(id).is_some_and(|o| o.term == *term));
+        self.sent
+            .retain(|id, term| owners.machines.get(id).is_some_and(|o| o.term == *term));
     }
 
     /// Whether a worker is to try its owner before its reports are relayed: it may know the token without
@@ -110,15 +114,23 @@
         if self.include(machine) {
             return false;
         }
-        let young =
-            self.terms.get(&term).is_some_and(|seen| now - seen < self.lease * YOUNG_LEASES);
+        let young = self
+            .terms
+            .get(&term)
+            .is_some_and(|seen| now - seen < self.lease * YOUNG_LEASES);
         young && self.sent.insert(machine.clone(), term) != Some(term)
     }
 
     /// A machine's reports are relayed.
     #[cfg(test)]
     pub fn mark(&mut self, machine: &MachineId, now: Time) {
-        self.machines.insert(machine.clone(), Relayed { since: now, last: now });
+        self.machines.insert(
+            machine.clone(),
+            Relayed {
+                since: now,
+                last: now,
+            },
+        );
         self.under_way += 1;
     }
 
@@ -134,7 +146,8 @@
         if now >= self.next_prune {
             let forget = self.lease * FORGET_LEASES;
             self.next_prune = now + forget;
-            self.machines.retain(|_, relayed| now - relayed.last <= forget);
+            self.machines
+                .retain(|_, relayed| now - relayed.last <= forget);
         }
     }
 }
@@ -162,15 +175,24 @@
                 Route::Owner => {}
             }
         }
-        if let Some(owner) = owner.as_ref().filter(|owner| self.may_claim(&report, owner)) {
+        if let Some(owner) = owner
+            .as_ref()
+            .filter(|owner| self.may_claim(&report, owner))
+        {
             let owner = owner.clone();
             return self.claim(request, report, &owner);
         }
-        if let Some(owner) = owner.as_ref().filter(|owner| self.awaits_hand_over(&report, owner)) {
+        if let Some(owner) = owner
+            .as_ref()
+            .filter(|owner| self.awaits_hand_over(&report, owner))
+        {
             let owner = owner.clone();
             return self.await_map(request, report, &owner, WaitsFor::HandOver);
         }
-        if let Some(owner) = owner.as_ref().filter(|owner| self.is_overtaken(&report, owner)) {
+        if let Some(owner) = owner
+            .as_ref()
+            .filter(|owner| self.is_overtaken(&report, owner))
+        {
             let owner = owner.clone();
             return self.await_map(request, report, &owner, WaitsFor::Change);
         }
@@ -237,7 +259,8 @@
         if let Some(node) = &to {
             self.peers.sent_worker(node, self.io.now);
         }
-        self.io.answer(request, Answer::value(421, report_to(to.as_ref())));
+        self.io
+            .answer(request, Answer::value(421, report_to(to.as_ref())));
     }
 
     /// The worker is to try the next controller. Sent to an owner that it can't reach it would wait for
@@ -249,11 +272,18 @@
 
     fn relay_report(&mut self, request: RequestId, owner: MapOwner, report: Report) {
         let node = owner.node.clone();
-        tracing::debug!("{} does not reach {node}: its report is relayed", report.machine);
+        tracing::debug!(
+            "{} does not reach {node}: its report is relayed",
+            report.machine
+        );
         self.peers.sent_worker(&node, self.io.now);
         self.peers.detector_mut().worker_left(&node, self.io.now);
         let message = MeshMessage::Report(Box::new(report.clone()));
-        let pending = Pending::RelayedReport { request, owner, report: Box::new(report) };
+        let pending = Pending::RelayedReport {
+            request,
+            owner,
+            report: Box::new(report),
+        };
         self.io.mesh(pending, &node, message);
     }
 
@@ -265,10 +295,15 @@
             owner.note_relayed(&report.machine, now);
         }
         let answer = match self.checkin(report) {
-            Some(Answer { status: 200, body: Body::Orders(orders), .. }) => Some(orders),
+            Some(Answer {
+                status: 200,
+                body: Body::Orders(orders),
+                ..
+            }) => Some(orders),
             _ => None,
         };
-        self.io.mesh_answer(request, MeshReply::ReportAnswer(answer));
+        self.io
+            .mesh_answer(request, MeshReply::ReportAnswer(answer));
     }
 
     pub(super) fn report_relayed(
@@ -282,7 +317,14 @@
         match answer {
             Some(orders) => {
                 let body = Body::Orders(orders);
-                self.io.answer(request, Answer { status: 200, body, retry_after: None });
+                self.io.answer(
+                    request,
+                    Answer {
+                        status: 200,
+                        body,
+                        retry_after: None,
+                    },
+                );
             }
             // Whoever gives up a share takes no more reports: the map is about to change.
             None if self.acts_on_failures() => {
--- a/src/core/report_routing/tests.rs
+++ b/src/core/report_routing/tests.rs
@@ -15,12 +15,26 @@
         relays.end();
         now += 1.0;
     }
-    assert!((lease * 10.0..lease * 10.0 + 2.0).contains(&now), "once more to the owner: {now}");
-    assert_eq!(relays.begin(&machine, now + 5.0), Route::Relay, "which it still does not reach");
+    assert!(
+        (lease * 10.0..lease * 10.0 + 2.0).contains(&now),
+        "once more to the owner: {now}"
+    );
+    assert_eq!(
+        relays.begin(&machine, now + 5.0),
+        Route::Relay,
+        "which it still does not reach"
+    );
     assert_eq!(relays.begin(&"m-2".into(), now + lease * 3.0), Route::Relay);
-    assert_eq!(relays.machines.len(), 1, "the first found its owner long ago");
+    assert_eq!(
+        relays.machines.len(),
+        1,
+        "the first found its owner long ago"
+    );
     relays.under_way = relays.most;
-    assert_eq!(relays.begin(&"m-3".into(), now + lease * 3.0), Route::Elsewhere);
+    assert_eq!(
+        relays.begin(&"m-3".into(), now + lease * 3.0),
+        Route::Elsewhere
+    );
 }
 
 /// A worker whose report could not be relayed was sent back to the owner that it can't reach, and its
@@ -46,21 +60,37 @@
 fn a_worker_tries_the_owner_of_a_young_term_once_unless_it_is_relayed() {
     let mut core = Core::new(config(), 1);
     let machine = MachineId::from("m-1");
-    let share = |term| MapOwner { term: Term(term), ..owner("n1") };
+    let share = |term| MapOwner {
+        term: Term(term),
+        ..owner("n1")
+    };
     let map = |core: &mut Core, version, term| {
         let machines = vec![machine.clone(), "m-2".into()];
-        let share = Share { owner: share(term), teams: Vec::new(), machines };
+        let share = Share {
+            owner: share(term),
+            teams: Vec::new(),
+            machines,
+        };
         crate::core::test_support::map(&mut core.view, version, vec![share]);
         core.relays.follow(&core.view, 10.0);
     };
     map(&mut core, 1, 3);
-    assert!(!core.relays.owner_first(&machine, Term(3), 10.0), "known since this process began");
+    assert!(
+        !core.relays.owner_first(&machine, Term(3), 10.0),
+        "known since this process began"
+    );
     map(&mut core, 2, 9);
     assert!(core.relays.owner_first(&machine, Term(9), 11.0));
     assert!(!core.relays.owner_first(&machine, Term(9), 11.0), "once");
     core.relays.mark(&"m-2".into(), 11.0);
-    assert!(!core.relays.owner_first(&"m-2".into(), Term(9), 11.0), "it is relayed");
+    assert!(
+        !core.relays.owner_first(&"m-2".into(), Term(9), 11.0),
+        "it is relayed"
+    );
     map(&mut core, 3, 12);
     let later = 10.0 + core.config.deployment.workers.lease_s;
-    assert!(!core.relays.owner_first(&machine, Term(12), later), "no longer young");
+    assert!(
+        !core.relays.owner_first(&machine, Term(12), later),
+        "no longer young"
+    );
 }
--- a/src/core/resumption/tests.rs
+++ b/src/core/resumption/tests.rs
@@ -58,7 +58,11 @@
     assert!(owner.need.closed.is_empty());
     owner.resuming = false;
     owner.plan_when_due(&io, &view, &catalog);
-    assert_eq!(owner.need.closed, vec![MachineId::from("m-1")], "else it would be");
+    assert_eq!(
+        owner.need.closed,
+        vec![MachineId::from("m-1")],
+        "else it would be"
+    );
 }
 
 /// That no worker was heard while the process stood still does not mean that they reach siblings only.
--- a/src/core/schedule.rs
+++ b/src/core/schedule.rs
@@ -41,7 +41,11 @@
     /// What a task may take of the free room; of a machine with GPUs one that `spares_gpus` takes only
     /// what its free GPUs do without.
     fn room_for(&self, free: Resources, spares_gpus: bool) -> Resources {
-        if spares_gpus { free.beside_free_gpus(&self.total) } else { free }
+        if spares_gpus {
+            free.beside_free_gpus(&self.total)
+        } else {
+            free
+        }
     }
 
     /// A task takes room, and what was held back for its image.
@@ -83,7 +87,10 @@
 /// Whether a machine of this type, zone and kind may run the job at all.
 pub fn allowed(spec: &JobSpec, type_name: &TypeName, zone: &Zone, spot: bool) -> bool {
     (spec.spot || !spot)
-        && spec.types.as_ref().is_none_or(|types| types.contains(type_name))
+        && spec
+            .types
+            .as_ref()
+            .is_none_or(|types| types.contains(type_name))
         && spec.zone.as_ref().is_none_or(|only| only == zone)
 }
 
@@ -109,8 +116,13 @@
 fn due_with(config: &Config, job: &Job, margin: f64) -> Time {
     let spec = &job.spec;
     let wait = config.wait_objective(&spec.class);
-    let finish = config.finish_objective(&spec.class).map(|within| job.submitted + within);
-    let finish = [finish, job.deadline].into_iter().flatten().min_by(Time::total_cmp);
+    let finish = config
+        .finish_objective(&spec.class)
+        .map(|within| job.submitted + within);
+    let finish = [finish, job.deadline]
+        .into_iter()
+        .flatten()
+        .min_by(Time::total_cmp);
     let finish = finish.map(|at| at - spec.estimate_s * margin);
     let wait = wait.map(|within| job.submitted + within);
     let due = [wait, finish].into_iter().flatten().min_by(Time::total_cmp);
@@ -183,9 +195,18 @@
         if probed && (job.placed() > 0 || !job.failures.may_probe(now)) {
             return Vec::new();
         }
-        let most = if probed && !job.is_gang() { 1 } else { STARTS_PER_ROUND };
+        let most = if probed && !job.is_gang() {
+            1
+        } else {
+            STARTS_PER_ROUND
+        };
         let ready = |index: &u32| job.retries.get(index).is_none_or(|r| r.not_before <= now);
-        job.waiting().iter().copied().filter(ready).take(most).collect()
+        job.waiting()
+            .iter()
+            .copied()
+            .filter(ready)
+            .take(most)
+            .collect()
     }
 
     /// Starts what waits and finds room; `usage` goes on counting.
@@ -196,7 +217,11 @@
         let mut starts = 0;
         for id in self.queue(usage, now) {
             let spares_gpus = self.spares_gpus(&id, catalog, now);
-            let round = Round { expecting, spares_gpus, now };
+            let round = Round {
+                expecting,
+                spares_gpus,
+                now,
+            };
             starts += self.schedule_job(&id, &mut slots, usage, round);
             if starts >= STARTS_PER_ROUND {
                 self.changed = true;
@@ -209,7 +234,9 @@
     /// machines without any. Not if they have waited for such machines in vain, nor if they make way for
     /// everything else anyway.
     pub(super) fn spares_gpus(&self, id: &JobId, catalog: &Catalog, now: Time) -> bool {
-        let Some(job) = self.jobs.get(id) else { return false };
+        let Some(job) = self.jobs.get(id) else {
+            return false;
+        };
         let patience = self.config.deployment.workers.cancel_s;
         let in_vain = job.waits_since.is_some_and(|since| now - since > patience);
         !in_vain
@@ -225,9 +252,17 @@
         usage: &mut Usage,
         round: Round,
     ) -> usize {
-        let Round { expecting, spares_gpus, now } = round;
-        let Some(job) = self.jobs.get(id) else { return 0 };
-        let Some(limits) = limits(&self.config, &job.spec).cloned() else { return 0 };
+        let Round {
+            expecting,
+            spares_gpus,
+            now,
+        } = round;
+        let Some(job) = self.jobs.get(id) else {
+            return 0;
+        };
+        let Some(limits) = limits(&self.config, &job.spec).cloned() else {
+            return 0;
+        };
         let need = job.need();
         let spec = job.spec.clone();
         let waiting = self.startable(job, now);
@@ -242,14 +277,31 @@
         let wanted = &waiting[..room];
         // Warm room is for whom it is held, unless nothing else will do, or something that ran
         // is down: that is missed now, what the room is held for only perhaps later.
-        let search = Search { count: wanted.len(), whole, spare_warm: !job.began, spares_gpus };
+        let search = Search {
+            count: wanted.len(),
+            whole,
+            spare_warm: !job.began,
+            spares_gpus,
+        };
         let mut chosen = self.choose(job, search, slots, now);
         let fills_up = job.is_opportunistic(&self.config);
         if chosen.len() < wanted.len() && !fills_up {
-            chosen = self.choose(job, Search { spare_warm: false, ..search }, slots, now);
+            chosen = self.choose(
+                job,
+                Search {
+                    spare_warm: false,
+                    ..search
+                },
+                slots,
+                now,
+            );
         }
         let probed = job.failures.fails_everywhere();
-        let missing = if probed { 0 } else { wanted.len() - chosen.len() };
+        let missing = if probed {
+            0
+        } else {
+            wanted.len() - chosen.len()
+        };
         if expecting {
             // Machines that are about to report take what would queue for another's fetch here.
             chosen.retain(|slot| !self.queues_up(&slots[*slot].id, &spec, now));
@@ -269,7 +321,9 @@
         // What only the grant holds back keeps the room it found until the grant is larger.
         starting.truncate(usage.room_in_grant(&limits, &need, starting.len(), whole));
         if !starting.is_empty() {
-            let Some(attempt) = self.next_attempt(&limits.name) else { return 0 };
+            let Some(attempt) = self.next_attempt(&limits.name) else {
+                return 0;
+            };
             for (index, slot) in &starting {
                 usage.add(&limits.name, need.cpus, need.gpus);
                 let machine = slots[*slot].id.clone();
@@ -277,7 +331,11 @@
             }
         }
         if missing > 0 {
-            let lacking = preemption::Lacking { job: id, tasks: missing, spares_gpus };
+            let lacking = preemption::Lacking {
+                job: id,
+                tasks: missing,
+                spares_gpus,
+            };
             let stops = preemption::make_room(self, lacking, slots, usage, now);
             for stop in stops {
                 self.stop(&stop.machine, &stop.task, stop.attempt, stop.grace);
@@ -310,7 +368,9 @@
     /// for as many of its tasks as came lately: an extension of the design, in which other work
     /// would best-fit itself into just that room.
     fn hold_warm(&self, slots: &mut [Slot], catalog: &Catalog, now: Time) {
-        let tight = self.forecast.tight_images(&self.config, catalog.types(), now);
+        let tight = self
+            .forecast
+            .tight_images(&self.config, catalog.types(), now);
         for (image, (spec, recent)) in tight {
             let need = Resources::of(&spec);
             let zones: BTreeSet<Zone> = slots.iter().map(|slot| slot.zone.clone()).collect();
@@ -321,7 +381,10 @@
                         let slot = &slots[*index];
                         slot.zone == *zone
                             && allowed(&spec, &slot.type_name, &slot.zone, slot.spot)
-                            && self.machines.get(&slot.id).is_some_and(|m| m.has_image(&image))
+                            && self
+                                .machines
+                                .get(&slot.id)
+                                .is_some_and(|m| m.has_image(&image))
                     })
                     .collect();
                 holders.sort_by(|a, b| slots[*a].free.gpus.total_cmp(&slots[*b].free.gpus));
@@ -348,10 +411,18 @@
                     best = chosen;
                 }
             }
-            return if whole && best.len() < count { Vec::new() } else { best };
+            return if whole && best.len() < count {
+                Vec::new()
+            } else {
+                best
+            };
         }
         let chosen = self.choose_in(job, search, slots, now, None);
-        if whole && chosen.len() < count { Vec::new() } else { chosen }
+        if whole && chosen.len() < count {
+            Vec::new()
+        } else {
+            chosen
+        }
     }
 
     fn choose_in(
@@ -362,13 +433,22 @@
         now: Time,
         zone: Option<&Zone>,
     ) -> Vec<usize> {
-        let Search { count, spare_warm, spares_gpus, .. } = search;
+        let Search {
+            count,
+            spare_warm,
+            spares_gpus,
+            ..
+        } = search;
         let need = job.need();
         let spec = &job.spec;
         let due = due_with(&self.config, job, ESTIMATE_MARGIN);
         let slack = if job.began { 0.0 } else { due - now };
         let service = spec.kind == Kind::Service && !job.began;
-        let late = if service { Late::MostRoom } else { Late::BestFit };
+        let late = if service {
+            Late::MostRoom
+        } else {
+            Late::BestFit
+        };
         let spot_fits = |slot: &&Slot| slot.spot && slot.open_to(Some(&spec.image)).holds(&need);
         // What may run on spot machines leaves the dear ones to what may not.
         let spot_only = spec.spot && slots.iter().filter(spot_fits).count() >= count;
@@ -384,7 +464,10 @@
                     && (slot.spot || !spot_only)
                     && zone.is_none_or(|zone| slot.zone == *zone)
                     && allowed(spec, &slot.type_name, &slot.zone, slot.spot)
-                    && job.failures.avoided().is_none_or(|avoided| !avoided.contains(&slot.id))
+                    && job
+                        .failures
+                        .avoided()
+                        .is_none_or(|avoided| !avoided.contains(&slot.id))
             })
             .map(|(index, _)| index)
             .collect();
@@ -392,7 +475,10 @@
         let ready: BTreeMap<usize, Time> = eligible
             .iter()
             .map(|index| {
-                (*index, self.ready_in(&slots[*index].id, &spec.image, spec.image_gb, now))
+                (
+                    *index,
+                    self.ready_in(&slots[*index].id, &spec.image, spec.image_gb, now),
+                )
             })
             .collect();
         for _ in 0..count {
@@ -405,10 +491,18 @@
                 .iter()
                 .map(|index| {
                     let slot = &slots[*index];
-                    let open = if spare_warm { slot.open_to(Some(&spec.image)) } else { slot.free };
+                    let open = if spare_warm {
+                        slot.open_to(Some(&spec.image))
+                    } else {
+                        slot.free
+                    };
                     let free = slot.room_for(open, spares_gpus);
                     let free = taken.get(index).copied().unwrap_or(free);
-                    Candidate { free, total: slot.total, ready_in: ready[index] }
+                    Candidate {
+                        free,
+                        total: slot.total,
+                        ready_in: ready[index],
+                    }
                 })
                 .collect();
             let Some(pick) = best_fit(&need, &candidates, slack, late, self.weights) else {
@@ -435,7 +529,10 @@
         let untried = |index: &usize| !job.failures.machines().contains(&slots[*index].id);
         let holders: Vec<usize> = eligible.iter().copied().filter(holds).collect();
         let fresh: Vec<usize> = holders.iter().copied().filter(untried).collect();
-        [fresh, holders, eligible].into_iter().find(|some| !some.is_empty()).unwrap_or_default()
+        [fresh, holders, eligible]
+            .into_iter()
+            .find(|some| !some.is_empty())
+            .unwrap_or_default()
     }
 
     /// Whether machines of this share are likely to report for the first time before long.
@@ -453,13 +550,17 @@
     }
 
     pub(super) fn ready_in(&self, id: &MachineId, image: &Image, gb: f64, now: Time) -> Time {
-        self.machines.get(id).map_or(Time::INFINITY, |m| m.ready_in(image, gb, now))
+        self.machines
+            .get(id)
+            .map_or(Time::INFINITY, |m| m.ready_in(image, gb, now))
     }
 
     /// Keeps the machines that will soonest hold what a gang still lacks from work that comes
     /// after it, so that small tasks do not starve large ones.
     fn reserve(&self, id: &JobId, count: usize, slots: &mut [Slot]) {
-        let Some(job) = self.jobs.get(id).filter(|job| job.is_gang()) else { return };
+        let Some(job) = self.jobs.get(id).filter(|job| job.is_gang()) else {
+            return;
+        };
         let need = job.need();
         for _ in 0..count {
             let best = slots
@@ -478,11 +579,17 @@
         let margin = self.config.deployment.workers.report_s * 0.5 + 1.0;
         let mut stops = Vec::new();
         for machine in self.machines.values() {
-            let Some(leaves) = machine.leaves else { continue };
+            let Some(leaves) = machine.leaves else {
+                continue;
+            };
             for ((task, attempt), tracked) in &machine.attempts {
                 let due = leaves - now <= tracked.save_s * 1.1 + margin;
                 if tracked.stop.is_none() && !tracked.exited() && due {
-                    let grace = if leaves - now > tracked.save_s { tracked.save_s } else { 0.0 };
+                    let grace = if leaves - now > tracked.save_s {
+                        tracked.save_s
+                    } else {
+                        0.0
+                    };
                     stops.push((machine.id.clone(), task.clone(), *attempt, grace));
                 }
             }
--- a/src/core/share_log.rs
+++ b/src/core/share_log.rs
@@ -31,26 +31,48 @@
         }
         self.next_share_log = now + self.config.deployment.workers.lease_s;
         for (class, tasks) in self.tasks_by_class() {
-            let ClassTasks { waiting, unsettled, placed } = tasks;
+            let ClassTasks {
+                waiting,
+                unsettled,
+                placed,
+            } = tasks;
             tracing::info!(
                 "tasks of {class}: {placed} placed, {waiting} wait, {unsettled} unsettled"
             );
         }
         for ((type_name, zone, spot), room) in self.room_by_kind(now) {
-            let KindRoom { usable, unusable, idle, free } = room;
+            let KindRoom {
+                usable,
+                unusable,
+                idle,
+                free,
+            } = room;
             let spot = if spot { ", spot" } else { "" };
-            let Resources { cpus, gpus, memory_gb } = free;
+            let Resources {
+                cpus,
+                gpus,
+                memory_gb,
+            } = free;
             tracing::info!(
                 "{type_name} in {zone}{spot}: {usable} usable, {idle} of them idle, {unusable} not; \
                  free: {cpus:.0} CPUs, {gpus:.0} GPUs, {memory_gb:.0} GB"
             );
         }
         for want in &self.need.wants {
-            let Want { count, offer: (type_name, zone, spot), urgency, .. } = want;
+            let Want {
+                count,
+                offer: (type_name, zone, spot),
+                urgency,
+                ..
+            } = want;
             let spot = if *spot { ", spot" } else { "" };
             tracing::info!("wants {count} {type_name} in {zone}{spot} ({urgency:?})");
         }
-        for (name, team) in self.teams.iter().filter(|(_, team)| !team.unsettled.is_empty()) {
+        for (name, team) in self
+            .teams
+            .iter()
+            .filter(|(_, team)| !team.unsettled.is_empty())
+        {
             let first = team.unsettled.iter().next();
             tracing::info!(
                 "team {name} waits for {} machines to report, {first:?} among them",
@@ -73,7 +95,11 @@
     fn room_by_kind(&self, now: Time) -> BTreeMap<Offer, KindRoom> {
         let mut kinds: BTreeMap<Offer, KindRoom> = BTreeMap::new();
         for machine in self.machines.values().filter(|machine| machine.mine) {
-            let kind = (machine.type_name.clone(), machine.zone.clone(), machine.spot);
+            let kind = (
+                machine.type_name.clone(),
+                machine.zone.clone(),
+                machine.spot,
+            );
             let room = kinds.entry(kind).or_default();
             if machine.usable(now) {
                 room.usable += 1;
--- a/src/core/spare_machines.rs
+++ b/src/core/spare_machines.rs
@@ -23,7 +23,10 @@
     ) {
         for (place, (id, offer)) in listed.enumerate() {
             let of_kind = self.by_kind.entry(offer.clone()).or_default();
-            of_kind.entry(node.clone()).or_default().push_back((place, id.clone()));
+            of_kind
+                .entry(node.clone())
+                .or_default()
+                .push_back((place, id.clone()));
         }
     }
 
--- a/src/core/spare_machines/tests.rs
+++ b/src/core/spare_machines/tests.rs
@@ -10,10 +10,15 @@
     let ids: Vec<MachineId> = (0..4).map(|n| format!("m-{n}").into()).collect();
     let mut spare = SpareMachines::default();
     spare.add(&"n0".into(), [(&ids[0], &g8)].into_iter());
-    spare.add(&"n1".into(), [(&ids[1], &g4), (&ids[2], &g8), (&ids[3], &g4)].into_iter());
+    spare.add(
+        &"n1".into(),
+        [(&ids[1], &g4), (&ids[2], &g8), (&ids[3], &g4)].into_iter(),
+    );
     let mut take = |kinds: &[&Offer], except: &str| {
         let kinds: Vec<Offer> = kinds.iter().map(|kind| (*kind).clone()).collect();
-        spare.take(&kinds, &except.into()).map(|(id, node)| format!("{id} of {node}"))
+        spare
+            .take(&kinds, &except.into())
+            .map(|(id, node)| format!("{id} of {node}"))
     };
     assert_eq!(take(&[&g8], "n0").as_deref(), Some("m-2 of n1"));
     assert_eq!(take(&[&g8], "n0"), None, "its own is none to be taken");
--- a/src/core/starts_in_flight.rs
+++ b/src/core/starts_in_flight.rs
@@ -67,17 +67,34 @@
         starts: BTreeSet<AttemptKey>,
     ) {
         if !starts.is_empty() {
-            let message = DirectMessage { call, token, session, starts, given_up: false };
-            self.machines.entry(machine.clone()).or_default().direct.push(message);
+            let message = DirectMessage {
+                call,
+                token,
+                session,
+                starts,
+                given_up: false,
+            };
+            self.machines
+                .entry(machine.clone())
+                .or_default()
+                .direct
+                .push(message);
         }
     }
 
     /// A direct message was executed or refused, or it never left: it will not arrive (again). The
     /// starts it carried.
     pub fn settled(&mut self, machine: &MachineId, call: CallId) -> BTreeSet<AttemptKey> {
-        let Some(starts) = self.machines.get_mut(machine) else { return BTreeSet::new() };
-        let at = starts.direct.iter().position(|message| message.call == call);
-        let settled = at.map(|at| starts.direct.swap_remove(at).starts).unwrap_or_default();
+        let Some(starts) = self.machines.get_mut(machine) else {
+            return BTreeSet::new();
+        };
+        let at = starts
+            .direct
+            .iter()
+            .position(|message| message.call == call);
+        let settled = at
+            .map(|at| starts.direct.swap_remove(at).starts)
+            .unwrap_or_default();
         self.prune(machine);
         settled
     }
@@ -85,11 +102,21 @@
     /// A direct message got no answer in time: executed, or not, or later. How many there are now
     /// that may arrive late.
     pub fn given_up(&mut self, machine: &MachineId, call: CallId) -> usize {
-        let Some(starts) = self.machines.get_mut(machine) else { return 0 };
-        for message in starts.direct.iter_mut().filter(|message| message.call == call) {
+        let Some(starts) = self.machines.get_mut(machine) else {
+            return 0;
+        };
+        for message in starts
+            .direct
+            .iter_mut()
+            .filter(|message| message.call == call)
+        {
             message.given_up = true;
         }
-        starts.direct.iter().filter(|message| message.given_up).count()
+        starts
+            .direct
+            .iter()
+            .filter(|message| message.given_up)
+            .count()
     }
 
     /// A report of the machine, in this session, is answered with these starts.
@@ -112,7 +139,9 @@
     /// The machine has shown this token and session: what was sent under earlier ones is void.
     pub fn shown(&mut self, machine: &MachineId, token: Term, session: u64) {
         if let Some(starts) = self.machines.get_mut(machine) {
-            starts.direct.retain(|message| message.token >= token && message.session >= session);
+            starts
+                .direct
+                .retain(|message| message.token >= token && message.session >= session);
             starts.answer.take_if(|answer| answer.session < session);
             self.prune(machine);
         }
@@ -131,8 +160,14 @@
     /// Whether a start of this attempt may still arrive.
     pub fn may_arrive(&self, machine: &MachineId, attempt: &AttemptKey) -> bool {
         self.machines.get(machine).is_some_and(|starts| {
-            starts.answer.as_ref().is_some_and(|answer| answer.starts.contains(attempt))
-                || starts.direct.iter().any(|message| message.starts.contains(attempt))
+            starts
+                .answer
+                .as_ref()
+                .is_some_and(|answer| answer.starts.contains(attempt))
+                || starts
+                    .direct
+                    .iter()
+                    .any(|message| message.starts.contains(attempt))
         })
     }
 
@@ -140,12 +175,19 @@
     pub fn awaits_answer(&self, machine: &MachineId, attempt: &AttemptKey) -> bool {
         self.machines.get(machine).is_some_and(|starts| {
             let waits = |message: &DirectMessage| !message.given_up;
-            starts.direct.iter().any(|m| waits(m) && m.starts.contains(attempt))
+            starts
+                .direct
+                .iter()
+                .any(|m| waits(m) && m.starts.contains(attempt))
         })
     }
 
     fn prune(&mut self, machine: &MachineId) {
-        if self.machines.get(machine).is_some_and(MachineStarts::is_empty) {
+        if self
+            .machines
+            .get(machine)
+            .is_some_and(MachineStarts::is_empty)
+        {
             self.machines.remove(machine);
         }
     }
--- a/src/core/starts_in_flight/tests.rs
+++ b/src/core/starts_in_flight/tests.rs
@@ -1,7 +1,13 @@
 use super::*;
 
 fn attempt(number: u64) -> AttemptKey {
-    (TaskId { job: "req-000001".into(), index: 0 }, Attempt(number))
+    (
+        TaskId {
+            job: "req-000001".into(),
+            index: 0,
+        },
+        Attempt(number),
+    )
 }
 
 fn starts(numbers: &[u64]) -> BTreeSet<AttemptKey> {
@@ -22,9 +28,15 @@
     assert_eq!(flying.given_up(&id, CallId(1)), 1);
     assert!(flying.may_arrive(&id, &attempt(1)) && !flying.awaits_answer(&id, &attempt(1)));
     assert!(!flying.may_arrive(&"m-2".into(), &attempt(1)));
-    assert!(flying.settled(&id, CallId(9)).is_empty(), "unknown, or settled before");
+    assert!(
+        flying.settled(&id, CallId(9)).is_empty(),
+        "unknown, or settled before"
+    );
     flying.settled(&id, CallId(1));
-    assert!(flying.machines.is_empty(), "nothing is kept of what is settled");
+    assert!(
+        flying.machines.is_empty(),
+        "nothing is kept of what is settled"
+    );
 }
 
 /// A higher token or a later session makes void what was sent under an earlier one, and only that.
@@ -35,7 +47,10 @@
     flying.sent(&id, CallId(2), (Term(7), 1), starts(&[2]));
     flying.sent(&id, CallId(3), (Term(7), 2), starts(&[3]));
     flying.shown(&id, Term(5), 1);
-    assert!(flying.may_arrive(&id, &attempt(1)), "an older message of the worker proves nothing");
+    assert!(
+        flying.may_arrive(&id, &attempt(1)),
+        "an older message of the worker proves nothing"
+    );
     flying.shown(&id, Term(7), 1);
     assert!(!flying.may_arrive(&id, &attempt(1)) && flying.may_arrive(&id, &attempt(2)));
     flying.shown(&id, Term(6), 2);
--- a/src/core/status.rs
+++ b/src/core/status.rs
@@ -18,7 +18,14 @@
     /// An operator asks.
     pub(super) fn answer_status(&mut self, request: RequestId) {
         let body = Body::Status(Box::new(self.status()));
-        self.io.answer(request, Answer { status: 200, body, retry_after: None });
+        self.io.answer(
+            request,
+            Answer {
+                status: 200,
+                body,
+                retry_after: None,
+            },
+        );
     }
 
     fn status(&self) -> Status {
@@ -30,7 +37,13 @@
             leads: self.leads(now),
             entitled,
             grants_on: are_on(&self.config),
-            teams: self.config.deployment.teams.iter().map(|t| self.team_status(t)).collect(),
+            teams: self
+                .config
+                .deployment
+                .teams
+                .iter()
+                .map(|t| self.team_status(t))
+                .collect(),
             detection_on: self.acts_on_failures(),
             siblings: self.sibling_statuses(),
             hand_overs: self.hand_over_statuses(),
@@ -69,15 +82,27 @@
         let owners = self.view.owners();
         let mut owned: BTreeMap<Process, (usize, usize)> = BTreeMap::new();
         for owner in owners.teams.values() {
-            owned.entry((owner.node.clone(), owner.incarnation)).or_default().0 += 1;
+            owned
+                .entry((owner.node.clone(), owner.incarnation))
+                .or_default()
+                .0 += 1;
         }
         for owner in owners.machines.values() {
-            owned.entry((owner.node.clone(), owner.incarnation)).or_default().1 += 1;
+            owned
+                .entry((owner.node.clone(), owner.incarnation))
+                .or_default()
+                .1 += 1;
         }
         let status = |(process, (teams, machines)): (Process, (usize, usize))| {
             let waits_for = self.hand_over_wait(&process)?;
             let (controller, incarnation) = (process.0.to_string(), process.1);
-            Some(HandOverStatus { controller, incarnation, teams, machines, waits_for })
+            Some(HandOverStatus {
+                controller,
+                incarnation,
+                teams,
+                machines,
+                waits_for,
+            })
         };
         owned.into_iter().filter_map(status).collect()
     }
@@ -109,13 +134,21 @@
         });
         TeamStatus {
             team: limits.name.to_string(),
-            limit: Capacity { cpus: limits.cpus_max, gpus: limits.gpus_max },
-            guarantee: Capacity { cpus: limits.cpus, gpus: limits.gpus },
+            limit: Capacity {
+                cpus: limits.cpus_max,
+                gpus: limits.gpus_max,
+            },
+            guarantee: Capacity {
+                cpus: limits.cpus,
+                gpus: limits.gpus,
+            },
             owner: owner.map(|owner| owner.node.to_string()),
             grants_kept_since: since.map(|term| term.0),
             record: record_state(stored, since),
             grants: grants.collect(),
-            folded: ledger.map(|ledger| capacity(&ledger.folded())).unwrap_or_default(),
+            folded: ledger
+                .map(|ledger| capacity(&ledger.folded()))
+                .unwrap_or_default(),
             owned: self.owned_team_status(limits),
         }
     }
--- a/src/core/supply.rs
+++ b/src/core/supply.rs
@@ -71,7 +71,10 @@
 impl Need {
     /// Asks for a fresh token; whether that is news.
     pub fn raise(&mut self, id: &MachineId, token: Term) -> bool {
-        let news = !self.raise.iter().any(|(other, of)| other == id && *of == token);
+        let news = !self
+            .raise
+            .iter()
+            .any(|(other, of)| other == id && *of == token);
         if news {
             self.raise.push((id.clone(), token));
         }
@@ -84,7 +87,12 @@
 
     pub fn want(&mut self, want: Want) {
         match self.wants.last_mut() {
-            Some(last) if (Want { count: last.count, ..want.clone() }) == *last => {
+            Some(last)
+                if (Want {
+                    count: last.count,
+                    ..want.clone()
+                }) == *last =>
+            {
                 last.count += want.count;
             }
             _ => self.wants.push(want),
@@ -164,7 +172,10 @@
         let mut plan = Plan::new(types, &refused, self.bins(now), most_wanted(&self.config));
         // What is needed does not depend on how much of the limit is granted yet.
         let mut usage = self.usage(view, io.wall_ms).without_grants();
-        let Demand { pressing, opportunistic } = self.demand(catalog, &mut usage, now);
+        let Demand {
+            pressing,
+            opportunistic,
+        } = self.demand(catalog, &mut usage, now);
         for wanted in pressing {
             plan.serve(wanted, need);
         }
@@ -195,7 +206,11 @@
         });
         usable
             .map(|machine| {
-                let offer = (machine.type_name.clone(), machine.zone.clone(), machine.spot);
+                let offer = (
+                    machine.type_name.clone(),
+                    machine.zone.clone(),
+                    machine.spot,
+                );
                 let opportunistic = machine.opportunistic_room();
                 Bin {
                     free: machine.free_for_other_work(),
@@ -224,7 +239,12 @@
         let mut rentals = rentals_worth(types, busy.sum());
         let patience = self.config.deployment.workers.cancel_s * STARVED_CANCEL_TIMES;
         let without_machines = !self.has_machines();
-        for OpportunisticDemand { job, wanted, unserved_s } in demand {
+        for OpportunisticDemand {
+            job,
+            wanted,
+            unserved_s,
+        } in demand
+        {
             let out_of_patience = unserved_s > patience;
             if let Some(job) = self.jobs.get_mut(&job) {
                 job.starved |= out_of_patience;
@@ -243,11 +263,15 @@
         let types = catalog.types();
         let mut demand = Demand::default();
         for id in self.queue(usage, now) {
-            let Some(job) = self.jobs.get(&id) else { continue };
+            let Some(job) = self.jobs.get(&id) else {
+                continue;
+            };
             if job.failures.fails_everywhere() {
                 continue;
             }
-            let Some(limits) = limits(&self.config, &job.spec) else { continue };
+            let Some(limits) = limits(&self.config, &job.spec) else {
+                continue;
+            };
             let room = usage.room_in_limit(limits, &job.need(), job.waiting().len());
             usage.add_tasks(&limits.name, &job.need(), room);
             let count = room as u32;
@@ -255,10 +279,21 @@
             let avoided = job.failures.avoided().cloned().unwrap_or_default();
             let spares_gpus = self.spares_gpus(&id, catalog, now);
             let urgency = Some(job.priority);
-            let wanted = Wanted { spec, count, zones, avoided, urgency, spares_gpus };
+            let wanted = Wanted {
+                spec,
+                count,
+                zones,
+                avoided,
+                urgency,
+                spares_gpus,
+            };
             if job.is_opportunistic(&self.config) {
                 let unserved_s = unserved(job, now);
-                demand.opportunistic.push(OpportunisticDemand { job: id, wanted, unserved_s });
+                demand.opportunistic.push(OpportunisticDemand {
+                    job: id,
+                    wanted,
+                    unserved_s,
+                });
             } else {
                 demand.pressing.push(wanted);
             }
@@ -277,7 +312,10 @@
         let mut emptied = Vec::new();
         let kept_for_starved = self.machines_of_starved_jobs();
         for bin in bins {
-            let Some(machine) = bin.machine.as_ref().and_then(|id| self.machines.get_mut(id))
+            let Some(machine) = bin
+                .machine
+                .as_ref()
+                .and_then(|id| self.machines.get_mut(id))
             else {
                 continue;
             };
@@ -316,9 +354,14 @@
         need.roomy.sort_by(|a, b| b.1.total_cmp(&a.1));
         need.roomy.truncate(ROOMY);
         let waits = |team: &Team| {
-            self.jobs.values().any(|job| job.spec.team == *team && !job.waiting().is_empty())
+            self.jobs
+                .values()
+                .any(|job| job.spec.team == *team && !job.waiting().is_empty())
         };
-        let quiet = self.teams.iter().filter(|(name, t)| t.unsettled.is_empty() && !waits(name));
+        let quiet = self
+            .teams
+            .iter()
+            .filter(|(name, t)| t.unsettled.is_empty() && !waits(name));
         need.quiet = quiet.map(|(name, _)| name.clone()).collect();
     }
 }
--- a/src/core/task_index.rs
+++ b/src/core/task_index.rs
@@ -19,8 +19,12 @@
 
     /// An attempt of a job is not on a machine any more.
     pub fn remove(&mut self, job: &JobId, machine: &MachineId) {
-        let Some(machines) = self.attempts.get_mut(job) else { return };
-        let Some(count) = machines.get_mut(machine) else { return };
+        let Some(machines) = self.attempts.get_mut(job) else {
+            return;
+        };
+        let Some(count) = machines.get_mut(machine) else {
+            return;
+        };
         *count -= 1;
         if *count == 0 {
             machines.remove(machine);
@@ -32,6 +36,10 @@
 
     /// The machines on which tasks of a job may be.
     pub fn machines_of(&self, job: &JobId) -> Vec<MachineId> {
-        self.attempts.get(job).into_iter().flat_map(|machines| machines.keys().cloned()).collect()
+        self.attempts
+            .get(job)
+            .into_iter()
+            .flat_map(|machines| machines.keys().cloned())
+            .collect()
     }
 }
--- a/src/core/team_grants.rs
+++ b/src/core/team_grants.rs
@@ -25,7 +25,10 @@
 
 /// Whether grants of team limits are switched on here.
 pub fn are_on(config: &Config) -> bool {
-    config.features.headroom(config.deployment.workers.lease_s).is_some()
+    config
+        .features
+        .headroom(config.deployment.workers.lease_s)
+        .is_some()
 }
 
 /// A team's limit as the ledger counts it.
@@ -71,11 +74,17 @@
 
 impl TeamGrant {
     fn new(config: &Config, limits: &TeamLimits, incarnation: u64, term: Term) -> Option<Self> {
-        let headroom = config.features.headroom(config.deployment.workers.lease_s)?;
+        let headroom = config
+            .features
+            .headroom(config.deployment.workers.lease_s)?;
         let limit = limit_of(limits);
         quota_key(&limits.name)?;
         let node = config.node.to_string();
-        let id = HolderId { term: term.0, incarnation, node };
+        let id = HolderId {
+            term: term.0,
+            incarnation,
+            node,
+        };
         Some(Self {
             holder: Holder::new(id, limit, headroom),
             since: None,
@@ -112,7 +121,9 @@
             let (own, outstanding) = (self.holder.grant(), self.holder.outstanding());
             Basis::Granted { own, outstanding }
         } else {
-            Basis::Counting { beginning: self.holder.beginning() }
+            Basis::Counting {
+                beginning: self.holder.beginning(),
+            }
         };
     }
 
@@ -129,7 +140,12 @@
 impl Owner {
     /// A team is ours: its grant, if it has a limit and grants are on.
     pub(super) fn new_team_grant(&self, team: &Team, term: Term) -> Option<TeamGrant> {
-        TeamGrant::new(&self.config, self.config.team_limits(team)?, self.incarnation, term)
+        TeamGrant::new(
+            &self.config,
+            self.config.team_limits(team)?,
+            self.incarnation,
+            term,
+        )
     }
 
     /// Takes up what the view shows of the records of all our teams.
@@ -152,9 +168,13 @@
             if !io.may_write() {
                 return;
             }
-            let Some(team) = self.teams.get_mut(&name) else { continue };
+            let Some(team) = self.teams.get_mut(&name) else {
+                continue;
+            };
             let settled = team.unsettled.is_empty() && usage.is_known(&name);
-            let Some(grant) = &mut team.grant else { continue };
+            let Some(grant) = &mut team.grant else {
+                continue;
+            };
             if grant.refused {
                 if let Some(version) = view.ledger(&name).map(|stored| stored.version) {
                     self.remove_record(io, view, &name, version);
@@ -163,9 +183,21 @@
             }
             let (used, inherited) = usage.under_grants(&name);
             let (waiting, next) = usage.lacking(&name);
-            let ended = if settled { Ended::AllOthers } else { Ended::Nobody };
-            let demand = Demand { used, waiting, next, ended, inherited };
-            let Some(proposal) = grant.next_write(io.now, &demand) else { continue };
+            let ended = if settled {
+                Ended::AllOthers
+            } else {
+                Ended::Nobody
+            };
+            let demand = Demand {
+                used,
+                waiting,
+                next,
+                ended,
+                inherited,
+            };
+            let Some(proposal) = grant.next_write(io.now, &demand) else {
+                continue;
+            };
             self.write_record(io, view, &name, &proposal, true);
         }
     }
@@ -200,33 +232,57 @@
         proposal: &Proposal,
         proposed: bool,
     ) {
-        let (Some(key), Some(team)) = (quota_key(name), self.teams.get(name)) else { return };
+        let (Some(key), Some(team)) = (quota_key(name), self.teams.get(name)) else {
+            return;
+        };
         let write = put(&key, &proposal.ledger, None);
         let mut guards = vec![guard(&key, proposal.guard)];
         if proposed {
             guards.push(guard(&teams_key(), teams_version(view)));
         }
-        let pending = GrantWrite { team: name.clone(), term: team.term(), proposed, write };
+        let pending = GrantWrite {
+            team: name.clone(),
+            term: team.term(),
+            proposed,
+            write,
+        };
         self.commit_grant(io, guards, pending);
     }
 
     fn commit_grant(&mut self, io: &mut Io, guards: Vec<Guard>, pending: GrantWrite) {
-        let transaction = Transaction { guards, writes: vec![pending.write.clone()] };
+        let transaction = Transaction {
+            guards,
+            writes: vec![pending.write.clone()],
+        };
         self.record_rate.take(io.now);
         io.state(Pending::Grant(pending), StateCall::Commit(transaction));
     }
 
     /// Without a record nobody relies on it.
     fn remove_record(&mut self, io: &mut Io, view: &View, name: &Team, version: Version) {
-        let (Some(key), Some(team)) = (quota_key(name), self.teams.get_mut(name)) else { return };
+        let (Some(key), Some(team)) = (quota_key(name), self.teams.get_mut(name)) else {
+            return;
+        };
         let term = team.term();
-        let Some(grant) = team.grant.as_mut().filter(|grant| io.now >= grant.write_after) else {
+        let Some(grant) = team
+            .grant
+            .as_mut()
+            .filter(|grant| io.now >= grant.write_after)
+        else {
             return;
         };
         grant.write_after = io.now + io.jitter(FAILURE_PAUSE * 10.0);
-        let guards = vec![guard(&key, version), guard(&teams_key(), teams_version(view))];
+        let guards = vec![
+            guard(&key, version),
+            guard(&teams_key(), teams_version(view)),
+        ];
         let write = Write::Delete { key };
-        let pending = GrantWrite { team: name.clone(), term, proposed: false, write };
+        let pending = GrantWrite {
+            team: name.clone(),
+            term,
+            proposed: false,
+            write,
+        };
         self.commit_grant(io, guards, pending);
     }
 
@@ -244,8 +300,13 @@
             view.want_sync();
         }
         self.changed = true;
-        let team = self.teams.get_mut(&written.team).filter(|team| team.term() == written.term);
-        let Some(grant) = team.and_then(|team| team.grant.as_mut()) else { return };
+        let team = self
+            .teams
+            .get_mut(&written.team)
+            .filter(|team| team.term() == written.term);
+        let Some(grant) = team.and_then(|team| team.grant.as_mut()) else {
+            return;
+        };
         if !written.proposed {
             return;
         }
@@ -268,7 +329,9 @@
 }
 
 fn teams_version(view: &View) -> Version {
-    view.map().get(&teams_key()).map_or(0, |chunk| chunk.version)
+    view.map()
+        .get(&teams_key())
+        .map_or(0, |chunk| chunk.version)
 }
 
 impl Leader {
@@ -276,8 +339,9 @@
     pub(super) fn note_grant_keepers(&mut self, view: &View) {
         let records = view.nodes().values().map(|node| &node.record);
         let all = records.clone().all(|record| record.keeps_grants);
-        let keepers =
-            records.filter(|_| all).map(|record| (record.node.clone(), record.incarnation));
+        let keepers = records
+            .filter(|_| all)
+            .map(|record| (record.node.clone(), record.incarnation));
         self.grant_keepers = keepers.collect::<BTreeSet<(Node, u64)>>();
     }
 
@@ -286,8 +350,9 @@
         let unnoted = self.map.owners.teams.iter().filter(|(team, owner)| {
             !self.map.owners.grants_kept_since.contains_key(*team) && self.keeps_grants(owner)
         });
-        let unnoted: Vec<(Team, Term)> =
-            unnoted.map(|(team, owner)| (team.clone(), owner.term)).collect();
+        let unnoted: Vec<(Team, Term)> = unnoted
+            .map(|(team, owner)| (team.clone(), owner.term))
+            .collect();
         for (team, term) in unnoted {
             self.map.set_grants_kept_since(&team, Some(term));
         }
--- a/src/core/team_grants/tests.rs
+++ b/src/core/team_grants/tests.rs
@@ -51,7 +51,12 @@
         stored: Option<serde_json::Value>,
     ) -> Self {
         let (share, io, view) = share_with(config);
-        let mut scene = Self { share, io, view, version: 10 };
+        let mut scene = Self {
+            share,
+            io,
+            view,
+            version: 10,
+        };
         if let Some(value) = stored {
             scene.store(&value);
         }
@@ -61,20 +66,36 @@
 
     fn store(&mut self, value: &serde_json::Value) {
         self.version += 1;
-        let write = Write::Put { key: key(), value: value.clone(), lease: None };
+        let write = Write::Put {
+            key: key(),
+            value: value.clone(),
+            lease: None,
+        };
         self.view.apply_write(&write, self.version);
     }
 
     /// The map gives the team to this process of `node`.
     fn give(&mut self, node: &str, term: u64, since: Option<u64>) {
         self.version += 1;
-        let owner = MapOwner { term: Term(term), ..owner(node) };
-        let shares = vec![Share { owner, teams: vec![RED.into()], machines: vec!["m-1".into()] }];
+        let owner = MapOwner {
+            term: Term(term),
+            ..owner(node)
+        };
+        let shares = vec![Share {
+            owner,
+            teams: vec![RED.into()],
+            machines: vec!["m-1".into()],
+        }];
         let grants_kept_since = since.map(|since| (Team::from(RED), Term(since)));
-        let chunk = MapChunk { shares, grants_kept_since: grants_kept_since.into_iter().collect() };
-        self.view.apply_write(&put(&teams_key(), &chunk, None), self.version);
+        let chunk = MapChunk {
+            shares,
+            grants_kept_since: grants_kept_since.into_iter().collect(),
+        };
+        self.view
+            .apply_write(&put(&teams_key(), &chunk, None), self.version);
         let unresponsive = UnresponsiveMachines::default();
-        self.share.follow_map(&mut self.io, &self.view, &unresponsive);
+        self.share
+            .follow_map(&mut self.io, &self.view, &unresponsive);
         self.share.follow_grants(&self.view);
     }
 
@@ -85,11 +106,20 @@
     }
 
     fn settle(&mut self) {
-        self.share.teams.get_mut(&Team::from(RED)).unwrap().unsettled.clear();
+        self.share
+            .teams
+            .get_mut(&Team::from(RED))
+            .unwrap()
+            .unsettled
+            .clear();
     }
 
     fn basis(&self) -> Basis {
-        self.share.teams[&Team::from(RED)].grant.as_ref().unwrap().basis()
+        self.share.teams[&Team::from(RED)]
+            .grant
+            .as_ref()
+            .unwrap()
+            .basis()
     }
 
     fn usage(&self) -> Usage {
@@ -97,17 +127,26 @@
     }
 
     fn allows(&self, gpus: f64) -> bool {
-        self.usage().allows(&self.share.config.deployment.teams[0], 0.0, gpus)
+        self.usage()
+            .allows(&self.share.config.deployment.teams[0], 0.0, gpus)
     }
 
     /// A task that was started here runs.
     fn runs(&mut self, gpus: f64) {
         let machine = self.share.machines.get_mut(&"m-1".into()).unwrap();
         let mut tracked = TrackedAttempt::new(0.0);
-        tracked.room = Some(Resources { gpus, ..Resources::default() });
+        tracked.room = Some(Resources {
+            gpus,
+            ..Resources::default()
+        });
         tracked.team = Some(RED.into());
-        let task = TaskId { job: "req-000009".into(), index: 0 };
-        machine.attempts.insert((task, Attempt((9 << 16) + 1)), tracked);
+        let task = TaskId {
+            job: "req-000009".into(),
+            index: 0,
+        };
+        machine
+            .attempts
+            .insert((task, Attempt((9 << 16) + 1)), tracked);
     }
 
     /// What is written to the state service now.
@@ -118,18 +157,24 @@
     }
 
     fn effects(&mut self) -> Option<(CallId, Transaction)> {
-        self.io.take_effects().into_iter().find_map(|effect| match effect {
-            Effect::State(call, StateCall::Commit(transaction)) => Some((call, transaction)),
-            _ => None,
-        })
+        self.io
+            .take_effects()
+            .into_iter()
+            .find_map(|effect| match effect {
+                Effect::State(call, StateCall::Commit(transaction)) => Some((call, transaction)),
+                _ => None,
+            })
     }
 
     fn answer(&mut self, call: CallId, reply: StateReply) {
-        let Some(Pending::Grant(written)) = self.io.finish(call) else { panic!("a grant") };
+        let Some(Pending::Grant(written)) = self.io.finish(call) else {
+            panic!("a grant")
+        };
         if let StateReply::Committed(version) = reply {
             self.version = version;
         }
-        self.share.grant_written(&mut self.io, &mut self.view, written, reply);
+        self.share
+            .grant_written(&mut self.io, &mut self.view, written, reply);
         self.share.follow_grants(&self.view);
     }
 }
@@ -140,7 +185,11 @@
 
 /// A record that was begun under `began`, in which another process holds this much.
 fn held_by_other(began: u64, gpus: f64) -> serde_json::Value {
-    let holder = HolderId { term: began, incarnation: 7, node: "n1".into() };
+    let holder = HolderId {
+        term: began,
+        incarnation: 7,
+        node: "n1".into(),
+    };
     serde_json::to_value(TeamLedger::begin(&holder, Amount::covering(0.0, gpus))).unwrap()
 }
 
@@ -148,12 +197,23 @@
 fn a_new_owner_uses_what_is_not_granted_to_others() {
     let mut scene = Scene::new(9, Some(5), Some(held_by_other(5, 10.0)));
     assert_eq!(scene.basis(), Basis::Undecided);
-    assert!(!scene.allows(1.0), "there may be a record that it has not read");
+    assert!(
+        !scene.allows(1.0),
+        "there may be a record that it has not read"
+    );
     scene.synced();
     assert!(!scene.allows(1.0), "it has no grant yet");
     let (call, transaction) = scene.written().unwrap();
-    let guarded: Vec<&str> = transaction.guards.iter().map(|guard| guard.key.as_str()).collect();
-    assert_eq!(guarded, [key().as_str(), teams_key().as_str()], "fenced by the map");
+    let guarded: Vec<&str> = transaction
+        .guards
+        .iter()
+        .map(|guard| guard.key.as_str())
+        .collect();
+    assert_eq!(
+        guarded,
+        [key().as_str(), teams_key().as_str()],
+        "fenced by the map"
+    );
     scene.answer(call, StateReply::Committed(30));
     assert!(scene.allows(2.0), "its headroom, an eighth of the limit");
     assert!(!scene.allows(7.0), "10 of 16 are granted to another");
@@ -184,7 +244,10 @@
         assert!(scene.written().is_none(), "what runs is not known yet");
         scene.settle();
         let (_, transaction) = scene.written().unwrap();
-        assert_eq!(transaction.guards[0].version, 11, "in place of the damaged one");
+        assert_eq!(
+            transaction.guards[0].version, 11,
+            "in place of the damaged one"
+        );
     }
 }
 
@@ -195,11 +258,20 @@
     scene.settle();
     let (call, _) = scene.written().unwrap();
     scene.answer(call, StateReply::Unknown);
-    assert_eq!(scene.basis(), Basis::Counting { beginning: Some(Amount::covering(0.0, 2.0)) });
+    assert_eq!(
+        scene.basis(),
+        Basis::Counting {
+            beginning: Some(Amount::covering(0.0, 2.0))
+        }
+    );
     assert!(scene.allows(2.0) && !scene.allows(3.0));
     // It was carried out all the same, and others rely on it.
     let ledger = TeamLedger::begin(
-        &HolderId { term: 9, incarnation: 1, node: "n0".into() },
+        &HolderId {
+            term: 9,
+            incarnation: 1,
+            node: "n0".into(),
+        },
         Amount::covering(0.0, 2.0),
     );
     scene.store(&serde_json::to_value(ledger).unwrap());
@@ -216,8 +288,14 @@
     scene.answer(call, StateReply::Committed(30));
     scene.give("n1", 12, Some(9));
     let (_, transaction) = scene.effects().unwrap();
-    assert_eq!(transaction.guards.len(), 1, "it owns the team no more, and gives back only");
-    let Write::Put { value, .. } = &transaction.writes[0] else { panic!("a record") };
+    assert_eq!(
+        transaction.guards.len(),
+        1,
+        "it owns the team no more, and gives back only"
+    );
+    let Write::Put { value, .. } = &transaction.writes[0] else {
+        panic!("a record")
+    };
     let ledger = TeamLedger::decode(value).unwrap();
     assert!(ledger.grants().is_empty(), "nothing of it runs: {ledger:?}");
 }
@@ -232,7 +310,9 @@
     scene.runs(1.5);
     scene.give("n1", 12, Some(9));
     let (_, transaction) = scene.effects().unwrap();
-    let Write::Put { value, .. } = &transaction.writes[0] else { panic!("a record") };
+    let Write::Put { value, .. } = &transaction.writes[0] else {
+        panic!("a record")
+    };
     let ledger = TeamLedger::decode(value).unwrap();
     assert_eq!(ledger.grants()[0].amount, Amount::covering(0.0, 1.5));
 }
@@ -243,13 +323,27 @@
     let mut scene = Scene::new(9, Some(5), Some(held_by_other(5, 10.0)));
     scene.synced();
     let limits = scene.share.config.deployment.teams[0].clone();
-    let need = Resources { gpus: 1.0, ..Resources::default() };
+    let need = Resources {
+        gpus: 1.0,
+        ..Resources::default()
+    };
     let mut usage = scene.usage();
-    assert_eq!(usage.room_in_limit(&limits, &need, 16), 6, "of 16 others hold 10");
+    assert_eq!(
+        usage.room_in_limit(&limits, &need, 16),
+        6,
+        "of 16 others hold 10"
+    );
     assert_eq!(usage.room_in_grant(&limits, &need, 6, false), 0);
     let (waiting, next) = usage.lacking(&RED.into());
-    assert_eq!((waiting, next), (Amount::covering(0.0, 6.0), Amount::covering(0.0, 1.0)));
-    assert_eq!(usage.room_in_grant(&limits, &need, 6, true), 0, "a gang starts whole");
+    assert_eq!(
+        (waiting, next),
+        (Amount::covering(0.0, 6.0), Amount::covering(0.0, 1.0))
+    );
+    assert_eq!(
+        usage.room_in_grant(&limits, &need, 6, true),
+        0,
+        "a gang starts whole"
+    );
 }
 
 /// What others may have started counts up to what is granted to them, however much it might be.
@@ -260,13 +354,28 @@
     let (_, inherited) = scene.usage().under_grants(&RED.into());
     assert_eq!(inherited, Amount::ZERO, "nothing may run yet");
     let spec = record(false).spec.unwrap();
-    let mut waiting = JobRecord { tasks: 1000, ..record(false) };
-    waiting.spec = Some(Rc::new(JobSpec { tasks: 1000, ..(*spec).clone() }));
+    let mut waiting = JobRecord {
+        tasks: 1000,
+        ..record(false)
+    };
+    waiting.spec = Some(Rc::new(JobSpec {
+        tasks: 1000,
+        ..(*spec).clone()
+    }));
     let taken = ((0.0), 0);
-    scene.share.take_job(&scene.view, &"req-000001".into(), &Rc::new(waiting), 3, taken);
+    scene.share.take_job(
+        &scene.view,
+        &"req-000001".into(),
+        &Rc::new(waiting),
+        3,
+        taken,
+    );
     let (_, inherited) = scene.usage().under_grants(&RED.into());
     let expected = Amount::covering(1000.0, 10.0);
-    assert_eq!(inherited, expected, "of a thousand tasks that may run; CPUs are not limited");
+    assert_eq!(
+        inherited, expected,
+        "of a thousand tasks that may run; CPUs are not limited"
+    );
 }
 
 #[test]
@@ -282,13 +391,19 @@
         claims: Vec::new(),
     };
     let tell = |view: &mut View, node: &str, keeps: bool, version: Version| {
-        view.apply_write(&put(&node_key(&node.into()), &process(node, keeps), None), version);
+        view.apply_write(
+            &put(&node_key(&node.into()), &process(node, keeps), None),
+            version,
+        );
     };
     tell(&mut view, "n0", true, 1);
     tell(&mut view, "n1", false, 2);
     let mut leader = Leader::new(&config, 3, &view, 0.0);
     leader.note_grant_keepers(&view);
-    assert!(!leader.keeps_grants(&owner("n0")), "n1 would be asked to go on without");
+    assert!(
+        !leader.keeps_grants(&owner("n0")),
+        "n1 would be asked to go on without"
+    );
     tell(&mut view, "n1", true, 4);
     leader.note_grant_keepers(&view);
     assert!(leader.keeps_grants(&owner("n0")));
@@ -300,9 +415,15 @@
     scene.synced();
     let (call, _) = scene.written().unwrap();
     scene.answer(call, StateReply::Rejected);
-    assert!(!scene.allows(1.0), "others may rely on the record as long as it is there");
+    assert!(
+        !scene.allows(1.0),
+        "others may rely on the record as long as it is there"
+    );
     let (call, transaction) = scene.written().unwrap();
-    assert!(matches!(&transaction.writes[..], [Write::Delete { .. }]), "{transaction:?}");
+    assert!(
+        matches!(&transaction.writes[..], [Write::Delete { .. }]),
+        "{transaction:?}"
+    );
     scene.answer(call, StateReply::Committed(40));
     assert_eq!(scene.basis(), Basis::Counting { beginning: None });
     scene.settle();
@@ -313,11 +434,19 @@
 /// granted before.
 #[test]
 fn a_team_whose_limit_was_removed_starts_once_its_record_is_gone() {
-    let mut scene = Scene::with(config_with_limit(0.0), 9, Some(5), Some(held_by_other(5, 10.0)));
+    let mut scene = Scene::with(
+        config_with_limit(0.0),
+        9,
+        Some(5),
+        Some(held_by_other(5, 10.0)),
+    );
     scene.synced();
     assert!(!scene.allows(1.0));
     let (call, transaction) = scene.written().unwrap();
-    assert!(matches!(&transaction.writes[..], [Write::Delete { .. }]), "{transaction:?}");
+    assert!(
+        matches!(&transaction.writes[..], [Write::Delete { .. }]),
+        "{transaction:?}"
+    );
     scene.answer(call, StateReply::Committed(40));
     assert!(scene.allows(1000.0) && scene.written().is_none());
 }
@@ -344,7 +473,10 @@
     let team = Team::from(RED);
     let mut noted = Vec::new();
     for (index, (node, keeps)) in owners.iter().enumerate() {
-        let owner = MapOwner { term: Term(index as u64 + 1), ..owner(node) };
+        let owner = MapOwner {
+            term: Term(index as u64 + 1),
+            ..owner(node)
+        };
         map.carry_grants(&team, &owner, *keeps);
         map.set_team(&team, owner);
         noted.push(map.owners.grants_kept_since.get(&team).map(|term| term.0));
@@ -354,15 +486,25 @@
 
 #[test]
 fn one_owner_that_keeps_to_no_grants_breaks_the_chain() {
-    assert_eq!(noted(&[("n0", true), ("n1", true), ("n0", true)]), [Some(1), Some(1), Some(1)]);
-    assert_eq!(noted(&[("n0", true), ("n1", false), ("n0", true)]), [Some(1), None, Some(3)]);
+    assert_eq!(
+        noted(&[("n0", true), ("n1", true), ("n0", true)]),
+        [Some(1), Some(1), Some(1)]
+    );
+    assert_eq!(
+        noted(&[("n0", true), ("n1", false), ("n0", true)]),
+        [Some(1), None, Some(3)]
+    );
 }
 
 /// A leader of a version without grants writes the teams without the note.
 #[test]
 fn a_leader_that_knows_no_grants_leaves_the_note_out() {
     let chunk = MapChunk {
-        shares: vec![Share { owner: owner("n0"), teams: vec![RED.into()], machines: vec![] }],
+        shares: vec![Share {
+            owner: owner("n0"),
+            teams: vec![RED.into()],
+            machines: vec![],
+        }],
         grants_kept_since: [(Team::from(RED), Term(3))].into(),
     };
     let mut stored = serde_json::to_value(&chunk).unwrap();
--- a/src/core/test_support.rs
+++ b/src/core/test_support.rs
@@ -44,18 +44,35 @@
     let config = Rc::new(config);
     let rng = rand::rngs::StdRng::seed_from_u64(1);
     let io = Io::new(rng, &config);
-    (Owner::new(&config, 1, Hints::new(), 0.0), io, View::new(&config))
+    (
+        Owner::new(&config, 1, Hints::new(), 0.0),
+        io,
+        View::new(&config),
+    )
 }
 
 pub fn map(view: &mut View, version: Version, shares: Vec<Share>) {
     view.apply_write(
-        &put(&format!("{MAP_PREFIX}m0000"), &MapChunk { shares, ..MapChunk::default() }, None),
+        &put(
+            &format!("{MAP_PREFIX}m0000"),
+            &MapChunk {
+                shares,
+                ..MapChunk::default()
+            },
+            None,
+        ),
         version,
     );
 }
 
 pub fn owner(node: &str) -> MapOwner {
-    MapOwner { node: node.into(), incarnation: 1, term: Term(9), former: None, prior: None }
+    MapOwner {
+        node: node.into(),
+        incarnation: 1,
+        term: Term(9),
+        former: None,
+        prior: None,
+    }
 }
 
 /// A service of two tasks.
@@ -118,11 +135,15 @@
 /// `now`, where all of them are registered, and n0 leads; it holds its lease and a share without machines.
 pub fn running_core(siblings: usize, now: Time) -> Core {
     let mut settings = crate::config::TEST_SETTINGS.replace("\"n0\"", "\"n1\"");
-    let names: Vec<String> =
-        (0..=siblings).filter(|index| *index != 1).map(|index| format!("n{index}")).collect();
+    let names: Vec<String> = (0..=siblings)
+        .filter(|index| *index != 1)
+        .map(|index| format!("n{index}"))
+        .collect();
     for (port, name) in names.iter().enumerate() {
-        settings +=
-            &format!("[[siblings]]\nhost_name = \"{name}\"\naddr = \"127.0.0.1:{}\"\n", port + 10);
+        settings += &format!(
+            "[[siblings]]\nhost_name = \"{name}\"\naddr = \"127.0.0.1:{}\"\n",
+            port + 10
+        );
     }
     let mut config = Config::parse(&settings).unwrap();
     config.features = Features::parse(include_str!("../../deploy/failure-detection.toml")).unwrap();
@@ -133,15 +154,20 @@
         ..process("n1")
     };
     let records = names.iter().map(|name| process(name)).chain([own]);
-    let mut entries: Vec<Entry> =
-        records.map(|record| entry(&node_key(&record.node), &record)).collect();
+    let mut entries: Vec<Entry> = records
+        .map(|record| entry(&node_key(&record.node), &record))
+        .collect();
     entries.push(entry(LEADER_KEY, &process("n0")));
     let effects = core.step(now - 0.1, 0, Vec::new());
     let listing = effects.into_iter().find_map(|effect| match effect {
         Effect::State(call, StateCall::List { .. }) => Some(call),
         _ => None,
     });
-    let listed = StateReply::Listing(Listing { entries, more: false, revision: 20 });
+    let listed = StateReply::Listing(Listing {
+        entries,
+        more: false,
+        revision: 20,
+    });
     core.step(now, 0, vec![Input::State(listing.unwrap(), listed)]);
     core.authority.hold(OWN_LEASE, now);
     core.take_roles();
@@ -150,8 +176,14 @@
 }
 
 fn entry(key: &str, record: &ProcessRecord) -> Entry {
-    let Write::Put { value, .. } = put(key, record, None) else { panic!("a put") };
-    Entry { key: key.to_owned(), value, version: 10 }
+    let Write::Put { value, .. } = put(key, record, None) else {
+        panic!("a put")
+    };
+    Entry {
+        key: key.to_owned(),
+        value,
+        version: 10,
+    }
 }
 
 /// A sibling answers hellos that are sent every 0.4 s until `until`, as a process that reads the state service.
--- a/src/core/token_bucket.rs
+++ b/src/core/token_bucket.rs
@@ -13,7 +13,11 @@
 impl TokenBucket {
     /// A bucket for so many requests a second, with `tokens` of them to begin with.
     pub fn new(rate: f64, tokens: f64, now: Time) -> Self {
-        Self { rate, tokens, filled: now }
+        Self {
+            rate,
+            tokens,
+            filled: now,
+        }
     }
 
     /// Changes the rate from now on.
--- a/src/core/tracking.rs
+++ b/src/core/tracking.rs
@@ -31,7 +31,11 @@
     };
     let ended = report.tasks.iter().filter(over);
     ended
-        .map(|task| Order::Stop { task: task.task.clone(), attempt: task.attempt, grace_s: 0.0 })
+        .map(|task| Order::Stop {
+            task: task.task.clone(),
+            attempt: task.attempt,
+            grace_s: 0.0,
+        })
         .collect()
 }
 
@@ -76,13 +80,21 @@
         // an answer keeps its tasks alive, and with one owner after the other it might never get them.
         let orders = if machine.trusted {
             let orders = machine.orders(&self.starts_in_flight, Carrier::ReportAnswer);
-            self.starts_in_flight.answered(&id, report.session, orders.starts);
+            self.starts_in_flight
+                .answered(&id, report.session, orders.starts);
             orders.list
         } else {
             stops_of_ended(&report, view)
         };
-        let answer = ReportAnswer { token: machine.token, orders };
-        Some(Answer { status: 200, body: Body::Orders(answer), retry_after: None })
+        let answer = ReportAnswer {
+            token: machine.token,
+            orders,
+        };
+        Some(Answer {
+            status: 200,
+            body: Body::Orders(answer),
+            retry_after: None,
+        })
     }
 
     /// Takes up what a newer message of a machine says.
@@ -96,8 +108,11 @@
     ) {
         let now = io.now;
         let id = report.machine.clone();
-        self.starts_in_flight.shown(&id, report.token, report.session);
-        let Some(machine) = self.machines.get_mut(&id) else { return };
+        self.starts_in_flight
+            .shown(&id, report.token, report.session);
+        let Some(machine) = self.machines.get_mut(&id) else {
+            return;
+        };
         if new_session {
             // The earlier session's tasks are gone, and nothing sent in it will be executed. If
             // its lease ran out, answers may not reach it: it has to show a fresh token.
@@ -111,7 +126,9 @@
                 self.drop_attempt(&id, &task, attempt, now);
             }
         }
-        let Some(machine) = self.machines.get_mut(&id) else { return };
+        let Some(machine) = self.machines.get_mut(&id) else {
+            return;
+        };
         machine.leaves = report.notice_s.map(|left| now + left);
         self.changed |= machine.leaves.is_some();
         if report.token != machine.token {
@@ -143,14 +160,24 @@
         checkin: bool,
         now: Time,
     ) {
-        let Some(machine) = self.machines.get_mut(id) else { return };
+        let Some(machine) = self.machines.get_mut(id) else {
+            return;
+        };
         let mut gone = Vec::new();
-        for (key, tracked) in machine.attempts.iter_mut().filter(|(key, _)| !shown.contains(*key)) {
+        for (key, tracked) in machine
+            .attempts
+            .iter_mut()
+            .filter(|(key, _)| !shown.contains(*key))
+        {
             match tracked.phase {
                 Phase::Seen(_) | Phase::Exited(_) => gone.push(key.clone()),
                 Phase::Issued if checkin && !self.starts_in_flight.awaits_answer(id, key) => {
                     tracked.misses += 1;
-                    let patience = if tracked.stop.is_some() { 1 } else { REPORTS_WITHOUT_A_START };
+                    let patience = if tracked.stop.is_some() {
+                        1
+                    } else {
+                        REPORTS_WITHOUT_A_START
+                    };
                     if tracked.misses >= patience {
                         gone.push(key.clone());
                     }
@@ -158,7 +185,9 @@
                 Phase::Issued => {}
             }
         }
-        machine.suspect |= gone.iter().any(|key| machine.attempts[key].phase == Phase::Issued);
+        machine.suspect |= gone
+            .iter()
+            .any(|key| machine.attempts[key].phase == Phase::Issued);
         for (task, attempt) in gone {
             self.drop_attempt(id, &task, attempt, now);
         }
@@ -175,16 +204,21 @@
     ) {
         let now = io.now;
         let attempt = reported.attempt;
-        let Some(machine) = self.machines.get_mut(id) else { return };
+        let Some(machine) = self.machines.get_mut(id) else {
+            return;
+        };
         let stored = view.job(&task.job).map(|stored| &stored.record);
         let phase = match reported.state {
             TaskState::Exited => Phase::Exited(reported.why.unwrap_or(Exit::Other)),
             state => Phase::Seen(state),
         };
-        let tracked = machine.attempts.entry((task.clone(), attempt)).or_insert_with(|| {
-            self.task_index.add(&task.job, id);
-            TrackedAttempt::new(now)
-        });
+        let tracked = machine
+            .attempts
+            .entry((task.clone(), attempt))
+            .or_insert_with(|| {
+                self.task_index.add(&task.job, id);
+                TrackedAttempt::new(now)
+            });
         if tracked.team.is_none()
             && let Some(record) = stored
         {
@@ -200,13 +234,18 @@
         let news = std::mem::replace(&mut tracked.phase, phase.clone()) != phase;
         if tracked.has_image() && tracked.began.is_none() {
             tracked.began = Some(now);
-            tracing::debug!("{task} has its image on {id} after {:.1} s", now - tracked.issued);
+            tracing::debug!(
+                "{task} has its image on {id} after {:.1} s",
+                now - tracked.issued
+            );
             if let Some((image, gb)) = tracked.image.clone() {
                 machine.used_image(&image, gb);
             }
         }
         self.changed |= news;
-        let Some(tracked) = machine.attempts.get_mut(&(task.clone(), attempt)) else { return };
+        let Some(tracked) = machine.attempts.get_mut(&(task.clone(), attempt)) else {
+            return;
+        };
         let over = stored.is_some_and(|record| record.is_final());
         let Some(job) = self.jobs.get_mut(&task.job) else {
             // An accepted job that is over is stopped and forgotten. One of another owner's team
@@ -247,11 +286,17 @@
         why: Exit,
         now: Time,
     ) {
-        let Some(machine) = self.machines.get_mut(id) else { return };
+        let Some(machine) = self.machines.get_mut(id) else {
+            return;
+        };
         machine.note_end(&(task.clone(), attempt), now);
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
         let zone = machine.zone.clone();
-        let Some(tracked) = machine.attempts.get_mut(&(task.clone(), attempt)) else { return };
+        let Some(tracked) = machine.attempts.get_mut(&(task.clone(), attempt)) else {
+            return;
+        };
         let here = job.task(task.index) == Some(&Task::Placed(id.clone(), attempt));
         let zone = here.then_some(&zone);
         if why == Exit::Done && job.spec.kind != Kind::Service {
@@ -297,7 +342,9 @@
     /// other may start.
     fn attempt_lost(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) {
         let other = self.other_attempt(task);
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
         if job.task(task.index) != Some(&Task::Placed(id.clone(), attempt)) {
             return;
         }
@@ -314,10 +361,14 @@
     /// submitted with a mistake fails everywhere and says nothing of machines.
     fn judge_machine(&mut self, id: &MachineId, now: Time) {
         let jobs = &self.jobs;
-        let Some(machine) = self.machines.get_mut(id) else { return };
+        let Some(machine) = self.machines.get_mut(id) else {
+            return;
+        };
         machine.failed_jobs.retain(|job| jobs.contains_key(job));
         if self.seems_faulty(id) {
-            let Some(machine) = self.machines.get_mut(id) else { return };
+            let Some(machine) = self.machines.get_mut(id) else {
+                return;
+            };
             tracing::info!("{id} is set aside: tasks of several jobs fail on it alone");
             machine.aside_until = now + self.config.deployment.workers.lease_s * ASIDE_LEASES;
         }
@@ -326,7 +377,9 @@
     /// Several jobs have failed on this machine and nowhere else.
     fn seems_faulty(&self, id: &MachineId) -> bool {
         let here_only = |job: &&JobId| {
-            self.jobs.get(*job).is_some_and(|job| job.failures.on_one_machine_only())
+            self.jobs
+                .get(*job)
+                .is_some_and(|job| job.failures.on_one_machine_only())
         };
         let failed = self.machines.get(id).map(|machine| &machine.failed_jobs);
         failed.is_some_and(|failed| failed.iter().filter(here_only).count() >= 2)
@@ -356,7 +409,9 @@
         attempt: Attempt,
         now: Time,
     ) {
-        let Some(machine) = self.machines.get_mut(id) else { return };
+        let Some(machine) = self.machines.get_mut(id) else {
+            return;
+        };
         let key = (task.clone(), attempt);
         if self.starts_in_flight.may_arrive(id, &key) {
             machine.raise = true;
--- a/src/core/tracking/tests.rs
+++ b/src/core/tracking/tests.rs
@@ -23,10 +23,18 @@
 impl Fixture {
     fn new() -> Self {
         let (share, io, view) = share();
-        let mut fixture = Self { share, io, view, token: Term(9), sequence: 0 };
+        let mut fixture = Self {
+            share,
+            io,
+            view,
+            token: Term(9),
+            sequence: 0,
+        };
         fixture.give(5, owner("n0"), owner("n0"));
         let job = record(false);
-        fixture.view.apply_write(&put(&job_key(&JOB.into()), &job, None), 7);
+        fixture
+            .view
+            .apply_write(&put(&job_key(&JOB.into()), &job, None), 7);
         let (share, view) = (&mut fixture.share, &fixture.view);
         share.take_job(view, &JOB.into(), &Rc::new(job), 7, (0.0, 0));
         fixture.report("m-1", &[]);
@@ -36,8 +44,16 @@
 
     /// The map gives the first machine to one owner, and the second and the team to another.
     fn give(&mut self, version: u64, first: MapOwner, rest: MapOwner) {
-        let first = Share { owner: first, teams: vec![], machines: vec!["m-1".into()] };
-        let rest = Share { owner: rest, teams: vec!["red".into()], machines: vec!["m-2".into()] };
+        let first = Share {
+            owner: first,
+            teams: vec![],
+            machines: vec!["m-1".into()],
+        };
+        let rest = Share {
+            owner: rest,
+            teams: vec!["red".into()],
+            machines: vec!["m-2".into()],
+        };
         map(&mut self.view, version, vec![first, rest]);
         let quiet = UnresponsiveMachines::default();
         self.share.follow_map(&mut self.io, &self.view, &quiet);
@@ -45,8 +61,11 @@
 
     /// The leader takes the first machine off the map, for it is deleted.
     fn delete_first(&mut self) {
-        let rest =
-            Share { owner: owner("n0"), teams: vec!["red".into()], machines: vec!["m-2".into()] };
+        let rest = Share {
+            owner: owner("n0"),
+            teams: vec!["red".into()],
+            machines: vec!["m-2".into()],
+        };
         map(&mut self.view, 8, vec![rest]);
         let quiet = UnresponsiveMachines::default();
         self.share.follow_map(&mut self.io, &self.view, &quiet);
@@ -76,7 +95,9 @@
 
     fn checkin(&mut self, report: Report) -> Vec<Order> {
         let catalog = Catalog::default();
-        let answer = self.share.checkin(&mut self.io, &self.view, &catalog, report);
+        let answer = self
+            .share
+            .checkin(&mut self.io, &self.view, &catalog, report);
         match answer.unwrap().body {
             Body::Orders(answer) => answer.orders,
             _ => Vec::new(),
@@ -103,22 +124,27 @@
             images: Default::default(),
             contacts: Default::default(),
         };
-        self.share.take_update(&mut self.io, &self.view, &"n1".into(), 1, update);
+        self.share
+            .take_update(&mut self.io, &self.view, &"n1".into(), 1, update);
     }
 
     /// Starts a task on the first machine; the direct message that tells it so.
     fn start(&mut self, index: u32) -> CallId {
-        self.share.start(&JOB.into(), index, &"m-1".into(), Attempt(1), self.io.now);
+        self.share
+            .start(&JOB.into(), index, &"m-1".into(), Attempt(1), self.io.now);
         self.push().unwrap().0
     }
 
     /// The next direct message.
     fn push(&mut self) -> Option<(CallId, Vec<Order>)> {
         self.share.push_orders(&mut self.io);
-        self.io.take_effects().into_iter().find_map(|effect| match effect {
-            Effect::Worker(call, _, message) => Some((call, message.orders)),
-            _ => None,
-        })
+        self.io
+            .take_effects()
+            .into_iter()
+            .find_map(|effect| match effect {
+                Effect::Worker(call, _, message) => Some((call, message.orders)),
+                _ => None,
+            })
     }
 
     fn reply(&mut self, call: CallId, reply: WorkerReply) {
@@ -126,7 +152,8 @@
             panic!("not a direct message")
         };
         let view = &self.view;
-        self.share.orders_answered(&mut self.io, view, &machine, call, reply);
+        self.share
+            .orders_answered(&mut self.io, view, &machine, call, reply);
     }
 
     fn tracks(&self, index: u32) -> bool {
@@ -139,22 +166,40 @@
         let catalog = Catalog::default();
         let before: usize = self.share.machines.values().map(|m| m.attempts.len()).sum();
         for machine in self.share.machines.values_mut() {
-            machine.total = Resources { cpus: 9.0, gpus: 9.0, memory_gb: 9.0 };
+            machine.total = Resources {
+                cpus: 9.0,
+                gpus: 9.0,
+                memory_gb: 9.0,
+            };
             machine.fetch_rate = 1.0;
         }
         let mut usage = self.share.usage(&self.view, self.io.wall_ms);
         self.share.schedule(self.io.now, &mut usage, &catalog);
-        self.share.machines.values().map(|m| m.attempts.len()).sum::<usize>() - before
+        self.share
+            .machines
+            .values()
+            .map(|m| m.attempts.len())
+            .sum::<usize>()
+            - before
     }
 }
 
 fn task(index: u32) -> TaskId {
-    TaskId { job: JOB.into(), index }
+    TaskId {
+        job: JOB.into(),
+        index,
+    }
 }
 
 fn shows(index: u32, attempt: u64, state: TaskState, why: Option<Exit>) -> ReportedTask {
     let (task, attempt) = (task(index).to_string(), Attempt(attempt));
-    ReportedTask { task, attempt, state, why, saved: None }
+    ReportedTask {
+        task,
+        attempt,
+        state,
+        why,
+        saved: None,
+    }
 }
 
 fn refused_start(index: u32) -> ReportedTask {
@@ -162,7 +207,9 @@
 }
 
 fn forgets(orders: &[Order]) -> bool {
-    orders.iter().any(|order| matches!(order, Order::Forget { .. }))
+    orders
+        .iter()
+        .any(|order| matches!(order, Order::Forget { .. }))
 }
 
 /// Two messages with one start are under way; the later is refused, the earlier comes late.
@@ -173,7 +220,10 @@
     let refused = fixture.start(1);
     fixture.reply(refused, WorkerReply::NotSent);
     assert!(fixture.tracks(0), "its start may still arrive");
-    assert!(!fixture.tracks(1), "the only message with its start never left");
+    assert!(
+        !fixture.tracks(1),
+        "the only message with its start never left"
+    );
     fixture.reply(held_up, WorkerReply::Unknown);
     for _ in 0..5 {
         fixture.report("m-1", &[]);
@@ -200,10 +250,20 @@
     fixture.report("m-1", &[]);
     assert!(fixture.tracks(0));
     fixture.token = Term(11);
-    fixture.give(8, MapOwner { term: Term(11), ..owner("n0") }, owner("n0"));
+    fixture.give(
+        8,
+        MapOwner {
+            term: Term(11),
+            ..owner("n0")
+        },
+        owner("n0"),
+    );
     fixture.report("m-1", &[]);
     fixture.report("m-1", &[]);
-    assert!(!fixture.tracks(0), "void under the fresh token, and not there");
+    assert!(
+        !fixture.tracks(0),
+        "void under the fresh token, and not there"
+    );
 }
 
 /// What a worker has forgotten it would start again.
@@ -239,12 +299,29 @@
 fn a_message_of_a_former_stay_is_void_under_the_present_token() {
     let mut fixture = Fixture::new();
     let held_up = fixture.start(0);
-    fixture.give(8, MapOwner { term: Term(10), ..owner("n1") }, owner("n0"));
-    fixture.give(9, MapOwner { term: Term(11), ..owner("n0") }, owner("n0"));
+    fixture.give(
+        8,
+        MapOwner {
+            term: Term(10),
+            ..owner("n1")
+        },
+        owner("n0"),
+    );
+    fixture.give(
+        9,
+        MapOwner {
+            term: Term(11),
+            ..owner("n0")
+        },
+        owner("n0"),
+    );
     fixture.reply(held_up, WorkerReply::Unknown);
     assert!(fixture.tracks(0));
     fixture.token = Term(11);
-    assert!(forgets(&fixture.report("m-1", &[refused_start(0)])), "shown under the present token");
+    assert!(
+        forgets(&fixture.report("m-1", &[refused_start(0)])),
+        "shown under the present token"
+    );
 }
 
 /// A refusal that is heard after the machine has been elsewhere, before it has shown the new token.
@@ -253,8 +330,22 @@
     let mut fixture = Fixture::new();
     fixture.start(0);
     let refused = fixture.start(1);
-    fixture.give(8, MapOwner { term: Term(10), ..owner("n1") }, owner("n0"));
-    fixture.give(9, MapOwner { term: Term(11), ..owner("n0") }, owner("n0"));
+    fixture.give(
+        8,
+        MapOwner {
+            term: Term(10),
+            ..owner("n1")
+        },
+        owner("n0"),
+    );
+    fixture.give(
+        9,
+        MapOwner {
+            term: Term(11),
+            ..owner("n0")
+        },
+        owner("n0"),
+    );
     fixture.reply(refused, WorkerReply::NotSent);
     assert!(fixture.tracks(0));
 }
@@ -264,17 +355,29 @@
 fn a_task_waits_until_every_attempt_of_it_has_gone() {
     let mut fixture = Fixture::new();
     let first = fixture.start(0);
-    fixture.share.start(&JOB.into(), 1, &"m-1".into(), Attempt(1), 0.0);
+    fixture
+        .share
+        .start(&JOB.into(), 1, &"m-1".into(), Attempt(1), 0.0);
     let running = |index| shows(index, 1, TaskState::Running, None);
     let answer = fixture.shown("m-1", &[running(0), running(1)]);
     fixture.reply(first, WorkerReply::Executed(answer));
     fixture.report("m-2", &[shows(0, 2, TaskState::Running, None)]);
     let failed = shows(0, 1, TaskState::Exited, Some(Exit::Stopped));
     fixture.report("m-1", &[failed.clone(), running(1)]);
-    assert_eq!(fixture.started_in_a_round(), 0, "it is on the second machine");
-    fixture.report("m-2", &[shows(0, 2, TaskState::Exited, Some(Exit::Stopped))]);
+    assert_eq!(
+        fixture.started_in_a_round(),
+        0,
+        "it is on the second machine"
+    );
+    fixture.report(
+        "m-2",
+        &[shows(0, 2, TaskState::Exited, Some(Exit::Stopped))],
+    );
     assert_eq!(fixture.started_in_a_round(), 1);
-    assert_eq!(fixture.share.starts_held_back, 0, "known, so the last guard was not needed");
+    assert_eq!(
+        fixture.share.starts_held_back, 0,
+        "known, so the last guard was not needed"
+    );
 }
 
 /// A refused message whose start is also in the answer to a report: the task is kept, and nothing is to
@@ -301,7 +404,10 @@
     };
     assert!(tracked_after(|_| {}));
     assert!(!tracked_after(|fixture| {
-        let later = Report { session: 2, ..fixture.shown("m-1", &[]) };
+        let later = Report {
+            session: 2,
+            ..fixture.shown("m-1", &[])
+        };
         fixture.checkin(later);
     }));
     assert!(!tracked_after(|fixture| {
@@ -310,7 +416,14 @@
     }));
     assert!(!tracked_after(Fixture::delete_first));
     assert!(!tracked_after(|fixture| {
-        fixture.give(8, MapOwner { term: Term(10), ..owner("n1") }, owner("n0"));
+        fixture.give(
+            8,
+            MapOwner {
+                term: Term(10),
+                ..owner("n1")
+            },
+            owner("n0"),
+        );
         fixture.observe(Term(10));
     }));
 }
@@ -322,16 +435,33 @@
     let late = fixture.start(0);
     let older = fixture.clone_of_last("m-1");
     fixture.reply(late, WorkerReply::Executed(older));
-    assert!(fixture.tracks(0), "the answer is older than what was taken up");
+    assert!(
+        fixture.tracks(0),
+        "the answer is older than what was taken up"
+    );
     fixture.share.stop(&"m-1".into(), &task(0), Attempt(1), 0.0);
-    fixture.give(8, MapOwner { term: Term(11), ..owner("n0") }, owner("n0"));
+    fixture.give(
+        8,
+        MapOwner {
+            term: Term(11),
+            ..owner("n0")
+        },
+        owner("n0"),
+    );
     for _ in 0..5 {
         fixture.report("m-1", &[]);
     }
     assert!(fixture.tracks(0), "shown under a lower token");
     fixture.observe(Term(9));
     assert!(fixture.tracks(0), "not the owner of the machine");
-    fixture.give(9, MapOwner { term: Term(12), ..owner("n1") }, owner("n0"));
+    fixture.give(
+        9,
+        MapOwner {
+            term: Term(12),
+            ..owner("n1")
+        },
+        owner("n0"),
+    );
     fixture.observe(Term(9));
     assert!(fixture.tracks(0), "an earlier term");
     fixture.observe(Term(12));
@@ -345,7 +475,11 @@
     fixture.start(0);
     let job = fixture.share.jobs.get_mut(&JOB.into()).unwrap();
     job.set(0, Task::Waiting, None);
-    assert_eq!(fixture.started_in_a_round(), 1, "the other task of the job only");
+    assert_eq!(
+        fixture.started_in_a_round(),
+        1,
+        "the other task of the job only"
+    );
     assert_eq!(fixture.share.starts_held_back, 1);
 }
 
@@ -358,13 +492,18 @@
     for attempt in 1..=GIVEN_UP_MESSAGES {
         assert!(!raised(&fixture));
         let number = Attempt(attempt as u64);
-        fixture.share.start(&JOB.into(), 0, &"m-1".into(), number, 0.0);
+        fixture
+            .share
+            .start(&JOB.into(), 0, &"m-1".into(), number, 0.0);
         let (call, orders) = fixture.push().unwrap();
-        let starts = orders.iter().filter(|order| matches!(order, Order::Start { .. }));
+        let starts = orders
+            .iter()
+            .filter(|order| matches!(order, Order::Start { .. }));
         assert_eq!(starts.count(), 1, "what was seen needs no other start");
         fixture.reply(call, WorkerReply::Unknown);
-        let running: Vec<ReportedTask> =
-            (1..=attempt as u64).map(|number| shows(0, number, TaskState::Running, None)).collect();
+        let running: Vec<ReportedTask> = (1..=attempt as u64)
+            .map(|number| shows(0, number, TaskState::Running, None))
+            .collect();
         fixture.report("m-1", &running);
     }
     assert!(raised(&fixture));
--- a/src/core/unresponsive.rs
+++ b/src/core/unresponsive.rs
@@ -58,7 +58,10 @@
 
     /// When the machine was last answered, if it is not answered under this term any more.
     pub fn answered(&self, machine: &MachineId, term: Term) -> Option<Time> {
-        self.0.get(machine).filter(|(of, _)| *of == term).map(|(_, answered)| *answered)
+        self.0
+            .get(machine)
+            .filter(|(of, _)| *of == term)
+            .map(|(_, answered)| *answered)
     }
 }
 
--- a/src/core/upcoming.rs
+++ b/src/core/upcoming.rs
@@ -36,7 +36,9 @@
         let ending = self.ending_jobs(now + longest_boot(types));
         let mut wanted = Vec::new();
         for spec in self.ready_after(view, &ending) {
-            let Some(limits) = limits(&self.config, &spec) else { continue };
+            let Some(limits) = limits(&self.config, &spec) else {
+                continue;
+            };
             let need = Resources::of(&spec);
             let count = usage.room_in_limit(limits, &need, spec.tasks as usize);
             usage.add_tasks(&limits.name, &need, count);
@@ -45,7 +47,10 @@
         if wanted.is_empty() {
             return Upcoming::default();
         }
-        Upcoming { wanted, released: self.room_of(&ending) }
+        Upcoming {
+            wanted,
+            released: self.room_of(&ending),
+        }
     }
 
     /// Jobs all of whose unfinished tasks run and are expected to be done by then.
@@ -67,13 +72,19 @@
                 && job.unsettled() == 0
                 && last_end.get(id).is_none_or(|end| *end <= by)
         };
-        self.jobs.iter().filter(|(id, job)| ends(id, job)).map(|(id, _)| id).collect()
+        self.jobs
+            .iter()
+            .filter(|(id, job)| ends(id, job))
+            .map(|(id, _)| id)
+            .collect()
     }
 
     /// Jobs of our teams that need nothing but what is done or in `ending`.
     fn ready_after(&self, view: &View, ending: &BTreeSet<&JobId>) -> Vec<Rc<JobSpec>> {
-        let done =
-            |id: &JobId| view.job(id).is_some_and(|job| job.record.stance == JobStatus::Done);
+        let done = |id: &JobId| {
+            view.job(id)
+                .is_some_and(|job| job.record.stance == JobStatus::Done)
+        };
         let dependents: BTreeSet<&JobId> =
             ending.iter().flat_map(|id| view.dependents(id)).collect();
         let mut specs = Vec::new();
@@ -82,8 +93,13 @@
                 continue;
             };
             let record: &JobRecord = &job.record;
-            let Some(spec) = record.spec.as_ref().filter(|_| !record.is_final()) else { continue };
-            let ready = spec.dependencies.iter().all(|id| done(id) || ending.contains(id));
+            let Some(spec) = record.spec.as_ref().filter(|_| !record.is_final()) else {
+                continue;
+            };
+            let ready = spec
+                .dependencies
+                .iter()
+                .all(|id| done(id) || ending.contains(id));
             if ready && self.teams.contains_key(&spec.team) {
                 specs.push(spec.clone());
             }
--- a/src/core/upcoming/tests.rs
+++ b/src/core/upcoming/tests.rs
@@ -18,7 +18,10 @@
     let needs: Vec<String> = needs.iter().map(|id| format!("{id:06}")).collect();
     spec["aw"] = needs.join(" ").into();
     let stored = serde_json::json!({"s": "pending", "at": 0, "n": tasks, "j": spec});
-    (JobId::from(format!("req-{id:06}")), serde_json::from_value(stored).unwrap())
+    (
+        JobId::from(format!("req-{id:06}")),
+        serde_json::from_value(stored).unwrap(),
+    )
 }
 
 struct Share {
@@ -31,15 +34,24 @@
     fn new() -> Self {
         let (mut owner, mut io, mut view) = share();
         let machines = vec!["m-1".into()];
-        let mine = MapShare { owner: map_owner("n0"), teams: vec!["red".into()], machines };
+        let mine = MapShare {
+            owner: map_owner("n0"),
+            teams: vec!["red".into()],
+            machines,
+        };
         map(&mut view, 1, vec![mine]);
         owner.follow_map(&mut io, &view, &UnresponsiveMachines::default());
         Self { owner, io, view }
     }
 
     fn accept(&mut self, (id, record): (JobId, JobRecord), version: Version) {
-        self.view.apply_write(&put(&job_key(&id), &record, None), version);
-        if record.spec.as_ref().is_some_and(|spec| spec.dependencies.is_empty()) {
+        self.view
+            .apply_write(&put(&job_key(&id), &record, None), version);
+        if record
+            .spec
+            .as_ref()
+            .is_some_and(|spec| spec.dependencies.is_empty())
+        {
             let spec = record.spec.clone().unwrap();
             let job = Job::new(spec, Rc::new(record), version, 0.0, true);
             self.owner.jobs.insert(id, job);
@@ -54,16 +66,32 @@
         describe(&mut tracked, &self.owner.config, &job.spec);
         tracked.phase = Phase::Seen(TaskState::Running);
         tracked.began = began;
-        job.set(index, super::super::jobs::Task::Placed("m-1".into(), Attempt(1)), None);
-        let machine = self.owner.machines.get_mut(&MachineId::from("m-1")).unwrap();
-        machine.attempts.insert((TaskId { job: id, index }, Attempt(1)), tracked);
+        job.set(
+            index,
+            super::super::jobs::Task::Placed("m-1".into(), Attempt(1)),
+            None,
+        );
+        let machine = self
+            .owner
+            .machines
+            .get_mut(&MachineId::from("m-1"))
+            .unwrap();
+        machine
+            .attempts
+            .insert((TaskId { job: id, index }, Attempt(1)), tracked);
     }
 
     fn upcoming(&mut self, now: Time) -> Upcoming {
         self.io.begin(now, 0);
-        let types: Vec<_> =
-            types().into_iter().map(|t| MachineType { boot_s: BOOT_S, ..t }).collect();
-        self.owner.upcoming(&self.view, Usage::default(), &types, now)
+        let types: Vec<_> = types()
+            .into_iter()
+            .map(|t| MachineType {
+                boot_s: BOOT_S,
+                ..t
+            })
+            .collect();
+        self.owner
+            .upcoming(&self.view, Usage::default(), &types, now)
     }
 }
 
@@ -79,13 +107,22 @@
     assert!(share.upcoming(20.0).wanted.is_empty(), "a task of it waits");
     share.run(1, 1, None);
     share.run(2, 0, Some(0.0));
-    assert!(share.upcoming(20.0).wanted.is_empty(), "a task of it fetches its image");
+    assert!(
+        share.upcoming(20.0).wanted.is_empty(),
+        "a task of it fetches its image"
+    );
     share.run(1, 1, Some(8.0));
-    assert!(share.upcoming(17.0).wanted.is_empty(), "more than a boot away");
+    assert!(
+        share.upcoming(17.0).wanted.is_empty(),
+        "more than a boot away"
+    );
     let upcoming = share.upcoming(18.0);
     assert_eq!(upcoming.wanted.len(), 1, "not what comes after that");
     assert_eq!(upcoming.wanted[0].count, 5);
-    assert_eq!(upcoming.released[0].1.cpus, 3.0, "in the room that is left behind");
+    assert_eq!(
+        upcoming.released[0].1.cpus, 3.0,
+        "in the room that is left behind"
+    );
 }
 
 /// Nothing is planned for what will not come, or is another share's to wait for.
@@ -99,9 +136,18 @@
     share.run(2, 0, Some(0.0));
     assert_eq!(share.upcoming(20.0).wanted.len(), 1);
     let elsewhere = share.owner.jobs.remove(&JobId::from("req-000002"));
-    assert!(share.upcoming(20.0).wanted.is_empty(), "runs in another share");
-    share.owner.jobs.insert("req-000002".into(), elsewhere.unwrap());
+    assert!(
+        share.upcoming(20.0).wanted.is_empty(),
+        "runs in another share"
+    );
+    share
+        .owner
+        .jobs
+        .insert("req-000002".into(), elsewhere.unwrap());
     let (id, cancelled) = record(2, 1, &[]);
     share.accept((id, cancelled.cancelled(1)), 5);
-    assert!(share.upcoming(20.0).wanted.is_empty(), "cancelled with what it needs");
+    assert!(
+        share.upcoming(20.0).wanted.is_empty(),
+        "cancelled with what it needs"
+    );
 }
--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -66,8 +66,14 @@
     fn ask(&mut self, reply_to: ReplyTo, what: UserRequest) {
         let now = self.io.now;
         let (needs, not_before) = (now, now);
-        let asked =
-            WaitingRequest { reply_to, what, asked: now, needs, not_before, created: false };
+        let asked = WaitingRequest {
+            reply_to,
+            what,
+            asked: now,
+            needs,
+            not_before,
+            created: false,
+        };
         let limit = self.config.deployment.limits.mem_mb * WAITING_PER_MB;
         if !self.view.complete() || self.user_requests.waiting.len() as f64 > limit {
             return self.give_up(asked);
@@ -89,7 +95,9 @@
     }
 
     fn create(&mut self, mut asked: WaitingRequest) {
-        let UserRequest::Submit(id, spec) = &asked.what else { return };
+        let UserRequest::Submit(id, spec) = &asked.what else {
+            return;
+        };
         let record = JobRecord {
             stance: JobStatus::Pending,
             accepted_ms: self.io.wall_ms,
@@ -104,7 +112,10 @@
         let Some(never) = self.catalog.refusal(&self.config, spec) else {
             return self.give_up(asked);
         };
-        let unknown = spec.dependencies.iter().any(|needed| self.view.job(needed).is_none());
+        let unknown = spec
+            .dependencies
+            .iter()
+            .any(|needed| self.view.job(needed).is_none());
         let refusal = match write.bytes() as f64 > self.config.deployment.state.value_kb * 1024.0 {
             _ if never => Some("can never run"),
             _ if unknown => Some("awaits: a job that was never accepted"),
@@ -124,7 +135,10 @@
             return self.reply(asked.reply_to, answer);
         }
         // Recorded as cancelled from the start, so that its user can be told so.
-        let cancelled = spec.dependencies.iter().any(|needed| self.view.cancelled(needed));
+        let cancelled = spec
+            .dependencies
+            .iter()
+            .any(|needed| self.view.cancelled(needed));
         let write = match cancelled {
             true => put(&key, &record.cancelled_unstarted(self.io.wall_ms), None),
             false => write,
@@ -138,10 +152,13 @@
             asked.not_before = self.io.write_resumes();
             return self.user_requests.waiting.push(asked);
         }
-        let transaction =
-            Transaction { guards: vec![guard(&key, version)], writes: vec![write.clone()] };
+        let transaction = Transaction {
+            guards: vec![guard(&key, version)],
+            writes: vec![write.clone()],
+        };
         let call = UserWrite { asked, write };
-        self.io.state(Pending::UserWrite(call), StateCall::Commit(transaction));
+        self.io
+            .state(Pending::UserWrite(call), StateCall::Commit(transaction));
     }
 
     pub(super) fn user_write_answered(&mut self, call: UserWrite, reply: StateReply) {
@@ -150,7 +167,9 @@
         match reply {
             StateReply::Committed(version) => {
                 let before = self.view.job(asked.what.job());
-                let team = before.and_then(|job| job.record.spec.as_ref()).map(|s| s.team.clone());
+                let team = before
+                    .and_then(|job| job.record.spec.as_ref())
+                    .map(|s| s.team.clone());
                 self.view.apply_write(&write, version);
                 self.view.want_sync();
                 match &asked.what {
@@ -209,7 +228,10 @@
             (_, None) => self.reply(asked.reply_to, Answer::empty(404)),
             (UserRequest::Submit(..), Some(job)) => {
                 let stance = self.display(&id, &job.record).0;
-                self.reply(asked.reply_to, Answer::value(200, status_answer(&id, stance)));
+                self.reply(
+                    asked.reply_to,
+                    Answer::value(200, status_answer(&id, stance)),
+                );
             }
             (UserRequest::Poll(_), Some(job)) => {
                 let (stance, done, running) = self.display(&id, &job.record);
@@ -245,9 +267,14 @@
             JobStatus::Cancelled => (JobStatus::Cancelled, 0, 0),
             _ => {
                 let counts = self.owner.as_ref().and_then(|owner| owner.counts(id));
-                let (done, running) =
-                    counts.or_else(|| self.peers.running(id)).unwrap_or((record.done.len(), 0));
-                let stance = if running > 0 { JobStatus::Running } else { JobStatus::Pending };
+                let (done, running) = counts
+                    .or_else(|| self.peers.running(id))
+                    .unwrap_or((record.done.len(), 0));
+                let stance = if running > 0 {
+                    JobStatus::Running
+                } else {
+                    JobStatus::Pending
+                };
                 (stance, done, running)
             }
         }
@@ -258,7 +285,8 @@
         let owner = team.and_then(|team| self.view.owners().teams.get(team));
         let node = owner.map(|owner| owner.node.clone());
         if let Some(node) = node.filter(|node| *node != self.config.node) {
-            self.io.mesh(Pending::Notice, &node, MeshMessage::Cancelled(id.clone()));
+            self.io
+                .mesh(Pending::Notice, &node, MeshMessage::Cancelled(id.clone()));
         }
     }
 
@@ -295,8 +323,19 @@
                     Body::Value(body) => Some(body),
                     Body::Empty | Body::Orders(_) | Body::Status(_) => None,
                 };
-                let Answer { status, retry_after, .. } = answer;
-                self.io.mesh_answer(request, MeshReply::Answer { status, body, retry_after });
+                let Answer {
+                    status,
+                    retry_after,
+                    ..
+                } = answer;
+                self.io.mesh_answer(
+                    request,
+                    MeshReply::Answer {
+                        status,
+                        body,
+                        retry_after,
+                    },
+                );
             }
         }
     }
--- a/src/core/view.rs
+++ b/src/core/view.rs
@@ -91,20 +91,53 @@
 
 impl From<StoredJob> for JobRecord {
     fn from(stored: StoredJob) -> Self {
-        let StoredJob { stance, accepted_ms, tasks, done, ended_ms, leaving, .. } = stored;
+        let StoredJob {
+            stance,
+            accepted_ms,
+            tasks,
+            done,
+            ended_ms,
+            leaving,
+            ..
+        } = stored;
         let spec = stored.spec.or(stored.dependent);
-        Self { stance, accepted_ms, tasks, done, spec, ended_ms, leaving }
+        Self {
+            stance,
+            accepted_ms,
+            tasks,
+            done,
+            spec,
+            ended_ms,
+            leaving,
+        }
     }
 }
 
 impl From<JobRecord> for StoredJob {
     fn from(record: JobRecord) -> Self {
-        let JobRecord { stance, accepted_ms, tasks, done, spec, ended_ms, leaving } = record;
+        let JobRecord {
+            stance,
+            accepted_ms,
+            tasks,
+            done,
+            spec,
+            ended_ms,
+            leaving,
+        } = record;
         let (dependent, spec) = match spec {
             Some(spec) if !spec.dependencies.is_empty() => (Some(spec), None),
             spec => (None, spec),
         };
-        Self { stance, accepted_ms, tasks, done, spec, dependent, ended_ms, leaving }
+        Self {
+            stance,
+            accepted_ms,
+            tasks,
+            done,
+            spec,
+            dependent,
+            ended_ms,
+            leaving,
+        }
     }
 }
 
@@ -126,7 +159,13 @@
 
     pub fn done(&self, wall_ms: u64) -> Self {
         let (done, ended_ms) = (Ranges::default(), Some(wall_ms));
-        Self { stance: JobStatus::Done, done, spec: None, ended_ms, ..self.clone() }
+        Self {
+            stance: JobStatus::Done,
+            done,
+            spec: None,
+            ended_ms,
+            ..self.clone()
+        }
     }
 
     pub fn cancelled(&self, wall_ms: u64) -> Self {
@@ -135,13 +174,20 @@
             tasks: self.tasks.saturating_sub(self.done.len()),
             need: Resources::of(spec),
         });
-        Self { stance: JobStatus::Cancelled, leaving, ..self.done(wall_ms) }
+        Self {
+            stance: JobStatus::Cancelled,
+            leaving,
+            ..self.done(wall_ms)
+        }
     }
 
     /// Cancelled with what it needs: that was never done, so none of its tasks ever began.
     pub fn cancelled_unstarted(&self, wall_ms: u64) -> Self {
         let mut record = self.cancelled(wall_ms);
-        record.leaving.iter_mut().for_each(|leaving| leaving.tasks = 0);
+        record
+            .leaving
+            .iter_mut()
+            .for_each(|leaving| leaving.tasks = 0);
         record
     }
 }
@@ -297,7 +343,8 @@
 
     /// Whether the key of this very process is there.
     pub fn is_registered(&self, node: &Node, incarnation: u64) -> bool {
-        self.node(node).is_some_and(|n| n.record.incarnation == incarnation)
+        self.node(node)
+            .is_some_and(|n| n.record.incarnation == incarnation)
     }
 
     pub fn nodes(&self) -> &BTreeMap<Node, Versioned<ProcessRecord>> {
@@ -340,7 +387,8 @@
         let (jobs, revision) = (&self.jobs, self.revision);
         // What is over only has to stop, so that need not wait.
         let early = |id: &JobId| {
-            jobs.get(id).is_some_and(|job| job.version > revision && !job.record.is_final())
+            jobs.get(id)
+                .is_some_and(|job| job.version > revision && !job.record.is_final())
         };
         let changed = std::mem::take(&mut self.changed);
         let (wait, changed) = changed.into_iter().partition(early);
@@ -387,7 +435,11 @@
     fn put(&mut self, key: &str, value: &Value, version: Version) {
         if let Some(id) = key.strip_prefix(JOB_PREFIX) {
             let id = JobId::from(id);
-            if self.jobs.get(&id).is_some_and(|known| known.version >= version) {
+            if self
+                .jobs
+                .get(&id)
+                .is_some_and(|known| known.version >= version)
+            {
                 return;
             }
             let Ok(record) = JobRecord::deserialize(value) else {
@@ -396,7 +448,11 @@
             };
             return self.put_job(id, record, version);
         }
-        if self.removed.get(key).is_some_and(|removed| *removed >= version) {
+        if self
+            .removed
+            .get(key)
+            .is_some_and(|removed| *removed >= version)
+        {
             return;
         }
         if key == LEADER_KEY {
@@ -423,7 +479,11 @@
     }
 
     fn put_ledger(&mut self, team: Team, value: &Value, version: Version) {
-        if self.ledgers.get(&team).is_some_and(|known| known.version >= version) {
+        if self
+            .ledgers
+            .get(&team)
+            .is_some_and(|known| known.version >= version)
+        {
             return;
         }
         // Logged once for each stored value; the team falls back to what holds without a record.
@@ -434,7 +494,11 @@
     }
 
     fn put_job(&mut self, id: JobId, record: JobRecord, version: Version) {
-        if self.jobs.get(&id).is_some_and(|known| known.version >= version) {
+        if self
+            .jobs
+            .get(&id)
+            .is_some_and(|known| known.version >= version)
+        {
             return;
         }
         if record.is_final() {
@@ -443,9 +507,16 @@
         }
         let jobs = &self.jobs;
         let job = |id: &JobId| jobs.get(id).map(|job| &*job.record);
-        self.dependencies.take(&id, job(&id), &record, job, &mut self.changed);
+        self.dependencies
+            .take(&id, job(&id), &record, job, &mut self.changed);
         self.changed.insert(id.clone());
-        self.jobs.insert(id, Versioned { version, record: Rc::new(record) });
+        self.jobs.insert(
+            id,
+            Versioned {
+                version,
+                record: Rc::new(record),
+            },
+        );
     }
 
     /// Whether a job that is not over needs one that is cancelled: it is as cancelled as that.
@@ -474,8 +545,11 @@
         let needed = record.spec.iter().flat_map(|spec| &spec.dependencies);
         let mut latest = record.accepted_ms;
         for needed in needed {
-            let needed =
-                &self.jobs.get(needed).filter(|n| n.record.stance == JobStatus::Done)?.record;
+            let needed = &self
+                .jobs
+                .get(needed)
+                .filter(|n| n.record.stance == JobStatus::Done)?
+                .record;
             // An older version did not record the time.
             latest = latest.max(needed.ended_ms.unwrap_or(needed.accepted_ms));
         }
@@ -489,7 +563,11 @@
 
     /// What this view knows of final states after `from`, a page of it.
     pub fn finals_after(&self, from: Version) -> Finals {
-        let mut finals = Finals { upto: self.revision, complete: true, jobs: Vec::new() };
+        let mut finals = Finals {
+            upto: self.revision,
+            complete: true,
+            jobs: Vec::new(),
+        };
         for (version, id) in self.finals.range((from + 1, JobId::from(""))..) {
             // States of one transaction share a version, and go together.
             let last = finals.jobs.last().map(|(_, version, _)| *version);
@@ -499,7 +577,9 @@
                 break;
             }
             if let Some(job) = self.jobs.get(id) {
-                finals.jobs.push((id.clone(), *version, (*job.record).clone()));
+                finals
+                    .jobs
+                    .push((id.clone(), *version, (*job.record).clone()));
             }
         }
         finals
@@ -516,7 +596,9 @@
     /// Whether a job may have been cancelled since then of which it is not known whose it was. One
     /// whose time is not recorded is older than that if a later record is.
     pub fn undescribed_cancellation_since(&self, since: Since) -> bool {
-        let Some(newest) = self.cancelled.newest_undescribed() else { return false };
+        let Some(newest) = self.cancelled.newest_undescribed() else {
+            return false;
+        };
         let later = self.finals.range((newest + 1, JobId::from(""))..);
         let ended_ms = |id: &JobId| self.jobs.get(id).and_then(|job| job.record.ended_ms);
         let mut ended = later.filter_map(|(_, id)| ended_ms(id));
@@ -538,16 +620,28 @@
             self.leader.take_if(|known| known.version <= version);
         } else if let Some(node) = key.strip_prefix(NODE_PREFIX) {
             let node = Node::from(node);
-            if self.nodes.get(&node).is_some_and(|known| known.version <= version) {
+            if self
+                .nodes
+                .get(&node)
+                .is_some_and(|known| known.version <= version)
+            {
                 self.nodes.remove(&node);
             }
         } else if key.starts_with(MAP_PREFIX) {
-            if self.map.get(key).is_some_and(|known| known.version <= version) {
+            if self
+                .map
+                .get(key)
+                .is_some_and(|known| known.version <= version)
+            {
                 self.map.remove(key);
                 self.map_changed();
             }
         } else if let Some(team) = key.strip_prefix(QUOTA_PREFIX).map(Team::from) {
-            if self.ledgers.get(&team).is_some_and(|known| known.version <= version) {
+            if self
+                .ledgers
+                .get(&team)
+                .is_some_and(|known| known.version <= version)
+            {
                 self.ledgers.remove(&team);
             }
         } else {
@@ -587,12 +681,19 @@
 }
 
 pub fn guard(key: &str, version: Version) -> Guard {
-    Guard { key: key.to_owned(), version }
+    Guard {
+        key: key.to_owned(),
+        version,
+    }
 }
 
 pub fn put<T: Serialize>(key: &str, record: &T, lease: Option<u64>) -> Write {
     let value = serde_json::to_value(record).unwrap_or_default();
-    Write::Put { key: key.to_owned(), value, lease }
+    Write::Put {
+        key: key.to_owned(),
+        value,
+        lease,
+    }
 }
 
 impl Core {
@@ -608,9 +709,18 @@
         view.wanted = false;
         view.in_flight = true;
         let call = match &view.listing {
-            Some(listing) => StateCall::List { prefix: ROOT, from: listing.after.clone() },
-            None if !view.complete => StateCall::List { prefix: ROOT, from: None },
-            None => StateCall::Changes { prefix: ROOT, from: view.revision },
+            Some(listing) => StateCall::List {
+                prefix: ROOT,
+                from: listing.after.clone(),
+            },
+            None if !view.complete => StateCall::List {
+                prefix: ROOT,
+                from: None,
+            },
+            None => StateCall::Changes {
+                prefix: ROOT,
+                from: view.revision,
+            },
         };
         self.io.state(Pending::Sync { sent: now }, call);
     }
@@ -637,7 +747,9 @@
                     keys: BTreeSet::new(),
                 });
                 listing.after = page.entries.last().map(|entry| entry.key.clone());
-                listing.keys.extend(page.entries.iter().map(|entry| entry.key.clone()));
+                listing
+                    .keys
+                    .extend(page.entries.iter().map(|entry| entry.key.clone()));
                 for entry in &page.entries {
                     view.put(&entry.key, &entry.value, entry.version);
                 }
--- a/src/core/view/tests.rs
+++ b/src/core/view/tests.rs
@@ -29,11 +29,22 @@
         assert!(pages < 9);
     }
     assert_eq!(asker.jobs().len(), FINALS_PAGE * 2 + 50);
-    assert!(asker.finals_known() <= teller.revision, "a sync may still bring older ones");
-    assert_eq!(asker.take_changed().len(), FINALS_PAGE * 2 + 50, "what is over need not wait");
+    assert!(
+        asker.finals_known() <= teller.revision,
+        "a sync may still bring older ones"
+    );
+    assert_eq!(
+        asker.take_changed().len(),
+        FINALS_PAGE * 2 + 50,
+        "what is over need not wait"
+    );
     // Not final, so not for others to tell.
     let mut finals = teller.finals_after(0);
-    finals.jobs = vec![(id(9999), 9999, serde_json::from_value(ended("pending")).unwrap())];
+    finals.jobs = vec![(
+        id(9999),
+        9999,
+        serde_json::from_value(ended("pending")).unwrap(),
+    )];
     asker.take_finals(finals);
     assert!(asker.job(&id(9999)).is_none());
 }
--- a/src/core/waiting_reports.rs
+++ b/src/core/waiting_reports.rs
@@ -93,7 +93,13 @@
     ) {
         let until = self.io.now + self.waiting_reports.wait(waits_for);
         let owner = owner.clone();
-        let waiting = WaitingReport { request, report, owner, waits_for, until };
+        let waiting = WaitingReport {
+            request,
+            report,
+            owner,
+            waits_for,
+            until,
+        };
         self.waiting_reports.reports.push(waiting);
         self.view.want_sync();
     }
@@ -124,7 +130,10 @@
                 && !self.is_unreachable_owner(&owner.node, owner.incarnation)
         };
         let before = &waiting.owner;
-        match owner.filter(answers).map(|owner| (owner, waiting.waits_for)) {
+        match owner
+            .filter(answers)
+            .map(|owner| (owner, waiting.waits_for))
+        {
             Some((owner, WaitsFor::HandOver)) => Turn::Redirect(owner.node.clone()),
             Some((owner, WaitsFor::Change)) if !owner.is(&before.node, before.incarnation) => {
                 Turn::Redirect(owner.node.clone())
@@ -161,8 +170,14 @@
     pub(super) fn send_to_reachable(&mut self, request: RequestId) {
         let now = self.io.now;
         let usable = |node: &&Node| self.can_serve(node);
-        let after = self.peers.heard(now).filter(usable).find(|node| **node > self.config.node);
-        let next = after.or_else(|| self.peers.heard(now).find(usable)).cloned();
+        let after = self
+            .peers
+            .heard(now)
+            .filter(usable)
+            .find(|node| **node > self.config.node);
+        let next = after
+            .or_else(|| self.peers.heard(now).find(usable))
+            .cloned();
         match next {
             Some(node) => self.redirect(request, Some(node)),
             None => self.io.answer(request, super::Answer::unavailable()),
--- a/src/core/waiting_reports/tests.rs
+++ b/src/core/waiting_reports/tests.rs
@@ -7,7 +7,11 @@
 const START: Time = 100.0;
 
 fn share(owner: MapOwner) -> Share {
-    Share { owner, teams: Vec::new(), machines: vec!["m-1".into()] }
+    Share {
+        owner,
+        teams: Vec::new(),
+        machines: vec!["m-1".into()],
+    }
 }
 
 /// n0 owns m-1; it answered until a second after the start, the others still do.
@@ -47,7 +51,14 @@
 fn is_sent_to_the_next_owner(mut core: Core) {
     core.answer_waiting_reports();
     assert_eq!(answers(&mut core), []);
-    map(&mut core.view, 32, vec![share(MapOwner { term: Term(10), ..owner("n2") })]);
+    map(
+        &mut core.view,
+        32,
+        vec![share(MapOwner {
+            term: Term(10),
+            ..owner("n2")
+        })],
+    );
     core.answer_waiting_reports();
     assert_eq!(answers(&mut core), [(421, Some("n2".into()))]);
 }
@@ -63,7 +74,12 @@
 #[test]
 fn a_worker_that_left_a_silent_owner_waits_for_the_map_and_is_sent_to_the_next_owner() {
     let mut core = core_whose_sibling_fails(2.5);
-    core.view.apply_write(&crate::wire::Write::Delete { key: "ochredrum/node/n0".into() }, 31);
+    core.view.apply_write(
+        &crate::wire::Write::Delete {
+            key: "ochredrum/node/n0".into(),
+        },
+        31,
+    );
     worker_comes(&mut core, Term(9));
     is_sent_to_the_next_owner(core);
 }
@@ -71,7 +87,12 @@
 #[test]
 fn without_a_new_owner_it_goes_on_with_a_sibling_that_answers() {
     let mut core = core_whose_sibling_fails(2.5);
-    core.view.apply_write(&crate::wire::Write::Delete { key: "ochredrum/node/n0".into() }, 31);
+    core.view.apply_write(
+        &crate::wire::Write::Delete {
+            key: "ochredrum/node/n0".into(),
+        },
+        31,
+    );
     worker_comes(&mut core, Term(9));
     let (now, report_s) = (core.io.now, core.config.deployment.workers.report_s);
     answered_until(&mut core, &["n2"], now, now + report_s);
@@ -93,10 +114,22 @@
 fn a_report_is_relayed_again_once_its_owner_has_a_fresh_token() {
     let mut core = core_whose_sibling_fails(0.0);
     core.relays.mark(&"m-1".into(), core.io.now);
-    core.report_relayed(RequestId(1), &owner("n0"), report("m-1", 1, 5, Term(9)), None);
+    core.report_relayed(
+        RequestId(1),
+        &owner("n0"),
+        report("m-1", 1, 5, Term(9)),
+        None,
+    );
     core.answer_waiting_reports();
     assert_eq!(answers(&mut core), []);
-    map(&mut core.view, 32, vec![share(MapOwner { term: Term(10), ..owner("n0") })]);
+    map(
+        &mut core.view,
+        32,
+        vec![share(MapOwner {
+            term: Term(10),
+            ..owner("n0")
+        })],
+    );
     core.answer_waiting_reports();
     let effects = core.io.take_effects();
     let relayed = |effect: &Effect| matches!(effect, Effect::Mesh(_, to, _) if to.as_str() == "n0");
@@ -108,7 +141,8 @@
 fn a_sibling_without_a_key_is_not_named() {
     let mut core = core_whose_sibling_fails(2.5);
     for key in ["ochredrum/node/n0", "ochredrum/node/n2"] {
-        core.view.apply_write(&crate::wire::Write::Delete { key: key.into() }, 31);
+        core.view
+            .apply_write(&crate::wire::Write::Delete { key: key.into() }, 31);
     }
     core.send_to_reachable(RequestId(1));
     assert_eq!(answers(&mut core), [(503, None)]);
@@ -126,10 +160,22 @@
 #[test]
 fn a_bounded_number_of_reports_waits() {
     let mut core = core_whose_sibling_fails(2.5);
-    core.view.apply_write(&crate::wire::Write::Delete { key: "ochredrum/node/n0".into() }, 31);
+    core.view.apply_write(
+        &crate::wire::Write::Delete {
+            key: "ochredrum/node/n0".into(),
+        },
+        31,
+    );
     for _ in 0..=core.waiting_reports.most {
         worker_comes(&mut core, Term(9));
     }
-    assert_eq!(core.waiting_reports.reports.len(), core.waiting_reports.most);
-    assert_eq!(answers(&mut core), [(421, Some("n2".into()))], "the rest goes on at once");
+    assert_eq!(
+        core.waiting_reports.reports.len(),
+        core.waiting_reports.most
+    );
+    assert_eq!(
+        answers(&mut core),
+        [(421, Some("n2".into()))],
+        "the rest goes on at once"
+    );
 }
--- a/src/core/zone_contact/tests.rs
+++ b/src/core/zone_contact/tests.rs
@@ -1,7 +1,12 @@
 use super::*;
 
-const WORKERS: Workers =
-    Workers { report_s: 2.5, lease_s: 14.0, gang_wait_s: 50.0, gang_peer_s: 6.0, cancel_s: 39.0 };
+const WORKERS: Workers = Workers {
+    report_s: 2.5,
+    lease_s: 14.0,
+    gang_wait_s: 50.0,
+    gang_peer_s: 6.0,
+    cancel_s: 39.0,
+};
 
 fn zones(all: usize, silent: usize) -> BTreeMap<Zone, ZoneMachines> {
     BTreeMap::from([(Zone::from("a"), ZoneMachines { all, silent })])
@@ -15,11 +20,17 @@
     contact.update(&zones(10, 4), &WORKERS, 10.0);
     assert!(!contact.is_cut_off(&zone), "most of them are heard");
     contact.update(&zones(2, 2), &WORKERS, 11.0);
-    assert!(!contact.is_cut_off(&zone), "two machines may have ended each by itself");
+    assert!(
+        !contact.is_cut_off(&zone),
+        "two machines may have ended each by itself"
+    );
     contact.update(&zones(10, 5), &WORKERS, 12.0);
     assert!(contact.is_cut_off(&zone));
     contact.update(&BTreeMap::new(), &WORKERS, 50.0);
-    assert!(contact.is_cut_off(&zone), "its machines were returned: nothing tells of it");
+    assert!(
+        contact.is_cut_off(&zone),
+        "its machines were returned: nothing tells of it"
+    );
     contact.update(&BTreeMap::new(), &WORKERS, 12.0 + 14.0 * REMEMBERED_LEASES);
     assert!(!contact.is_cut_off(&zone), "it is tried again");
     contact.update(&zones(10, 10), &WORKERS, 60.0);
--- a/src/features.rs
+++ b/src/features.rs
@@ -78,8 +78,10 @@
 impl Features {
     /// Reads and checks a file.
     pub fn load(path: &Path) -> Result<Self, FeaturesError> {
-        let text = std::fs::read_to_string(path)
-            .map_err(|source| FeaturesError::Read { path: path.display().to_string(), source })?;
+        let text = std::fs::read_to_string(path).map_err(|source| FeaturesError::Read {
+            path: path.display().to_string(),
+            source,
+        })?;
         Self::parse(&text)
     }
 
@@ -96,20 +98,28 @@
 
     /// Heartbeats without an answer after which a controller is suspected.
     pub fn suspect_heartbeats(&self) -> f64 {
-        let detection = self.failure_detection.as_ref().filter(|detection| detection.enabled);
+        let detection = self
+            .failure_detection
+            .as_ref()
+            .filter(|detection| detection.enabled);
         detection.map_or(SUSPECT_HEARTBEATS, |detection| detection.suspect_heartbeats)
     }
 
     /// Whether controllers act on what the detection of failures finds.
     pub fn acts_on_failures(&self) -> bool {
-        self.failure_detection.as_ref().is_some_and(|detection| detection.enabled)
+        self.failure_detection
+            .as_ref()
+            .is_some_and(|detection| detection.enabled)
     }
 
     /// The rule by which grants of team limits grow and shrink, if they are on.
     pub fn headroom(&self, lease_s: f64) -> Option<Headroom> {
         let ledger = self.quota_ledger.as_ref().filter(|ledger| ledger.enabled)?;
         let patience_s = ledger.give_back_leases * lease_s;
-        Some(Headroom { part_of_limit: ledger.headroom, patience_s })
+        Some(Headroom {
+            part_of_limit: ledger.headroom,
+            patience_s,
+        })
     }
 }
 
--- a/src/features/tests.rs
+++ b/src/features/tests.rs
@@ -15,13 +15,22 @@
         ("headroom = 0.125", "headroom = 0.0", "headroom"),
         ("headroom = 0.125", "headroom = nan", "headroom"),
         ("headroom = 0.125", "headroom = 0.125\nroom = 1", "room"),
-        ("give_back_leases = 1.0", "give_back_leases = -1.0", "give_back_leases"),
+        (
+            "give_back_leases = 1.0",
+            "give_back_leases = -1.0",
+            "give_back_leases",
+        ),
         ("enabled = true", "enabled = 1", "enabled"),
         ("enabled = true\n", "", "enabled"),
         ("quota_ledger", "quota", "quota"),
     ] {
-        let error = Features::parse(&GOOD.replace(from, to)).unwrap_err().to_string();
-        assert!(error.contains(field) && error.lines().count() == 1, "{to}: {error}");
+        let error = Features::parse(&GOOD.replace(from, to))
+            .unwrap_err()
+            .to_string();
+        assert!(
+            error.contains(field) && error.lines().count() == 1,
+            "{to}: {error}"
+        );
     }
 }
 
--- a/src/front.rs
+++ b/src/front.rs
@@ -31,7 +31,9 @@
         "/checkin" => (Method::POST, Route::Report),
         "/healthz" => (Method::GET, Route::Health),
         _ => {
-            let Some(rest) = path.strip_prefix("/v1/jobs/") else { return Route::Unknown };
+            let Some(rest) = path.strip_prefix("/v1/jobs/") else {
+                return Route::Unknown;
+            };
             match rest.split_once('/') {
                 None if !rest.is_empty() => (Method::GET, Route::Poll(rest)),
                 Some((id, "withdraw")) if !id.is_empty() => (Method::POST, Route::Cancel(id)),
@@ -39,7 +41,11 @@
             }
         }
     };
-    if *method == wanted { route } else { Route::WrongMethod }
+    if *method == wanted {
+        route
+    } else {
+        Route::WrongMethod
+    }
 }
 
 pub async fn handle(inbox: Rc<Inbox>, request: Request<Incoming>, read: Duration) -> Reply {
@@ -87,7 +93,9 @@
         BodyError::Slow => 408,
     };
     let mut reply = to_reply(Answer::empty(status));
-    reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    reply
+        .headers_mut()
+        .insert(CONNECTION, HeaderValue::from_static("close"));
     reply
 }
 
@@ -100,7 +108,9 @@
     };
     let mut reply = http::reply(answer.status, body, MESSAGE_PACK);
     if let Some(seconds) = answer.retry_after {
-        reply.headers_mut().insert(RETRY_AFTER, HeaderValue::from(seconds));
+        reply
+            .headers_mut()
+            .insert(RETRY_AFTER, HeaderValue::from(seconds));
     }
     reply
 }
--- a/src/http.rs
+++ b/src/http.rs
@@ -42,7 +42,13 @@
 impl Client {
     pub fn new(address: SocketAddr, content_type: &'static str, keep: usize) -> Self {
         let idle = RefCell::new(Vec::new());
-        Self { address, host: address.to_string(), content_type, idle, keep }
+        Self {
+            address,
+            host: address.to_string(),
+            content_type,
+            idle,
+            keep,
+        }
     }
 
     /// One request; the deadline covers connecting and reading the whole answer.
@@ -56,7 +62,9 @@
         let deadline = Instant::now() + deadline;
         let mut sender = match self.kept() {
             Some(sender) => sender,
-            None => timeout_at(deadline, self.connect()).await.map_err(|_| Failure::NotSent)??,
+            None => timeout_at(deadline, self.connect())
+                .await
+                .map_err(|_| Failure::NotSent)??,
         };
         let mut request = Request::builder()
             .method(method)
@@ -66,14 +74,25 @@
         if self.keep == 0 {
             request = request.header(CONNECTION, "close");
         }
-        let request = request.body(Full::new(body.into())).map_err(|_| Failure::NotSent)?;
+        let request = request
+            .body(Full::new(body.into()))
+            .map_err(|_| Failure::NotSent)?;
         let exchange = async {
-            let response = sender.send_request(request).await.map_err(|_| Failure::Unknown)?;
+            let response = sender
+                .send_request(request)
+                .await
+                .map_err(|_| Failure::Unknown)?;
             let status = response.status().as_u16();
-            let body = response.into_body().collect().await.map_err(|_| Failure::Unknown)?;
+            let body = response
+                .into_body()
+                .collect()
+                .await
+                .map_err(|_| Failure::Unknown)?;
             Ok((status, body.to_bytes()))
         };
-        let answer = timeout_at(deadline, exchange).await.map_err(|_| Failure::Unknown)??;
+        let answer = timeout_at(deadline, exchange)
+            .await
+            .map_err(|_| Failure::Unknown)??;
         if self.idle.borrow().len() < self.keep && !sender.is_closed() {
             self.idle.borrow_mut().push(sender);
         }
@@ -91,7 +110,9 @@
     }
 
     async fn connect(&self) -> Result<SendRequest<Full<Bytes>>, Failure> {
-        let stream = TcpStream::connect(self.address).await.map_err(|_| Failure::NotSent)?;
+        let stream = TcpStream::connect(self.address)
+            .await
+            .map_err(|_| Failure::NotSent)?;
         // Small messages that somebody waits for: never worth delaying. A socket that cannot be
         // set so still works.
         stream.set_nodelay(true).ok();
@@ -172,8 +193,13 @@
 
 fn make_room(open: &RefCell<BTreeMap<u64, Rc<Open>>>) -> bool {
     let mut open = open.borrow_mut();
-    let idle = open.iter().filter(|(_, c)| !c.busy.get()).min_by_key(|(_, c)| c.used.get());
-    let Some(id) = idle.map(|(id, _)| *id) else { return false };
+    let idle = open
+        .iter()
+        .filter(|(_, c)| !c.busy.get())
+        .min_by_key(|(_, c)| c.used.get());
+    let Some(id) = idle.map(|(id, _)| *id) else {
+        return false;
+    };
     if let Some(connection) = open.remove(&id)
         && let Some(task) = connection.abort.borrow_mut().take()
     {
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -100,7 +100,10 @@
 impl TaskId {
     pub fn parse(text: &str) -> Option<Self> {
         let (job, index) = text.rsplit_once('/')?;
-        Some(Self { job: job.into(), index: index.parse().ok()? })
+        Some(Self {
+            job: job.into(),
+            index: index.parse().ok()?,
+        })
     }
 }
 
--- a/src/inbox.rs
+++ b/src/inbox.rs
@@ -93,8 +93,13 @@
         };
         let (sender, receiver) = oneshot::channel();
         self.waiting.borrow_mut().insert(request, sender);
-        let _waiting = Waiting { inbox: self, request, user };
-        self.waiting_users.set(self.waiting_users.get() + usize::from(user));
+        let _waiting = Waiting {
+            inbox: self,
+            request,
+            user,
+        };
+        self.waiting_users
+            .set(self.waiting_users.get() + usize::from(user));
         if !self.put(input) {
             return Answer::unavailable();
         }
@@ -112,7 +117,11 @@
         let request = self.next();
         let (sender, receiver) = oneshot::channel();
         self.mesh_waiting.borrow_mut().insert(request, sender);
-        let _waiting = Waiting { inbox: self, request, user: false };
+        let _waiting = Waiting {
+            inbox: self,
+            request,
+            user: false,
+        };
         if !self.put(Input::Mesh(request, message)) {
             return None;
         }
--- a/src/inbox/tests.rs
+++ b/src/inbox/tests.rs
@@ -29,7 +29,10 @@
     assert_eq!((refused.status, refused.retry_after), (503, Some(1)));
     assert!(at_once(inbox.ask(Question::Health)).is_none());
     assert!(fill(9));
-    assert_eq!(at_once(inbox.ask(Question::Health)).map(|answer| answer.status), Some(503));
+    assert_eq!(
+        at_once(inbox.ask(Question::Health)).map(|answer| answer.status),
+        Some(503)
+    );
     assert!(fill(10));
     assert!(at_once(inbox.ask_mesh(poll())).is_some_and(|reply| reply.is_none()));
     let mut batch = Vec::new();
--- a/src/service.rs
+++ b/src/service.rs
@@ -26,7 +26,10 @@
     #[error("cannot start the runtime: {0}")]
     Runtime(std::io::Error),
     #[error("cannot listen on {address}: {source}")]
-    Listen { address: std::net::SocketAddr, source: std::io::Error },
+    Listen {
+        address: std::net::SocketAddr,
+        source: std::io::Error,
+    },
     #[error("no randomness: {0}")]
     Random(String),
 }
@@ -51,8 +54,14 @@
     let inbox = Rc::new(Inbox::new(queue.clone(), limits.fd_limit));
     // Of the sockets, most are for users and workers, some for siblings, the rest for calls.
     let read = lease / 4;
-    let front_bounds = Bounds { connections: limits.fd_limit * 7 / 10, read };
-    let mesh_bounds = Bounds { connections: limits.fd_limit / 10, read };
+    let front_bounds = Bounds {
+        connections: limits.fd_limit * 7 / 10,
+        read,
+    };
+    let mesh_bounds = Bounds {
+        connections: limits.fd_limit / 10,
+        read,
+    };
     let at_front = inbox.clone();
     spawn_local(http::serve(front, front_bounds, move |request| {
         front::handle(at_front.clone(), request, read)
@@ -62,7 +71,9 @@
     spawn_local(http::serve(mesh_listener, mesh_bounds, move |request| {
         mesh::handle(at_mesh.clone(), request, message_limit, read)
     }));
-    let random = OsRng.try_next_u64().map_err(|e| ServiceError::Random(e.to_string()))?;
+    let random = OsRng
+        .try_next_u64()
+        .map_err(|e| ServiceError::Random(e.to_string()))?;
     // The time makes the incarnation differ from those before even where randomness repeats.
     let seed = random ^ wall_ms();
     tracing::info!("{} serves on {}", config.node, config.front);
@@ -73,11 +84,15 @@
 }
 
 async fn listen(address: std::net::SocketAddr) -> Result<TcpListener, ServiceError> {
-    TcpListener::bind(address).await.map_err(|source| ServiceError::Listen { address, source })
+    TcpListener::bind(address)
+        .await
+        .map_err(|source| ServiceError::Listen { address, source })
 }
 
 fn wall_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let since = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
 
@@ -128,7 +143,9 @@
             queue,
             state: Rc::new(StateClient::new(state, lease / 12)),
             cloud: Rc::new(CloudClient::new(cloud, lease / 3)),
-            siblings: siblings.map(|s| (s.node.clone(), Rc::new(mesh::client(s.addr)))).collect(),
+            siblings: siblings
+                .map(|s| (s.node.clone(), Rc::new(mesh::client(s.addr))))
+                .collect(),
             tick: lease / 200,
             worker_deadline: lease / 10,
             mesh_deadline: lease / 12,
@@ -152,7 +169,9 @@
                 self.spawn(call, send, Input::Worker);
             }
             Effect::Mesh(call, node, message) => {
-                let Some(client) = self.siblings.get(&node).cloned() else { return };
+                let Some(client) = self.siblings.get(&node).cloned() else {
+                    return;
+                };
                 let deadline = self.mesh_deadline;
                 let send = async move { mesh::send(&client, &message, deadline).await };
                 self.spawn(call, send, Input::MeshReply);
--- a/src/state_client.rs
+++ b/src/state_client.rs
@@ -31,16 +31,27 @@
 fn request(call: &StateCall) -> (Method, String, Vec<u8>) {
     match call {
         StateCall::List { prefix, from } => {
-            let from = from.as_ref().map(|key| format!("&from={key}")).unwrap_or_default();
-            (Method::GET, format!("/kv?prefix={prefix}{from}&page={PAGE}"), Vec::new())
-        }
-        StateCall::Changes { prefix, from } => {
-            (Method::GET, format!("/watch?prefix={prefix}&from={from}&waitMs=0"), Vec::new())
+            let from = from
+                .as_ref()
+                .map(|key| format!("&from={key}"))
+                .unwrap_or_default();
+            (
+                Method::GET,
+                format!("/kv?prefix={prefix}{from}&page={PAGE}"),
+                Vec::new(),
+            )
         }
+        StateCall::Changes { prefix, from } => (
+            Method::GET,
+            format!("/watch?prefix={prefix}&from={from}&waitMs=0"),
+            Vec::new(),
+        ),
         StateCall::Commit(transaction) => (Method::POST, "/multi".into(), encode(transaction)),
-        StateCall::LeaseCreate { ttl_ms } => {
-            (Method::POST, "/leases".into(), encode(&LeaseLife { ttl_ms: *ttl_ms }))
-        }
+        StateCall::LeaseCreate { ttl_ms } => (
+            Method::POST,
+            "/leases".into(),
+            encode(&LeaseLife { ttl_ms: *ttl_ms }),
+        ),
         StateCall::LeaseRenew { lease } => {
             (Method::POST, format!("/leases/{lease}/renew"), Vec::new())
         }
@@ -60,13 +71,17 @@
         }
         (410, StateCall::Changes { .. }) => StateReply::TooOld,
         (200, StateCall::Commit(_)) => decode::<Revision>(body)
-            .map_or(StateReply::Unknown, |answer| StateReply::Committed(answer.revision)),
+            .map_or(StateReply::Unknown, |answer| {
+                StateReply::Committed(answer.revision)
+            }),
         (409, StateCall::Commit(_)) => StateReply::Conflict,
         // The service names a lease that has ended and a broken limit alike.
         (400, StateCall::Commit(transaction)) if transaction.has_lease() => StateReply::LeaseGone,
         (400, StateCall::Commit(_)) => StateReply::Rejected,
         (200, StateCall::LeaseCreate { .. }) => decode::<LeaseId>(body)
-            .map_or(StateReply::Unknown, |answer| StateReply::Lease(answer.lease)),
+            .map_or(StateReply::Unknown, |answer| {
+                StateReply::Lease(answer.lease)
+            }),
         (200 | 204, StateCall::LeaseRenew { .. } | StateCall::LeaseEnd { .. }) => StateReply::Done,
         (404, StateCall::LeaseRenew { .. } | StateCall::LeaseEnd { .. }) => StateReply::LeaseGone,
         _ => {
--- a/src/state_client/tests.rs
+++ b/src/state_client/tests.rs
@@ -5,8 +5,15 @@
 #[test]
 fn a_refused_transaction_is_told_from_an_ended_lease() {
     let commit = |lease| {
-        let write = Write::Put { key: "k".into(), value: serde_json::Value::Null, lease };
-        StateCall::Commit(Transaction { guards: Vec::new(), writes: vec![write] })
+        let write = Write::Put {
+            key: "k".into(),
+            value: serde_json::Value::Null,
+            lease,
+        };
+        StateCall::Commit(Transaction {
+            guards: Vec::new(),
+            writes: vec![write],
+        })
     };
     assert_eq!(reply(&commit(Some(7)), 400, b""), StateReply::LeaseGone);
     assert_eq!(reply(&commit(None), 400, b""), StateReply::Rejected);
--- a/src/status.rs
+++ b/src/status.rs
@@ -219,8 +219,16 @@
             self.controller,
             self.incarnation,
             if self.leads { ", leads" } else { "" },
-            if self.entitled { "" } else { ", may not act now" },
-            if self.grants_on { "" } else { ", keeps to no grants" },
+            if self.entitled {
+                ""
+            } else {
+                ", may not act now"
+            },
+            if self.grants_on {
+                ""
+            } else {
+                ", keeps to no grants"
+            },
         );
         let header = [
             "TEAM",
@@ -236,7 +244,14 @@
         let rows: Vec<[String; 9]> = self.teams.iter().map(TeamStatus::row).collect();
         text.push_str(&aligned(header, &rows));
         if !self.siblings.is_empty() {
-            let header = ["CONTROLLER", "STAGE", "SILENT", "VOTES", "KEY", "OTHERS HEAR IT"];
+            let header = [
+                "CONTROLLER",
+                "STAGE",
+                "SILENT",
+                "VOTES",
+                "KEY",
+                "OTHERS HEAR IT",
+            ];
             let rows: Vec<[String; 6]> = self.siblings.iter().map(SiblingStatus::row).collect();
             text.push('\n');
             text.push_str(&aligned(header, &rows));
@@ -282,14 +297,26 @@
             StageStatus::Confirmed => "confirmed failed",
             StageStatus::HandedOver => "handed over",
         };
-        let told = self.told.iter().map(OpinionStatus::text).collect::<Vec<_>>();
+        let told = self
+            .told
+            .iter()
+            .map(OpinionStatus::text)
+            .collect::<Vec<_>>();
         [
             self.controller.clone(),
             stage.into(),
             format!("{:.1} of {:.1} s", self.silence_s, self.threshold_s),
             self.votes.to_string(),
-            if self.key_gone { "gone".into() } else { "there".into() },
-            if told.is_empty() { "-".into() } else { told.join(", ") },
+            if self.key_gone {
+                "gone".into()
+            } else {
+                "there".into()
+            },
+            if told.is_empty() {
+                "-".into()
+            } else {
+                told.join(", ")
+            },
         ]
     }
 }
@@ -351,7 +378,10 @@
 
 impl Capacity {
     fn plus(self, other: Self) -> Self {
-        Self { cpus: self.cpus + other.cpus, gpus: self.gpus + other.gpus }
+        Self {
+            cpus: self.cpus + other.cpus,
+            gpus: self.gpus + other.gpus,
+        }
     }
 
     fn text(self) -> String {
--- a/src/status/tests.rs
+++ b/src/status/tests.rs
@@ -32,13 +32,19 @@
             }),
         }],
         detection_on: true,
-        siblings: vec![sibling("n1", StageStatus::Alive), sibling("n2", StageStatus::Confirmed)],
+        siblings: vec![
+            sibling("n1", StageStatus::Alive),
+            sibling("n2", StageStatus::Confirmed),
+        ],
         hand_overs: vec![HandOverStatus {
             controller: "n2".into(),
             incarnation: 3,
             teams: 2,
             machines: 40,
-            waits_for: HandOverWait::Consents { given: 2, needed: 3 },
+            waits_for: HandOverWait::Consents {
+                given: 2,
+                needed: 3,
+            },
         }],
     }
 }
@@ -84,7 +90,11 @@
     let schema = serde_json::to_value(schemars::schema_for!(Status)).unwrap();
     let sent = serde_json::to_value(status()).unwrap();
     let validator = jsonschema::validator_for(&schema).unwrap();
-    assert!(validator.is_valid(&sent), "{:?}", validator.iter_errors(&sent).collect::<Vec<_>>());
+    assert!(
+        validator.is_valid(&sent),
+        "{:?}",
+        validator.iter_errors(&sent).collect::<Vec<_>>()
+    );
     let described = |of: &str| match of {
         "" => schema["properties"].clone(),
         name => schema["$defs"][name]["properties"].clone(),
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -47,7 +47,9 @@
 impl Transaction {
     /// Whether it writes a key that hangs on a lease.
     pub fn has_lease(&self) -> bool {
-        self.writes.iter().any(|write| matches!(write, Write::Put { lease: Some(_), .. }))
+        self.writes
+            .iter()
+            .any(|write| matches!(write, Write::Put { lease: Some(_), .. }))
     }
 }
 
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -13,7 +13,10 @@
 fn the_published_example_is_read() {
     let (id, spec) = parse_submission(&encode(&example())).unwrap();
     assert_eq!(id.as_str(), "req-000412");
-    assert_eq!((spec.kind, spec.priority, spec.tasks), (Kind::Gang, Priority::High, 16));
+    assert_eq!(
+        (spec.kind, spec.priority, spec.tasks),
+        (Kind::Gang, Priority::High, 16)
+    );
     assert_eq!(spec.zone, None);
     let stored = serde_json::to_value(&spec).unwrap();
     assert_eq!(serde_json::from_value::<JobSpec>(stored).unwrap(), spec);
@@ -48,12 +51,24 @@
     }
     assert!(with("beats", json!(100_000)).is_ok());
     let (_, spec) = with("awaits", json!(["req-0000405", "req-000398", "req-000398"])).unwrap();
-    assert_eq!(spec.dependencies, ["req-0000405", "req-000398"].map(JobId::from));
+    assert_eq!(
+        spec.dependencies,
+        ["req-0000405", "req-000398"].map(JobId::from)
+    );
     let stored = serde_json::to_value(&spec).unwrap();
     assert_eq!(serde_json::from_value::<JobSpec>(stored).unwrap(), spec);
-    assert!(with("awaits", json!(null)).unwrap().1.dependencies.is_empty());
+    assert!(
+        with("awaits", json!(null))
+            .unwrap()
+            .1
+            .dependencies
+            .is_empty()
+    );
     assert_eq!(parse_submission(&[0xc1]), Err(WireError::NotMessagePack));
-    assert_eq!(parse_submission(b"\x93\x01\x02\x03"), Err(WireError::NotMap));
+    assert_eq!(
+        parse_submission(b"\x93\x01\x02\x03"),
+        Err(WireError::NotMap)
+    );
     // Not-a-number is a MessagePack float that no amount may be.
     let mut nan = rmp_serde::to_vec_named(&example()).unwrap();
     let at = nan.windows(6).position(|w| w == b"\xa5cores").unwrap() + 6;
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -89,13 +89,18 @@
 
 /// The ids without what all have in common, so that hundreds fit into a value.
 fn to_numbers<S: Serializer>(ids: &[JobId], serializer: S) -> Result<S::Ok, S::Error> {
-    let numbers = ids.iter().map(|id| id.as_str().strip_prefix(JOB_ID).unwrap_or(id.as_str()));
+    let numbers = ids
+        .iter()
+        .map(|id| id.as_str().strip_prefix(JOB_ID).unwrap_or(id.as_str()));
     serializer.serialize_str(&numbers.collect::<Vec<_>>().join(" "))
 }
 
 fn from_numbers<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<JobId>, D::Error> {
     let numbers = String::deserialize(deserializer)?;
-    Ok(numbers.split_whitespace().map(|number| JobId::from(format!("{JOB_ID}{number}"))).collect())
+    Ok(numbers
+        .split_whitespace()
+        .map(|number| JobId::from(format!("{JOB_ID}{number}")))
+        .collect())
 }
 
 const JOB_ID: &str = "req-";
@@ -118,18 +123,27 @@
     if !reader.get_ref().is_empty() {
         return Err(WireError::NotMessagePack);
     }
-    let Value::Object(map) = value else { return Err(WireError::NotMap) };
+    let Value::Object(map) = value else {
+        return Err(WireError::NotMap);
+    };
     let fields = Fields(&map);
     let id = fields.text("nameId")?;
     if !valid_job_id(id) {
         return Err(WireError::Field("nameId"));
     }
-    let tasks = fields.present("beats")?.as_u64().filter(|n| (1..=MAX_TASKS).contains(n));
+    let tasks = fields
+        .present("beats")?
+        .as_u64()
+        .filter(|n| (1..=MAX_TASKS).contains(n));
     let types = match fields.optional("breeds") {
         None => None,
         Some(Value::Array(list)) => Some(
             list.iter()
-                .map(|t| t.as_str().map(TypeName::from).ok_or(WireError::Field("breeds")))
+                .map(|t| {
+                    t.as_str()
+                        .map(TypeName::from)
+                        .ok_or(WireError::Field("breeds"))
+                })
                 .collect::<Result<Vec<_>, _>>()?,
         ),
         Some(_) => return Err(WireError::Field("breeds")),
@@ -196,7 +210,10 @@
     }
     /// A decimal number that is neither negative nor endless (those arrive as null).
     fn amount(&self, name: &'static str) -> Result<f64, WireError> {
-        let number = self.present(name)?.as_f64().filter(|n| n.is_finite() && *n >= 0.0);
+        let number = self
+            .present(name)?
+            .as_f64()
+            .filter(|n| n.is_finite() && *n >= 0.0);
         number.ok_or(WireError::Field(name))
     }
     fn word<T: DeserializeOwned>(&self, name: &'static str) -> Result<T, WireError> {
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -39,9 +39,16 @@
 fn what_production_stored_is_rewritten_as_it_was() {
     let stored = fixture();
     for name in ["job", "job_done", "job_cancelled"] {
-        assert_eq!(rewritten::<JobRecord>(&stored[name]), stored[name], "{name}");
+        assert_eq!(
+            rewritten::<JobRecord>(&stored[name]),
+            stored[name],
+            "{name}"
+        );
     }
-    assert_eq!(rewritten::<ProcessRecord>(&stored["process"]), stored["process"]);
+    assert_eq!(
+        rewritten::<ProcessRecord>(&stored["process"]),
+        stored["process"]
+    );
     assert_eq!(rewritten::<MapChunk>(&stored["map"]), stored["map"]);
     let types: MachineTypes = serde_json::from_value(stored["types"].clone()).unwrap();
     assert_eq!(types.types[0].gpus, 8.0);
@@ -51,10 +58,18 @@
 fn what_production_sent_is_sent_as_it_was() {
     let sent = fixture();
     for name in ["hello", "submit", "cancelled"] {
-        assert_eq!(resent::<MeshMessage>(&sent[name]), sent[name].as_str().unwrap(), "{name}");
+        assert_eq!(
+            resent::<MeshMessage>(&sent[name]),
+            sent[name].as_str().unwrap(),
+            "{name}"
+        );
     }
     for name in ["hello_reply", "answer"] {
-        assert_eq!(resent::<MeshReply>(&sent[name]), sent[name].as_str().unwrap(), "{name}");
+        assert_eq!(
+            resent::<MeshReply>(&sent[name]),
+            sent[name].as_str().unwrap(),
+            "{name}"
+        );
     }
 }
 
@@ -66,9 +81,16 @@
 fn what_the_first_pipelines_version_stored_is_rewritten_as_it_was() {
     let stored = &pipelines_fixture()["records"];
     for name in ["job", "job_waiting", "job_done", "job_cancelled"] {
-        assert_eq!(rewritten::<JobRecord>(&stored[name]), stored[name], "{name}");
+        assert_eq!(
+            rewritten::<JobRecord>(&stored[name]),
+            stored[name],
+            "{name}"
+        );
     }
-    assert_eq!(rewritten::<ProcessRecord>(&stored["process"]), stored["process"]);
+    assert_eq!(
+        rewritten::<ProcessRecord>(&stored["process"]),
+        stored["process"]
+    );
     assert_eq!(rewritten::<MapChunk>(&stored["map"]), stored["map"]);
     assert_eq!(rewritten::<MachineTypes>(&stored["types"]), stored["types"]);
     let waiting: JobRecord = serde_json::from_value(stored["job_waiting"].clone()).unwrap();
@@ -84,12 +106,20 @@
     let messages = sent["messages"].as_object().unwrap();
     assert_eq!(messages.len(), 7);
     for (name, message) in messages {
-        assert_eq!(resent::<MeshMessage>(message), message.as_str().unwrap(), "{name}");
+        assert_eq!(
+            resent::<MeshMessage>(message),
+            message.as_str().unwrap(),
+            "{name}"
+        );
     }
     let replies = sent["replies"].as_object().unwrap();
     assert_eq!(replies.len(), 4);
     for (name, reply) in replies {
-        assert_eq!(resent::<MeshReply>(reply), reply.as_str().unwrap(), "{name}");
+        assert_eq!(
+            resent::<MeshReply>(reply),
+            reply.as_str().unwrap(),
+            "{name}"
+        );
     }
 }
 
@@ -106,6 +136,9 @@
     }
     assert_eq!(serde_json::from_value::<JobRecord>(stored).unwrap(), record);
     let cancelled = serde_json::to_value(record.cancelled(5)).unwrap();
-    assert_eq!(cancelled["s"], serde_json::to_value(JobStatus::Cancelled).unwrap());
+    assert_eq!(
+        cancelled["s"],
+        serde_json::to_value(JobStatus::Cancelled).unwrap()
+    );
     assert!(cancelled.get("j").is_none() && cancelled.get("jd").is_none());
 }
--- a/tests/days/meeting.rs
+++ b/tests/days/meeting.rs
@@ -41,7 +41,11 @@
             }
             _ => String::new(),
         };
-        let at = if after.is_empty() { at } else { 100.0_f64.max(at) };
+        let at = if after.is_empty() {
+            at
+        } else {
+            100.0_f64.max(at)
+        };
         day += &format!("at {at} job {job}{after}\n");
         jobs += 1;
         // Services are never named.
@@ -91,8 +95,10 @@
             // One controller is refused, others confirm cancellations, then the service is out for all.
             let who = ["leader", "n0", "n1"][rng.random_range(0..3)];
             let out = at + f64::from(rng.random_range(10..30)) / 10.0;
-            day +=
-                &format!("at {at} refuse {who} 14\nat {out} outage {}\n", rng.random_range(32..50));
+            day += &format!(
+                "at {at} refuse {who} 14\nat {out} outage {}\n",
+                rng.random_range(32..50)
+            );
             for _ in 0..3 {
                 day += &format!("at {} cancel {}\n", at + 0.6, rng.random_range(1..=jobs));
             }
--- a/tests/days/orders.rs
+++ b/tests/days/orders.rs
@@ -15,7 +15,12 @@
     day += &short_jobs(&mut rng, jobs, 0.3, 8.0);
     for _ in 0..3 {
         let at = rng.random_range(5..90);
-        let kind = ["late_orders", "late_orders", "refused_orders", "lost_order_answers"];
+        let kind = [
+            "late_orders",
+            "late_orders",
+            "refused_orders",
+            "lost_order_answers",
+        ];
         let kind = kind[rng.random_range(0..kind.len())];
         day += &format!("at {at} {kind} {}\n", rng.random_range(15..50));
     }
--- a/tests/days/random.rs
+++ b/tests/days/random.rs
@@ -13,9 +13,17 @@
     for _ in 0..rng.random_range(6..12) {
         let at = rng.random_range(1..100);
         let kind = ["array", "array", "gang", "service"][rng.random_range(0..4)];
-        let tasks = if kind == "gang" { rng.random_range(1..4) } else { rng.random_range(1..7) };
+        let tasks = if kind == "gang" {
+            rng.random_range(1..4)
+        } else {
+            rng.random_range(1..7)
+        };
         // Services of the limited team would keep its other work from ever running.
-        let team = if kind == "service" { "red" } else { ["red", "blue"][rng.random_range(0..2)] };
+        let team = if kind == "service" {
+            "red"
+        } else {
+            ["red", "blue"][rng.random_range(0..2)]
+        };
         let mut options = Vec::new();
         if kind == "gang" {
             options.push("onezone");
--- a/tests/days/upgrade.rs
+++ b/tests/days/upgrade.rs
@@ -25,8 +25,9 @@
 }
 
 /// What goes wrong beside an upgrade that begins at `at`; the cancelled job is the first.
-const UPGRADE_TROUBLES: [&str; 7] =
-    ["none", "outage", "refused", "zone", "cancel", "limits", "all"];
+const UPGRADE_TROUBLES: [&str; 7] = [
+    "none", "outage", "refused", "zone", "cancel", "limits", "all",
+];
 
 fn upgrade_trouble(trouble: &str, at: f64, all_new: f64, rng: &mut StdRng) -> String {
     let during = at + f64::from(rng.random_range(0..100)) / 10.0;
@@ -34,12 +35,21 @@
         "outage" => format!("at {during} outage {}\n", rng.random_range(5..25)),
         "refused" => format!("at {during} refuse leader {}\n", rng.random_range(4..14)),
         "zone" => format!("at {during} zone_cut b {} hold\n", rng.random_range(5..20)),
-        "cancel" => format!("at {} cancel 1\n", at + f64::from(rng.random_range(1..30)) / 10.0),
+        "cancel" => format!(
+            "at {} cancel 1\n",
+            at + f64::from(rng.random_range(1..30)) / 10.0
+        ),
         "limits" => {
-            format!("next_limits 0.8 2 60 10\nat {} limits_fall\n", all_new + 1.0)
+            format!(
+                "next_limits 0.8 2 60 10\nat {} limits_fall\n",
+                all_new + 1.0
+            )
         }
         "all" => {
-            format!("at {during} outage 6\nat {during} zone_cut b 12\nat {} cancel 1\n", at + 1.0)
+            format!(
+                "at {during} outage 6\nat {during} zone_cut b 12\nat {} cancel 1\n",
+                at + 1.0
+            )
         }
         _ => String::new(),
     }
@@ -55,7 +65,11 @@
     let order = drawn_order(seed, controllers, &mut rng);
     let every = rng.random_range(2..9);
     let at = f64::from(rng.random_range(150..250)) / 10.0;
-    let turns = if pairs.is_empty() { controllers } else { controllers.div_ceil(2) };
+    let turns = if pairs.is_empty() {
+        controllers
+    } else {
+        controllers.div_ceil(2)
+    };
     // The last is back 5 s after its turn, and all are killed once more on some days.
     let all_new = at + f64::from(every) * turns as f64 + 12.0;
     let trouble = UPGRADE_TROUBLES[seed as usize % UPGRADE_TROUBLES.len()];
@@ -65,14 +79,21 @@
     day += &format!("at {at} job array 8 run=12 team=blue\n");
     day += &format!("at {at} upgrade {every} {order} {pairs}\n");
     // One of the version before dies before its turn, and comes back as it was.
-    if let Some(last) = order.rsplit(',').next().and_then(|node| node.parse::<u32>().ok()) {
+    if let Some(last) = order
+        .rsplit(',')
+        .next()
+        .and_then(|node| node.parse::<u32>().ok())
+    {
         day += &format!("at {} crash n{last} 0.5\n", at + 0.5);
     }
     if rng.random_bool(0.5) {
         // Killed half-way through its start, and once more.
         let node = rng.random_range(0..controllers);
         let again = at + f64::from(every) * f64::from(rng.random_range(0..3)) + 5.2;
-        day += &format!("at {again} crash n{node} 0.4\nat {} crash n{node} 1\n", again + 2.0);
+        day += &format!(
+            "at {again} crash n{node} 0.4\nat {} crash n{node} 1\n",
+            again + 2.0
+        );
     }
     day += &upgrade_trouble(trouble, at, all_new, &mut rng);
     day += &pipelines(all_new, rng.random_range(4..9));
@@ -94,7 +115,10 @@
 fn pipelines(at: f64, run_s: u32) -> String {
     let mut day = format!("at {at} job array 2 run={run_s}\n");
     for job in 7..=13 {
-        day += &format!("at {at} job array 2 run={run_s} due=300 after={}\n", job - 1);
+        day += &format!(
+            "at {at} job array 2 run={run_s} due=300 after={}\n",
+            job - 1
+        );
     }
     let soon = at + 0.5;
     day += &format!("at {soon} job array 3 run={run_s} team=blue\n");
--- a/tests/effect_digests/mod.rs
+++ b/tests/effect_digests/mod.rs
@@ -27,20 +27,35 @@
     for (name, text) in scenarios().into_iter().chain(days_with_fixed_seeds()) {
         writeln!(digests, "{name}: {}", play(&text).effect_digest).unwrap();
         let with_grants = play(&format!("grants\n{text}"));
-        writeln!(digests, "{name}, with grants: {}", with_grants.effect_digest).unwrap();
+        writeln!(
+            digests,
+            "{name}, with grants: {}",
+            with_grants.effect_digest
+        )
+        .unwrap();
     }
     if let Ok(file) = std::env::var("EFFECT_DIGESTS") {
         return std::fs::write(file, digests).unwrap();
     }
-    let changed: Vec<_> = digests.lines().zip(RECORDED.lines()).filter(|(a, b)| a != b).collect();
-    assert!(changed.is_empty(), "{} runs differ: {changed:#?}", changed.len());
+    let changed: Vec<_> = digests
+        .lines()
+        .zip(RECORDED.lines())
+        .filter(|(a, b)| a != b)
+        .collect();
+    assert!(
+        changed.is_empty(),
+        "{} runs differ: {changed:#?}",
+        changed.len()
+    );
     assert_eq!(digests.lines().count(), RECORDED.lines().count());
 }
 
 fn scenarios() -> Vec<(String, String)> {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/scenarios");
-    let mut files: Vec<_> =
-        std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path()).collect();
+    let mut files: Vec<_> = std::fs::read_dir(folder)
+        .unwrap()
+        .map(|entry| entry.unwrap().path())
+        .collect();
     files.sort();
     let read = |file: &std::path::PathBuf| {
         let name = file.file_stem().unwrap().to_string_lossy().into_owned();
--- a/tests/failures/load.rs
+++ b/tests/failures/load.rs
@@ -11,7 +11,9 @@
 
 #[test]
 fn nobody_is_suspected_for_load() {
-    let seconds = std::env::var("FAILURE_LOAD_SECONDS").ok().and_then(|text| text.parse().ok());
+    let seconds = std::env::var("FAILURE_LOAD_SECONDS")
+        .ok()
+        .and_then(|text| text.parse().ok());
     let seconds: f64 = seconds.unwrap_or(LOADED_FOR_S);
     let ends = LOADED_FROM_S + seconds;
     let mut day =
@@ -23,7 +25,9 @@
         day += &format!("at {at} job array 8 run=4 gpus=1\n");
     }
     let mut world = play(&format!("{day}until {LOADED_FROM_S}\n"));
-    world.broken.retain(|broken| !broken.starts_with("not_served"));
+    world
+        .broken
+        .retain(|broken| !broken.starts_with("not_served"));
     let mut suspicions = 0;
     let mut suspected = [false; CONTROLLERS];
     while world.now < ends {
@@ -34,7 +38,14 @@
             *before = now;
         }
     }
-    println!("{suspicions} suspicions in {seconds} s of load, {:?}", world.work);
+    println!(
+        "{suspicions} suspicions in {seconds} s of load, {:?}",
+        world.work
+    );
     assert_eq!(suspicions, 0);
-    assert!(report("load", &world).is_none(), "{:?}", report("load", &world));
+    assert!(
+        report("load", &world).is_none(),
+        "{:?}",
+        report("load", &world)
+    );
 }
--- a/tests/failures/measure.rs
+++ b/tests/failures/measure.rs
@@ -51,7 +51,10 @@
 
     /// Whether a worker that reports there gets no answer and waits for it in vain.
     pub fn keeps_workers_waiting(self) -> bool {
-        matches!(self, Self::StandsStill(_) | Self::CutFromWorkers(CutManner::Silent))
+        matches!(
+            self,
+            Self::StandsStill(_) | Self::CutFromWorkers(CutManner::Silent)
+        )
     }
 
     /// Lets it happen to a controller.
@@ -59,19 +62,38 @@
         let who = Who::Node(node);
         let cut = |from: Who, manner: CutManner, direction: Direction| {
             let who = Who::Node(node);
-            Fault::Cut { who, from, seconds: LASTS_S, manner, direction }
+            Fault::Cut {
+                who,
+                from,
+                seconds: LASTS_S,
+                manner,
+                direction,
+            }
         };
         let fault = match self {
-            Self::Ends => Fault::Crash { who, back_after: Some(LASTS_S) },
-            Self::Restarts(seconds) => Fault::Crash { who, back_after: Some(seconds) },
+            Self::Ends => Fault::Crash {
+                who,
+                back_after: Some(LASTS_S),
+            },
+            Self::Restarts(seconds) => Fault::Crash {
+                who,
+                back_after: Some(seconds),
+            },
             Self::StandsStill(seconds) => Fault::Freeze { who, seconds },
             Self::CutFromWorkers(manner) => cut(Who::Workers, manner, Direction::Both),
-            Self::RefusedAlone => Fault::Refuse { who, seconds: LASTS_S },
+            Self::RefusedAlone => Fault::Refuse {
+                who,
+                seconds: LASTS_S,
+            },
             Self::CutFromStateAndSiblings => {
                 cut(Who::StateAndSiblings, CutManner::Silent, Direction::Both)
             }
             Self::OneDirection(direction) => cut(Who::Everyone, CutManner::Silent, direction),
-            Self::Slow(pause) => Fault::Slow { who, pause, seconds: LASTS_S },
+            Self::Slow(pause) => Fault::Slow {
+                who,
+                pause,
+                seconds: LASTS_S,
+            },
         };
         world.at(at, Event::Fault(fault));
     }
@@ -107,13 +129,17 @@
 pub fn before_failure(seed: u64, controllers: usize) -> (World, f64) {
     let fails_at = FAILS_AT + (seed * PHASE_STRIDE % PHASES) as f64 / PHASES as f64 * PHASES_S;
     let mut world = play(&format!("{}until {fails_at}\n", day(seed, controllers)));
-    world.broken.retain(|broken| !broken.starts_with("not_served"));
+    world
+        .broken
+        .retain(|broken| !broken.starts_with("not_served"));
     (world, fails_at)
 }
 
 /// The controller that owns the busiest share.
 pub fn busiest_owner(world: &World) -> usize {
-    let owner = world.owner_of("red").and_then(|name| name.strip_prefix('n')?.parse().ok());
+    let owner = world
+        .owner_of("red")
+        .and_then(|name| name.strip_prefix('n')?.parse().ok());
     owner.expect("a team has an owner by now")
 }
 
@@ -123,7 +149,10 @@
     let (process, owner) = (world.stored(&key), world.owner_of("red"));
     let before = world.work.lost_with_leases;
     let mut measured = Measured::default();
-    let later = JobSpec { gpus: 1.0, ..spec(Kind::Service, 2) };
+    let later = JobSpec {
+        gpus: 1.0,
+        ..spec(Kind::Service, 2)
+    };
     let later = world.add_job(fails_at + SUBMITTED_AFTER_S, later, 0.0);
     while world.now < fails_at + FOLLOWED_S {
         world.run(world.now + STEP_S);
