--- a/tests/failures/pairs.rs
+++ b/tests/failures/pairs.rs
@@ -21,7 +21,10 @@
 /// answered report was sent: whoever meets two controllers that keep it waiting is lost, whatever the others do. That
 /// happens where the second is the next that it tries, or the one to which the share has just gone.
 fn losing_part(first: Failure, second: Failure) -> f64 {
-    match (first.keeps_workers_waiting(), second.keeps_workers_waiting()) {
+    match (
+        first.keeps_workers_waiting(),
+        second.keeps_workers_waiting(),
+    ) {
         (true, true) => 0.5,
         (false, true) => 0.125,
         (_, false) => 0.0,
@@ -71,9 +74,14 @@
             with_loss += losing;
             tasks += sum;
             if losing as f64 > lost.len() as f64 * losing_part(first, second) {
-                broken.push(format!("{first:?}, then {second:?}: {losing} plays lost tasks"));
+                broken.push(format!(
+                    "{first:?}, then {second:?}: {losing} plays lost tasks"
+                ));
             }
-            println!("| {first:?} | {second:?} | {losing} of {} plays | {sum} tasks |", lost.len());
+            println!(
+                "| {first:?} | {second:?} | {losing} of {} plays | {sum} tasks |",
+                lost.len()
+            );
         }
     }
     println!("{with_loss} of {plays} plays lost tasks, {tasks} in all");
--- a/tests/failures/table.rs
+++ b/tests/failures/table.rs
@@ -12,11 +12,23 @@
     ("stands still 7 s", Failure::StandsStill(7.0)),
     ("stands still 25 s", Failure::StandsStill(25.0)),
     ("stands still 60 s", Failure::StandsStill(60.0)),
-    ("cut from workers, silent", Failure::CutFromWorkers(CutManner::Silent)),
-    ("cut from workers, refused", Failure::CutFromWorkers(CutManner::Refused)),
-    ("cut from workers, reset", Failure::CutFromWorkers(CutManner::Reset)),
+    (
+        "cut from workers, silent",
+        Failure::CutFromWorkers(CutManner::Silent),
+    ),
+    (
+        "cut from workers, refused",
+        Failure::CutFromWorkers(CutManner::Refused),
+    ),
+    (
+        "cut from workers, reset",
+        Failure::CutFromWorkers(CutManner::Reset),
+    ),
     ("refused alone", Failure::RefusedAlone),
-    ("cut from state and siblings", Failure::CutFromStateAndSiblings),
+    (
+        "cut from state and siblings",
+        Failure::CutFromStateAndSiblings,
+    ),
     ("outgoing cut", Failure::OneDirection(Direction::Outgoing)),
     ("incoming cut", Failure::OneDirection(Direction::Incoming)),
     ("four times slower", Failure::Slow(0.2)),
@@ -71,7 +83,10 @@
 /// What came about too late, or should not have.
 fn too_late(failure: Failure, measured: &Measured) -> Option<String> {
     if measured.lost > 0 {
-        return Some(format!("{} tasks ended with the leases of well machines", measured.lost));
+        return Some(format!(
+            "{} tasks ended with the leases of well machines",
+            measured.lost
+        ));
     }
     if !failure.ends_ownership() {
         return None;
@@ -79,8 +94,12 @@
     let Some(handed_on) = measured.handed_on.filter(|at| *at <= HANDED_ON_WITHIN_S) else {
         return Some(format!("handed on after {:?} s", measured.handed_on));
     };
-    let settled = measured.settled.filter(|at| *at <= handed_on + SETTLED_WITHIN_S);
-    settled.is_none().then(|| format!("settled after {:?} s", measured.settled))
+    let settled = measured
+        .settled
+        .filter(|at| *at <= handed_on + SETTLED_WITHIN_S);
+    settled
+        .is_none()
+        .then(|| format!("settled after {:?} s", measured.settled))
 }
 
 #[test]
--- a/tests/loopback/failures.rs
+++ b/tests/loopback/failures.rs
@@ -38,10 +38,19 @@
     async fn start() -> Self {
         let deployment = Deployment::of(CONTROLLERS).await;
         let lease = format!("lease_s = {:?}", LEASE.as_secs_f64());
-        let settings = |node| deployment.settings_of(node).replace("lease_s = 4.0", &lease);
+        let settings = |node| {
+            deployment
+                .settings_of(node)
+                .replace("lease_s = 4.0", &lease)
+        };
         let file = |node| settings_file(&format!("failures{node}.toml"), &settings(node));
         let files: Vec<PathBuf> = (0..CONTROLLERS).map(file).collect();
-        let mut fleet = Self { deployment, programs: Vec::new(), files, jobs: 0 };
+        let mut fleet = Self {
+            deployment,
+            programs: Vec::new(),
+            files,
+            jobs: 0,
+        };
         fleet.programs = (0..CONTROLLERS).map(|node| Some(fleet.run(node))).collect();
         for front in &fleet.deployment.fronts {
             let client = Client::new(*front, MESSAGE_PACK, 1);
@@ -58,7 +67,9 @@
     /// What a controller tells operators, if it answers.
     async fn status(&self, node: usize) -> Option<Status> {
         let client = Client::new(self.deployment.mesh_of(node), JSON, 1);
-        let answer = client.send(Method::GET, PATH, Vec::new(), Duration::from_secs(2)).await;
+        let answer = client
+            .send(Method::GET, PATH, Vec::new(), Duration::from_secs(2))
+            .await;
         let (_, body) = answer.ok()?;
         serde_json::from_slice(&body).ok()
     }
@@ -71,7 +82,9 @@
             wanted["beats"] = json!(1);
             spawn_local(async move {
                 let client = Client::new(front, MESSAGE_PACK, 1);
-                ask(&client, Method::POST, "/v1/jobs", encode(&wanted)).await.ok();
+                ask(&client, Method::POST, "/v1/jobs", encode(&wanted))
+                    .await
+                    .ok();
             });
         }
     }
@@ -99,24 +112,41 @@
     async fn owner(&self, asked: usize) -> usize {
         let status = self.status(asked).await;
         let owner = status.and_then(|status| status.teams[0].owner.clone());
-        owner.and_then(|name| name.strip_prefix('n')?.parse().ok()).expect("the team has an owner")
+        owner
+            .and_then(|name| name.strip_prefix('n')?.parse().ok())
+            .expect("the team has an owner")
     }
 }
 
 fn is_handed_on(status: &Status, from: &str) -> bool {
-    let sibling = status.siblings.iter().find(|sibling| sibling.controller == from);
+    let sibling = status
+        .siblings
+        .iter()
+        .find(|sibling| sibling.controller == from);
     let failed = sibling.is_some_and(|sibling| sibling.stage >= StageStatus::Confirmed);
-    failed && status.teams[0].owner.as_deref().is_some_and(|owner| owner != from)
+    failed
+        && status.teams[0]
+            .owner
+            .as_deref()
+            .is_some_and(|owner| owner != from)
 }
 
 fn hears_everybody(status: &Status) -> bool {
-    status.siblings.iter().all(|sibling| sibling.stage == StageStatus::Alive)
+    status
+        .siblings
+        .iter()
+        .all(|sibling| sibling.stage == StageStatus::Alive)
 }
 
 #[test]
 fn frozen_and_killed_controllers_lose_their_shares_and_take_nothing_back() {
-    let steps = std::env::var("FAILURE_STEPS").ok().and_then(|text| text.parse().ok());
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let steps = std::env::var("FAILURE_STEPS")
+        .ok()
+        .and_then(|text| text.parse().ok());
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     LocalSet::new().block_on(&runtime, async {
         let mut fleet = Fleet::start().await;
         let history = fleet.deployment.start_fleet(MACHINES, LEASE).await;
@@ -135,7 +165,10 @@
             let began = Instant::now();
             let handed_on = |status: &Status| is_handed_on(status, &failed);
             let took = fleet.wait_until(other, HANDED_ON_WITHIN, handed_on).await;
-            println!("step {step}: {failed} fails, handed on after {:.1} s", took.as_secs_f64());
+            println!(
+                "step {step}: {failed} fails, handed on after {:.1} s",
+                took.as_secs_f64()
+            );
             tokio::time::sleep(AWAY.saturating_sub(began.elapsed())).await;
             match killed {
                 true => fleet.programs[owner] = Some(fleet.run(owner)),
@@ -145,11 +178,17 @@
                 let owner = status.teams[0].owner.as_deref();
                 hears_everybody(status) && owner.is_some_and(|owner| owner != failed)
             };
-            fleet.wait_until(owner, HANDED_ON_WITHIN, took_nothing_back).await;
+            fleet
+                .wait_until(owner, HANDED_ON_WITHIN, took_nothing_back)
+                .await;
         }
         let history = history.borrow();
         println!("{} jobs, {} starts", fleet.jobs, history.starts);
-        assert_eq!((history.overshoots, history.ran_twice), (0, 0), "{history:?}");
+        assert_eq!(
+            (history.overshoots, history.ran_twice),
+            (0, 0),
+            "{history:?}"
+        );
         assert!(history.starts > 20, "{history:?}");
     });
 }
--- a/tests/loopback/fleet.rs
+++ b/tests/loopback/fleet.rs
@@ -86,13 +86,16 @@
 impl Machine {
     fn report(&mut self) -> Report {
         self.sequence += 1;
-        let tasks = self.tasks.iter().map(|((task, attempt), running)| ReportedTask {
-            task: task.clone(),
-            attempt: *attempt,
-            state: running.state,
-            why: running.why,
-            saved: None,
-        });
+        let tasks = self
+            .tasks
+            .iter()
+            .map(|((task, attempt), running)| ReportedTask {
+                task: task.clone(),
+                attempt: *attempt,
+                state: running.state,
+                why: running.why,
+                saved: None,
+            });
         let (session, seq, token) = (self.session, self.sequence, self.token);
         Report {
             session,
@@ -123,12 +126,20 @@
         let mut history = self.history.borrow_mut();
         history.started(&key.0);
         let run = RUNS[history.starts % RUNS.len()];
-        let task = Task { state: TaskState::Running, ends: Instant::now() + run, why: None };
+        let task = Task {
+            state: TaskState::Running,
+            ends: Instant::now() + run,
+            why: None,
+        };
         self.tasks.insert(key, task);
     }
 
     fn exit(&mut self, key: &(String, Attempt), why: Exit) {
-        let Some(task) = self.tasks.get_mut(key).filter(|t| t.state == TaskState::Running) else {
+        let Some(task) = self
+            .tasks
+            .get_mut(key)
+            .filter(|t| t.state == TaskState::Running)
+        else {
             return;
         };
         task.state = TaskState::Exited;
@@ -139,8 +150,12 @@
     /// Tasks end by themselves, or with the machine's lease.
     fn pass_time(&mut self) {
         let now = Instant::now();
-        let over: Vec<(String, Attempt)> =
-            self.tasks.iter().filter(|(_, t)| now >= t.ends).map(|(key, _)| key.clone()).collect();
+        let over: Vec<(String, Attempt)> = self
+            .tasks
+            .iter()
+            .filter(|(_, t)| now >= t.ends)
+            .map(|(key, _)| key.clone())
+            .collect();
         over.iter().for_each(|key| self.exit(key, Exit::Done));
         if now > self.answered + self.lease {
             let all: Vec<(String, Attempt)> = self.tasks.keys().cloned().collect();
@@ -159,7 +174,10 @@
     lease: Duration,
     limit: usize,
 ) -> (Rc<RefCell<History>>, Vec<Value>) {
-    let history = Rc::new(RefCell::new(History { limit, ..History::default() }));
+    let history = Rc::new(RefCell::new(History {
+        limit,
+        ..History::default()
+    }));
     let mut listed = Vec::new();
     for number in 1..=machines {
         let (listener, address) = listen().await;
@@ -179,7 +197,9 @@
             address.to_string(), "breed": "g8", "yard": "a", "loaners": false, "stance": "running",
             "heldS": 600.0}));
         let taking = machine.clone();
-        spawn_local(serve(listener, BOUNDS, move |request| take_request(taking.clone(), request)));
+        spawn_local(serve(listener, BOUNDS, move |request| {
+            take_request(taking.clone(), request)
+        }));
         spawn_local(pass_time(machine.clone()));
         spawn_local(report_for_ever(machine, fronts.to_vec(), number));
     }
@@ -220,7 +240,9 @@
         let client = Client::new(fronts[at].1, MESSAGE_PACK, 1);
         let next = report_to(&machine, &client).await;
         let named = next.and_then(|name| fronts.iter().position(|(node, _)| *node == name));
-        at = named.filter(|named| *named != at).unwrap_or((at + 1) % fronts.len());
+        at = named
+            .filter(|named| *named != at)
+            .unwrap_or((at + 1) % fronts.len());
         if named.is_none() {
             tokio::time::sleep(REPORT_EVERY).await;
         }
@@ -235,7 +257,9 @@
             let mut machine = machine.borrow_mut();
             (encode(&machine.report()), machine.session)
         };
-        let answer = client.send(Method::POST, "/checkin", body, Duration::from_secs(4)).await;
+        let answer = client
+            .send(Method::POST, "/checkin", body, Duration::from_secs(4))
+            .await;
         let (status, body) = answer.ok()?;
         if status == 421 {
             let named = decode::<Value>(&body)?;
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -48,29 +48,39 @@
     };
     let query = uri.query().unwrap_or("");
     let value = |name: &str| {
-        query.split('&').find_map(|pair| pair.split_once('=').filter(|(key, _)| *key == name))
+        query
+            .split('&')
+            .find_map(|pair| pair.split_once('=').filter(|(key, _)| *key == name))
     };
     let parts: Vec<&str> = uri.path().trim_matches('/').split('/').collect();
     let call = match (&method, parts.as_slice()) {
-        (&Method::GET, ["kv"]) => {
-            StateCall::List { prefix: "ochredrum/", from: value("from").map(|(_, v)| v.into()) }
-        }
+        (&Method::GET, ["kv"]) => StateCall::List {
+            prefix: "ochredrum/",
+            from: value("from").map(|(_, v)| v.into()),
+        },
         (&Method::GET, ["watch"]) => {
             let from = value("from").and_then(|(_, v)| v.parse().ok()).unwrap_or(0);
-            StateCall::Changes { prefix: "ochredrum/", from }
+            StateCall::Changes {
+                prefix: "ochredrum/",
+                from,
+            }
         }
         (&Method::POST, ["multi"]) => match decode::<Transaction>(&body) {
             Some(transaction) => StateCall::Commit(transaction),
             None => return reply(400, Vec::new(), MESSAGE_PACK),
         },
         (&Method::POST, ["leases"]) => {
-            let ttl = decode::<Value>(&body).and_then(|v| v["lifeMs"].as_u64()).unwrap_or(0);
+            let ttl = decode::<Value>(&body)
+                .and_then(|v| v["lifeMs"].as_u64())
+                .unwrap_or(0);
             StateCall::LeaseCreate { ttl_ms: ttl }
         }
-        (&Method::POST, ["leases", id, "renew"]) => {
-            StateCall::LeaseRenew { lease: id.parse().unwrap_or(0) }
-        }
-        (&Method::DELETE, ["leases", id]) => StateCall::LeaseEnd { lease: id.parse().unwrap_or(0) },
+        (&Method::POST, ["leases", id, "renew"]) => StateCall::LeaseRenew {
+            lease: id.parse().unwrap_or(0),
+        },
+        (&Method::DELETE, ["leases", id]) => StateCall::LeaseEnd {
+            lease: id.parse().unwrap_or(0),
+        },
         _ => return reply(400, Vec::new(), MESSAGE_PACK),
     };
     let now = began.elapsed().as_secs_f64();
@@ -169,9 +179,13 @@
     /// Sends a signal to this process alone.
     pub fn signal(&self, name: &str) {
         let process = self.0.id().to_string();
-        let sent =
-            Command::new("sh").args(["-c", "kill -s \"$0\" \"$1\"", name, &process]).status();
-        assert!(sent.is_ok_and(|status| status.success()), "SIG{name} to a child");
+        let sent = Command::new("sh")
+            .args(["-c", "kill -s \"$0\" \"$1\"", name, &process])
+            .status();
+        assert!(
+            sent.is_ok_and(|status| status.success()),
+            "SIG{name} to a child"
+        );
     }
 }
 
@@ -199,7 +213,10 @@
 
 pub fn settings_file(name: &str, text: &str) -> std::path::PathBuf {
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::File::create(&path).unwrap().write_all(text.as_bytes()).unwrap();
+    std::fs::File::create(&path)
+        .unwrap()
+        .write_all(text.as_bytes())
+        .unwrap();
     path
 }
 
@@ -209,7 +226,9 @@
     path: &str,
     body: Vec<u8>,
 ) -> Result<(u16, Value), Failure> {
-    let (status, body) = client.send(method, path, body, Duration::from_secs(3)).await?;
+    let (status, body) = client
+        .send(method, path, body, Duration::from_secs(3))
+        .await?;
     Ok((status, decode(&body).unwrap_or_default()))
 }
 
@@ -234,7 +253,10 @@
 }
 
 /// How connections to stand-ins are bounded.
-pub const BOUNDS: Bounds = Bounds { connections: 100, read: WAIT };
+pub const BOUNDS: Bounds = Bounds {
+    connections: 100,
+    read: WAIT,
+};
 
 /// The addresses of one or more controllers, with a state service and a cloud to talk to.
 pub struct Deployment {
@@ -265,7 +287,9 @@
         let (listener, cloud_at) = listen().await;
         let listed = Rc::new(RefCell::new(Vec::new()));
         let at_cloud = listed.clone();
-        spawn_local(serve(listener, BOUNDS, move |request| cloud(at_cloud.clone(), request)));
+        spawn_local(serve(listener, BOUNDS, move |request| {
+            cloud(at_cloud.clone(), request)
+        }));
         let (mut fronts, mut meshes, mut held) = (Vec::new(), Vec::new(), Vec::new());
         let address = address_of_next_deployment();
         for _ in 0..controllers {
@@ -276,7 +300,14 @@
             meshes.push(mesh_at);
         }
         drop(held);
-        Self { front: fronts[0], fronts, meshes, cloud: cloud_at, state: state_at, listed }
+        Self {
+            front: fronts[0],
+            fronts,
+            meshes,
+            cloud: cloud_at,
+            state: state_at,
+            listed,
+        }
     }
 
     pub fn settings(&self) -> String {
--- a/tests/loopback/team_limits.rs
+++ b/tests/loopback/team_limits.rs
@@ -38,14 +38,21 @@
     let mut wanted = job(&format!("req-{number:06}"));
     wanted["beats"] = json!(1 + number % 3);
     // Refused or unanswered: a controller may be away. Other rounds come.
-    ask(&client, Method::POST, "/v1/jobs", encode(&wanted)).await.ok();
+    ask(&client, Method::POST, "/v1/jobs", encode(&wanted))
+        .await
+        .ok();
 }
 
 #[test]
 fn five_controllers_never_pass_a_teams_limit() {
-    let seconds = std::env::var("TEAM_LIMITS_SECONDS").ok().and_then(|s| s.parse().ok());
+    let seconds = std::env::var("TEAM_LIMITS_SECONDS")
+        .ok()
+        .and_then(|s| s.parse().ok());
     let lasts = Duration::from_secs(seconds.unwrap_or(SECONDS_IN_CI));
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     LocalSet::new().block_on(&runtime, async {
         let deployment = Deployment::of(CONTROLLERS).await;
         let history = deployment.start_fleet(MACHINES, LEASE).await;
@@ -92,22 +99,36 @@
         "{jobs} jobs, {} starts, {kills} kills, at most {} of {LIMIT_GPUS} at once, {} overshoots",
         history.starts, history.most_at_once, history.overshoots
     );
-    assert_eq!((history.overshoots, history.ran_twice), (0, 0), "{history:?}");
-    assert!(history.starts > 20 && history.most_at_once >= LIMIT_GPUS / 2, "{history:?}");
+    assert_eq!(
+        (history.overshoots, history.ran_twice),
+        (0, 0),
+        "{history:?}"
+    );
+    assert!(
+        history.starts > 20 && history.most_at_once >= LIMIT_GPUS / 2,
+        "{history:?}"
+    );
 }
 
 /// The status of a running controller, as a table and as JSON, and the errors of a wrong address.
 async fn operators_see_the_limits(deployment: &Deployment) {
     let status = |arguments: &[&str]| {
         let program = env!("CARGO_BIN_EXE_ochredrum");
-        Command::new(program).arg("status").args(arguments).output().unwrap()
+        Command::new(program)
+            .arg("status")
+            .args(arguments)
+            .output()
+            .unwrap()
     };
     let address = deployment.mesh_of(1).to_string();
     let mesh = Client::new(deployment.mesh_of(1), JSON, 1);
     until_reached(&mesh).await;
     let table = status(&["--address", &address]);
     let text = String::from_utf8_lossy(&table.stdout).into_owned();
-    assert!(table.status.success() && text.contains("vision") && text.contains("16 GPU"), "{text}");
+    assert!(
+        table.status.success() && text.contains("vision") && text.contains("16 GPU"),
+        "{text}"
+    );
     let began = Instant::now();
     let json = loop {
         let json = status(&["--address", &address, "--json"]);
@@ -119,9 +140,19 @@
         assert!(began.elapsed() < WAIT, "{json:?}");
         tokio::time::sleep(ROUND).await;
     };
-    assert!(json.grants_on && !json.teams[0].grants.is_empty(), "{json:?}");
-    let granted: f64 = json.teams[0].grants.iter().map(|grant| grant.granted.gpus).sum();
-    assert!(granted + json.teams[0].folded.gpus <= LIMIT_GPUS as f64, "{json:?}");
+    assert!(
+        json.grants_on && !json.teams[0].grants.is_empty(),
+        "{json:?}"
+    );
+    let granted: f64 = json.teams[0]
+        .grants
+        .iter()
+        .map(|grant| grant.granted.gpus)
+        .sum();
+    assert!(
+        granted + json.teams[0].folded.gpus <= LIMIT_GPUS as f64,
+        "{json:?}"
+    );
     let nobody = status(&["--address", "127.0.0.1:1"]);
     assert_eq!(nobody.status.code(), Some(3));
     assert_eq!(String::from_utf8_lossy(&nobody.stderr).lines().count(), 1);
@@ -131,7 +162,11 @@
 /// Waits until a controller that has just been started answers.
 async fn until_reached(mesh: &Client) {
     let began = Instant::now();
-    while mesh.send(Method::GET, PATH, Vec::new(), WAIT).await.is_err() {
+    while mesh
+        .send(Method::GET, PATH, Vec::new(), WAIT)
+        .await
+        .is_err()
+    {
         assert!(began.elapsed() < WAIT, "nobody listens");
         tokio::time::sleep(ROUND).await;
     }
--- a/tests/loopback/worker.rs
+++ b/tests/loopback/worker.rs
@@ -63,13 +63,16 @@
 impl Machine {
     fn report(&mut self) -> Report {
         self.sequence += 1;
-        let tasks = self.tasks.iter().map(|((task, attempt), state)| ReportedTask {
-            task: task.clone(),
-            attempt: *attempt,
-            state: *state,
-            why: (*state == TaskState::Exited).then_some(Exit::Stopped),
-            saved: None,
-        });
+        let tasks = self
+            .tasks
+            .iter()
+            .map(|((task, attempt), state)| ReportedTask {
+                task: task.clone(),
+                attempt: *attempt,
+                state: *state,
+                why: (*state == TaskState::Exited).then_some(Exit::Stopped),
+                saved: None,
+            });
         let (session, seq, token) = (1, self.sequence, self.token);
         Report {
             session,
@@ -85,7 +88,9 @@
             match order {
                 Order::Start { task, attempt } => {
                     self.ran.insert(task.clone());
-                    self.tasks.entry((task, attempt)).or_insert(TaskState::Running);
+                    self.tasks
+                        .entry((task, attempt))
+                        .or_insert(TaskState::Running);
                 }
                 Order::Stop { task, attempt, .. } => {
                     if let Some(state) = self.tasks.get_mut(&(task, attempt)) {
@@ -128,7 +133,10 @@
             take_request(taking.clone(), request)
         }));
         spawn_local(report_for_ever(machine.clone(), front));
-        Self { machine, listening: listening.abort_handle() }
+        Self {
+            machine,
+            listening: listening.abort_handle(),
+        }
     }
 
     /// The next direct message is kept: neither executed nor answered.
@@ -187,7 +195,9 @@
 }
 
 async fn take_request(machine: Rc<RefCell<Machine>>, request: Request<Incoming>) -> Reply {
-    let body = read_body(request.into_body(), BODY_LIMIT, WAIT).await.unwrap();
+    let body = read_body(request.into_body(), BODY_LIMIT, WAIT)
+        .await
+        .unwrap();
     let Some(message) = decode::<DirectOrders>(&body) else {
         return reply(400, Vec::new(), MESSAGE_PACK);
     };
@@ -209,9 +219,13 @@
             continue;
         }
         let body = encode(&machine.borrow_mut().report());
-        let sent = client.send(Method::POST, "/checkin", body, Duration::from_secs(4)).await;
+        let sent = client
+            .send(Method::POST, "/checkin", body, Duration::from_secs(4))
+            .await;
         let Ok((200, body)) = sent else { continue };
-        let Some(answer) = decode::<ReportAnswer>(&body) else { continue };
+        let Some(answer) = decode::<ReportAnswer>(&body) else {
+            continue;
+        };
         let mut machine = machine.borrow_mut();
         if answer.token >= machine.token {
             machine.token = answer.token;
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -15,7 +15,10 @@
 
 #[test]
 fn answers_statuses_and_survives_a_kill() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     LocalSet::new().block_on(&runtime, async {
         let deployment = Deployment::new().await;
         let file = settings_file("kill.toml", &deployment.settings());
@@ -33,20 +36,46 @@
         let mut large = job("req-000001");
         large["herd"] = json!("x".repeat(70_000));
         // Refused before it is read to its end: an answer, or a closed connection.
-        assert!(matches!(post(encode(&large)).await, Ok((400, _)) | Err(Failure::Unknown)));
-        for (field, value) in
-            [("crew", json!("nobody")), ("cards", json!(9.0)), ("breeds", json!(["x"]))]
-        {
+        assert!(matches!(
+            post(encode(&large)).await,
+            Ok((400, _)) | Err(Failure::Unknown)
+        ));
+        for (field, value) in [
+            ("crew", json!("nobody")),
+            ("cards", json!(9.0)),
+            ("breeds", json!(["x"])),
+        ] {
             let mut never = job("req-000001");
             never[field] = value;
             assert_eq!(post(encode(&never)).await.unwrap().0, 422, "{field}");
         }
-        assert_eq!(ask(&client, Method::GET, "/v1/jobs/req-000001", vec![]).await.unwrap().0, 404);
-        assert_eq!(ask(&client, Method::GET, "/nowhere", vec![]).await.unwrap().0, 404);
-        assert_eq!(ask(&client, Method::DELETE, "/v1/jobs", vec![]).await.unwrap().0, 405);
+        assert_eq!(
+            ask(&client, Method::GET, "/v1/jobs/req-000001", vec![])
+                .await
+                .unwrap()
+                .0,
+            404
+        );
+        assert_eq!(
+            ask(&client, Method::GET, "/nowhere", vec![])
+                .await
+                .unwrap()
+                .0,
+            404
+        );
+        assert_eq!(
+            ask(&client, Method::DELETE, "/v1/jobs", vec![])
+                .await
+                .unwrap()
+                .0,
+            405
+        );
 
         let (status, body) = post(encode(&job("req-000001"))).await.unwrap();
-        assert_eq!((status, body), (201, json!({"nameId": "req-000001", "stance": "pending"})));
+        assert_eq!(
+            (status, body),
+            (201, json!({"nameId": "req-000001", "stance": "pending"}))
+        );
         assert_eq!(post(encode(&job("req-000001"))).await.unwrap().0, 200);
         let cancel = "/v1/jobs/req-000002/withdraw";
         assert_eq!(post(encode(&job("req-000002"))).await.unwrap().0, 201);
@@ -62,15 +91,27 @@
             assert_eq!(needing("req-000003", wrong).await.unwrap().0, 400);
         }
         for never in ["req-000777", "req-000003"] {
-            assert_eq!(needing("req-000003", json!([never])).await.unwrap().0, 422, "{never}");
+            assert_eq!(
+                needing("req-000003", json!([never])).await.unwrap().0,
+                422,
+                "{never}"
+            );
         }
         let many: Vec<&str> = vec!["req-000001"; 2000];
-        assert_eq!(needing("req-000003", json!(many)).await.unwrap().0, 201, "all the same one");
-        let (status, body) =
-            needing("req-000004", json!(["req-000003", "req-000002"])).await.unwrap();
+        assert_eq!(
+            needing("req-000003", json!(many)).await.unwrap().0,
+            201,
+            "all the same one"
+        );
+        let (status, body) = needing("req-000004", json!(["req-000003", "req-000002"]))
+            .await
+            .unwrap();
         assert_eq!((status, &body["stance"]), (201, &json!("withdrawn")));
         assert_eq!(
-            needing("req-000005", json!(["req-000004"])).await.unwrap().1["stance"],
+            needing("req-000005", json!(["req-000004"]))
+                .await
+                .unwrap()
+                .1["stance"],
             "withdrawn"
         );
 
@@ -80,10 +121,16 @@
         assert_eq!(body["stance"], "pending");
         let body = until(&client, Method::GET, "/v1/jobs/req-000002", &[], 200).await;
         assert_eq!(body["stance"], "withdrawn");
-        assert_eq!(post(encode(&job("req-000002"))).await.unwrap().1["stance"], "withdrawn");
+        assert_eq!(
+            post(encode(&job("req-000002"))).await.unwrap().1["stance"],
+            "withdrawn"
+        );
         for (id, stance) in [("3", "pending"), ("4", "withdrawn"), ("5", "withdrawn")] {
             let path = format!("/v1/jobs/req-00000{id}");
-            assert_eq!(until(&client, Method::GET, &path, &[], 200).await["stance"], stance);
+            assert_eq!(
+                until(&client, Method::GET, &path, &[], 200).await["stance"],
+                stance
+            );
         }
     });
 }
@@ -92,11 +139,16 @@
 /// the first is carried out: its task runs there, and nowhere else.
 #[test]
 fn a_start_held_up_beside_a_refused_message_runs_once() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     LocalSet::new().block_on(&runtime, async {
         let deployment = Deployment::new().await;
         // Long enough for both messages to be under way at once, also on a busy machine.
-        let text = deployment.settings().replace("lease_s = 4.0", "lease_s = 20.0");
+        let text = deployment
+            .settings()
+            .replace("lease_s = 4.0", "lease_s = 20.0");
         let _program = start(&settings_file("late.toml", &text));
         let client = Client::new(deployment.front, MESSAGE_PACK, 1);
         until(&client, Method::GET, "/healthz", &[], 200).await;
@@ -116,7 +168,11 @@
         submit("req-000001").await;
         let (held_up, other) = loop {
             tokio::time::sleep(Duration::from_millis(5)).await;
-            match workers.iter().map(StandInWorker::holds_message).collect::<Vec<_>>()[..] {
+            match workers
+                .iter()
+                .map(StandInWorker::holds_message)
+                .collect::<Vec<_>>()[..]
+            {
                 [true, _] => break (&workers[0], &workers[1]),
                 [_, true] => break (&workers[1], &workers[0]),
                 _ => {}
@@ -142,20 +198,39 @@
     let run = |name: &str, text: &str| {
         let file = settings_file(name, text);
         let program = env!("CARGO_BIN_EXE_ochredrum");
-        Command::new(program).arg("check-config").arg(file).output().unwrap()
+        Command::new(program)
+            .arg("check-config")
+            .arg(file)
+            .output()
+            .unwrap()
     };
     assert!(run("good.toml", &good).status.success());
     for (from, to, field) in [
-        ("lease_s = 4.0", "lease_s = -4.0", "deployment.workers.lease_s"),
+        (
+            "lease_s = 4.0",
+            "lease_s = -4.0",
+            "deployment.workers.lease_s",
+        ),
         ("lease_s = 4.0", "", "lease_s"),
         ("txn_ops = 8", "txn_ops = \"8\"", "txn_ops"),
-        ("txn_ops = 8", "txn_ops = 8\nnext = { txn_ops = 1 }", "deployment.state.next.txn_ops"),
-        ("txn_ops = 8", "txn_ops = 8\nnext = { value_kb = 0.0 }", "deployment.state.next.value_kb"),
+        (
+            "txn_ops = 8",
+            "txn_ops = 8\nnext = { txn_ops = 1 }",
+            "deployment.state.next.txn_ops",
+        ),
+        (
+            "txn_ops = 8",
+            "txn_ops = 8\nnext = { value_kb = 0.0 }",
+            "deployment.state.next.value_kb",
+        ),
         ("host_name = \"n0\"", "host_name = \"\"", "host_name"),
     ] {
         let output = run("bad.toml", &good.replace(from, to));
         let message = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(2), "{message}");
-        assert!(message.contains(field) && message.lines().count() == 1, "{message}");
+        assert!(
+            message.contains(field) && message.lines().count() == 1,
+            "{message}"
+        );
     }
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -17,8 +17,10 @@
 fn scenarios() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/scenarios");
     let only = std::env::var("SCENARIO").ok();
-    let mut files: Vec<_> =
-        std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path()).collect();
+    let mut files: Vec<_> = std::fs::read_dir(folder)
+        .unwrap()
+        .map(|entry| entry.unwrap().path())
+        .collect();
     files.sort();
     assert!(files.len() > 10, "scenarios are there");
     let mut failures = Vec::new();
@@ -50,8 +52,10 @@
         assert_eq!(error.line_col, at, "{text}: {error}");
     }
     let read = script::statements("  seed 2 # two\n\nat 1.5\tcut n1 all 3 reset in");
-    let words: Vec<Vec<&str>> =
-        vec![vec!["seed", "2"], vec!["at", "1.5", "cut", "n1", "all", "3", "reset", "in"]];
+    let words: Vec<Vec<&str>> = vec![
+        vec!["seed", "2"],
+        vec!["at", "1.5", "cut", "n1", "all", "3", "reset", "in"],
+    ];
     assert_eq!(read.ok(), Some(words));
 }
 
@@ -59,7 +63,9 @@
 /// need not come about at that moment; everything else has to hold.
 fn report_with_grants(name: &str, day: &str) -> Option<String> {
     let mut world = play(&format!("grants\n{day}"));
-    world.broken.retain(|broken| !broken.starts_with("no_meeting"));
+    world
+        .broken
+        .retain(|broken| !broken.starts_with("no_meeting"));
     report(&format!("{name}, with grants"), &world)
 }
 
@@ -68,12 +74,23 @@
 fn renewals_come_first_when_the_rate_is_used_up() {
     let mut day = "seed 3\ncontrollers 5\nnext_limits 0.8 2 40 6\nmachines 12\n".to_owned();
     for job in 1..=120 {
-        day += &format!("at {} job array 1 run=2 gpus=1\n", 20.0 + f64::from(job) / 20.0);
+        day += &format!(
+            "at {} job array 1 run=2 gpus=1\n",
+            20.0 + f64::from(job) / 20.0
+        );
     }
     let world = play(&(day + "at 15 limits_fall\nat 18 close_looks 30\nuntil 160\n"));
-    assert!(report("rate", &world).is_none(), "{}", report("rate", &world).unwrap_or_default());
+    assert!(
+        report("rate", &world).is_none(),
+        "{}",
+        report("rate", &world).unwrap_or_default()
+    );
     // Felt, and heeded: without pacing 3,639 requests of this day were refused.
-    assert!((20..1200).contains(&world.work.state_busy), "{:?}", world.work);
+    assert!(
+        (20..1200).contains(&world.work.state_busy),
+        "{:?}",
+        world.work
+    );
     assert_eq!(world.leaderships(), 1, "the first leader kept its lease");
 }
 
@@ -112,7 +129,12 @@
         for fault in ["crash_at_map_write", "late_map_write"] {
             let fault = format!("{fault} {nth}");
             let world = play(&day(&fault));
-            assert!(world.log.iter().any(|line| line.contains("fault AtMapWrite")));
+            assert!(
+                world
+                    .log
+                    .iter()
+                    .any(|line| line.contains("fault AtMapWrite"))
+            );
             failures.extend(report(&fault, &world));
         }
     }
@@ -133,7 +155,11 @@
     }
     day += "at 4 close_looks 130\nat 4 cancel_at_end 130\nuntil 240\n";
     let world = play(&day);
-    assert!(report("flood", &world).is_none(), "{}", report("flood", &world).unwrap_or_default());
+    assert!(
+        report("flood", &world).is_none(),
+        "{}",
+        report("flood", &world).unwrap_or_default()
+    );
     // Created, done or cancelled, and perhaps progress in between; the rest is leases and syncs.
     assert!(world.work.state_bytes / 480 < 1500, "{:?}", world.work);
 }
@@ -191,7 +217,10 @@
     let mut last = [root, root];
     for number in 0..500 {
         let needed = if number < 300 { root } else { last[number % 2] };
-        let job = JobSpec { dependencies: vec![world.job_id(needed)], ..small.clone() };
+        let job = JobSpec {
+            dependencies: vec![world.job_id(needed)],
+            ..small.clone()
+        };
         let added = world.add_job(began + 1.0 + number as f64 * 0.05, job, 1.0);
         if number >= 300 {
             last[number % 2] = added;
@@ -215,7 +244,10 @@
     assert!(more_visits < visits * 1.3, "{small:?} {large:?}");
     for (_, rounds, seconds) in [small, large] {
         // At most one in a four-hundredth of a lease, on each of five controllers.
-        assert!((rounds as f64) < seconds * 400.0 / LEASE_S * 5.0, "{rounds} in {seconds} s");
+        assert!(
+            (rounds as f64) < seconds * 400.0 / LEASE_S * 5.0,
+            "{rounds} in {seconds} s"
+        );
     }
 }
 
@@ -229,15 +261,31 @@
         let day = days::upgrade_day(seed);
         let world = play(&day);
         let logged = |text: &str| world.log.iter().filter(|line| line.contains(text)).count();
-        assert!(logged(" 0 of the version before are left") >= 1, "day {seed}: all were upgraded");
-        assert_eq!(logged("lowers its limits"), usize::from(day.contains("limits_fall")), "{seed}");
-        for (trouble, shown) in
-            [("outage", "fault Outage"), ("refuse", "fault Refuse"), ("zone_cut", "fault ZoneCut")]
-        {
-            assert_eq!(day.contains(trouble), logged(shown) > 0, "day {seed}: {trouble}");
+        assert!(
+            logged(" 0 of the version before are left") >= 1,
+            "day {seed}: all were upgraded"
+        );
+        assert_eq!(
+            logged("lowers its limits"),
+            usize::from(day.contains("limits_fall")),
+            "{seed}"
+        );
+        for (trouble, shown) in [
+            ("outage", "fault Outage"),
+            ("refuse", "fault Refuse"),
+            ("zone_cut", "fault ZoneCut"),
+        ] {
+            assert_eq!(
+                day.contains(trouble),
+                logged(shown) > 0,
+                "day {seed}: {trouble}"
+            );
         }
         if day.contains("leader_first") || day.contains("leader_last") {
-            assert!(logged(", led by Some") >= 1, "day {seed}: there was a leader");
+            assert!(
+                logged(", led by Some") >= 1,
+                "day {seed}: there was a leader"
+            );
         }
         downgraded += logged("fault Downgrade");
         let name = format!("upgrade day {seed}\n{day}");
@@ -245,7 +293,12 @@
         failures.extend(report_with_grants(&name, &day));
     }
     assert!(downgraded > 5, "some went back to the version before");
-    assert!(failures.is_empty(), "{} days:\n{}", failures.len(), failures.join("\n\n"));
+    assert!(
+        failures.is_empty(),
+        "{} days:\n{}",
+        failures.len(),
+        failures.join("\n\n")
+    );
 }
 
 fn seeds(variable: &str, ordinary: &str) -> std::ops::RangeInclusive<u64> {
@@ -264,7 +317,12 @@
         failures.extend(report(&name, &play(&day)));
         failures.extend(report_with_grants(&name, &day));
     }
-    assert!(failures.is_empty(), "{} days:\n{}", failures.len(), failures.join("\n\n"));
+    assert!(
+        failures.is_empty(),
+        "{} days:\n{}",
+        failures.len(),
+        failures.join("\n\n")
+    );
 }
 
 /// Days on which direct orders are refused, late or unanswered, beside all that ends tasks early.
@@ -279,7 +337,12 @@
         failures.extend(report(&name, &play(&day)));
         failures.extend(report_with_grants(&name, &day));
     }
-    assert!(failures.is_empty(), "{} days:\n{}", failures.len(), failures.join("\n\n"));
+    assert!(
+        failures.is_empty(),
+        "{} days:\n{}",
+        failures.len(),
+        failures.join("\n\n")
+    );
 }
 
 /// Tens of machines, every trouble at once.
@@ -293,7 +356,12 @@
         failures.extend(report(&name, &play(&day)));
         failures.extend(report_with_grants(&name, &day));
     }
-    assert!(failures.is_empty(), "{} days:\n{}", failures.len(), failures.join("\n\n"));
+    assert!(
+        failures.is_empty(),
+        "{} days:\n{}",
+        failures.len(),
+        failures.join("\n\n")
+    );
 }
 
 #[test]
@@ -306,7 +374,12 @@
         failures.extend(report(&name, &play(&day)));
         failures.extend(report_with_grants(&name, &day));
     }
-    assert!(failures.is_empty(), "{} days:\n{}", failures.len(), failures.join("\n\n"));
+    assert!(
+        failures.is_empty(),
+        "{} days:\n{}",
+        failures.len(),
+        failures.join("\n\n")
+    );
 }
 
 #[test]
@@ -324,7 +397,12 @@
         failures.extend(report(&name, &world));
         failures.extend(report_with_grants(&name, &day));
     }
-    assert!(failures.is_empty(), "{} days:\n{}", failures.len(), failures.join("\n\n"));
+    assert!(
+        failures.is_empty(),
+        "{} days:\n{}",
+        failures.len(),
+        failures.join("\n\n")
+    );
 }
 
 /// A fleet of four thousand machines, most of which run two replicas, loses the controller that owns them
@@ -338,18 +416,30 @@
         machines * 2 - 60
     );
     let mut world = play(&text);
-    world.broken.retain(|broken| !broken.starts_with("not_served"));
+    world
+        .broken
+        .retain(|broken| !broken.starts_with("not_served"));
     let before = world.work;
     let began = world.now;
     world.run(began + 40.0);
     world.check_served();
-    assert!(world.broken.is_empty(), "{:?}", &world.broken[..world.broken.len().min(5)]);
+    assert!(
+        world.broken.is_empty(),
+        "{:?}",
+        &world.broken[..world.broken.len().min(5)]
+    );
     let work = world.work;
     println!("{before:?}\n{work:?}");
     let each_second = (work.state_requests - before.state_requests) as f64 / 40.0;
-    assert!(each_second < world.limits.rps, "{each_second} requests a second");
+    assert!(
+        each_second < world.limits.rps,
+        "{each_second} requests a second"
+    );
     let refused = work.state_busy - before.state_busy;
-    assert!(refused * 100 < work.state_requests, "{refused} were refused for the rate");
+    assert!(
+        refused * 100 < work.state_requests,
+        "{refused} were refused for the rate"
+    );
     assert!(work.largest_message < 1024 * 1024, "{work:?}");
 }
 
@@ -365,7 +455,9 @@
     );
     let mut world = play(&day);
     // At that moment nothing had to be served yet.
-    world.broken.retain(|broken| !broken.starts_with("not_served"));
+    world
+        .broken
+        .retain(|broken| !broken.starts_with("not_served"));
     let last = 3;
     while world.begun(last) == 0 && world.now < ended + 120.0 {
         world.run(world.now + 0.05);
@@ -384,19 +476,34 @@
         day += &format!("at {at} job array 1 run={} gpus=1 team=blue\n", 1 + job % 7);
     }
     let world = play(&(day + "until 240\n"));
-    assert!(report("few writes", &world).is_none(), "{:?}", report("few writes", &world));
+    assert!(
+        report("few writes", &world).is_none(),
+        "{:?}",
+        report("few writes", &world)
+    );
     let writes = world.grant_writes("blue");
-    println!("{writes} writes of grants for {} starts in {seconds} s", world.starts());
-    assert!(writes > 2 && (writes as f64) < seconds * world.limits.write_rps / 25.0, "{writes}");
+    println!(
+        "{writes} writes of grants for {} starts in {seconds} s",
+        world.starts()
+    );
+    assert!(
+        writes > 2 && (writes as f64) < seconds * world.limits.write_rps / 25.0,
+        "{writes}"
+    );
 }
 
 /// A new owner of a limited team starts at once within what is not granted to its predecessor.
 #[test]
 fn a_new_owner_starts_within_what_is_not_granted() {
-    let (before, with) =
-        (first_start_after_owner_ended(""), first_start_after_owner_ended("grants"));
+    let (before, with) = (
+        first_start_after_owner_ended(""),
+        first_start_after_owner_ended("grants"),
+    );
     println!("first start after the owner's end: {before:.2} s without grants, {with:.2} s with");
-    assert!(with < LEASE_S && with < before, "{with} s with grants, {before} s without");
+    assert!(
+        with < LEASE_S && with < before,
+        "{with} s with grants, {before} s without"
+    );
 }
 
 /// Jobs that fail on every machine are only probed: before, their tasks began 220, 22 and 44 times, and the
@@ -405,7 +512,10 @@
 fn jobs_that_fail_everywhere_are_only_probed() {
     let world = play(include_str!("scenarios/broken_jobs.txt"));
     let starts: Vec<u32> = (0..3).map(|job| world.begun(job)).collect();
-    assert!(starts.iter().all(|starts| (3..=30).contains(starts)), "{starts:?}");
+    assert!(
+        starts.iter().all(|starts| (3..=30).contains(starts)),
+        "{starts:?}"
+    );
 }
 
 /// Two zones that can't reach each other: a share's machines can't reach its owner, nor can any other
@@ -423,8 +533,16 @@
         }
         let world = play(&(day + "until 120\n"));
         let name = format!("n{owner} out of reach");
-        assert!(report(&name, &world).is_none(), "{:?}", report(&name, &world));
-        assert_eq!((world.begun(0), world.begun(1)), (8, 4), "{name}: replicas were started anew");
+        assert!(
+            report(&name, &world).is_none(),
+            "{:?}",
+            report(&name, &world)
+        );
+        assert_eq!(
+            (world.begun(0), world.begun(1)),
+            (8, 4),
+            "{name}: replicas were started anew"
+        );
     }
 }
 
@@ -451,7 +569,11 @@
             handed_on += 1;
         }
         world.run(140.0);
-        assert!(report("hears nobody", &world).is_none(), "{:?}", report("hears nobody", &world));
+        assert!(
+            report("hears nobody", &world).is_none(),
+            "{:?}",
+            report("hears nobody", &world)
+        );
     }
     assert_eq!(handed_on, 2, "each team's owner was cut off once");
 }
@@ -464,12 +586,18 @@
     let day = "machines 4\nwithout_gpus 4\nat 2 job service 24 gpus=0\n\
                at 5 job service 16 gpus=1 cpus=8\nuntil 9\n";
     let mut world = play(day);
-    world.broken.retain(|broken| !broken.starts_with("not_served"));
+    world
+        .broken
+        .retain(|broken| !broken.starts_with("not_served"));
     assert_eq!(world.begun(1), 16, "some wait for another machine");
     world.run(60.0);
     assert_eq!(world.begun(0), 24);
     world.check_served();
-    assert!(report("two kinds", &world).is_none(), "{:?}", report("two kinds", &world));
+    assert!(
+        report("two kinds", &world).is_none(),
+        "{:?}",
+        report("two kinds", &world)
+    );
 }
 
 /// A fleet of two kinds with several troubles at once, in an order drawn from the seed. On day 7 what was left of an
@@ -492,6 +620,10 @@
         );
         let world = play(&day);
         let name = format!("two kinds {seed}");
-        assert!(report(&name, &world).is_none(), "{}", report(&name, &world).unwrap_or_default());
+        assert!(
+            report(&name, &world).is_none(),
+            "{}",
+            report(&name, &world).unwrap_or_default()
+        );
     }
 }
--- a/tests/script/mod.rs
+++ b/tests/script/mod.rs
@@ -17,16 +17,28 @@
 /// The words of each statement.
 pub fn statements(text: &str) -> Result<Vec<Vec<&str>>, Box<pest::error::Error<Rule>>> {
     let scenario = ScenarioParser::parse(Rule::scenario, text)?;
-    let statements = scenario.flatten().filter(|pair| pair.as_rule() == Rule::statement);
-    Ok(statements.map(|pair| pair.as_str().split_whitespace().collect()).collect())
+    let statements = scenario
+        .flatten()
+        .filter(|pair| pair.as_rule() == Rule::statement);
+    Ok(statements
+        .map(|pair| pair.as_str().split_whitespace().collect())
+        .collect())
 }
 
 pub fn spec(kind: Kind, tasks: u32) -> JobSpec {
     JobSpec {
-        class: if kind == Kind::Service { "chat".into() } else { "batch".into() },
+        class: if kind == Kind::Service {
+            "chat".into()
+        } else {
+            "batch".into()
+        },
         team: Team::from("red"),
         kind,
-        priority: if kind == Kind::Service { Priority::Production } else { Priority::Normal },
+        priority: if kind == Kind::Service {
+            Priority::Production
+        } else {
+            Priority::Normal
+        },
         tasks,
         cpus: 4.0,
         gpus: 2.0,
@@ -160,12 +172,24 @@
     match words[0] {
         "crash" => {
             let back_after = rest.get(1).map(|_| number(rest.get(1)));
-            Fault::Crash { who: who(rest[0]), back_after }
+            Fault::Crash {
+                who: who(rest[0]),
+                back_after,
+            }
         }
-        "roll" => Fault::Roll { every: number(rest.first()) },
-        "outage" => Fault::Outage { seconds: number(rest.first()) },
-        "cloud_outage" => Fault::CloudOutage { seconds: number(rest.first()) },
-        "refuse" => Fault::Refuse { who: who(rest[0]), seconds: number(rest.get(1)) },
+        "roll" => Fault::Roll {
+            every: number(rest.first()),
+        },
+        "outage" => Fault::Outage {
+            seconds: number(rest.first()),
+        },
+        "cloud_outage" => Fault::CloudOutage {
+            seconds: number(rest.first()),
+        },
+        "refuse" => Fault::Refuse {
+            who: who(rest[0]),
+            seconds: number(rest.get(1)),
+        },
         "cut" => Fault::Cut {
             who: who(rest[0]),
             from: who(rest[1]),
@@ -178,7 +202,9 @@
             pause: number(rest.get(1)),
             seconds: number(rest.get(2)),
         },
-        "machine_dies" => Fault::MachineDies { which: number(rest.first()) as usize },
+        "machine_dies" => Fault::MachineDies {
+            which: number(rest.first()) as usize,
+        },
         "machine_cut" => Fault::MachineCut {
             which: number(rest.first()) as usize,
             seconds: number(rest.get(1)),
@@ -210,15 +236,24 @@
             seconds: number(rest.get(1)),
             hold: rest.get(2) == Some(&"hold"),
         },
-        "freeze" => Fault::Freeze { who: who(rest[0]), seconds: number(rest.get(1)) },
-        "late_writes" => Fault::LateWrites { seconds: number(rest.first()) },
-        "crash_at_map_write" => {
-            Fault::AtMapWrite { nth: number(rest.first()) as usize, fault: MapFault::Crash }
-        }
-        "late_map_write" => {
-            Fault::AtMapWrite { nth: number(rest.first()) as usize, fault: MapFault::Late }
-        }
-        "copies" => Fault::Copies { seconds: number(rest.first()) },
+        "freeze" => Fault::Freeze {
+            who: who(rest[0]),
+            seconds: number(rest.get(1)),
+        },
+        "late_writes" => Fault::LateWrites {
+            seconds: number(rest.first()),
+        },
+        "crash_at_map_write" => Fault::AtMapWrite {
+            nth: number(rest.first()) as usize,
+            fault: MapFault::Crash,
+        },
+        "late_map_write" => Fault::AtMapWrite {
+            nth: number(rest.first()) as usize,
+            fault: MapFault::Late,
+        },
+        "copies" => Fault::Copies {
+            seconds: number(rest.first()),
+        },
         "machine_mute" => Fault::MachineMute {
             which: number(rest.first()) as usize,
             seconds: number(rest.get(1)),
@@ -237,15 +272,33 @@
             which: number(rest.first()) as usize,
             seconds: number(rest.get(1)),
         },
-        "refused_orders" => Fault::RefusedOrders { seconds: number(rest.first()) },
-        "late_orders" => Fault::LateOrders { seconds: number(rest.first()) },
-        "lost_order_answers" => Fault::LostOrderAnswers { seconds: number(rest.first()) },
-        "lost_answers" => Fault::LostAnswers { seconds: number(rest.first()) },
-        "copies_for_next" => Fault::CopiesForNext { seconds: number(rest.first()) },
-        "instant_boots" => Fault::InstantBoots { seconds: number(rest.first()) },
-        "close_looks" => Fault::CloseLooks { seconds: number(rest.first()) },
-        "odd_requests" => Fault::OddRequests { seconds: number(rest.first()) },
-        "cancel_at_end" => Fault::CancelAtEnd { seconds: number(rest.first()) },
+        "refused_orders" => Fault::RefusedOrders {
+            seconds: number(rest.first()),
+        },
+        "late_orders" => Fault::LateOrders {
+            seconds: number(rest.first()),
+        },
+        "lost_order_answers" => Fault::LostOrderAnswers {
+            seconds: number(rest.first()),
+        },
+        "lost_answers" => Fault::LostAnswers {
+            seconds: number(rest.first()),
+        },
+        "copies_for_next" => Fault::CopiesForNext {
+            seconds: number(rest.first()),
+        },
+        "instant_boots" => Fault::InstantBoots {
+            seconds: number(rest.first()),
+        },
+        "close_looks" => Fault::CloseLooks {
+            seconds: number(rest.first()),
+        },
+        "odd_requests" => Fault::OddRequests {
+            seconds: number(rest.first()),
+        },
+        "cancel_at_end" => Fault::CancelAtEnd {
+            seconds: number(rest.first()),
+        },
         other => panic!("fault {other:?}?"),
     }
 }
@@ -259,7 +312,10 @@
         Ok(lines) => lines,
         Err(error) => panic!("no scenario:\n{error}"),
     };
-    let seed = lines.iter().find(|w| w[0] == "seed").map_or(1, |w| number(w.get(1)) as u64);
+    let seed = lines
+        .iter()
+        .find(|w| w[0] == "seed")
+        .map_or(1, |w| number(w.get(1)) as u64);
     let controllers = lines.iter().find(|w| w[0] == "controllers");
     let controllers = controllers.map_or(3, |w| number(w.get(1)) as usize);
     let mut world = World::new(seed, controllers);
@@ -269,7 +325,11 @@
             "seed" | "controllers" => {}
             "limits" => {
                 let (value_kb, txn_ops) = (number(words.get(1)), number(words.get(2)) as usize);
-                world.limits = Limits { value_kb, txn_ops, ..world.limits };
+                world.limits = Limits {
+                    value_kb,
+                    txn_ops,
+                    ..world.limits
+                };
             }
             "next_limits" => {
                 world.next_limits = Some(Limits {
@@ -299,7 +359,13 @@
                     }
                     "expect" => {
                         let job = jobs[number(words.get(3)) as usize - 1];
-                        world.at(at, Event::Expect { job, what: words[4].to_owned() });
+                        world.at(
+                            at,
+                            Event::Expect {
+                                job,
+                                what: words[4].to_owned(),
+                            },
+                        );
                     }
                     "limits_fall" => world.at(at, Event::LimitsFall),
                     "submit_again" => {
@@ -324,5 +390,9 @@
         return None;
     }
     let from = world.log.len().saturating_sub(60);
-    Some(format!("{name}:\n  {}\n{}", world.broken.join("\n  "), world.log[from..].join("\n")))
+    Some(format!(
+        "{name}:\n  {}\n{}",
+        world.broken.join("\n  "),
+        world.log[from..].join("\n")
+    ))
 }
--- a/tests/world/cloud.rs
+++ b/tests/world/cloud.rs
@@ -124,7 +124,9 @@
 
     pub fn call(&mut self, now: f64, call: CloudCall) -> (CloudReply, Vec<MachineId>) {
         let reply = match call {
-            CloudCall::Types => CloudReply::Types(MachineTypes { types: self.kinds.clone() }),
+            CloudCall::Types => CloudReply::Types(MachineTypes {
+                types: self.kinds.clone(),
+            }),
             CloudCall::List { .. } => {
                 let as_of = now - LIST_LAG;
                 let listed = |o: &&Owned| {
@@ -145,7 +147,10 @@
                         age_s: as_of - o.created,
                     })
                     .collect();
-                CloudReply::List(MachineList { machines, more: false })
+                CloudReply::List(MachineList {
+                    machines,
+                    more: false,
+                })
             }
             CloudCall::Rent(rental) => {
                 if let Some(names) = self.hires.get(&rental.request) {
@@ -160,7 +165,9 @@
                         self.create(type_name, rental.zone.as_str(), rental.spot, now)
                     })
                     .collect();
-                let names = MachineNames { machines: machines.clone() };
+                let names = MachineNames {
+                    machines: machines.clone(),
+                };
                 self.hires.insert(rental.request, names.clone());
                 return (CloudReply::Rented(names), machines);
             }
--- a/tests/world/controllers.rs
+++ b/tests/world/controllers.rs
@@ -27,16 +27,30 @@
 }
 
 pub enum Asker {
-    User { job: Option<usize>, ask: users::Ask, asked: f64 },
-    Worker { machine: MachineId, number: u64, live: bool },
-    Sibling { from: usize, epoch: u64, call: CallId },
+    User {
+        job: Option<usize>,
+        ask: users::Ask,
+        asked: f64,
+    },
+    Worker {
+        machine: MachineId,
+        number: u64,
+        live: bool,
+    },
+    Sibling {
+        from: usize,
+        epoch: u64,
+        call: CallId,
+    },
 }
 
 impl World {
     pub(super) fn restart(&mut self, node: usize) {
         let next = self.next_limits.filter(|_| !self.old.contains(&node));
         let text = settings(node, self.nodes.len(), self.limits, next);
-        let Ok(mut config) = Config::parse(&text) else { panic!("settings of the runner") };
+        let Ok(mut config) = Config::parse(&text) else {
+            panic!("settings of the runner")
+        };
         if !self.old.contains(&node) {
             config.features = self.features.clone();
         }
@@ -61,7 +75,15 @@
             // Whoever asked sees the connection break.
             for (_, asker) in std::mem::take(&mut self.nodes[node].asked) {
                 if let Asker::User { job, ask, asked } = asker {
-                    self.after(0.0, Event::UserAnswer { job, ask, asked, answer: None });
+                    self.after(
+                        0.0,
+                        Event::UserAnswer {
+                            job,
+                            ask,
+                            asked,
+                            answer: None,
+                        },
+                    );
                 }
             }
             self.crashed = self.now;
@@ -85,7 +107,15 @@
         for (machine, report) in std::mem::take(&mut self.kept) {
             for node in 0..self.nodes.len() {
                 let (machine, report) = (machine.clone(), report.clone());
-                self.after(0.01, Event::Report { machine, node, report, live: false });
+                self.after(
+                    0.01,
+                    Event::Report {
+                        machine,
+                        node,
+                        report,
+                        live: false,
+                    },
+                );
             }
         }
     }
@@ -93,7 +123,10 @@
     /// The controller that acts, if one does.
     pub fn leader(&self) -> Option<usize> {
         (0..self.nodes.len()).find(|node| {
-            self.nodes[*node].core.as_ref().is_some_and(|core| core.leads(self.clock(*node)))
+            self.nodes[*node]
+                .core
+                .as_ref()
+                .is_some_and(|core| core.leads(self.clock(*node)))
         })
     }
 
@@ -113,7 +146,9 @@
         let others = (0..self.nodes.len()).filter(|other| *other != node);
         let mut cores = others.filter_map(|other| Some((other, self.nodes[other].core.as_ref()?)));
         cores.any(|(other, core)| {
-            core.teams(self.clock(other)).iter().any(|settled| settled.as_str() == team)
+            core.teams(self.clock(other))
+                .iter()
+                .any(|settled| settled.as_str() == team)
         })
     }
 
@@ -151,18 +186,46 @@
                 let poll = matches!(ask, users::Ask::Poll | users::Ask::Look);
                 let patience = if poll { 2.0 } else { 5.0 };
                 let answer = answer.filter(|_| self.now < asked + patience);
-                self.after(delay, Event::UserAnswer { job, ask, asked, answer });
+                self.after(
+                    delay,
+                    Event::UserAnswer {
+                        job,
+                        ask,
+                        asked,
+                        answer,
+                    },
+                );
             }
-            Asker::Worker { machine, number, live } => {
-                let passes = self.net.passes(Who::Node(node), Who::Machine(machine.clone()));
+            Asker::Worker {
+                machine,
+                number,
+                live,
+            } => {
+                let passes = self
+                    .net
+                    .passes(Who::Node(node), Who::Machine(machine.clone()));
                 if live && passes && !self.net.deaf(&machine) {
-                    self.after(delay, Event::ReportAnswer { machine, number, answer });
+                    self.after(
+                        delay,
+                        Event::ReportAnswer {
+                            machine,
+                            number,
+                            answer,
+                        },
+                    );
                 }
             }
             Asker::Sibling { from, epoch, call } => {
                 if self.net.passes(Who::Node(node), Who::Node(from)) {
                     let input = Box::new(Input::MeshReply(call, mesh));
-                    self.after(delay, Event::Input { node: from, epoch, input });
+                    self.after(
+                        delay,
+                        Event::Input {
+                            node: from,
+                            epoch,
+                            input,
+                        },
+                    );
                 }
             }
         }
@@ -175,15 +238,24 @@
         let now = self.clock(node);
         let wall = 1_700_000_000_000 + (self.now * 1e3) as u64;
         let old = self.old.contains(&node);
-        let batch = if old { batch.into_iter().map(old::sees).collect() } else { batch };
-        let Some(core) = self.nodes[node].core.as_mut() else { return };
+        let batch = if old {
+            batch.into_iter().map(old::sees).collect()
+        } else {
+            batch
+        };
+        let Some(core) = self.nodes[node].core.as_mut() else {
+            return;
+        };
         let span = tracing::info_span!("", n = node, t = self.now);
         let before = core.starts_held_back();
         let effects = span.in_scope(|| core.step(now, wall, batch));
         let held_back = core.starts_held_back() > before;
         if held_back {
             // The last guard kept the rule, but nothing should come to it.
-            self.breaks("start_held_back", format!("n{node} was about to start a task twice"));
+            self.breaks(
+                "start_held_back",
+                format!("n{node} was about to start a task twice"),
+            );
         }
         for effect in effects {
             self.effect_digest.add(self.now, node, &effect);
@@ -204,7 +276,10 @@
             }
         }
         for (team, _) in owners.into_iter().filter(|(_, count)| *count > 1) {
-            self.breaks("two_owners", format!("two controllers may start tasks of {team}"));
+            self.breaks(
+                "two_owners",
+                format!("two controllers may start tasks of {team}"),
+            );
         }
     }
 
@@ -239,21 +314,53 @@
                 let late = commit && self.late_commit(&what);
                 if commit && self.net.lost_answers() && self.rng.random_bool(0.3) {
                     // Nobody is of this epoch, so the answer reaches nobody.
-                    self.after(0.002, Event::State { node, epoch: u64::MAX, call, what });
-                    return self.after(LEASE_S / 12.0, Event::Input { node, epoch, input: lost });
+                    self.after(
+                        0.002,
+                        Event::State {
+                            node,
+                            epoch: u64::MAX,
+                            call,
+                            what,
+                        },
+                    );
+                    return self.after(
+                        LEASE_S / 12.0,
+                        Event::Input {
+                            node,
+                            epoch,
+                            input: lost,
+                        },
+                    );
                 }
-                let event = Event::State { node, epoch, call, what };
+                let event = Event::State {
+                    node,
+                    epoch,
+                    call,
+                    what,
+                };
                 if late {
                     let delay = self.rng.random_range(1.5..LEASE_S * 1.5);
                     self.after(delay, event);
-                    return self.after(LEASE_S / 12.0, Event::Input { node, epoch, input: lost });
+                    return self.after(
+                        LEASE_S / 12.0,
+                        Event::Input {
+                            node,
+                            epoch,
+                            input: lost,
+                        },
+                    );
                 }
                 self.send(me, Who::State, LEASE_S / 12.0, event, node, lost, unsent);
             }
             Effect::Cloud(call, what) => {
                 let lost = Box::new(Input::Cloud(call, CloudReply::Unknown));
                 let unsent = Box::new(Input::Cloud(call, CloudReply::Refused));
-                let event = Event::Cloud { node, epoch, call, what };
+                let event = Event::Cloud {
+                    node,
+                    epoch,
+                    call,
+                    what,
+                };
                 self.send(me, Who::Cloud, LEASE_S / 3.0, event, node, lost, unsent);
             }
             Effect::Worker(call, address, orders) => self.send_orders(node, call, address, orders),
@@ -269,7 +376,13 @@
                 let lost = Box::new(Input::MeshReply(call, None));
                 let unsent = Box::new(Input::MeshReply(call, None));
                 let message = Box::new(Input::Mesh(RequestId(0), message));
-                let event = Event::Mesh { from: node, epoch, call, to, message };
+                let event = Event::Mesh {
+                    from: node,
+                    epoch,
+                    call,
+                    to,
+                    message,
+                };
                 self.send(me, Who::Node(to), LEASE_S / 12.0, event, node, lost, unsent);
             }
         }
@@ -292,24 +405,59 @@
         if self.net.passes(from.clone(), to.clone()) {
             let delay = self.latency();
             self.after(delay, event);
-            return self.after(deadline, Event::Input { node, epoch, input: lost });
+            return self.after(
+                deadline,
+                Event::Input {
+                    node,
+                    epoch,
+                    input: lost,
+                },
+            );
         }
         match self.net.kept_from(&from, &to) {
             Some(CutManner::Refused) => {
                 let delay = self.latency();
-                self.after(delay, Event::Input { node, epoch, input: unsent });
+                self.after(
+                    delay,
+                    Event::Input {
+                        node,
+                        epoch,
+                        input: unsent,
+                    },
+                );
             }
             Some(CutManner::Reset) => {
                 let delay = self.latency();
-                self.after(delay, Event::Input { node, epoch, input: lost });
+                self.after(
+                    delay,
+                    Event::Input {
+                        node,
+                        epoch,
+                        input: lost,
+                    },
+                );
             }
             Some(CutManner::Held) if self.rng.random_bool(0.5) => {
                 if let Some(end) = self.net.held_until(&from, &to) {
                     self.at(end + 0.01, event);
                 }
-                self.after(deadline, Event::Input { node, epoch, input: lost });
+                self.after(
+                    deadline,
+                    Event::Input {
+                        node,
+                        epoch,
+                        input: lost,
+                    },
+                );
             }
-            _ => self.after(deadline, Event::Input { node, epoch, input: unsent }),
+            _ => self.after(
+                deadline,
+                Event::Input {
+                    node,
+                    epoch,
+                    input: unsent,
+                },
+            ),
         }
     }
 
@@ -335,7 +483,14 @@
     pub(super) fn reply(&mut self, node: usize, epoch: u64, from: Who, input: Input) {
         if self.net.passes(from, Who::Node(node)) {
             let delay = self.latency();
-            self.after(delay, Event::Input { node, epoch, input: Box::new(input) });
+            self.after(
+                delay,
+                Event::Input {
+                    node,
+                    epoch,
+                    input: Box::new(input),
+                },
+            );
         }
     }
 }
--- a/tests/world/effect_digest.rs
+++ b/tests/world/effect_digest.rs
@@ -17,7 +17,10 @@
 
 impl Default for EffectDigest {
     fn default() -> Self {
-        Self { hash: OFFSET_BASIS, effects: 0 }
+        Self {
+            hash: OFFSET_BASIS,
+            effects: 0,
+        }
     }
 }
 
--- a/tests/world/faults.rs
+++ b/tests/world/faults.rs
@@ -219,8 +219,16 @@
     Outage,
     CloudOutage,
     Refuse(usize),
-    Cut { a: Who, b: Who, manner: CutManner, direction: Direction },
-    Slow { node: usize, pause: f64 },
+    Cut {
+        a: Who,
+        b: Who,
+        manner: CutManner,
+        direction: Direction,
+    },
+    Slow {
+        node: usize,
+        pause: f64,
+    },
     Deaf(MachineId),
     Faulty(MachineId),
     Mute(MachineId),
@@ -265,13 +273,17 @@
             one => one == who,
         };
         self.faults.iter().find_map(|(_, until, kind)| match kind {
-            Kind::Cut { a, b, manner, direction }
-                if (covers(a, from, to)
-                    && covers(b, to, from)
-                    && *direction != Direction::Incoming)
-                    || (covers(b, from, to)
-                        && covers(a, to, from)
-                        && *direction != Direction::Outgoing) =>
+            Kind::Cut {
+                a,
+                b,
+                manner,
+                direction,
+            } if (covers(a, from, to)
+                && covers(b, to, from)
+                && *direction != Direction::Incoming)
+                || (covers(b, from, to)
+                    && covers(a, to, from)
+                    && *direction != Direction::Outgoing) =>
             {
                 Some((*until, *manner))
             }
@@ -285,7 +297,9 @@
 
     /// When what is sent now will be delivered, if the cut holds packets.
     pub fn held_until(&self, from: &Who, to: &Who) -> Option<f64> {
-        let held = self.cut_between(from, to).filter(|(_, manner)| *manner == CutManner::Held);
+        let held = self
+            .cut_between(from, to)
+            .filter(|(_, manner)| *manner == CutManner::Held);
         held.map(|(until, _)| until)
     }
 
@@ -384,14 +398,27 @@
 
     /// After an outage every lease has its full time again: when the last outage ended.
     pub fn take_outage_end(&mut self, now: f64) -> Option<f64> {
-        if self.outage() { None } else { self.outage_began.take().map(|_| now) }
+        if self.outage() {
+            None
+        } else {
+            self.outage_began.take().map(|_| now)
+        }
     }
 }
 
 /// A cut of both directions.
 fn cut(a: Who, b: Who, hold: bool) -> Kind {
-    let manner = if hold { CutManner::Held } else { CutManner::Silent };
-    Kind::Cut { a, b, manner, direction: Direction::Both }
+    let manner = if hold {
+        CutManner::Held
+    } else {
+        CutManner::Silent
+    };
+    Kind::Cut {
+        a,
+        b,
+        manner,
+        direction: Direction::Both,
+    }
 }
 
 impl World {
@@ -404,7 +431,10 @@
     }
 
     fn machine_at(&self, which: usize) -> Option<MachineId> {
-        self.workers.keys().nth(which % self.workers.len().max(1)).cloned()
+        self.workers
+            .keys()
+            .nth(which % self.workers.len().max(1))
+            .cloned()
     }
 
     fn upgrade_order(&self, order: &UpgradeOrder) -> Vec<usize> {
@@ -433,7 +463,10 @@
             Fault::Roll { every } => {
                 for node in 0..self.nodes.len() {
                     let who = Who::Node(node);
-                    let crash = Fault::Crash { who, back_after: Some(RESTART_S) };
+                    let crash = Fault::Crash {
+                        who,
+                        back_after: Some(RESTART_S),
+                    };
                     self.after(every * node as f64, Event::Fault(crash));
                 }
             }
@@ -447,13 +480,31 @@
                     lasting.push((seconds, Kind::Refuse(node)));
                 }
             }
-            Fault::Cut { who, from, seconds, manner, direction } => {
+            Fault::Cut {
+                who,
+                from,
+                seconds,
+                manner,
+                direction,
+            } => {
                 for node in self.resolve(&who) {
                     let (a, b) = (Who::Node(node), from.clone());
-                    lasting.push((seconds, Kind::Cut { a, b, manner, direction }));
+                    lasting.push((
+                        seconds,
+                        Kind::Cut {
+                            a,
+                            b,
+                            manner,
+                            direction,
+                        },
+                    ));
                 }
             }
-            Fault::Slow { who, pause, seconds } => {
+            Fault::Slow {
+                who,
+                pause,
+                seconds,
+            } => {
                 for node in self.resolve(&who) {
                     lasting.push((seconds, Kind::Slow { node, pause }));
                 }
@@ -465,12 +516,20 @@
                     self.cloud.died(&machine, now + 30.0);
                 }
             }
-            Fault::MachineCut { which, seconds, hold } => {
+            Fault::MachineCut {
+                which,
+                seconds,
+                hold,
+            } => {
                 if let Some(machine) = self.machine_at(which) {
                     lasting.push((seconds, cut(Who::Machine(machine), Who::AllNodes, hold)));
                 }
             }
-            Fault::MachineCutFrom { which, node, seconds } => {
+            Fault::MachineCutFrom {
+                which,
+                node,
+                seconds,
+            } => {
                 if let Some(machine) = self.machine_at(which) {
                     lasting.push((seconds, cut(Who::Machine(machine), Who::Node(node), false)));
                 }
@@ -497,9 +556,15 @@
                     worker.hung_until = now + seconds;
                 }
             }
-            Fault::ZoneCut { zone, seconds, hold } => {
+            Fault::ZoneCut {
+                zone,
+                seconds,
+                hold,
+            } => {
                 let ids = self.workers.keys().filter(|id| {
-                    self.cloud.get(id).is_some_and(|owned| owned.zone.as_str() == zone)
+                    self.cloud
+                        .get(id)
+                        .is_some_and(|owned| owned.zone.as_str() == zone)
                 });
                 for id in ids {
                     lasting.push((seconds, cut(Who::Machine(id.clone()), Who::AllNodes, hold)));
@@ -521,7 +586,11 @@
                     lasting.push((seconds, Kind::Mute(machine)));
                 }
             }
-            Fault::Upgrade { every, order, together } => {
+            Fault::Upgrade {
+                every,
+                order,
+                together,
+            } => {
                 let nodes = self.upgrade_order(&order);
                 self.note(format!("upgrades {nodes:?}, led by {:?}", self.leader()));
                 for (place, node) in nodes.into_iter().enumerate() {
@@ -552,7 +621,12 @@
             Fault::CopiesForNext { seconds } => lasting.push((seconds, Kind::CopiesForNext)),
             Fault::InstantBoots { seconds } => lasting.push((seconds, Kind::InstantBoots)),
             Fault::OddRequests { seconds } => {
-                self.after(0.0, Event::OddRequest { until: now + seconds });
+                self.after(
+                    0.0,
+                    Event::OddRequest {
+                        until: now + seconds,
+                    },
+                );
             }
             Fault::CloseLooks { seconds } => lasting.push((seconds, Kind::CloseLooks)),
             Fault::CancelAtEnd { seconds } => lasting.push((seconds, Kind::CancelAtEnd)),
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -132,7 +132,12 @@
             log: Vec::new(),
             work: Work::default(),
             effect_digest: EffectDigest::default(),
-            limits: Limits { value_kb: 4.0, txn_ops: 8, rps: 120.0, write_rps: 25.0 },
+            limits: Limits {
+                value_kb: 4.0,
+                txn_ops: 8,
+                rps: 120.0,
+                write_rps: 25.0,
+            },
             next_limits: None,
             allowance: Allowance::default(),
             features: features_in_run(),
@@ -205,7 +210,9 @@
             if *time > until {
                 break;
             }
-            let Some(Reverse(Timed(time, _, event))) = self.events.pop() else { break };
+            let Some(Reverse(Timed(time, _, event))) = self.events.pop() else {
+                break;
+            };
             self.now = self.now.max(time);
             self.happen(event);
         }
@@ -227,20 +234,55 @@
                     self.step(node, vec![*input]);
                 }
             }
-            Event::State { node, epoch, call, what } => self.state_request(node, epoch, call, what),
-            Event::Cloud { node, epoch, call, what } => self.cloud_request(node, epoch, call, what),
-            Event::Orders { node, epoch, call, address, orders } => {
+            Event::State {
+                node,
+                epoch,
+                call,
+                what,
+            } => self.state_request(node, epoch, call, what),
+            Event::Cloud {
+                node,
+                epoch,
+                call,
+                what,
+            } => self.cloud_request(node, epoch, call, what),
+            Event::Orders {
+                node,
+                epoch,
+                call,
+                address,
+                orders,
+            } => {
                 self.direct_orders(node, epoch, call, &address, orders);
             }
-            Event::Mesh { from, epoch, call, to, message } => {
+            Event::Mesh {
+                from,
+                epoch,
+                call,
+                to,
+                message,
+            } => {
                 self.ask_node(to, Asker::Sibling { from, epoch, call }, *message);
             }
-            Event::Report { machine, node, report, live } => {
+            Event::Report {
+                machine,
+                node,
+                report,
+                live,
+            } => {
                 let number = report.seq;
-                let asker = Asker::Worker { machine, number, live };
+                let asker = Asker::Worker {
+                    machine,
+                    number,
+                    live,
+                };
                 self.ask_node(node, asker, Input::Report(RequestId(0), report));
             }
-            Event::ReportAnswer { machine, number, answer } => {
+            Event::ReportAnswer {
+                machine,
+                number,
+                answer,
+            } => {
                 self.report_answered(&machine, number, answer);
             }
             Event::Worker { machine } => self.worker_turn(&machine),
@@ -253,13 +295,22 @@
             Event::Watch => self.watch(),
             Event::Expect { job, what } => self.expect(job, &what),
             Event::AskUnknown => self.ask_unknown(),
-            Event::UserAnswer { job, ask, asked, answer } => {
+            Event::UserAnswer {
+                job,
+                ask,
+                asked,
+                answer,
+            } => {
                 self.user_answered(job, ask, asked, answer);
             }
             Event::Restart { node } => self.restart(node),
             Event::Upgrade { node } => {
                 self.old.remove(&node);
-                let leads = if self.leader() == Some(node) { ", the leader" } else { "" };
+                let leads = if self.leader() == Some(node) {
+                    ", the leader"
+                } else {
+                    ""
+                };
                 let old = self.old.len();
                 self.note(format!(
                     "n{node}{leads} is upgraded, {old} of the version before are left"
@@ -296,7 +347,9 @@
     /// What the controllers' shares have looked at because something happened, and rounds of placement.
     pub fn core_work(&self) -> (u64, u64) {
         let cores = self.nodes.iter().filter_map(|node| node.core.as_ref());
-        cores.map(Core::work).fold((0, 0), |sum, work| (sum.0 + work.0, sum.1 + work.1))
+        cores
+            .map(Core::work)
+            .fold((0, 0), |sum, work| (sum.0 + work.0, sum.1 + work.1))
     }
 
     /// How often a controller has begun to lead.
@@ -316,7 +369,9 @@
             .values_under("ochredrum/map/")
             .flat_map(|chunk| chunk["shares"].as_array().cloned().unwrap_or_default());
         let of_team = |share: &serde_json::Value| {
-            share["t"].as_array().is_some_and(|teams| teams.iter().any(|name| name == team))
+            share["t"]
+                .as_array()
+                .is_some_and(|teams| teams.iter().any(|name| name == team))
         };
         let owner = shares.into_iter().find(of_team)?;
         owner["o"]["n"].as_str().map(str::to_owned)
--- a/tests/world/odd.rs
+++ b/tests/world/odd.rs
@@ -118,7 +118,11 @@
             Odd::Accepted => self.submit_odd(spec),
             _ => {
                 let node = self.rng.random_range(0..self.nodes.len());
-                let asker = Asker::User { job: None, ask: Ask::Odd, asked: self.now };
+                let asker = Asker::User {
+                    job: None,
+                    ask: Ask::Odd,
+                    asked: self.now,
+                };
                 let what = UserRequest::Submit(id, Box::new(spec));
                 self.ask_node(node, asker, Input::User(RequestId(0), what));
             }
--- a/tests/world/old.rs
+++ b/tests/world/old.rs
@@ -15,9 +15,13 @@
 fn strip(key: &str, value: &mut Value) {
     let Value::Object(record) = value else { return };
     if key.starts_with("ochredrum/job/") {
-        NEW_FIELDS.iter().for_each(|field| drop(record.remove(*field)));
+        NEW_FIELDS
+            .iter()
+            .for_each(|field| drop(record.remove(*field)));
     } else if key.starts_with("ochredrum/node/") {
-        NEW_PROCESS_FIELDS.iter().for_each(|field| drop(record.remove(*field)));
+        NEW_PROCESS_FIELDS
+            .iter()
+            .for_each(|field| drop(record.remove(*field)));
     } else if key == "ochredrum/map/teams" {
         record.remove("q");
     }
@@ -27,7 +31,10 @@
 pub fn sees(mut input: Input) -> Input {
     match &mut input {
         Input::State(_, StateReply::Listing(listing)) => {
-            listing.entries.iter_mut().for_each(|entry| strip(&entry.key, &mut entry.value));
+            listing
+                .entries
+                .iter_mut()
+                .for_each(|entry| strip(&entry.key, &mut entry.value));
         }
         Input::State(_, StateReply::Changes(changes)) => {
             for change in &mut changes.events {
@@ -44,7 +51,13 @@
 
 /// Whether an old controller can read a message at all.
 pub fn reads(input: &Input) -> bool {
-    !matches!(input, Input::Mesh(_, MeshMessage::SubmitDependent(..) | MeshMessage::Report(..)))
+    !matches!(
+        input,
+        Input::Mesh(
+            _,
+            MeshMessage::SubmitDependent(..) | MeshMessage::Report(..)
+        )
+    )
 }
 
 /// What an old controller writes to the state service.
--- a/tests/world/orders.rs
+++ b/tests/world/orders.rs
@@ -41,16 +41,40 @@
         let reply = |reply| Box::new(Input::Worker(call, reply));
         let (lost, unsent) = (reply(WorkerReply::Unknown), reply(WorkerReply::NotSent));
         let fate = self.order_fate(&machine);
-        let answer_to = if fate == OrderFate::Served { epoch } else { NOBODY };
-        let event = Event::Orders { node, epoch: answer_to, call, address, orders };
+        let answer_to = if fate == OrderFate::Served {
+            epoch
+        } else {
+            NOBODY
+        };
+        let event = Event::Orders {
+            node,
+            epoch: answer_to,
+            call,
+            address,
+            orders,
+        };
         match fate {
             OrderFate::Refused => {
                 let delay = self.latency();
-                return self.after(delay, Event::Input { node, epoch, input: unsent });
+                return self.after(
+                    delay,
+                    Event::Input {
+                        node,
+                        epoch,
+                        input: unsent,
+                    },
+                );
             }
             OrderFate::Late(delay) => {
                 self.after(delay, event);
-                return self.after(ANSWER_DEADLINE_S, Event::Input { node, epoch, input: lost });
+                return self.after(
+                    ANSWER_DEADLINE_S,
+                    Event::Input {
+                        node,
+                        epoch,
+                        input: lost,
+                    },
+                );
             }
             OrderFate::Served | OrderFate::Unanswered => {}
         }
--- a/tests/world/services.rs
+++ b/tests/world/services.rs
@@ -13,7 +13,12 @@
         } else {
             if !self.allowance.take(self.now, &self.limits, &what) {
                 self.work.state_busy += 1;
-                return self.reply(node, epoch, Who::State, Input::State(call, StateReply::Busy));
+                return self.reply(
+                    node,
+                    epoch,
+                    Who::State,
+                    Input::State(call, StateReply::Busy),
+                );
             }
             if let StateCall::Commit(transaction) = &what
                 && self.over_limits(transaction)
@@ -37,7 +42,12 @@
 
     /// What the real service would refuse for ever, and so should never be asked.
     pub(super) fn over_limits(&mut self, transaction: &Transaction) -> bool {
-        let largest = transaction.writes.iter().map(Write::bytes).max().unwrap_or(0);
+        let largest = transaction
+            .writes
+            .iter()
+            .map(Write::bytes)
+            .max()
+            .unwrap_or(0);
         let text = serde_json::to_string(transaction).unwrap_or_default();
         let ops = self.limits.txn_ops;
         let over = largest as f64 > self.limits.value_kb * 1024.0
@@ -78,7 +88,11 @@
         }
         let (reply, booting) = self.cloud.call(self.now, what);
         for machine in booting {
-            let boot = if self.net.instant_boots() { 0.3..2.0 } else { 6.0..14.0 };
+            let boot = if self.net.instant_boots() {
+                0.3..2.0
+            } else {
+                6.0..14.0
+            };
             let boot = self.rng.random_range(boot);
             self.after(boot, Event::BootDone { machine });
         }
--- a/tests/world/settings.rs
+++ b/tests/world/settings.rs
@@ -15,7 +15,12 @@
 
 impl Limits {
     fn settings(&self, section: &str) -> String {
-        let Self { value_kb, txn_ops, rps, write_rps } = self;
+        let Self {
+            value_kb,
+            txn_ops,
+            rps,
+            write_rps,
+        } = self;
         format!(
             "[{section}]\nrps = {rps:?}\nwrite_rps = {write_rps:?}\n\
              value_kb = {value_kb:?}\ntxn_ops = {txn_ops}\n"
@@ -42,7 +47,9 @@
 /// `next`: the limits that will hold later, if this version is told of them.
 pub fn settings(index: usize, nodes: usize, limits: Limits, next: Option<Limits>) -> String {
     let state = limits.settings("deployment.state");
-    let next = next.map(|next| next.settings("deployment.state.next")).unwrap_or_default();
+    let next = next
+        .map(|next| next.settings("deployment.state.next"))
+        .unwrap_or_default();
     let siblings: String = (0..nodes)
         .filter(|other| *other != index)
         .map(|other| {
--- a/tests/world/state.rs
+++ b/tests/world/state.rs
@@ -54,7 +54,10 @@
         match call {
             StateCall::List { prefix, from } => {
                 let after = |key: &String| from.as_ref().is_none_or(|from| key > from);
-                let all = self.keys.iter().filter(|(k, _)| k.starts_with(prefix) && after(k));
+                let all = self
+                    .keys
+                    .iter()
+                    .filter(|(k, _)| k.starts_with(prefix) && after(k));
                 let entries: Vec<Entry> = all
                     .map(|(key, k)| Entry {
                         key: key.clone(),
@@ -64,7 +67,11 @@
                     .collect();
                 let more = entries.len() > self.page;
                 let entries = entries.into_iter().take(self.page).collect();
-                StateReply::Listing(Listing { entries, more, revision: self.revision })
+                StateReply::Listing(Listing {
+                    entries,
+                    more,
+                    revision: self.revision,
+                })
             }
             StateCall::Changes { prefix, from } => {
                 let hit = |c: &&Change| {
@@ -74,11 +81,18 @@
                 // In the order of their versions; a long log is not read from its beginning.
                 let newer = self.log.partition_point(|change| change.version <= from);
                 let events = self.log[newer..].iter().filter(hit).cloned().collect();
-                StateReply::Changes(Changes { revision: self.revision, events })
+                StateReply::Changes(Changes {
+                    revision: self.revision,
+                    events,
+                })
             }
             StateCall::Commit(transaction) => {
                 let version = |key: &String| self.keys.get(key).map_or(0, |k| k.version);
-                if transaction.guards.iter().any(|g| version(&g.key) != g.version) {
+                if transaction
+                    .guards
+                    .iter()
+                    .any(|g| version(&g.key) != g.version)
+                {
                     return StateReply::Conflict;
                 }
                 let dead = |write: &Write| matches!(write, Write::Put { lease: Some(lease), .. } if !self.leases.contains_key(lease));
@@ -94,7 +108,13 @@
             StateCall::LeaseCreate { ttl_ms } => {
                 self.next_lease += 1;
                 let ttl = ttl_ms as f64 / 1e3;
-                self.leases.insert(self.next_lease, Lease { ttl, ends: now + ttl });
+                self.leases.insert(
+                    self.next_lease,
+                    Lease {
+                        ttl,
+                        ends: now + ttl,
+                    },
+                );
                 StateReply::Lease(self.next_lease)
             }
             StateCall::LeaseRenew { lease } => match self.leases.get_mut(&lease) {
@@ -119,23 +139,35 @@
     #[allow(dead_code)] // One of the two test programs that share this file has no use for it.
     pub fn values_under<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a Value> {
         let keys = self.keys.range(prefix.to_owned()..);
-        keys.take_while(move |(key, _)| key.starts_with(prefix)).map(|(_, key)| &key.value)
+        keys.take_while(move |(key, _)| key.starts_with(prefix))
+            .map(|(_, key)| &key.value)
     }
 
     /// How often a key was written.
     #[allow(dead_code)] // One of the two test programs that share this file has no use for it.
     pub fn puts_of(&self, key: &str) -> usize {
-        self.log.iter().filter(|change| change.put.as_deref() == Some(key)).count()
+        self.log
+            .iter()
+            .filter(|change| change.put.as_deref() == Some(key))
+            .count()
     }
 
     fn expire(&mut self, now: f64) {
-        let ended: Vec<u64> =
-            self.leases.iter().filter(|(_, l)| l.ends < now).map(|(id, _)| *id).collect();
+        let ended: Vec<u64> = self
+            .leases
+            .iter()
+            .filter(|(_, l)| l.ends < now)
+            .map(|(id, _)| *id)
+            .collect();
         for id in ended {
             self.leases.remove(&id);
             let hangs = |k: &Key| k.lease == Some(id);
-            let gone: Vec<String> =
-                self.keys.iter().filter(|(_, k)| hangs(k)).map(|(key, _)| key.clone()).collect();
+            let gone: Vec<String> = self
+                .keys
+                .iter()
+                .filter(|(_, k)| hangs(k))
+                .map(|(key, _)| key.clone())
+                .collect();
             if !gone.is_empty() {
                 self.revision += 1;
             }
@@ -149,13 +181,33 @@
         let version = self.revision;
         let change = match write {
             Write::Put { key, value, lease } => {
-                assert!(value.to_string().len() <= 4096, "value of {key} over the limit");
-                self.keys.insert(key.clone(), Key { value: value.clone(), version, lease });
-                Change { put: Some(key), deleted: None, value, version }
+                assert!(
+                    value.to_string().len() <= 4096,
+                    "value of {key} over the limit"
+                );
+                self.keys.insert(
+                    key.clone(),
+                    Key {
+                        value: value.clone(),
+                        version,
+                        lease,
+                    },
+                );
+                Change {
+                    put: Some(key),
+                    deleted: None,
+                    value,
+                    version,
+                }
             }
             Write::Delete { key } => {
                 self.keys.remove(&key);
-                Change { put: None, deleted: Some(key), value: Value::Null, version }
+                Change {
+                    put: None,
+                    deleted: Some(key),
+                    value: Value::Null,
+                    version,
+                }
             }
         };
         self.log.push(change);
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -79,7 +79,9 @@
     /// Jobs that others may need, and that nobody will call off any more.
     pub fn accepted_arrays(&self) -> Vec<JobId> {
         let done = self.jobs.iter().filter(|job| job.told_done.is_some());
-        done.filter(|job| job.spec.kind == Kind::Array).map(|job| job.id.clone()).collect()
+        done.filter(|job| job.spec.kind == Kind::Array)
+            .map(|job| job.id.clone())
+            .collect()
     }
 
     pub fn told_cancelled(&self, id: &JobId) -> Option<f64> {
@@ -101,7 +103,13 @@
     /// A finished task's result is kept: started again it ends at once.
     pub fn run_s(&self, task: &TaskId) -> f64 {
         let job = self.find(&task.job);
-        job.map_or(0.0, |j| if j.finished.contains(&task.index) { 0.0 } else { j.run_s })
+        job.map_or(0.0, |j| {
+            if j.finished.contains(&task.index) {
+                0.0
+            } else {
+                j.run_s
+            }
+        })
     }
 
     pub fn begun(&mut self, task: &TaskId) {
@@ -147,7 +155,10 @@
 
     /// When somebody was first told that a job that this one needs is cancelled.
     fn orphan_since(&self, id: &JobId) -> Option<f64> {
-        let told = self.with_needed(id).into_iter().filter_map(|user| user.told_cancelled);
+        let told = self
+            .with_needed(id)
+            .into_iter()
+            .filter_map(|user| user.told_cancelled);
         told.min_by(f64::total_cmp)
     }
 
@@ -155,7 +166,11 @@
     pub fn not_ready(&self, id: &JobId) -> Option<JobId> {
         let done = |user: &&&User| user.finished.len() as u32 == user.spec.tasks;
         let needed = self.with_needed(id);
-        needed.iter().skip(1).find(|user| !done(user)).map(|user| user.id.clone())
+        needed
+            .iter()
+            .skip(1)
+            .find(|user| !done(user))
+            .map(|user| user.id.clone())
     }
 }
 
@@ -183,7 +198,11 @@
         let node = node.unwrap_or_else(|| self.rng.random_range(0..self.nodes.len()));
         self.ask_node(
             node,
-            Asker::User { job: Some(job), ask, asked: self.now },
+            Asker::User {
+                job: Some(job),
+                ask,
+                asked: self.now,
+            },
             Input::User(RequestId(0), what),
         );
     }
@@ -215,7 +234,11 @@
     pub(super) fn ask_unknown(&mut self) {
         let node = self.rng.random_range(0..self.nodes.len());
         let what = UserRequest::Poll("req-999999".into());
-        let asker = Asker::User { job: None, ask: Ask::Poll, asked: self.now };
+        let asker = Asker::User {
+            job: None,
+            ask: Ask::Poll,
+            asked: self.now,
+        };
         self.ask_node(node, asker, Input::User(RequestId(0), what));
         self.after(7.0, Event::AskUnknown);
     }
@@ -272,7 +295,10 @@
         let now = self.now;
         let id = self.users.jobs[job].id.clone();
         let called_off = self.users.called_off(&id);
-        let orphan = self.users.orphan_since(&id).is_some_and(|told| asked > told + CANCEL_S);
+        let orphan = self
+            .users
+            .orphan_since(&id)
+            .is_some_and(|told| asked > told + CANCEL_S);
         let user = &mut self.users.jobs[job];
         let mut broken: Vec<(&str, String)> = Vec::new();
         let mut cancelled = false;
@@ -340,7 +366,10 @@
     /// team is under its limit.
     pub(super) fn watch(&mut self) {
         let now = self.now;
-        let all_up = self.nodes.iter().all(|node| node.core.is_some() && now >= node.frozen_until);
+        let all_up = self
+            .nodes
+            .iter()
+            .all(|node| node.core.is_some() && now >= node.frozen_until);
         if !self.net.calm() || !all_up {
             self.calm_since = now;
         }
--- a/tests/world/worker.rs
+++ b/tests/world/worker.rs
@@ -26,7 +26,10 @@
 impl Running {
     /// On its machine by the rules: from when it has its image until it exits.
     pub fn on_machine(&self) -> bool {
-        matches!(self.state, TaskState::Waiting | TaskState::Running | TaskState::Saving)
+        matches!(
+            self.state,
+            TaskState::Waiting | TaskState::Running | TaskState::Saving
+        )
     }
 }
 
@@ -54,13 +57,16 @@
     fn report(&mut self, now: f64, cloud: &super::cloud::Cloud) -> Report {
         self.seq += 1;
         let owned = cloud.get(&self.id);
-        let tasks = self.tasks.iter().map(|((task, attempt), running)| ReportedTask {
-            task: task.to_string(),
-            attempt: *attempt,
-            state: running.state,
-            why: running.why,
-            saved: running.saved.then_some(true),
-        });
+        let tasks = self
+            .tasks
+            .iter()
+            .map(|((task, attempt), running)| ReportedTask {
+                task: task.to_string(),
+                attempt: *attempt,
+                state: running.state,
+                why: running.why,
+                saved: running.saved.then_some(true),
+            });
         Report {
             machine: self.id.clone(),
             address: self.id.to_string(),
@@ -101,7 +107,12 @@
             starts: 0,
         };
         self.workers.insert(machine.clone(), worker);
-        self.after(0.0, Event::Worker { machine: machine.clone() });
+        self.after(
+            0.0,
+            Event::Worker {
+                machine: machine.clone(),
+            },
+        );
     }
 
     pub(super) fn notice(&mut self, machine: &MachineId, seconds: f64) {
@@ -114,7 +125,9 @@
 
     pub(super) fn worker_turn(&mut self, id: &MachineId) {
         let (now, nodes) = (self.now, self.nodes.len());
-        let Some(worker) = self.workers.get_mut(id) else { return };
+        let Some(worker) = self.workers.get_mut(id) else {
+            return;
+        };
         if worker.leaves.is_some_and(|at| now >= at) {
             self.users.starts_gone += worker.starts;
             self.workers.remove(id);
@@ -134,10 +147,17 @@
         }
         // What hangs past its lease counts as ended with it: it could not go on.
         if now < worker.hung_until {
-            return self.after(TURN, Event::Worker { machine: id.clone() });
+            return self.after(
+                TURN,
+                Event::Worker {
+                    machine: id.clone(),
+                },
+            );
         }
         self.advance_tasks(id);
-        let Some(worker) = self.workers.get_mut(id) else { return };
+        let Some(worker) = self.workers.get_mut(id) else {
+            return;
+        };
         if worker.out.is_some_and(|(_, sent)| now - sent > ANSWER_WAIT) {
             worker.out = None;
             worker.node = (worker.node + 1) % nodes;
@@ -153,7 +173,12 @@
             worker.out = Some((report.seq, now));
             self.send_report(id, node, report);
         }
-        self.after(TURN, Event::Worker { machine: id.clone() });
+        self.after(
+            TURN,
+            Event::Worker {
+                machine: id.clone(),
+            },
+        );
     }
 
     fn send_report(&mut self, id: &MachineId, node: usize, report: Report) {
@@ -184,21 +209,36 @@
         if let Some(CutManner::Refused | CutManner::Reset) = self.net.kept_from(&me, &to) {
             let (machine, number) = (id.clone(), report.seq);
             let delay = self.latency();
-            self.after(delay, Event::ReportAnswer { machine, number, answer: None });
+            self.after(
+                delay,
+                Event::ReportAnswer {
+                    machine,
+                    number,
+                    answer: None,
+                },
+            );
         }
     }
 
     pub(super) fn report_answered(&mut self, id: &MachineId, number: u64, answer: Option<Answer>) {
         let now = self.now;
         let nodes = self.nodes.len();
-        let Some(worker) = self.workers.get_mut(id) else { return };
+        let Some(worker) = self.workers.get_mut(id) else {
+            return;
+        };
         let waited = |sent: f64| now < sent + ANSWER_WAIT && now >= worker.hung_until;
-        let out = worker.out.filter(|(out, sent)| *out == number && waited(*sent));
+        let out = worker
+            .out
+            .filter(|(out, sent)| *out == number && waited(*sent));
         let Some((out, sent)) = out else { return };
         debug_assert_eq!(out, number);
         worker.out = None;
         match answer {
-            Some(Answer { status: 200, body: Body::Orders(answer), .. }) => {
+            Some(Answer {
+                status: 200,
+                body: Body::Orders(answer),
+                ..
+            }) => {
                 // Answers to reports of an earlier session are dropped.
                 if answer.token < worker.token || sent < worker.renewed {
                     return;
@@ -215,9 +255,16 @@
                     self.execute(id, order);
                 }
             }
-            Some(Answer { status: 421, body: Body::Value(body), .. }) => {
+            Some(Answer {
+                status: 421,
+                body: Body::Value(body),
+                ..
+            }) => {
                 let named = body["conductor"].as_str().and_then(|n| n.strip_prefix('n'));
-                match named.and_then(|n| n.parse::<usize>().ok()).filter(|n| *n != worker.node) {
+                match named
+                    .and_then(|n| n.parse::<usize>().ok())
+                    .filter(|n| *n != worker.node)
+                {
                     Some(node) => {
                         worker.node = node;
                         worker.next_report = now;
@@ -248,11 +295,22 @@
             return;
         }
         let now = self.now;
-        let Some(worker) = self.workers.get_mut(&id) else { return };
+        let Some(worker) = self.workers.get_mut(&id) else {
+            return;
+        };
         if now < worker.hung_until {
             // Executed when it goes on, whoever still waits for it.
             let (until, address) = (worker.hung_until + TURN * 1.5, address.to_owned());
-            return self.at(until, Event::Orders { node, epoch, call, address, orders });
+            return self.at(
+                until,
+                Event::Orders {
+                    node,
+                    epoch,
+                    call,
+                    address,
+                    orders,
+                },
+            );
         }
         let fenced = orders.token < worker.token || orders.session != worker.session;
         if !fenced {
@@ -261,10 +319,15 @@
                 self.execute(&id, order);
             }
         }
-        let Some(worker) = self.workers.get_mut(&id) else { return };
+        let Some(worker) = self.workers.get_mut(&id) else {
+            return;
+        };
         let report = worker.report(now, &self.cloud);
-        let reply =
-            if fenced { WorkerReply::Fenced(report) } else { WorkerReply::Executed(report) };
+        let reply = if fenced {
+            WorkerReply::Fenced(report)
+        } else {
+            WorkerReply::Executed(report)
+        };
         self.reply(node, epoch, Who::Machine(id), Input::Worker(call, reply));
     }
 
@@ -277,11 +340,24 @@
                 };
                 self.execute_start(id, task, attempt);
             }
-            Order::Stop { task, attempt, grace_s } => {
-                let Some(task) = TaskId::parse(&task) else { return };
-                let save = self.users.spec(&task.job).map(|s| (s.checkpoint_s, s.save_s));
-                let Some(worker) = self.workers.get_mut(id) else { return };
-                let Some(running) = worker.tasks.get_mut(&(task, attempt)) else { return };
+            Order::Stop {
+                task,
+                attempt,
+                grace_s,
+            } => {
+                let Some(task) = TaskId::parse(&task) else {
+                    return;
+                };
+                let save = self
+                    .users
+                    .spec(&task.job)
+                    .map(|s| (s.checkpoint_s, s.save_s));
+                let Some(worker) = self.workers.get_mut(id) else {
+                    return;
+                };
+                let Some(running) = worker.tasks.get_mut(&(task, attempt)) else {
+                    return;
+                };
                 if running.state == TaskState::Exited {
                     return;
                 }
@@ -296,10 +372,16 @@
                 worker.changed = true;
             }
             Order::Forget { task, attempt } => {
-                let Some(task) = TaskId::parse(&task) else { return };
+                let Some(task) = TaskId::parse(&task) else {
+                    return;
+                };
                 if let Some(worker) = self.workers.get_mut(id) {
                     let key = (task, attempt);
-                    if worker.tasks.get(&key).is_some_and(|t| t.state == TaskState::Exited) {
+                    if worker
+                        .tasks
+                        .get(&key)
+                        .is_some_and(|t| t.state == TaskState::Exited)
+                    {
                         worker.tasks.remove(&key);
                     }
                 }
@@ -313,7 +395,9 @@
             return self.breaks("bad_order", format!("start of unknown {task}"));
         };
         let kind = self.cloud.kind_of(id);
-        let Some(worker) = self.workers.get_mut(id) else { return };
+        let Some(worker) = self.workers.get_mut(id) else {
+            return;
+        };
         if worker.tasks.contains_key(&(task.clone(), attempt)) {
             return;
         }
@@ -326,14 +410,26 @@
             }
             busy |= *other == task;
             if let Some(spec) = self.users.spec(&other.job) {
-                room = (room.0 - spec.gpus, room.1 - spec.cpus, room.2 - spec.memory_gb);
+                room = (
+                    room.0 - spec.gpus,
+                    room.1 - spec.cpus,
+                    room.2 - spec.memory_gb,
+                );
             }
         }
         let image = spec.image.to_string();
         let cached = worker.images.contains(&image);
-        let fetch = if cached { 0.05 } else { spec.image_gb / kind.fetch_gb_per_s };
-        let mut running =
-            Running { state: TaskState::Fetching, why: None, saved: false, until: now + fetch };
+        let fetch = if cached {
+            0.05
+        } else {
+            spec.image_gb / kind.fetch_gb_per_s
+        };
+        let mut running = Running {
+            state: TaskState::Fetching,
+            why: None,
+            saved: false,
+            until: now + fetch,
+        };
         let full = room.0 < spec.gpus - 1e-6
             || room.1 < spec.cpus - 1e-6
             || room.2 < spec.memory_gb - 1e-6;
@@ -351,7 +447,9 @@
     /// Tasks get their images, run, save and end.
     fn advance_tasks(&mut self, id: &MachineId) {
         let now = self.now;
-        let Some(worker) = self.workers.get(id) else { return };
+        let Some(worker) = self.workers.get(id) else {
+            return;
+        };
         let due: Vec<(TaskId, Attempt)> = worker
             .tasks
             .iter()
@@ -359,11 +457,17 @@
             .map(|(key, _)| key.clone())
             .collect();
         for (task, attempt) in due {
-            let Some(spec) = self.users.spec(&task.job).cloned() else { continue };
+            let Some(spec) = self.users.spec(&task.job).cloned() else {
+                continue;
+            };
             let run_s = self.users.run_s(&task);
             let faulty = self.net.faulty(id) || run_s == FAILS_AT_ONCE;
-            let Some(worker) = self.workers.get_mut(id) else { return };
-            let Some(running) = worker.tasks.get_mut(&(task.clone(), attempt)) else { continue };
+            let Some(worker) = self.workers.get_mut(id) else {
+                return;
+            };
+            let Some(running) = worker.tasks.get_mut(&(task.clone(), attempt)) else {
+                continue;
+            };
             worker.changed = true;
             match running.state {
                 TaskState::Waiting if faulty => exit(running, Exit::Error),
@@ -392,8 +496,11 @@
                         && let Some(running) = worker.tasks.get_mut(&(task.clone(), attempt))
                     {
                         running.state = TaskState::Running;
-                        running.until =
-                            if spec.kind == Kind::Service { f64::INFINITY } else { now + run_s };
+                        running.until = if spec.kind == Kind::Service {
+                            f64::INFINITY
+                        } else {
+                            now + run_s
+                        };
                     }
                 }
                 TaskState::Running => {
@@ -429,7 +536,10 @@
     /// A gang's tasks complete together.
     fn gang_completes(&mut self, job: &JobId, attempt: Attempt, tasks: u32) {
         for index in 0..tasks {
-            let task = TaskId { job: job.clone(), index };
+            let task = TaskId {
+                job: job.clone(),
+                index,
+            };
             self.users.finished(&task);
             for worker in self.workers.values_mut() {
                 if let Some(running) = worker.tasks.get_mut(&(task.clone(), attempt))
@@ -445,10 +555,14 @@
     /// Running gang tasks notice that another of their attempt is gone.
     fn gang_losses(&mut self, id: &MachineId) {
         let now = self.now;
-        let Some(worker) = self.workers.get(id) else { return };
+        let Some(worker) = self.workers.get(id) else {
+            return;
+        };
         let mut lonely = Vec::new();
         for ((task, attempt), running) in &worker.tasks {
-            let Some(spec) = self.users.spec(&task.job) else { continue };
+            let Some(spec) = self.users.spec(&task.job) else {
+                continue;
+            };
             let gang = spec.kind == Kind::Gang && spec.tasks > 1;
             if gang
                 && running.state == TaskState::Running
@@ -471,14 +585,21 @@
 
     /// The rules about a task that starts: it has its image from now on.
     fn check_start(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) {
-        let Some(spec) = self.users.spec(&task.job).cloned() else { return };
-        let Some(owned) = self.cloud.get(id) else { return };
+        let Some(spec) = self.users.spec(&task.job).cloned() else {
+            return;
+        };
+        let Some(owned) = self.cloud.get(id) else {
+            return;
+        };
         let (zone, spot, type_name) = (owned.zone.clone(), owned.spot, owned.type_name.clone());
         let mut twice = None;
         let mut gpus = 0.0;
         let mut zones: BTreeMap<String, u32> = BTreeMap::new();
         for worker in self.workers.values() {
-            let at = self.cloud.get(&worker.id).map_or("?".into(), |o| o.zone.to_string());
+            let at = self
+                .cloud
+                .get(&worker.id)
+                .map_or("?".into(), |o| o.zone.to_string());
             for ((other, same), running) in &worker.tasks {
                 if !running.on_machine() {
                     continue;
@@ -504,17 +625,30 @@
         }
         let half = spec.tasks.div_ceil(2);
         let misplaced = (spot && !spec.spot)
-            || spec.types.as_ref().is_some_and(|types| !types.contains(&type_name))
+            || spec
+                .types
+                .as_ref()
+                .is_some_and(|types| !types.contains(&type_name))
             || spec.zone.as_ref().is_some_and(|only| *only != zone)
             || (spec.one_zone && zones.len() > 1)
             || (spec.spread && zones.get(zone.as_str()).copied().unwrap_or(0) > half);
         if misplaced {
-            self.breaks("wrong_place", format!("{task} on {id} in {zone}, job in {zones:?}"));
+            self.breaks(
+                "wrong_place",
+                format!("{task} on {id} in {zone}, job in {zones:?}"),
+            );
         }
         if let Some(needed) = self.users.not_ready(&task.job) {
-            self.breaks("too_early", format!("{task} starts on {id}, {needed} is not done"));
-        }
-        if let Some(told) = self.users.told_cancelled(&task.job).filter(|told| *told < self.now) {
+            self.breaks(
+                "too_early",
+                format!("{task} starts on {id}, {needed} is not done"),
+            );
+        }
+        if let Some(told) = self
+            .users
+            .told_cancelled(&task.job)
+            .filter(|told| *told < self.now)
+        {
             self.work.starts_after_cancel += 1;
             // With no trouble, what was under way then has been stopped by now. A machine that hung
             // carries out what had reached it once it goes on (order day 28).
@@ -536,11 +670,23 @@
             return false;
         }
         let used = |worker: &Worker| {
-            let running = worker.tasks.iter().filter(|(_, r)| r.state != TaskState::Exited);
+            let running = worker
+                .tasks
+                .iter()
+                .filter(|(_, r)| r.state != TaskState::Exited);
             let specs = running.filter_map(|((task, _), _)| self.users.spec(&task.job));
             specs.fold((0.0, 0.0, 0.0, 0.0), |sum, s| {
-                let blue = if s.team.as_str() == "blue" { s.gpus } else { 0.0 };
-                (sum.0 + s.gpus, sum.1 + s.cpus, sum.2 + s.memory_gb, sum.3 + blue)
+                let blue = if s.team.as_str() == "blue" {
+                    s.gpus
+                } else {
+                    0.0
+                };
+                (
+                    sum.0 + s.gpus,
+                    sum.1 + s.cpus,
+                    sum.2 + s.memory_gb,
+                    sum.3 + blue,
+                )
             })
         };
         let blue: f64 = self.workers.values().map(|worker| used(worker).3).sum();
@@ -548,7 +694,9 @@
             return false;
         }
         self.workers.values().any(|worker| {
-            let Some(owned) = self.cloud.get(&worker.id) else { return false };
+            let Some(owned) = self.cloud.get(&worker.id) else {
+                return false;
+            };
             let kind = self.cloud.kind_of(&worker.id);
             let used = used(worker);
             (spec.spot || !owned.spot)
@@ -567,7 +715,9 @@
 
     pub(super) fn tasks_on(&self, job: &JobId) -> usize {
         let tasks = self.workers.values().flat_map(|w| &w.tasks);
-        tasks.filter(|((task, _), running)| task.job == *job && running.on_machine()).count()
+        tasks
+            .filter(|((task, _), running)| task.job == *job && running.on_machine())
+            .count()
     }
 }
 
