--- a/src/core/cancelled.rs
+++ b/src/core/cancelled.rs
@@ -5,14 +5,14 @@
 //! stored records alone: those cancelled a short while ago, and those cancelled since the team was
 //! gained. Older ones have no tasks left and count for nothing, however long the history is.
 
-use super::view::JobRecord;
+use super::store::JobRecord;
 use crate::ids::{JobId, Version};
 use crate::wire::JobStatus;
 use std::collections::BTreeSet;
 
 /// From when on cancelled jobs count.
 #[derive(Clone, Copy, Debug)]
-pub struct Since {
+pub struct CancelledSince {
     /// Cancelled after this moment, by the time of day.
     pub wall_ms: u64,
     /// Recorded after this version, whatever the time.
@@ -32,10 +32,10 @@
 impl CancelledJobs {
     /// Takes up a final record.
     pub fn take(&mut self, id: &JobId, record: &JobRecord, version: Version) {
-        if record.stance != JobStatus::Cancelled {
+        if record.status != JobStatus::Cancelled {
             return;
         }
-        match record.ended_ms.filter(|_| record.leaving.is_some()) {
+        match record.ended_ms.filter(|_| record.terminating.is_some()) {
             Some(ended_ms) => {
                 self.by_time.insert((ended_ms, id.clone()));
                 self.by_version.insert((version, id.clone()));
@@ -47,7 +47,7 @@
     }
 
     /// The described ones that count.
-    pub fn since(&self, since: Since) -> BTreeSet<&JobId> {
+    pub fn since(&self, since: CancelledSince) -> BTreeSet<&JobId> {
         let first = JobId::from("");
         let by_time = self.by_time.range((since.wall_ms, first.clone())..);
         let by_version = self.by_version.range((since.version + 1, first)..);
--- a/src/core/catalog.rs
+++ b/src/core/catalog.rs
@@ -1,12 +1,12 @@
 //! The machine types that the cloud offers, and which submissions can never run on any of them.
 
-use super::io::Pending;
+use super::outbox::Pending;
 use super::placement::Resources;
 use super::quota::within;
-use super::schedule::limits;
+use super::schedule::team_limits;
+use super::store::{LEADER_KEY, TYPES_KEY, precondition, put};
 use super::user_requests::least_need;
-use super::view::{LEADER_KEY, TYPES_KEY, guard, put};
-use super::{CloudCall, CloudReply, Core, StateCall, Time};
+use super::{CloudCall, CloudReply, Core, StoreCall, Time};
 use crate::config::Config;
 use crate::ids::TypeName;
 use crate::wire::{JobSpec, MachineType, MachineTypes, Transaction};
@@ -61,7 +61,7 @@
         if !self.known() {
             return None;
         }
-        let Some(limits) = limits(config, spec) else {
+        let Some(team_limits) = team_limits(config, spec) else {
             return Some(true);
         };
         let (cpus, gpus) = least_need(spec);
@@ -72,7 +72,7 @@
                 .is_none_or(|types| types.contains(&t.name))
                 && total_room(t).holds(&need)
         };
-        let allowed = within(cpus, limits.cpus_max) && within(gpus, limits.gpus_max);
+        let allowed = within(cpus, team_limits.cpus_max) && within(gpus, team_limits.gpus_max);
         Some(!allowed || !self.types.iter().any(fits))
     }
 }
@@ -121,24 +121,24 @@
     /// accept and place.
     pub(super) fn catalog_when_due(&mut self) {
         let catalog = &mut self.catalog;
-        if let (false, Some(stored)) = (catalog.known(), self.view.types()) {
+        if let (false, Some(stored)) = (catalog.known(), self.store.types()) {
             catalog.types.clone_from(&stored.record.types);
         }
         if self.leader.is_some()
             && catalog.known()
-            && self.io.now >= catalog.next_store
-            && self.io.may_write()
+            && self.outbox.now >= catalog.next_store
+            && self.outbox.may_write()
         {
-            catalog.next_store = self.io.now + self.config.deployment.cloud.list_lag_s.max(1.0);
+            catalog.next_store = self.outbox.now + self.config.deployment.cloud.list_lag_s.max(1.0);
             self.store_types();
         }
         let catalog = &mut self.catalog;
         if !catalog.asking
-            && self.io.now >= catalog.next
+            && self.outbox.now >= catalog.next
             && (!catalog.known() || self.leader.is_some())
         {
             catalog.asking = true;
-            self.io.cloud(None, CloudCall::Types);
+            self.outbox.cloud(None, CloudCall::Types);
         }
     }
 
@@ -147,7 +147,7 @@
         let record = MachineTypes {
             types: self.catalog.types.clone(),
         };
-        let stored = self.view.types();
+        let stored = self.store.types();
         if stored.is_some_and(|stored| stored.record == record) {
             return;
         }
@@ -157,17 +157,20 @@
             return tracing::error!("the machine types, {size} bytes, are too large to be stored");
         }
         let version = stored.map_or(0, |stored| stored.version);
-        let guards = vec![guard(LEADER_KEY, leader.term), guard(TYPES_KEY, version)];
+        let preconditions = vec![
+            precondition(LEADER_KEY, leader.term),
+            precondition(TYPES_KEY, version),
+        ];
         let transaction = Transaction {
-            guards,
+            preconditions,
             writes: vec![write.clone()],
         };
-        self.io
-            .state(Pending::Types(write), StateCall::Commit(transaction));
+        self.outbox
+            .state(Pending::Types(write), StoreCall::Commit(transaction));
     }
 
     pub(super) fn catalog_reply(&mut self, reply: CloudReply) {
-        let now = self.io.now;
+        let now = self.outbox.now;
         let cloud = &self.config.deployment.cloud;
         self.catalog.asking = false;
         match reply {
@@ -178,7 +181,7 @@
                 self.catalog.types = types.types;
                 self.catalog.next = now + cloud.list_lag_s.max(1.0) * 6.0;
             }
-            _ => self.catalog.next = now + self.io.jitter(1.5 / cloud.rps),
+            _ => self.catalog.next = now + self.outbox.jitter(1.5 / cloud.rps),
         }
     }
 }
--- a/src/core/consolidation.rs
+++ b/src/core/consolidation.rs
@@ -8,8 +8,8 @@
 use super::forecast::is_tight;
 use super::jobs::zone_allows;
 use super::machines::{Machine, Phase, TrackedAttempt};
-use super::owner::Owner;
-use super::plan::Bin;
+use super::owner::Shard;
+use super::plan::PackingCandidate;
 use super::schedule::allowed;
 use crate::ids::{Attempt, JobId, MachineId, TaskId, Zone};
 use crate::wire::{Kind, MachineType, TaskState};
@@ -23,17 +23,22 @@
     worth: f64,
 }
 
-impl Owner {
+impl Shard {
     /// Empties the machine that costs most for each replica on it, if all of them fit elsewhere.
-    pub(super) fn consolidate(&mut self, bins: &[Bin], catalog: &Catalog, now: Time) {
-        let sources = bins.iter().filter(|bin| !bin.planned);
+    pub(super) fn consolidate(
+        &mut self,
+        candidates: &[PackingCandidate],
+        catalog: &Catalog,
+        now: Time,
+    ) {
+        let sources = candidates.iter().filter(|candidate| !candidate.planned);
         let mut sources: Vec<Source> = sources
-            .filter_map(|bin| self.source(bin, catalog, now))
+            .filter_map(|candidate| self.source(candidate, catalog, now))
             .collect();
         sources.sort_by(|a, b| b.worth.total_cmp(&a.worth));
         let Some(source) = sources
             .into_iter()
-            .find(|source| self.fit_elsewhere(source, bins, now))
+            .find(|source| self.fit_elsewhere(source, candidates, now))
         else {
             return;
         };
@@ -43,15 +48,15 @@
             source.replicas.len()
         );
         if let Some(machine) = self.machines.get_mut(&source.id) {
-            machine.emptying = true;
+            machine.draining = true;
         }
         for (task, attempt) in source.replicas {
             self.stop(&source.id, &task, attempt, 0.0);
         }
     }
 
-    fn source(&self, bin: &Bin, catalog: &Catalog, now: Time) -> Option<Source> {
-        let machine = self.machines.get(bin.machine.as_ref()?)?;
+    fn source(&self, candidate: &PackingCandidate, catalog: &Catalog, now: Time) -> Option<Source> {
+        let machine = self.machines.get(candidate.machine.as_ref()?)?;
         let live: Vec<(&(TaskId, Attempt), &TrackedAttempt)> = machine
             .attempts
             .iter()
@@ -76,10 +81,10 @@
                 Kind::Service => {
                     let running = tracked.phase == Phase::Seen(TaskState::Running);
                     // A start that is stopped early does not count as one to its user.
-                    let settled = tracked
+                    let reconciled = tracked
                         .began
                         .is_some_and(|b| now - b > self.config.deployment.workers.cancel_s);
-                    if !running || !settled || tracked.stop.is_some() {
+                    if !running || !reconciled || tracked.stop.is_some() {
                         return None;
                     }
                     replicas.push(key.clone());
@@ -99,14 +104,14 @@
 
     /// Whether every replica finds room, beside what is planned, on machines in use that hold its
     /// image.
-    fn fit_elsewhere(&self, source: &Source, bins: &[Bin], now: Time) -> bool {
+    fn fit_elsewhere(&self, source: &Source, candidates: &[PackingCandidate], now: Time) -> bool {
         let Some(from) = self.machines.get(&source.id) else {
             return false;
         };
         // A replica that had to wait for opportunistic work to make way would be missed meanwhile.
-        let mut free: Vec<_> = bins
+        let mut free: Vec<_> = candidates
             .iter()
-            .map(|bin| bin.free.less(&bin.opportunistic))
+            .map(|candidate| candidate.free.less(&candidate.opportunistic))
             .collect();
         let mut zones: BTreeMap<&JobId, BTreeMap<Zone, u32>> = BTreeMap::new();
         for (task, _) in &source.replicas {
@@ -119,28 +124,31 @@
             if let Some(here) = counts.get_mut(&from.zone) {
                 *here = here.saturating_sub(1);
             }
-            let suits = |bin: &Bin, machine: &Machine| {
+            let suits = |candidate: &PackingCandidate, machine: &Machine| {
                 machine.id != source.id
                     && machine.usable(now)
-                    && (bin.planned || !machine.idle())
+                    && (candidate.planned || !machine.idle())
                     && machine.has_image(&job.spec.image)
                     && allowed(&job.spec, &machine.type_name, &machine.zone, machine.spot)
                     && zone_allows(&job.spec, &machine.zone, counts)
             };
-            let target = bins
+            let target = candidates
                 .iter()
                 .enumerate()
                 .filter(|(at, _)| free[*at].holds(&need))
-                .filter(|(_, bin)| {
-                    let machine = bin.machine.as_ref().and_then(|id| self.machines.get(id));
-                    machine.is_some_and(|machine| suits(bin, machine))
+                .filter(|(_, candidate)| {
+                    let machine = candidate
+                        .machine
+                        .as_ref()
+                        .and_then(|id| self.machines.get(id));
+                    machine.is_some_and(|machine| suits(candidate, machine))
                 })
                 .min_by(|(a, _), (b, _)| free[*a].gpus.total_cmp(&free[*b].gpus));
-            let Some((at, bin)) = target else {
+            let Some((at, candidate)) = target else {
                 return false;
             };
             free[at] = free[at].less(&need);
-            *counts.entry(bin.offer.1.clone()).or_default() += 1;
+            *counts.entry(candidate.offer.1.clone()).or_default() += 1;
         }
         true
     }
--- a/src/core/waiting_reports.rs
+++ b/src/core/deferred_heartbeats.rs
@@ -2,11 +2,11 @@
 //! an owner that does not answer waits there for seconds of its lease; so it is kept here for a moment instead,
 //! and then sent to another controller that answers.
 
-use super::part_map::Owner as MapOwner;
+use super::part_map::ShardOwner;
 use super::{Core, RequestId, Time};
 use crate::config::Config;
 use crate::ids::Node;
-use crate::wire::Report;
+use crate::wire::Heartbeat;
 use failure_detector::Stage;
 
 /// Part of the time between two reports for which a claimed machine's report waits for the map. If the
@@ -19,7 +19,7 @@
 
 /// What a report waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WaitsFor {
+pub enum DeferralReason {
     /// The machine is claimed and comes here.
     Claim,
     /// The machine's owner has failed; who is next is not known yet. It may answer again.
@@ -29,28 +29,28 @@
 }
 
 /// A report that is answered once the map has changed.
-struct WaitingReport {
+struct DeferredHeartbeat {
     request: RequestId,
-    report: Report,
+    heartbeat: Heartbeat,
     /// Who owned the machine when the report came.
-    owner: MapOwner,
-    waits_for: WaitsFor,
+    owner: ShardOwner,
+    reason: DeferralReason,
     until: Time,
 }
 
 /// All reports that wait.
-pub struct WaitingReports {
-    reports: Vec<WaitingReport>,
+pub struct DeferredHeartbeats {
+    heartbeats: Vec<DeferredHeartbeat>,
     most: usize,
     report_s: Time,
 }
 
-impl WaitingReports {
+impl DeferredHeartbeats {
     /// None yet.
     pub fn new(config: &Config) -> Self {
         let deployment = &config.deployment;
         Self {
-            reports: Vec::new(),
+            heartbeats: Vec::new(),
             most: (deployment.limits.fd_limit as f64 * WAITING_PER_SOCKET) as usize,
             report_s: deployment.workers.report_s,
         }
@@ -58,14 +58,14 @@
 
     /// Whether no further report may wait.
     pub fn are_full(&self) -> bool {
-        self.reports.len() >= self.most
+        self.heartbeats.len() >= self.most
     }
 
-    fn wait(&self, waits_for: WaitsFor) -> Time {
+    fn wait(&self, reason: DeferralReason) -> Time {
         self.report_s
-            * match waits_for {
-                WaitsFor::Claim => CLAIM_WAIT_REPORTS,
-                WaitsFor::HandOver | WaitsFor::Change => HAND_OVER_WAIT_REPORTS,
+            * match reason {
+                DeferralReason::Claim => CLAIM_WAIT_REPORTS,
+                DeferralReason::HandOver | DeferralReason::Change => HAND_OVER_WAIT_REPORTS,
             }
     }
 }
@@ -87,88 +87,91 @@
     pub(super) fn wait_for_map(
         &mut self,
         request: RequestId,
-        report: Report,
-        owner: &MapOwner,
-        waits_for: WaitsFor,
+        heartbeat: Heartbeat,
+        owner: &ShardOwner,
+        reason: DeferralReason,
     ) {
-        let until = self.io.now + self.waiting_reports.wait(waits_for);
+        let until = self.outbox.now + self.deferred_heartbeats.wait(reason);
         let owner = owner.clone();
-        let waiting = WaitingReport {
+        let waiting = DeferredHeartbeat {
             request,
-            report,
+            heartbeat,
             owner,
-            waits_for,
+            reason,
             until,
         };
-        self.waiting_reports.reports.push(waiting);
-        self.view.want_sync();
+        self.deferred_heartbeats.heartbeats.push(waiting);
+        self.store.want_sync();
     }
 
     /// Answers the reports of machines that have come here, and sends those away that have not.
     pub(super) fn answer_waiting_reports(&mut self) {
-        for waiting in std::mem::take(&mut self.waiting_reports.reports) {
+        for waiting in std::mem::take(&mut self.deferred_heartbeats.heartbeats) {
             match self.turn(&waiting) {
-                Turn::Wait => self.waiting_reports.reports.push(waiting),
+                Turn::Wait => self.deferred_heartbeats.heartbeats.push(waiting),
                 Turn::Answer => self.answer_waiting_report(waiting),
                 Turn::Redirect(owner) => self.redirect(waiting.request, Some(owner)),
-                Turn::RouteAgain => self.report(waiting.request, waiting.report),
+                Turn::RouteAgain => self.heartbeat(waiting.request, waiting.heartbeat),
                 Turn::GiveUp => self.give_up_waiting(waiting),
             }
         }
-        if !self.waiting_reports.reports.is_empty() {
-            self.view.want_sync();
+        if !self.deferred_heartbeats.heartbeats.is_empty() {
+            self.store.want_sync();
         }
     }
 
-    fn turn(&self, waiting: &WaitingReport) -> Turn {
-        let owner = self.view.owners().machines.get(&waiting.report.machine);
+    fn turn(&self, waiting: &DeferredHeartbeat) -> Turn {
+        let owner = self.store.owners().machines.get(&waiting.heartbeat.machine);
         if owner.is_some_and(|owner| owner.node == self.config.node) && self.may_answer() {
             return Turn::Answer;
         }
-        let answers = |owner: &&MapOwner| {
+        let answers = |owner: &&ShardOwner| {
             self.peers.detector().stage(&owner.node) == Stage::Alive
                 && !self.is_unreachable_owner(&owner.node, owner.incarnation)
         };
         let before = &waiting.owner;
-        match owner
-            .filter(answers)
-            .map(|owner| (owner, waiting.waits_for))
-        {
-            Some((owner, WaitsFor::HandOver)) => Turn::Redirect(owner.node.clone()),
-            Some((owner, WaitsFor::Change)) if !owner.is(&before.node, before.incarnation) => {
+        match owner.filter(answers).map(|owner| (owner, waiting.reason)) {
+            Some((owner, DeferralReason::HandOver)) => Turn::Redirect(owner.node.clone()),
+            Some((owner, DeferralReason::Change))
+                if !owner.is(&before.node, before.incarnation) =>
+            {
                 Turn::Redirect(owner.node.clone())
             }
-            Some((owner, WaitsFor::Change)) if owner.term != before.term => Turn::RouteAgain,
-            _ if self.io.now >= waiting.until => Turn::GiveUp,
+            Some((owner, DeferralReason::Change)) if owner.token != before.token => {
+                Turn::RouteAgain
+            }
+            _ if self.outbox.now >= waiting.until => Turn::GiveUp,
             _ => Turn::Wait,
         }
     }
 
     fn may_answer(&self) -> bool {
-        self.owner.is_some() && self.authority.entitled(self.io.now)
+        self.shard.is_some() && self.ownership.holds_lease(self.outbox.now)
     }
 
-    fn answer_waiting_report(&mut self, waiting: WaitingReport) {
-        match self.checkin(waiting.report.clone()) {
+    fn answer_waiting_report(&mut self, waiting: DeferredHeartbeat) {
+        match self.handle_heartbeat(waiting.heartbeat.clone()) {
             Some(answer) => {
-                self.peers.heard_workers(self.io.now);
-                self.io.answer(waiting.request, answer);
+                self.peers.heard_workers(self.outbox.now);
+                self.outbox.answer(waiting.request, answer);
             }
-            None if self.io.now >= waiting.until => self.give_up_waiting(waiting),
-            None => self.waiting_reports.reports.push(waiting),
+            None if self.outbox.now >= waiting.until => self.give_up_waiting(waiting),
+            None => self.deferred_heartbeats.heartbeats.push(waiting),
         }
     }
 
-    fn give_up_waiting(&mut self, waiting: WaitingReport) {
-        match waiting.waits_for {
-            WaitsFor::Claim => self.send_elsewhere(waiting.request, &waiting.owner.node),
-            WaitsFor::HandOver | WaitsFor::Change => self.send_to_reachable(waiting.request),
+    fn give_up_waiting(&mut self, waiting: DeferredHeartbeat) {
+        match waiting.reason {
+            DeferralReason::Claim => self.send_elsewhere(waiting.request, &waiting.owner.node),
+            DeferralReason::HandOver | DeferralReason::Change => {
+                self.send_to_reachable(waiting.request)
+            }
         }
     }
 
     /// The worker is to go on with the next controller that answers, not with one that keeps it waiting.
     pub(super) fn send_to_reachable(&mut self, request: RequestId) {
-        let now = self.io.now;
+        let now = self.outbox.now;
         let usable = |node: &&Node| self.can_serve(node);
         let after = self
             .peers
@@ -180,7 +183,7 @@
             .cloned();
         match next {
             Some(node) => self.redirect(request, Some(node)),
-            None => self.io.answer(request, super::Answer::unavailable()),
+            None => self.outbox.answer(request, super::Answer::unavailable()),
         }
     }
 }
--- a/src/core/waiting_reports/tests.rs
+++ b/src/core/deferred_heartbeats/tests.rs
@@ -1,13 +1,13 @@
 use super::super::Effect;
-use super::super::test_support::{answered_until, map, owner, report, running_core};
+use super::super::test_support::{answered_until, heartbeat, map, owner, running_core};
 use super::*;
-use crate::core::part_map::Share;
-use crate::ids::Term;
+use crate::core::part_map::ShardEntry;
+use crate::ids::FencingToken;
 
 const START: Time = 100.0;
 
-fn share(owner: MapOwner) -> Share {
-    Share {
+fn shard(owner: ShardOwner) -> ShardEntry {
+    ShardEntry {
         owner,
         teams: Vec::new(),
         machines: vec!["m-1".into()],
@@ -17,19 +17,19 @@
 /// n0 owns m-1; it answered until a second after the start, the others still do.
 fn core_whose_sibling_fails(after: Time) -> Core {
     let mut core = running_core(2, START);
-    map(&mut core.view, 30, vec![share(owner("n0"))]);
+    map(&mut core.store, 30, vec![shard(owner("n0"))]);
     answered_until(&mut core, &["n0", "n2"], START, START + 1.0);
     if after > 0.0 {
         answered_until(&mut core, &["n2"], START + 1.0, START + 1.0 + after);
     }
-    core.view.state_answered(core.io.now);
-    core.io.take_effects();
+    core.store.state_answered(core.outbox.now);
+    core.outbox.take_effects();
     core
 }
 
 /// Where workers whose reports were answered are sent; None: nowhere.
 fn answers(core: &mut Core) -> Vec<(u16, Option<String>)> {
-    let effects = core.io.take_effects();
+    let effects = core.outbox.take_effects();
     let answers = effects.into_iter().filter_map(|effect| match effect {
         Effect::Answer(_, answer) => {
             let to = match answer.body {
@@ -43,8 +43,8 @@
     answers.collect()
 }
 
-fn worker_comes(core: &mut Core, token: Term) {
-    core.report(RequestId(1), report("m-1", 1, 5, token));
+fn worker_comes(core: &mut Core, token: FencingToken) {
+    core.heartbeat(RequestId(1), heartbeat("m-1", 1, 5, token));
 }
 
 /// The worker waits until the map names n2.
@@ -52,10 +52,10 @@
     core.answer_waiting_reports();
     assert_eq!(answers(&mut core), []);
     map(
-        &mut core.view,
+        &mut core.store,
         32,
-        vec![share(MapOwner {
-            term: Term(10),
+        vec![shard(ShardOwner {
+            token: FencingToken(10),
             ..owner("n2")
         })],
     );
@@ -66,7 +66,7 @@
 #[test]
 fn a_worker_is_sent_to_an_owner_that_answers() {
     let mut core = core_whose_sibling_fails(0.0);
-    worker_comes(&mut core, Term(3));
+    worker_comes(&mut core, FencingToken(3));
     assert_eq!(answers(&mut core), [(421, Some("n0".into()))]);
 }
 
@@ -74,27 +74,27 @@
 #[test]
 fn a_worker_that_left_a_silent_owner_waits_for_the_map_and_is_sent_to_the_next_owner() {
     let mut core = core_whose_sibling_fails(2.5);
-    core.view.apply_write(
+    core.store.apply_write(
         &crate::wire::Write::Delete {
             key: "ochredrum/node/n0".into(),
         },
         31,
     );
-    worker_comes(&mut core, Term(9));
+    worker_comes(&mut core, FencingToken(9));
     is_sent_to_the_next_owner(core);
 }
 
 #[test]
 fn without_a_new_owner_it_goes_on_with_a_sibling_that_answers() {
     let mut core = core_whose_sibling_fails(2.5);
-    core.view.apply_write(
+    core.store.apply_write(
         &crate::wire::Write::Delete {
             key: "ochredrum/node/n0".into(),
         },
         31,
     );
-    worker_comes(&mut core, Term(9));
-    let (now, report_s) = (core.io.now, core.config.deployment.workers.report_s);
+    worker_comes(&mut core, FencingToken(9));
+    let (now, report_s) = (core.outbox.now, core.config.deployment.workers.report_s);
     answered_until(&mut core, &["n2"], now, now + report_s);
     core.answer_waiting_reports();
     assert_eq!(answers(&mut core), [(421, Some("n2".into()))]);
@@ -104,7 +104,7 @@
 #[test]
 fn a_worker_that_has_seen_a_later_token_is_not_led_by_the_old_map() {
     let mut core = core_whose_sibling_fails(0.0);
-    worker_comes(&mut core, Term(10));
+    worker_comes(&mut core, FencingToken(10));
     is_sent_to_the_next_owner(core);
 }
 
@@ -113,25 +113,25 @@
 #[test]
 fn a_report_is_relayed_again_once_its_owner_has_a_fresh_token() {
     let mut core = core_whose_sibling_fails(0.0);
-    core.relays.mark(&"m-1".into(), core.io.now);
-    core.report_relayed(
+    core.relays.mark(&"m-1".into(), core.outbox.now);
+    core.heartbeat_relayed(
         RequestId(1),
         &owner("n0"),
-        report("m-1", 1, 5, Term(9)),
+        heartbeat("m-1", 1, 5, FencingToken(9)),
         None,
     );
     core.answer_waiting_reports();
     assert_eq!(answers(&mut core), []);
     map(
-        &mut core.view,
+        &mut core.store,
         32,
-        vec![share(MapOwner {
-            term: Term(10),
+        vec![shard(ShardOwner {
+            token: FencingToken(10),
             ..owner("n0")
         })],
     );
     core.answer_waiting_reports();
-    let effects = core.io.take_effects();
+    let effects = core.outbox.take_effects();
     let relayed = |effect: &Effect| matches!(effect, Effect::Mesh(_, to, _) if to.as_str() == "n0");
     assert!(effects.iter().any(relayed), "{effects:?}");
 }
@@ -141,7 +141,7 @@
 fn a_sibling_without_a_key_is_not_named() {
     let mut core = core_whose_sibling_fails(2.5);
     for key in ["ochredrum/node/n0", "ochredrum/node/n2"] {
-        core.view
+        core.store
             .apply_write(&crate::wire::Write::Delete { key: key.into() }, 31);
     }
     core.send_to_reachable(RequestId(1));
@@ -151,27 +151,27 @@
 #[test]
 fn who_is_not_served_by_the_state_service_sends_workers_to_one_who_is() {
     let mut core = core_whose_sibling_fails(0.0);
-    let now = core.io.now;
+    let now = core.outbox.now;
     answered_until(&mut core, &["n0", "n2"], now, now + 5.0);
-    worker_comes(&mut core, Term(3));
+    worker_comes(&mut core, FencingToken(3));
     assert_eq!(answers(&mut core), [(421, Some("n2".into()))]);
 }
 
 #[test]
 fn a_bounded_number_of_reports_waits() {
     let mut core = core_whose_sibling_fails(2.5);
-    core.view.apply_write(
+    core.store.apply_write(
         &crate::wire::Write::Delete {
             key: "ochredrum/node/n0".into(),
         },
         31,
     );
-    for _ in 0..=core.waiting_reports.most {
-        worker_comes(&mut core, Term(9));
+    for _ in 0..=core.deferred_heartbeats.most {
+        worker_comes(&mut core, FencingToken(9));
     }
     assert_eq!(
-        core.waiting_reports.reports.len(),
-        core.waiting_reports.most
+        core.deferred_heartbeats.heartbeats.len(),
+        core.deferred_heartbeats.most
     );
     assert_eq!(
         answers(&mut core),
--- a/src/core/dependencies.rs
+++ b/src/core/dependencies.rs
@@ -5,7 +5,7 @@
 //! reader and for good, even if nobody gets to write that down. Work is in proportion to what
 //! changed: jobs are found by what they need, and only unfinished ones are kept.
 
-use super::view::JobRecord;
+use super::store::JobRecord;
 use crate::ids::JobId;
 use crate::wire::{JobStatus, Priority};
 use std::collections::{BTreeMap, BTreeSet};
@@ -101,7 +101,7 @@
             self.dependency_cancelled.remove(id);
             self.inherited.remove(id);
             let dependents = self.dependents.remove(id).unwrap_or_default();
-            if record.stance == JobStatus::Cancelled {
+            if record.status == JobStatus::Cancelled {
                 self.spread_cancellation(dependents.iter().cloned().collect(), changed);
             }
             return changed.extend(dependents);
@@ -113,7 +113,7 @@
         for needed in &spec.dependencies {
             // A full read shows jobs in the order of their ids, perhaps before those they need.
             let needs = job(needed);
-            dependency_cancelled |= needs.is_some_and(|needs| needs.stance == JobStatus::Cancelled);
+            dependency_cancelled |= needs.is_some_and(|needs| needs.status == JobStatus::Cancelled);
             dependency_cancelled |= self.dependency_cancelled.contains(needed);
             if !needs.is_some_and(JobRecord::is_final) {
                 self.dependents
--- a/src/core/dependencies/tests.rs
+++ b/src/core/dependencies/tests.rs
@@ -5,7 +5,7 @@
     format!("req-{number:06}").into()
 }
 
-fn record(stance: &str, needs: &[usize], priority: &str, due: Option<f64>) -> JobRecord {
+fn record(status: &str, needs: &[usize], priority: &str, due: Option<f64>) -> JobRecord {
     let numbers: Vec<String> = needs.iter().map(|n| format!("{n:06}")).collect();
     let mut spec = serde_json::json!({"c": "c", "t": "red", "k": "sweep", "p": priority, "n": 1,
         "cpu": 1.0, "gpu": 0.0, "mem": 1.0, "img": "i", "igb": 1.0, "est": 10.0, "ck": 0.0, "sv": 0.0});
@@ -15,7 +15,7 @@
     if let Some(due) = due {
         spec["dl"] = due.into();
     }
-    serde_json::from_value(serde_json::json!({"s": stance, "at": 1000, "n": 1, "jd": spec}))
+    serde_json::from_value(serde_json::json!({"s": status, "at": 1000, "n": 1, "jd": spec}))
         .unwrap()
 }
 
--- a/src/core/failure_detection.rs
+++ b/src/core/failure_detection.rs
@@ -8,9 +8,9 @@
 //!   authority, so that nobody has to wait for its lease: it begins anew, and its key is removed, by itself or, if the
 //!   state service refuses it, by a sibling.
 
-use super::authority::AuthorityCall;
-use super::io::Pending;
-use super::{Core, StateCall, Time};
+use super::outbox::Pending;
+use super::ownership::OwnershipCall;
+use super::{Core, StoreCall, Time};
 use crate::ids::Node;
 use failure_detector::{Opinion, OwnContact, PartialFailure, Stage, StageChange};
 use serde::{Deserialize, Serialize};
@@ -24,7 +24,7 @@
 const ELSEWHERE_REPORT_TIMES: f64 = 2.0;
 /// Lifetimes of its key after which a process that has ended has lost it: one since the last renewal, and some
 /// for that it was answered before it renewed for the last time.
-const LAPSES_LIFETIMES: f64 = 1.2;
+const LEASE_EXPIRY_LIFETIMES: f64 = 1.2;
 /// Leases for which a process that has begun anew tells that its predecessor has ended.
 const TELL_RESIGNED_LEASES: f64 = 2.0;
 /// Leases for which a controller that workers do not reach takes no share.
@@ -41,12 +41,12 @@
     pub state_age: Time,
     /// Its predecessor, which has ended by itself though its key may still be there.
     #[serde(rename = "r", default, skip_serializing_if = "Option::is_none")]
-    pub resigned: Option<Resigned>,
+    pub resignation: Option<Resignation>,
 }
 
 /// A process that acts no more, and the lease on which its keys hang.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Resigned {
+pub struct Resignation {
     /// The process.
     #[serde(rename = "i")]
     pub incarnation: u64,
@@ -61,7 +61,7 @@
     /// Calls that the state service refused since it last answered in another way.
     refusals: u32,
     /// Its own predecessor that has resigned, and when.
-    resigned: Option<(Resigned, Time)>,
+    resignation: Option<(Resignation, Time)>,
     /// The lease of a resigned sibling that was ended last.
     ended: Option<u64>,
     /// The map of which it was looked up last who owns nothing.
@@ -90,40 +90,40 @@
 
     /// Judges the siblings anew by what is known now.
     pub(super) fn judge_siblings(&mut self) {
-        let now = self.io.now;
+        let now = self.outbox.now;
         self.take_stored_evidence();
         for change in self.peers.detector_mut().judge(now) {
             log_change(&change);
         }
         if self.resignation_is_known() {
-            self.detection.resigned = None;
+            self.detection.resignation = None;
         }
     }
 
     /// Whether nobody needs to be told any more that this controller's last process has ended.
     fn resignation_is_known(&self) -> bool {
-        let Some((resigned, since)) = &self.detection.resigned else {
+        let Some((resignation, since)) = &self.detection.resignation else {
             return false;
         };
         let gone = !self
-            .view
-            .is_registered(&self.config.node, resigned.incarnation);
+            .store
+            .is_registered(&self.config.node, resignation.incarnation);
         let tell_for = self.config.deployment.workers.lease_s * TELL_RESIGNED_LEASES;
-        (gone && self.has_state()) || self.io.now - since > tell_for
+        (gone && self.has_state()) || self.outbox.now - since > tell_for
     }
 
     /// What the state service shows of the siblings: their keys, and whether the map names them.
     fn take_stored_evidence(&mut self) {
-        if !self.view.complete() {
+        if !self.store.complete() {
             return;
         }
-        let map_changed = self.detection.map_seen.replace(self.view.map_changes())
-            != Some(self.view.map_changes());
-        let owners = self.view.owners();
+        let map_changed = self.detection.map_seen.replace(self.store.map_changes())
+            != Some(self.store.map_changes());
+        let owners = self.store.owners();
         for sibling in &self.config.siblings {
             let node = &sibling.node;
             let detector = self.peers.detector_mut();
-            detector.key_gone(node, self.view.node(node).is_none());
+            detector.key_gone(node, self.store.node(node).is_none());
             if map_changed {
                 let mut all = owners.teams.values().chain(owners.machines.values());
                 detector.owns_nothing(node, all.all(|owner| owner.node != *node));
@@ -133,15 +133,15 @@
 
     /// What siblings are told.
     pub(super) fn own_detection(&self) -> Option<Detection> {
-        let now = self.io.now;
+        let now = self.outbox.now;
         self.acts_on_failures().then(|| Detection {
             opinions: self.peers.detector().opinions_to_tell(now),
-            state_age: self.view.state_silence(now).min(f64::MAX),
-            resigned: self
+            state_age: self.store.state_silence(now).min(f64::MAX),
+            resignation: self
                 .detection
-                .resigned
+                .resignation
                 .as_ref()
-                .map(|(resigned, _)| resigned.clone()),
+                .map(|(resignation, _)| resignation.clone()),
         })
     }
 
@@ -152,35 +152,38 @@
         }
         self.peers
             .detector_mut()
-            .opinions(from, detection.opinions, self.io.now);
-        if let Some(resigned) = detection.resigned.filter(|r| r.incarnation != incarnation) {
-            self.end_resigned(from, &resigned);
+            .opinions(from, detection.opinions, self.outbox.now);
+        if let Some(resignation) = detection
+            .resignation
+            .filter(|r| r.incarnation != incarnation)
+        {
+            self.end_resigned(from, &resignation);
         }
     }
 
     /// A sibling's process has ended by itself, but could not remove its key.
-    fn end_resigned(&mut self, of: &Node, resigned: &Resigned) {
-        let stored = self.view.node(of).map(|stored| &stored.record);
+    fn end_resigned(&mut self, of: &Node, resignation: &Resignation) {
+        let stored = self.store.node(of).map(|stored| &stored.record);
         let still_there = stored.is_some_and(|record| {
-            record.incarnation == resigned.incarnation && record.lease == resigned.lease
+            record.incarnation == resignation.incarnation && record.lease == resignation.lease
         });
-        if !still_there || !self.has_state() || self.detection.ended == Some(resigned.lease) {
+        if !still_there || !self.has_state() || self.detection.ended == Some(resignation.lease) {
             return;
         }
         tracing::info!("{of} has given up its share; its lease is ended");
-        self.detection.ended = Some(resigned.lease);
-        let lease = resigned.lease;
-        self.io.state(
-            Pending::Authority(AuthorityCall::End),
-            StateCall::LeaseEnd { lease },
+        self.detection.ended = Some(resignation.lease);
+        let lease = resignation.lease;
+        self.outbox.state(
+            Pending::OwnershipLease(OwnershipCall::End),
+            StoreCall::LeaseEnd { lease },
         );
-        self.view.want_sync();
+        self.store.want_sync();
     }
 
     /// Ends this process's authority if it has lost what others have: they can do better.
     pub(super) fn resign_if_failed_in_part(&mut self, lease: u64) {
-        let now = self.io.now;
-        if self.owner.is_none() || now < self.detection.next_self_check {
+        let now = self.outbox.now;
+        if self.shard.is_none() || now < self.detection.next_self_check {
             return;
         }
         let workers = &self.config.deployment.workers;
@@ -189,17 +192,17 @@
             None => {}
             Some(PartialFailure::CutFromWorkers) => {
                 let pause = workers.lease_s * CUT_OFF_PAUSE_LEASES;
-                let pending = Pending::Authority(AuthorityCall::End);
-                self.io.state(pending, StateCall::LeaseEnd { lease });
+                let pending = Pending::OwnershipLease(OwnershipCall::End);
+                self.outbox.state(pending, StoreCall::LeaseEnd { lease });
                 self.begin_anew("workers reach siblings only", pause);
                 self.peers.sync_soon(now);
             }
             Some(PartialFailure::RefusedByState) => {
-                let resigned = Resigned {
-                    incarnation: self.authority.incarnation(),
+                let resignation = Resignation {
+                    incarnation: self.ownership.incarnation(),
                     lease,
                 };
-                self.detection.resigned = Some((resigned, now));
+                self.detection.resignation = Some((resignation, now));
                 self.begin_anew("the state service refuses this controller alone", 0.0);
                 self.peers.sync_soon(now);
             }
@@ -207,19 +210,19 @@
     }
 
     fn own_contact(&self) -> OwnContact {
-        let now = self.io.now;
+        let now = self.outbox.now;
         let workers = &self.config.deployment.workers;
         let workers_silent_s = now - self.peers.workers_heard();
         let mut contact = OwnContact {
             report_s: workers.report_s,
             lease_s: workers.lease_s,
-            key_lifetime_s: self.authority.ttl(),
+            key_lifetime_s: self.ownership.ttl(),
             workers_silent_s,
             ..OwnContact::default()
         };
         // Looks at the whole share, so only when there is something to find.
         if let Some(owner) = self
-            .owner
+            .shard
             .as_ref()
             .filter(|_| workers_silent_s > workers.report_s)
         {
@@ -231,8 +234,8 @@
             }
         }
         if self.acts_on_failures() && self.detection.refusals > 0 {
-            let state_silent_s = self.view.state_silence(now);
-            let later = now - state_silent_s + self.authority.ttl() * SERVED_LATER_LIFETIMES;
+            let state_silent_s = self.store.state_silence(now);
+            let later = now - state_silent_s + self.ownership.ttl() * SERVED_LATER_LIFETIMES;
             contact.state_silent_s = state_silent_s;
             contact.refusals = self.detection.refusals;
             contact.others_heard = self.peers.heard(now).count();
@@ -245,19 +248,19 @@
     /// run out, and neither the state service nor any sibling is heard. What it sends may arrive all the
     /// same, and so its share would never be handed on. Once it hears the state service it goes on.
     pub(super) fn renews_for_nobody(&self) -> bool {
-        let now = self.io.now;
+        let now = self.outbox.now;
         self.acts_on_failures()
-            && !self.authority.entitled(now)
-            && self.view.state_silence(now) > self.authority.ttl()
+            && !self.ownership.holds_lease(now)
+            && self.store.state_silence(now) > self.ownership.ttl()
             && !self.peers.heard_any(now)
     }
 
     /// The version of the leader's key, if its process has failed and this controller is to take it over: of
     /// those that may the first by name, so that they do not race.
     pub(super) fn failed_leader(&self) -> Option<u64> {
-        let leader = self.view.leader()?;
+        let leader = self.store.leader()?;
         let node = &leader.record.node;
-        let may_lead = self.has_state() && self.authority.entitled(self.io.now);
+        let may_lead = self.has_state() && self.ownership.holds_lease(self.outbox.now);
         let takes_over = self.acts_on_failures()
             && *node != self.config.node
             && self.peers.detector().has_failed(node)
@@ -270,7 +273,7 @@
     fn has_rival(&self) -> bool {
         let mut heard = self
             .peers
-            .heard(self.io.now)
+            .heard(self.outbox.now)
             .filter(|other| **other < self.config.node);
         heard.any(|other| self.can_serve(other))
     }
@@ -278,22 +281,22 @@
     /// Whether a sibling is heard, reads the state service and has a key there. One without a key has given up:
     /// the workers may not reach it.
     pub(super) fn can_serve(&self, sibling: &Node) -> bool {
-        self.peers.reads_state(sibling, self.io.now) && self.view.node(sibling).is_some()
+        self.peers.reads_state(sibling, self.outbox.now) && self.store.node(sibling).is_some()
     }
 
     /// Whether a worker is not to be sent to this process, since nobody would answer it there.
     pub(super) fn is_unreachable_owner(&self, node: &Node, incarnation: u64) -> bool {
         *node == self.config.node
-            || !self.view.is_registered(node, incarnation)
+            || !self.store.is_registered(node, incarnation)
             || self.peers.detector().has_failed(node)
     }
 
     /// Whether this process has failed and its key is about to go, so that its share is handed on soon.
     /// One that keeps its key for longer lives, out of reach for a quorum: its machines are claimed.
-    pub(super) fn lapses_soon(&self, node: &Node) -> bool {
+    pub(super) fn lease_expires_soon(&self, node: &Node) -> bool {
         let detector = self.peers.detector();
-        let lapses_after = self.authority.ttl() * LAPSES_LIFETIMES;
-        detector.has_failed(node) && detector.silence(node, self.io.now) < lapses_after
+        let lapses_after = self.ownership.ttl() * LEASE_EXPIRY_LIFETIMES;
+        detector.has_failed(node) && detector.silence(node, self.outbox.now) < lapses_after
     }
 }
 
--- a/src/core/failure_detection/tests.rs
+++ b/src/core/failure_detection/tests.rs
@@ -1,6 +1,6 @@
+use super::super::store::{LEADER_KEY, precondition};
 use super::super::test_support::{OWN_LEASE, answered_until, running_core};
-use super::super::view::{LEADER_KEY, guard};
-use super::super::{Effect, StateReply};
+use super::super::{Effect, StoreReply};
 use super::*;
 use crate::wire::Transaction;
 use failure_detector::Incarnation;
@@ -8,8 +8,8 @@
 const START: Time = 100.0;
 
 /// What the step asks of the state service.
-fn state_calls(core: &mut Core) -> Vec<StateCall> {
-    let effects = core.io.take_effects();
+fn state_calls(core: &mut Core) -> Vec<StoreCall> {
+    let effects = core.outbox.take_effects();
     let calls = effects.into_iter().filter_map(|effect| match effect {
         Effect::State(_, call) => Some(call),
         _ => None,
@@ -31,7 +31,7 @@
     Detection {
         opinions,
         state_age: 0.1,
-        resigned: None,
+        resignation: None,
     }
 }
 
@@ -40,8 +40,8 @@
     let mut core = running_core(4, START);
     answered_until(&mut core, &["n0", "n2", "n3", "n4"], START, START + 1.0);
     answered_until(&mut core, &["n2", "n3", "n4"], START + 1.0, START + 3.5);
-    core.authority.hold(OWN_LEASE, core.io.now);
-    core.view.state_answered(core.io.now);
+    core.ownership.hold(OWN_LEASE, core.outbox.now);
+    core.store.state_answered(core.outbox.now);
     core
 }
 
@@ -63,26 +63,26 @@
     }
     core.judge_siblings();
     assert_eq!(core.failed_leader(), Some(10));
-    core.io.take_effects();
-    core.keep_authority();
+    core.outbox.take_effects();
+    core.keep_ownership();
     let claims = state_calls(&mut core)
         .into_iter()
         .filter_map(|call| match call {
-            StateCall::Commit(Transaction { guards, .. }) => Some(guards),
+            StoreCall::Commit(Transaction { preconditions, .. }) => Some(preconditions),
             _ => None,
         });
-    assert_eq!(claims.collect::<Vec<_>>(), [[guard(LEADER_KEY, 10)]]);
+    assert_eq!(claims.collect::<Vec<_>>(), [[precondition(LEADER_KEY, 10)]]);
 }
 
 /// A controller that had just given up held the take-over up: it was the first by name and read the state service.
 #[test]
 fn only_siblings_with_keys_count_as_rivals() {
     let mut core = core_without_its_leader();
-    let now = core.io.now;
+    let now = core.outbox.now;
     assert!(!core.has_rival(), "n0 is not heard");
     core.peers.answered(&"n0".into(), 2, now);
     assert!(core.has_rival());
-    core.view.apply_write(
+    core.store.apply_write(
         &crate::wire::Write::Delete {
             key: "ochredrum/node/n0".into(),
         },
@@ -94,24 +94,24 @@
 #[test]
 fn who_is_refused_alone_gives_up_and_says_so() {
     let mut core = running_core(4, START);
-    let incarnation = core.authority.incarnation();
+    let incarnation = core.ownership.incarnation();
     let others = ["n0", "n2", "n3", "n4"];
     answered_until(&mut core, &others, START, START + 1.0);
     for _ in 0..3 {
-        let pending = Pending::Authority(AuthorityCall::End);
-        core.state_reply(pending, StateReply::Refused);
+        let pending = Pending::OwnershipLease(OwnershipCall::End);
+        core.store_reply(pending, StoreReply::Refused);
     }
     core.resign_if_failed_in_part(OWN_LEASE);
-    assert!(core.owner.is_some(), "not for a second");
+    assert!(core.shard.is_some(), "not for a second");
     answered_until(&mut core, &others, START + 1.0, START + 2.0);
     core.resign_if_failed_in_part(OWN_LEASE);
-    assert!(core.owner.is_none() && core.authority.incarnation() != incarnation);
+    assert!(core.shard.is_none() && core.ownership.incarnation() != incarnation);
     let told = core
         .own_detection()
-        .and_then(|detection| detection.resigned);
+        .and_then(|detection| detection.resignation);
     assert_eq!(
         told,
-        Some(Resigned {
+        Some(Resignation {
             incarnation,
             lease: OWN_LEASE
         })
@@ -124,36 +124,36 @@
     for node in ["n0", "n2", "n3", "n4"] {
         core.peers.answered(&node.into(), 1, START);
     }
-    core.io.begin(START + 1.9, 0);
+    core.outbox.begin(START + 1.9, 0);
     for _ in 0..9 {
         core.detection.refused();
     }
     core.resign_if_failed_in_part(OWN_LEASE);
-    assert!(core.owner.is_some(), "nobody was served since");
+    assert!(core.shard.is_some(), "nobody was served since");
 }
 
 #[test]
 fn the_lease_of_a_sibling_that_has_given_up_is_ended_once() {
     let mut core = running_core(2, START);
-    core.io.take_effects();
-    let resigned = |incarnation, lease| Detection {
-        resigned: Some(Resigned { incarnation, lease }),
+    core.outbox.take_effects();
+    let resignation = |incarnation, lease| Detection {
+        resignation: Some(Resignation { incarnation, lease }),
         ..detection(Vec::new())
     };
-    let ended = |core: &mut Core| -> Vec<StateCall> {
+    let ended = |core: &mut Core| -> Vec<StoreCall> {
         let calls = state_calls(core);
         calls
             .into_iter()
-            .filter(|call| matches!(call, StateCall::LeaseEnd { .. }))
+            .filter(|call| matches!(call, StoreCall::LeaseEnd { .. }))
             .collect()
     };
-    core.take_detection(&"n2".into(), 1, resigned(1, 9));
+    core.take_detection(&"n2".into(), 1, resignation(1, 9));
     assert_eq!(ended(&mut core), [], "the very process that says so");
-    core.take_detection(&"n2".into(), 2, resigned(1, 8));
+    core.take_detection(&"n2".into(), 2, resignation(1, 8));
     assert_eq!(ended(&mut core), [], "not the lease of its key");
-    core.take_detection(&"n2".into(), 2, resigned(1, 9));
-    core.take_detection(&"n2".into(), 2, resigned(1, 9));
-    assert_eq!(ended(&mut core), [StateCall::LeaseEnd { lease: 9 }]);
+    core.take_detection(&"n2".into(), 2, resignation(1, 9));
+    core.take_detection(&"n2".into(), 2, resignation(1, 9));
+    assert_eq!(ended(&mut core), [StoreCall::LeaseEnd { lease: 9 }]);
 }
 
 /// With its incoming direction cut a controller renewed its lease for ever, could not act, and was not replaced.
@@ -161,8 +161,8 @@
 fn who_hears_nobody_renews_no_key_under_which_it_cannot_act() {
     let mut core = running_core(2, START);
     assert!(!core.renews_for_nobody());
-    let later = START + core.authority.ttl() * 1.5;
-    core.io.begin(later, 0);
+    let later = START + core.ownership.ttl() * 1.5;
+    core.outbox.begin(later, 0);
     assert!(core.renews_for_nobody());
     core.peers.answered(&"n2".into(), 1, later);
     assert!(
--- a/src/core/gained_machines.rs
+++ b/src/core/gained_machines.rs
@@ -3,14 +3,14 @@
 //! under an earlier one, and its answer is a report that shows the token.
 
 use super::catalog::Catalog;
-use super::io::Io;
-use super::owner::Owner;
-use super::part_map::Owners;
+use super::outbox::Outbox;
+use super::owner::Shard;
+use super::part_map::ShardMap;
 use super::placement::Resources;
-use super::view::View;
+use super::store::StoreReplica;
 use super::{Core, WorkerReply};
 use crate::ids::MachineId;
-use crate::wire::{DirectOrders, Report};
+use crate::wire::{DirectCommands, Heartbeat};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -22,7 +22,7 @@
     pub address: String,
     /// Its session then. One that has risen since is told in the answer to the first message.
     #[serde(rename = "s")]
-    pub session: u64,
+    pub agent_epoch: u64,
 }
 
 /// Where machines are reached. Only a hint: of one without a contact a report is waited for.
@@ -49,13 +49,13 @@
     }
 
     /// Drops those of machines that are gone.
-    pub fn prune(&mut self, owners: &Owners) {
+    pub fn prune(&mut self, owners: &ShardMap) {
         self.0
             .retain(|machine, _| owners.machines.contains_key(machine));
     }
 }
 
-impl Owner {
+impl Shard {
     /// Where the machines of this share are reached.
     pub(super) fn contacts(&self) -> MachineContacts {
         let mine = self
@@ -63,74 +63,88 @@
             .values()
             .filter(|machine| machine.mine && machine.trusted);
         let contact = mine.map(|machine| {
-            let (address, session) = (machine.address.clone(), machine.session);
-            (machine.id.clone(), MachineContact { address, session })
+            let (address, agent_epoch) = (machine.address.clone(), machine.agent_epoch);
+            (
+                machine.id.clone(),
+                MachineContact {
+                    address,
+                    agent_epoch,
+                },
+            )
         });
         MachineContacts(contact.collect())
     }
 
     /// A machine has told what it holds.
-    fn take_answer(&mut self, io: &mut Io, view: &View, catalog: &Catalog, report: &Report) {
-        let id = &report.machine;
+    fn take_answer(
+        &mut self,
+        outbox: &mut Outbox,
+        store: &StoreReplica,
+        catalog: &Catalog,
+        heartbeat: &Heartbeat,
+    ) {
+        let id = &heartbeat.machine;
         let Some(machine) = self.machines.get_mut(id).filter(|machine| machine.mine) else {
             return;
         };
-        if report.session <= machine.over() {
+        if heartbeat.agent_epoch <= machine.ended_epoch() {
             return;
         }
         if machine.total == Resources::default() {
-            machine.describe(report, catalog.types());
+            machine.describe(heartbeat, catalog.types());
         }
         // Its session may have begun a moment ago, since the lease of the one before was over: its own lease
         // then lasts longer than what the former owner's last answer tells (rough day 15).
-        machine.answered = machine.answered.max(io.now);
+        machine.answered = machine.answered.max(outbox.now);
         machine.empty = false;
-        self.take_direct_report(io, view, id, report);
+        self.take_direct_heartbeat(outbox, store, id, heartbeat);
     }
 }
 
 impl Core {
     /// Asks machines that this share has gained what they hold, as many at once as there may be.
-    pub(super) fn ask_gained_machines(&mut self) {
-        let Some(owner) = self.owner.as_mut() else {
+    pub(super) fn inspect_acquired_machines(&mut self) {
+        let Some(owner) = self.shard.as_mut() else {
             return;
         };
         if !self.config.features.acts_on_failures() {
             return owner.gained.clear();
         }
-        let most = owner.most_direct_orders();
-        while self.io.direct_orders() < most
+        let most = owner.max_direct_commands();
+        while self.outbox.direct_commands() < most
             && let Some(id) = owner.gained.pop_first()
         {
             let machine = owner.machines.get(&id);
-            let machine = machine.filter(|machine| machine.mine && !machine.settled());
+            let machine = machine.filter(|machine| machine.mine && !machine.reconciled());
             let (Some(machine), Some(contact)) = (machine, self.contacts.0.get(&id)) else {
                 continue;
             };
-            let orders = Vec::new();
-            let message = DirectOrders {
+            let commands = Vec::new();
+            let message = DirectCommands {
                 token: machine.token,
-                session: contact.session,
-                orders,
+                agent_epoch: contact.agent_epoch,
+                commands,
             };
-            self.io.question(&id, &contact.address, message);
+            self.outbox.inspect(&id, &contact.address, message);
         }
     }
 
     /// A machine that was asked has answered, or not: then its report is waited for.
-    pub(super) fn question_answered(&mut self, id: &MachineId, reply: WorkerReply) {
-        let Some(owner) = self.owner.as_mut() else {
+    pub(super) fn inspection_answered(&mut self, id: &MachineId, reply: WorkerReply) {
+        let Some(owner) = self.shard.as_mut() else {
             return;
         };
         match reply {
-            WorkerReply::Executed(report) if report.machine == *id => {
-                owner.take_answer(&mut self.io, &self.view, &self.catalog, &report);
+            WorkerReply::Executed(heartbeat) if heartbeat.machine == *id => {
+                owner.take_answer(&mut self.outbox, &self.store, &self.catalog, &heartbeat);
             }
-            WorkerReply::Fenced(report) if report.machine == *id => {
+            WorkerReply::Fenced(heartbeat) if heartbeat.machine == *id => {
                 // Its session has risen since; asked once more for each that is higher.
                 let contact = self.contacts.0.get_mut(id);
-                if let Some(contact) = contact.filter(|contact| contact.session < report.session) {
-                    contact.session = report.session;
+                if let Some(contact) =
+                    contact.filter(|contact| contact.agent_epoch < heartbeat.agent_epoch)
+                {
+                    contact.agent_epoch = heartbeat.agent_epoch;
                     owner.gained.insert(id.clone());
                 }
             }
--- a/src/core/gained_machines/tests.rs
+++ b/src/core/gained_machines/tests.rs
@@ -1,11 +1,11 @@
 use super::super::machines::Machine;
-use super::super::test_support::{report, running_core};
+use super::super::test_support::{heartbeat, running_core};
 use super::super::{Effect, Time};
 use super::*;
-use crate::ids::Term;
+use crate::ids::FencingToken;
 
 const NOW: Time = 100.0;
-const TERM: Term = Term(9);
+const TERM: FencingToken = FencingToken(9);
 
 /// A controller that has gained machine m-1, last answered at `answered`, and knows where it is reached.
 fn core_with_gained_machine(answered: Time) -> Core {
@@ -13,61 +13,61 @@
     let id = MachineId::from("m-1");
     let contact = MachineContact {
         address: "10.0.0.1:9000".into(),
-        session: 1,
+        agent_epoch: 1,
     };
     core.contacts
         .extend(MachineContacts(BTreeMap::from([(id.clone(), contact)])));
-    let owner = core.owner.as_mut().unwrap();
+    let owner = core.shard.as_mut().unwrap();
     let mut machine = Machine::named(id.clone(), TERM, answered);
     machine.mine = true;
     owner.machines.insert(id.clone(), machine);
     owner.gained.insert(id);
-    core.io.take_effects();
+    core.outbox.take_effects();
     core
 }
 
-fn questions(core: &mut Core) -> Vec<(String, DirectOrders)> {
-    core.ask_gained_machines();
-    let effects = core.io.take_effects();
+fn questions(core: &mut Core) -> Vec<(String, DirectCommands)> {
+    core.inspect_acquired_machines();
+    let effects = core.outbox.take_effects();
     let questions = effects.into_iter().filter_map(|effect| match effect {
-        Effect::Worker(_, address, orders) => Some((address, orders)),
+        Effect::Worker(_, address, commands) => Some((address, commands)),
         _ => None,
     });
     questions.collect()
 }
 
 fn machine(core: &Core) -> &Machine {
-    &core.owner.as_ref().unwrap().machines[&MachineId::from("m-1")]
+    &core.shard.as_ref().unwrap().machines[&MachineId::from("m-1")]
 }
 
 #[test]
 fn a_gained_machine_is_asked_at_once_and_settles_by_its_answer() {
     let mut core = core_with_gained_machine(NOW);
-    let orders = DirectOrders {
+    let commands = DirectCommands {
         token: TERM,
-        session: 1,
-        orders: Vec::new(),
+        agent_epoch: 1,
+        commands: Vec::new(),
     };
-    assert_eq!(questions(&mut core), [("10.0.0.1:9000".into(), orders)]);
+    assert_eq!(questions(&mut core), [("10.0.0.1:9000".into(), commands)]);
     assert_eq!(questions(&mut core), [], "once");
-    let earlier = report("m-1", 1, 7, Term(8));
-    core.question_answered(&"m-1".into(), WorkerReply::Executed(earlier));
-    assert!(!machine(&core).settled(), "it has not shown the token");
-    core.question_answered(
+    let earlier = heartbeat("m-1", 1, 7, FencingToken(8));
+    core.inspection_answered(&"m-1".into(), WorkerReply::Executed(earlier));
+    assert!(!machine(&core).reconciled(), "it has not shown the token");
+    core.inspection_answered(
         &"m-1".into(),
-        WorkerReply::Executed(report("m-1", 1, 8, TERM)),
+        WorkerReply::Executed(heartbeat("m-1", 1, 8, TERM)),
     );
-    assert!(machine(&core).settled());
+    assert!(machine(&core).reconciled());
 }
 
 #[test]
 fn a_machine_whose_session_has_risen_is_asked_once_more() {
     let mut core = core_with_gained_machine(NOW);
     questions(&mut core);
-    let fenced = || WorkerReply::Fenced(report("m-1", 4, 1, Term(8)));
-    core.question_answered(&"m-1".into(), fenced());
-    assert_eq!(questions(&mut core)[0].1.session, 4);
-    core.question_answered(&"m-1".into(), fenced());
+    let fenced = || WorkerReply::Fenced(heartbeat("m-1", 4, 1, FencingToken(8)));
+    core.inspection_answered(&"m-1".into(), fenced());
+    assert_eq!(questions(&mut core)[0].1.agent_epoch, 4);
+    core.inspection_answered(&"m-1".into(), fenced());
     assert_eq!(questions(&mut core), [], "the same again tells nothing new");
 }
 
@@ -77,28 +77,28 @@
 fn a_session_that_has_just_begun_is_not_over_with_the_one_before() {
     let lease = running_core(2, NOW).config.deployment.workers.lease_s;
     let mut core = core_with_gained_machine(NOW - lease);
-    core.question_answered(
+    core.inspection_answered(
         &"m-1".into(),
-        WorkerReply::Executed(report("m-1", 2, 1, TERM)),
+        WorkerReply::Executed(heartbeat("m-1", 2, 1, TERM)),
     );
-    core.view.current_as_of = NOW + 0.5;
-    let owner = core.owner.as_mut().unwrap();
-    owner.expire_machines(&core.view, NOW + 0.5);
+    core.store.current_as_of = NOW + 0.5;
+    let owner = core.shard.as_mut().unwrap();
+    owner.expire_machines(&core.store, NOW + 0.5);
     assert!(!machine(&core).empty && machine(&core).trusted);
 }
 
 #[test]
 fn an_answer_of_a_session_that_is_over_counts_for_nothing() {
     let mut core = core_with_gained_machine(NOW);
-    let owner = core.owner.as_mut().unwrap();
-    let machine_of = |owner: &mut Owner| owner.machines.remove(&MachineId::from("m-1")).unwrap();
+    let owner = core.shard.as_mut().unwrap();
+    let machine_of = |owner: &mut Shard| owner.machines.remove(&MachineId::from("m-1")).unwrap();
     let mut gone = machine_of(owner);
-    gone.session = 1;
-    gone.end_session();
+    gone.agent_epoch = 1;
+    gone.end_epoch();
     owner.machines.insert("m-1".into(), gone);
-    core.question_answered(
+    core.inspection_answered(
         &"m-1".into(),
-        WorkerReply::Executed(report("m-1", 1, 8, TERM)),
+        WorkerReply::Executed(heartbeat("m-1", 1, 8, TERM)),
     );
     assert!(machine(&core).empty && !machine(&core).trusted);
 }
--- a/src/core/job_records.rs
+++ b/src/core/job_records.rs
@@ -2,11 +2,11 @@
 //! them, so a record's version is guard enough. Jobs that are due together go into one transaction;
 //! if that fails, each is tried again by itself, so that none waits for another's conflict.
 
-use super::io::{Io, Pending};
 use super::jobs::Job;
-use super::owner::Owner;
-use super::view::{JobRecord, View, guard, job_key, put};
-use super::{StateCall, StateReply, Time};
+use super::outbox::{Outbox, Pending};
+use super::owner::Shard;
+use super::store::{JobRecord, StoreReplica, job_key, precondition, put};
+use super::{StoreCall, StoreReply, Time};
 use crate::config::Config;
 use crate::ids::{JobId, Version};
 use crate::wire::{BODY_LIMIT, Transaction, Write};
@@ -96,7 +96,7 @@
     config.deployment.state.write_rps * SHARE_OF_WRITES / writers as f64
 }
 
-impl Owner {
+impl Shard {
     /// A job has progress, or its end, to be recorded.
     pub(super) fn note_progress(&mut self, id: &JobId, now: Time) {
         let Some(job) = self.jobs.get_mut(id) else {
@@ -110,30 +110,30 @@
     }
 
     /// Records completed jobs at once, progress at leisure.
-    pub(super) fn record_progress(&mut self, io: &mut Io) {
+    pub(super) fn record_progress(&mut self, outbox: &mut Outbox) {
         let mut batch = Vec::new();
-        while io.may_write() && self.record_rate.has_token(io.now) {
+        while outbox.may_write() && self.record_rate.has_token(outbox.now) {
             let leisure = self.config.deployment.workers.report_s;
             let due = self
                 .unrecorded
-                .next(&self.jobs, leisure, io.now, &mut self.visits);
+                .next(&self.jobs, leisure, outbox.now, &mut self.visits);
             let Some(id) = due else { break };
-            let Some(write) = self.next_record(&id, io.wall_ms) else {
+            let Some(write) = self.next_record(&id, outbox.wall_ms) else {
                 continue;
             };
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            self.record_rate.take(io.now);
+            self.record_rate.take(outbox.now);
             job.write_out = true;
             job.unrecorded_since = None;
             if job.write_alone {
-                commit(io, vec![write]);
+                commit(outbox, vec![write]);
             } else {
                 batch.push(write);
             }
         }
-        self.commit_batches(io, batch);
+        self.commit_batches(outbox, batch);
     }
 
     /// What is to be recorded of a job; nothing if the state service would refuse it.
@@ -162,28 +162,32 @@
 
     /// Writes down that jobs are cancelled with one that they need. Everybody derives it anyway, so
     /// it comes after all other writes.
-    pub(super) fn record_dependent_cancellations(&mut self, io: &mut Io, view: &View) {
-        let now = io.now;
+    pub(super) fn record_dependent_cancellations(
+        &mut self,
+        outbox: &mut Outbox,
+        store: &StoreReplica,
+    ) {
+        let now = outbox.now;
         let pause = self.config.deployment.workers.report_s;
         let ours = |record: &JobRecord| {
             let team = record.spec.as_ref().map(|spec| &spec.team);
             !record.is_final() && team.is_some_and(|team| self.teams.contains_key(team))
         };
         self.dependency_cancelled
-            .retain(|id, _| view.job(id).is_some_and(|job| ours(&job.record)));
+            .retain(|id, _| store.job(id).is_some_and(|job| ours(&job.record)));
         let mut batch = Vec::new();
         for (id, not_before) in &mut self.dependency_cancelled {
-            if !io.may_write() {
+            if !outbox.may_write() {
                 break;
             }
-            let Some(job) = view.job(id).filter(|_| now >= *not_before) else {
+            let Some(job) = store.job(id).filter(|_| now >= *not_before) else {
                 continue;
             };
             if !self.record_rate.take(now) {
                 break;
             }
-            *not_before = now + io.jitter(pause);
-            let record = job.record.cancelled_unstarted(io.wall_ms);
+            *not_before = now + outbox.jitter(pause);
+            let record = job.record.cancelled_unstarted(outbox.wall_ms);
             let write = put(&job_key(id), &record, None);
             batch.push(RecordWrite {
                 job: id.clone(),
@@ -191,10 +195,10 @@
                 write,
             });
         }
-        self.commit_batches(io, batch);
+        self.commit_batches(outbox, batch);
     }
 
-    fn commit_batches(&self, io: &mut Io, writes: Vec<RecordWrite>) {
+    fn commit_batches(&self, outbox: &mut Outbox, writes: Vec<RecordWrite>) {
         let most = self.config.deployment.state.txn_ops;
         let mut batch = Vec::new();
         let mut bytes = 0;
@@ -202,75 +206,75 @@
             bytes += write.write.bytes();
             batch.push(write);
             if batch.len() >= most || bytes >= TRANSACTION_BYTES {
-                commit(io, std::mem::take(&mut batch));
+                commit(outbox, std::mem::take(&mut batch));
                 bytes = 0;
             }
         }
         if !batch.is_empty() {
-            commit(io, batch);
+            commit(outbox, batch);
         }
     }
 
     /// The answer to a transaction of records.
     pub(super) fn records_written(
         &mut self,
-        io: &mut Io,
-        view: &mut View,
+        outbox: &mut Outbox,
+        store: &mut StoreReplica,
         writes: Vec<RecordWrite>,
-        reply: StateReply,
+        reply: StoreReply,
     ) {
         let together = writes.len() > 1;
         for RecordWrite { job: id, write, .. } in writes {
-            if let StateReply::Committed(version) = reply {
-                view.apply_write(&write, version);
+            if let StoreReply::Committed(version) = reply {
+                store.apply_write(&write, version);
             }
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.write_out = false;
                 match reply {
-                    StateReply::Committed(_) => {}
-                    StateReply::Conflict | StateReply::Rejected if together => {
+                    StoreReply::Committed(_) => {}
+                    StoreReply::Conflict | StoreReply::Rejected if together => {
                         job.write_alone = true;
                     }
-                    StateReply::Rejected => {
+                    StoreReply::Rejected => {
                         let bytes = write.bytes();
                         tracing::error!("the state service refuses {bytes} bytes for {id}");
                         job.refused_bytes = job.refused_bytes.min(bytes);
                     }
                     ref other => {
                         // Cancelled meanwhile, or outcome unknown: the view tells before the next try.
-                        view.want_sync();
-                        let conflict = *other == StateReply::Conflict;
+                        store.want_sync();
+                        let conflict = *other == StoreReply::Conflict;
                         let pause = if conflict {
                             CONFLICT_PAUSE
                         } else {
                             FAILURE_PAUSE
                         };
-                        job.write_after = io.now + io.jitter(pause);
+                        job.write_after = outbox.now + outbox.jitter(pause);
                     }
                 }
-                if !matches!(reply, StateReply::Committed(_)) {
-                    job.unrecorded_since.get_or_insert(io.now);
+                if !matches!(reply, StoreReply::Committed(_)) {
+                    job.unrecorded_since.get_or_insert(outbox.now);
                 }
                 if job.unrecorded_since.is_some() {
-                    self.unrecorded.add(&id, job, io.now);
+                    self.unrecorded.add(&id, job, outbox.now);
                 }
             }
-            if matches!(reply, StateReply::Committed(_)) {
-                self.recorded(io, view, &id);
+            if matches!(reply, StoreReply::Committed(_)) {
+                self.recorded(outbox, store, &id);
             }
         }
     }
 
     /// What is recorded as done may be forgotten by its machines.
-    fn recorded(&mut self, io: &Io, view: &View, id: &JobId) {
+    fn recorded(&mut self, outbox: &Outbox, store: &StoreReplica, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         job.write_alone = false;
-        let Some(stored) = view.job(id) else { return };
+        let Some(stored) = store.job(id) else { return };
         let (record, version) = (stored.record.clone(), stored.version);
         self.forget_recorded(id, &record);
-        self.take_job(view, id, &record, version, (io.now, io.wall_ms));
+        self.take_job(store, id, &record, version, (outbox.now, outbox.wall_ms));
     }
 }
 
@@ -286,16 +290,16 @@
     }
 }
 
-fn commit(io: &mut Io, records: Vec<RecordWrite>) {
-    let guards = records
+fn commit(outbox: &mut Outbox, records: Vec<RecordWrite>) {
+    let preconditions = records
         .iter()
-        .map(|record| guard(&job_key(&record.job), record.version));
+        .map(|record| precondition(&job_key(&record.job), record.version));
     let writes = records.iter().map(|record| record.write.clone());
     let transaction = Transaction {
-        guards: guards.collect(),
+        preconditions: preconditions.collect(),
         writes: writes.collect(),
     };
-    io.state(Pending::Records(records), StateCall::Commit(transaction));
+    outbox.state(Pending::Records(records), StoreCall::Commit(transaction));
 }
 
 #[cfg(test)]
--- a/src/core/jobs.rs
+++ b/src/core/jobs.rs
@@ -4,7 +4,7 @@
 use super::job_failures::JobFailures;
 use super::placement::Resources;
 use super::ranges::Ranges;
-use super::view::JobRecord;
+use super::store::JobRecord;
 use crate::ids::{Attempt, MachineId, Version, Zone};
 use crate::wire::{JobSpec, Kind, Priority};
 use std::collections::{BTreeMap, BTreeSet};
@@ -41,7 +41,7 @@
     pub deadline: Option<Time>,
     tasks: Vec<Task>,
     waiting: BTreeSet<u32>,
-    unsettled: u32,
+    unreconciled: u32,
     pub done: Ranges,
     pub retries: BTreeMap<u32, Retry>,
     /// Tasks that may be in each zone.
@@ -69,9 +69,9 @@
         record: Rc<JobRecord>,
         version: Version,
         submitted: Time,
-        settled: bool,
+        reconciled: bool,
     ) -> Self {
-        let fresh = if settled {
+        let fresh = if reconciled {
             Task::Waiting
         } else {
             Task::Unsettled
@@ -92,7 +92,7 @@
             .filter(|(_, t)| open(t))
             .map(|(i, _)| i)
             .collect();
-        let unsettled = tasks.iter().filter(|t| **t == Task::Unsettled).count() as u32;
+        let unreconciled = tasks.iter().filter(|t| **t == Task::Unsettled).count() as u32;
         Self {
             priority: spec.priority,
             needed: false,
@@ -103,7 +103,7 @@
             submitted,
             tasks,
             waiting,
-            unsettled,
+            unreconciled,
             done,
             retries: BTreeMap::new(),
             zones: BTreeMap::new(),
@@ -129,25 +129,25 @@
 
     /// Changes a task's state; a done task stays done. `zone`: of the machine it is on.
     pub fn set(&mut self, index: u32, task: Task, zone: Option<&Zone>) {
-        let Some(slot) = self.tasks.get_mut(index as usize) else {
+        let Some(snapshot) = self.tasks.get_mut(index as usize) else {
             return;
         };
-        if *slot == Task::Done {
+        if *snapshot == Task::Done {
             return;
         }
-        let before = std::mem::replace(slot, task);
+        let before = std::mem::replace(snapshot, task);
         match before {
             Task::Waiting => {
                 self.waiting.remove(&index);
             }
-            Task::Unsettled => self.unsettled -= 1,
+            Task::Unsettled => self.unreconciled -= 1,
             Task::Placed(..) | Task::Done => {}
         }
         match &self.tasks[index as usize] {
             Task::Waiting => {
                 self.waiting.insert(index);
             }
-            Task::Unsettled => self.unsettled += 1,
+            Task::Unsettled => self.unreconciled += 1,
             Task::Done => self.done.insert(index),
             Task::Placed(..) => {}
         }
@@ -161,8 +161,8 @@
     }
 
     /// All machines have told what they hold: what nobody showed is nowhere.
-    pub fn settle(&mut self) {
-        if self.unsettled > 0 {
+    pub fn reconcile(&mut self) {
+        if self.unreconciled > 0 {
             for index in 0..self.spec.tasks {
                 if self.tasks[index as usize] == Task::Unsettled {
                     self.set(index, Task::Waiting, None);
@@ -171,8 +171,8 @@
         }
     }
 
-    pub fn unsettled(&self) -> u32 {
-        self.unsettled
+    pub fn unreconciled(&self) -> u32 {
+        self.unreconciled
     }
 
     pub fn waiting(&self) -> &BTreeSet<u32> {
@@ -197,7 +197,7 @@
     }
 
     pub fn placed(&self) -> u32 {
-        self.spec.tasks - self.done.len() - self.waiting.len() as u32 - self.unsettled
+        self.spec.tasks - self.done.len() - self.waiting.len() as u32 - self.unreconciled
     }
 
     /// Whether the zone rules allow one more task in `zone`, beside `more` not yet placed.
--- a/src/core/leader.rs
+++ b/src/core/leader.rs
@@ -2,19 +2,19 @@
 //! ones on, and numbers every change with a fresh term. What moves between the shares of the
 //! living, and what is rented and returned, is decided in [`super::rebalance`].
 
-use super::authority::{Authority, Process};
 use super::catalog::Catalog;
-use super::io::{Io, Pending};
-use super::part_map::{Owner, PartMap};
+use super::outbox::{Outbox, Pending};
+use super::ownership::{OwnershipLease, Process};
+use super::part_map::{ShardMapEditor, ShardOwner};
 use super::peers::Peers;
 use super::renting::CloudRequests;
-use super::supply::{Need, Offer};
+use super::store::{LEADER_KEY, StoreReplica, node_key, precondition, put};
+use super::supply::{CapacityDemand, Offer};
 use super::unresponsive::UnresponsiveMachines;
-use super::view::{LEADER_KEY, View, guard, node_key, put};
-use super::{StateCall, StateReply, Time};
+use super::{StoreCall, StoreReply, Time};
 use crate::config::Config;
-use crate::ids::{MachineId, Node, Team, Term, Version};
-use crate::wire::{BODY_LIMIT, Guard, Report, Transaction, Write};
+use crate::ids::{FencingToken, MachineId, Node, Team, Version};
+use crate::wire::{BODY_LIMIT, Heartbeat, Precondition, Transaction, Write};
 use failure_detector::Stage;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -36,12 +36,12 @@
     pub(super) config: Rc<Config>,
     pub(super) term: Version,
     started: Time,
-    pub(super) map: PartMap,
+    pub(super) map: ShardMapEditor,
     /// The stored versions that `map` continues. Guarding by the view's would be wrong: a write
     /// with unknown outcome may turn up there late, and the next would undo it.
     base: BTreeMap<String, Version>,
     /// Terms of this turn's changes.
-    terms: BTreeMap<Process, Term>,
+    terms: BTreeMap<Process, FencingToken>,
     /// Limits of values and transactions: the settings', less where the state service refused more.
     value_kb: f64,
     values_per_write: usize,
@@ -49,9 +49,9 @@
     next_write: Time,
     /// The map as stored may differ from ours: a write failed or its outcome is unknown.
     reread: bool,
-    pub(super) needs: BTreeMap<Node, Need>,
+    pub(super) needs: BTreeMap<Node, CapacityDemand>,
     /// Machines that reported and are not on the map.
-    newcomers: BTreeMap<MachineId, Offer>,
+    unassigned_machines: BTreeMap<MachineId, Offer>,
     /// Living processes that keep to grants of team limits, if all of them do.
     pub(super) grant_keepers: BTreeSet<Process>,
     pub(super) next_round: Time,
@@ -61,19 +61,19 @@
     pub(super) next_urgent: Time,
     pub(super) cloud: CloudRequests,
     /// This process stood still and does not know yet what came meanwhile.
-    pub(super) resuming: bool,
+    pub(super) catching_up: bool,
 }
 
 impl Leader {
-    pub fn new(config: &Rc<Config>, term: Version, view: &View, now: Time) -> Self {
-        let map = PartMap::new(term, view.map(), config.deployment.state.value_kb);
+    pub fn new(config: &Rc<Config>, term: Version, store: &StoreReplica, now: Time) -> Self {
+        let map = ShardMapEditor::new(term, store.map(), config.deployment.state.value_kb);
         let fresh = map.owners.teams.is_empty();
         Self {
             config: config.clone(),
             term,
             started: now,
             map,
-            base: versions(view),
+            base: versions(store),
             terms: BTreeMap::new(),
             value_kb: config.deployment.state.value_kb,
             values_per_write: config.deployment.state.txn_ops,
@@ -81,96 +81,102 @@
             next_write: now,
             reread: false,
             needs: BTreeMap::new(),
-            newcomers: BTreeMap::new(),
+            unassigned_machines: BTreeMap::new(),
             grant_keepers: BTreeSet::new(),
             next_round: now,
             claimed: BTreeMap::new(),
             next_urgent: now,
             cloud: CloudRequests::new(config, now, fresh),
-            resuming: false,
+            catching_up: false,
         }
     }
 
     /// Whether leadership is to be claimed anew, since it is running out of terms.
-    pub fn is_worn(&self) -> bool {
-        self.map.is_worn() && !self.writing
+    pub fn terms_exhausted(&self) -> bool {
+        self.map.terms_exhausted() && !self.writing
     }
 
     pub fn refused(&self) -> BTreeSet<Offer> {
         self.cloud.refused()
     }
 
-    pub fn needs(&mut self, node: &Node, need: Need) {
+    pub fn needs(&mut self, node: &Node, need: CapacityDemand) {
         self.needs.insert(node.clone(), need);
     }
 
     /// A machine reported that is not on the map: it gets an owner.
-    pub fn newcomer(&mut self, report: &Report) {
-        if !self.map.owners.machines.contains_key(&report.machine) {
-            let offer = (report.type_name.clone(), report.zone.clone(), report.spot);
-            self.newcomers.insert(report.machine.clone(), offer);
+    pub fn add_unassigned_machine(&mut self, heartbeat: &Heartbeat) {
+        if !self.map.owners.machines.contains_key(&heartbeat.machine) {
+            let offer = (
+                heartbeat.type_name.clone(),
+                heartbeat.zone.clone(),
+                heartbeat.spot,
+            );
+            self.unassigned_machines
+                .insert(heartbeat.machine.clone(), offer);
         }
     }
 
     pub fn advance(
         &mut self,
-        io: &mut Io,
-        view: &View,
-        authority: &mut Authority,
+        outbox: &mut Outbox,
+        store: &StoreReplica,
+        ownership: &mut OwnershipLease,
         peers: &Peers,
         catalog: &Catalog,
         unresponsive: &UnresponsiveMachines,
     ) {
-        let now = io.now;
+        let now = outbox.now;
         self.terms.clear();
-        let living: BTreeMap<Node, u64> = view
+        let living: BTreeMap<Node, u64> = store
             .nodes()
             .iter()
             .map(|(node, n)| (node.clone(), n.record.incarnation))
             .collect();
         self.needs.retain(|node, _| living.contains_key(node));
-        let may_write = !self.writing && now >= self.next_write && io.may_write();
+        let may_write = !self.writing && now >= self.next_write && outbox.may_write();
         if may_write && !living.is_empty() {
             if std::mem::take(&mut self.reread) {
-                let map = PartMap::new(self.term, view.map(), self.value_kb);
+                let map = ShardMapEditor::new(self.term, store.map(), self.value_kb);
                 self.map.follow(map);
-                self.base = versions(view);
+                self.base = versions(store);
             }
             // A fresh deployment waits for its controllers, so that shares start equal.
             let all_here = living.len() >= self.config.controllers();
-            self.note_grant_keepers(view);
-            if all_here || !self.map.owners.teams.is_empty() || now > self.started + authority.ttl()
+            self.note_grant_keepers(store);
+            if all_here || !self.map.owners.teams.is_empty() || now > self.started + ownership.ttl()
             {
-                let guards = self.hand_on(view, authority, peers, unresponsive, &living, now);
-                self.take_in(&living);
-                self.serve_claims(view, &living, now);
+                let preconditions =
+                    self.fail_over_shards(store, ownership, peers, unresponsive, &living, now);
+                self.assign_new_machines(&living);
+                self.serve_claims(store, &living, now);
                 self.renumber(&living);
                 self.rebalance(&living, now);
                 self.note_grants();
-                self.write(io, guards);
+                self.write(outbox, preconditions);
             }
         }
-        self.cloud_when_due(io, catalog, unresponsive, &living);
+        self.cloud_when_due(outbox, catalog, unresponsive, &living);
     }
 
     /// What a process gains in one turn it gains under one term, which keeps the map small.
-    fn owner(&mut self, node: &Node, incarnation: u64) -> Option<Owner> {
+    fn owner(&mut self, node: &Node, incarnation: u64) -> Option<ShardOwner> {
         let process = (node.clone(), incarnation);
         let term = match self.terms.get(&process) {
             Some(term) => *term,
             // Out of terms: leadership has to be taken anew; until then nothing more changes.
-            None => *self.terms.entry(process).or_insert(self.map.next_term()?),
+            None => *self.terms.entry(process).or_insert(self.map.next_token()?),
         };
-        Some(Owner {
+        Some(ShardOwner {
             node: node.clone(),
             incarnation,
-            term,
+            token: term,
             former: None,
             prior: None,
         })
     }
 
-    pub(super) fn give_team(&mut self, team: &Team, to: &Node, incarnation: u64) {
+    pub(super) fn assign_team(&mut self, team: &Team, to: &Node, incarnation: u64) {
         if let Some(owner) = self.owner(to, incarnation) {
             let keeps_grants = self.keeps_grants(&owner);
             self.map.carry_grants(team, &owner, keeps_grants);
@@ -179,7 +185,7 @@
     }
 
     /// `former`: the process it is taken from, if that lives.
-    pub(super) fn give_machine(
+    pub(super) fn assign_machine(
         &mut self,
         id: &MachineId,
         to: &Node,
@@ -187,22 +193,22 @@
         former: Option<Process>,
     ) {
         if let Some(owner) = self.owner(to, incarnation) {
-            self.map.set_machine(id, Owner { former, ..owner });
+            self.map.set_machine(id, ShardOwner { former, ..owner });
         }
     }
 
     /// Shares of processes that have ended go to the restarted controller, or to a successor as a
     /// whole, so that teams stay with the machines their tasks are on.
-    fn hand_on(
+    fn fail_over_shards(
         &mut self,
-        view: &View,
-        authority: &mut Authority,
+        store: &StoreReplica,
+        ownership: &mut OwnershipLease,
         peers: &Peers,
         unresponsive: &UnresponsiveMachines,
         living: &BTreeMap<Node, u64>,
         now: Time,
-    ) -> Vec<Guard> {
-        let mut guards = Vec::new();
+    ) -> Vec<Precondition> {
+        let mut preconditions = Vec::new();
         let unowned: Vec<Team> = self
             .config
             .deployment
@@ -213,7 +219,7 @@
             .collect();
         for team in unowned {
             if let Some((node, incarnation)) = self.fewest_teams(living, peers) {
-                self.give_team(&team, &node, incarnation);
+                self.assign_team(&team, &node, incarnation);
             }
         }
         let owners = self
@@ -229,9 +235,9 @@
             .into_iter()
             .filter(|(node, incarnation)| living.get(node) != Some(incarnation))
             .collect();
-        authority.close_questions(&ended);
+        ownership.close_questions(&ended);
         for process in ended {
-            if !authority.lapsed(&process, view, peers, now) {
+            if !ownership.lease_expired(&process, store, peers, now) {
                 continue;
             }
             let successor = match living.get(&process.0) {
@@ -243,9 +249,9 @@
             };
             tracing::info!("the share of {} goes to {successor}", process.0);
             // It has lapsed as of this version of its key.
-            let registered = view.node(&process.0).map_or(0, |n| n.version);
-            guards.push(guard(&node_key(&process.0), registered));
-            let of = |owner: &Owner| owner.is(&process.0, process.1);
+            let registered = store.node(&process.0).map_or(0, |n| n.version);
+            preconditions.push(precondition(&node_key(&process.0), registered));
+            let of = |owner: &ShardOwner| owner.is(&process.0, process.1);
             let teams = self.map.owners.teams.iter().filter(|(_, owner)| of(owner));
             let teams: Vec<Team> = teams.map(|(team, _)| team.clone()).collect();
             let machines = self
@@ -256,22 +262,22 @@
                 .filter(|(_, owner)| of(owner));
             // Whom it had a machine from, if that lives, may still have to let go of it.
             let lives = |former: &Process| living.get(&former.0) == Some(&former.1);
-            let machines: Vec<(MachineId, Option<Process>, Option<Term>)> = machines
+            let machines: Vec<(MachineId, Option<Process>, Option<FencingToken>)> = machines
                 .map(|(id, owner)| {
                     // Nobody else answered a machine of which it said that it does so no more.
-                    let prior = unresponsive.answered(id, owner.term).map(|_| owner.term);
+                    let prior = unresponsive.answered(id, owner.token).map(|_| owner.token);
                     let former = owner.former.clone().filter(|f| prior.is_none() && lives(f));
                     (id.clone(), former, prior)
                 })
                 .collect();
             for team in teams {
-                self.give_team(&team, &successor, incarnation);
+                self.assign_team(&team, &successor, incarnation);
             }
             for (id, former, prior) in machines {
                 if let Some(owner) = self.owner(&successor, incarnation) {
                     self.map.set_machine(
                         &id,
-                        Owner {
+                        ShardOwner {
                             former,
                             prior,
                             ..owner
@@ -280,7 +286,7 @@
                 }
             }
         }
-        guards
+        preconditions
     }
 
     pub(super) fn teams_of(&self, node: &Node) -> usize {
@@ -304,12 +310,12 @@
 
     /// Newcomers go to whoever they were rented for, or where machines of their kind are fewest;
     /// a controller without a team needs none.
-    fn take_in(&mut self, living: &BTreeMap<Node, u64>) {
-        if self.newcomers.is_empty() {
+    fn assign_new_machines(&mut self, living: &BTreeMap<Node, u64>) {
+        if self.unassigned_machines.is_empty() {
             return;
         }
         let mut counts = self.machine_counts(living);
-        for (id, offer) in std::mem::take(&mut self.newcomers) {
+        for (id, offer) in std::mem::take(&mut self.unassigned_machines) {
             let meant = self.cloud.arrived(&id, &offer);
             let meant = meant.filter(|node| counts.contains_key(node));
             let rank = |count: &MachineCount| (count.of_kind(&offer), count.all);
@@ -319,7 +325,7 @@
             if let Some(count) = counts.get_mut(&node) {
                 count.add(&offer);
             }
-            self.give_machine(&id, &node, living[&node], None);
+            self.assign_machine(&id, &node, living[&node], None);
         }
     }
 
@@ -347,11 +353,11 @@
             let incarnation = living.get(node).copied().unwrap_or_default();
             for (id, token) in std::mem::take(&mut need.raise) {
                 let owner = self.map.owners.machines.get(&id);
-                if owner.is_some_and(|o| o.is(node, incarnation) && o.term == token) {
-                    self.give_machine(&id, node, incarnation, None);
+                if owner.is_some_and(|o| o.is(node, incarnation) && o.token == token) {
+                    self.assign_machine(&id, node, incarnation, None);
                 }
             }
-            for team in std::mem::take(&mut need.worn) {
+            for team in std::mem::take(&mut need.exhausted) {
                 if self
                     .map
                     .owners
@@ -359,22 +365,22 @@
                     .get(&team)
                     .is_some_and(|o| o.is(node, incarnation))
                 {
-                    self.give_team(&team, node, incarnation);
+                    self.assign_team(&team, node, incarnation);
                 }
             }
         }
         self.needs = needs;
     }
 
-    fn write(&mut self, io: &mut Io, mut guards: Vec<Guard>) {
+    fn write(&mut self, outbox: &mut Outbox, mut preconditions: Vec<Precondition>) {
         let values = self.map.take_dirty(self.values_per_write, VALUE_BYTES);
         if values.is_empty() {
             return;
         }
-        guards.push(guard(LEADER_KEY, self.term));
+        preconditions.push(precondition(LEADER_KEY, self.term));
         let mut writes = Vec::new();
         for (key, chunk) in &values {
-            guards.push(guard(key, self.base.get(key).copied().unwrap_or(0)));
+            preconditions.push(precondition(key, self.base.get(key).copied().unwrap_or(0)));
             writes.push(put(key, chunk, None));
         }
         self.writing = true;
@@ -382,44 +388,51 @@
             term: self.term,
             writes: writes.clone(),
         });
-        io.state(pending, StateCall::Commit(Transaction { guards, writes }));
+        outbox.state(
+            pending,
+            StoreCall::Commit(Transaction {
+                preconditions,
+                writes,
+            }),
+        );
     }
 
     pub fn map_written(
         &mut self,
-        io: &mut Io,
-        view: &mut View,
+        outbox: &mut Outbox,
+        store: &mut StoreReplica,
         write: MapWrite,
-        reply: StateReply,
+        reply: StoreReply,
     ) {
         if write.term != self.term {
             return;
         }
         self.writing = false;
         // One change a fifth of a second: the state service has other work.
-        self.next_write = io.now + 6.0 / self.config.deployment.state.write_rps;
-        if let StateReply::Committed(version) = reply {
+        self.next_write = outbox.now + 6.0 / self.config.deployment.state.write_rps;
+        if let StoreReply::Committed(version) = reply {
             for write in &write.writes {
-                view.apply_write(write, version);
+                store.apply_write(write, version);
                 if let Write::Put { key, .. } = write {
                     self.base.insert(key.clone(), version);
                 }
             }
         }
-        view.want_sync();
-        if !matches!(reply, StateReply::Committed(_)) {
+        store.want_sync();
+        if !matches!(reply, StoreReply::Committed(_)) {
             // Not knowing what is stored, start again from what the next sync shows. A conflict has
             // changed nothing, and machines whose leases run out may be waiting.
             self.reread = true;
             let writes = match reply {
-                StateReply::Conflict => 3.0,
-                StateReply::Rejected => {
+                StoreReply::Conflict => 3.0,
+                StoreReply::Rejected => {
                     self.write_less();
                     50.0
                 }
                 _ => 12.0,
             };
-            self.next_write = io.now + io.jitter(writes / self.config.deployment.state.write_rps);
+            self.next_write =
+                outbox.now + outbox.jitter(writes / self.config.deployment.state.write_rps);
         }
     }
 }
@@ -455,8 +468,9 @@
     }
 }
 
-fn versions(view: &View) -> BTreeMap<String, Version> {
-    view.map()
+fn versions(store: &StoreReplica) -> BTreeMap<String, Version> {
+    store
+        .map()
         .iter()
         .map(|(key, stored)| (key.clone(), stored.version))
         .collect()
--- a/src/core/lease_expiry.rs
+++ b/src/core/lease_expiry.rs
@@ -2,10 +2,10 @@
 //! after its last report was answered.
 
 use super::Time;
-use super::authority::DRIFT;
-use super::owner::Owner;
+use super::owner::Shard;
+use super::ownership::DRIFT;
+use super::store::StoreReplica;
 use super::unresponsive::Unresponsive;
-use super::view::View;
 use crate::ids::MachineId;
 
 /// Part of a lease after which a machine that is not heard is said to be silent. A worker that does
@@ -13,7 +13,7 @@
 /// report time, 4 s without an answer and a pause of 1 s.
 const UNRESPONSIVE_LEASES: f64 = 0.7;
 
-impl Owner {
+impl Shard {
     /// How long after its last answered report a machine may still have its tasks.
     fn lease(&self) -> Time {
         let workers = &self.config.deployment.workers;
@@ -24,11 +24,11 @@
     /// terms, so that their next owners need not wait as long as if they had been until the end.
     /// Not while this process hears nobody or stood still, for then the trouble is its own, nor while
     /// it could not get them fresh tokens.
-    pub(super) fn declare_unresponsive(&mut self, view: &View, now: Time) {
+    pub(super) fn declare_unresponsive(&mut self, store: &StoreReplica, now: Time) {
         let workers = &self.config.deployment.workers;
-        if self.resuming
+        if self.catching_up
             || now > self.heard + workers.report_s
-            || now > view.current_as_of + workers.report_s
+            || now > store.current_as_of + workers.report_s
         {
             return;
         }
@@ -49,7 +49,7 @@
         unresponsive
             .map(|machine| Unresponsive {
                 machine: machine.id.clone(),
-                term: machine.token,
+                token: machine.token,
                 age: now - machine.answered,
             })
             .collect()
@@ -58,8 +58,8 @@
     /// Machines whose lease must have run out are empty: nobody else was entitled to answer them
     /// until then, which only a map read after that can tell. A process that lives on vouchers, or
     /// whose reads are slow, may otherwise take a machine for silent that has moved to a sibling.
-    pub(super) fn expire_machines(&mut self, view: &View, now: Time) {
-        let (lease, current) = (self.lease(), view.current_as_of);
+    pub(super) fn expire_machines(&mut self, store: &StoreReplica, now: Time) {
+        let (lease, current) = (self.lease(), store.current_as_of);
         let ours = self
             .machines
             .values()
@@ -74,7 +74,7 @@
             };
             let gone: Vec<_> = machine.attempts.keys().cloned().collect();
             tracing::info!("{id} is silent; {} tasks on it are gone", gone.len());
-            machine.end_session();
+            machine.end_epoch();
             self.starts_in_flight.void(&id);
             self.sync_soon = true;
             for (task, attempt) in gone {
--- a/src/core/machine_claims.rs
+++ b/src/core/machine_claims.rs
@@ -4,14 +4,14 @@
 //! it, as it moves any machine: their tasks keep running and stay their teams'. So a claim decides nothing
 //! of what is allowed; one that the map has overtaken is passed over.
 
+use super::deferred_heartbeats::DeferralReason;
 use super::leader::Leader;
-use super::part_map::{Owner as MapOwner, Owners};
-use super::view::View;
-use super::waiting_reports::WaitsFor;
+use super::part_map::{ShardMap, ShardOwner};
+use super::store::StoreReplica;
 use super::{Core, RequestId, Time};
 use crate::config::Config;
-use crate::ids::{MachineId, Node, Term};
-use crate::wire::Report;
+use crate::ids::{FencingToken, MachineId, Node};
+use crate::wire::Heartbeat;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -29,12 +29,12 @@
     #[serde(rename = "m")]
     pub machine: MachineId,
     #[serde(rename = "t")]
-    pub term: Term,
+    pub token: FencingToken,
 }
 
 /// What this controller claims.
 pub struct MachineClaims {
-    claims: BTreeMap<MachineId, (Term, Time)>,
+    claims: BTreeMap<MachineId, (FencingToken, Time)>,
     most_claims: usize,
     standing: Time,
 }
@@ -55,27 +55,33 @@
     pub fn told(&self) -> Vec<MachineClaim> {
         let claims = self.claims.iter();
         claims
-            .map(|(id, (term, _))| MachineClaim {
+            .map(|(id, (token, _))| MachineClaim {
                 machine: id.clone(),
-                term: *term,
+                token: *token,
             })
             .collect()
     }
 
     /// Claims a machine; whether there is room for it. Claims that the map has overtaken make room.
-    fn add(&mut self, machine: &MachineId, term: Term, owners: &Owners, now: Time) -> bool {
+    fn add(
+        &mut self,
+        machine: &MachineId,
+        token: FencingToken,
+        owners: &ShardMap,
+        now: Time,
+    ) -> bool {
         let standing = self.standing;
-        self.claims.retain(|id, (term, since)| {
+        self.claims.retain(|id, (token, since)| {
             let open = owners
                 .machines
                 .get(id)
-                .is_some_and(|owner| owner.term == *term);
+                .is_some_and(|owner| owner.token == *token);
             open && now - *since < standing
         });
         let known = self.claims.contains_key(machine);
         let room = self.claims.len() < self.most_claims;
         if known || room {
-            self.claims.insert(machine.clone(), (term, now));
+            self.claims.insert(machine.clone(), (token, now));
         }
         known || room
     }
@@ -85,46 +91,51 @@
     /// Whether a machine is to be claimed: neither its worker nor this controller reaches its owner. A worker
     /// that has not shown the owner's token may be on its way there, unless it is in this controller's
     /// zone, where other siblings are heard and the owner is not.
-    pub(super) fn may_claim(&self, report: &Report, owner: &MapOwner) -> bool {
-        let now = self.io.now;
-        let living = self.view.is_registered(&owner.node, owner.incarnation);
-        let comes_from_owner = report.token == owner.term;
-        let same_zone = report.zone == self.config.zone && self.peers.heard_any(now);
+    pub(super) fn may_claim(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
+        let now = self.outbox.now;
+        let living = self.store.is_registered(&owner.node, owner.incarnation);
+        let comes_from_owner = heartbeat.token == owner.token;
+        let same_zone = heartbeat.zone == self.config.zone && self.peers.heard_any(now);
         owner.node != self.config.node
             && living
             && (comes_from_owner || same_zone)
             && !self.peers.hears(&owner.node, now)
-            && !(self.acts_on_failures() && self.lapses_soon(&owner.node))
-            && self.owner.is_some()
-            && self.authority.entitled(now)
+            && !(self.acts_on_failures() && self.lease_expires_soon(&owner.node))
+            && self.shard.is_some()
+            && self.ownership.holds_lease(now)
     }
 
     /// Claims a machine; its report is answered as soon as the map gives it to this controller.
-    pub(super) fn claim(&mut self, request: RequestId, report: Report, owner: &MapOwner) {
-        let now = self.io.now;
-        let full = self.waiting_reports.are_full();
+    pub(super) fn claim(&mut self, request: RequestId, heartbeat: Heartbeat, owner: &ShardOwner) {
+        let now = self.outbox.now;
+        let full = self.deferred_heartbeats.are_full();
         if full
             || !self
                 .claims
-                .add(&report.machine, owner.term, self.view.owners(), now)
+                .add(&heartbeat.machine, owner.token, self.store.owners(), now)
         {
             return self.send_elsewhere(request, &owner.node);
         }
         tracing::debug!(
             "{} can't reach {} and is claimed",
-            report.machine,
+            heartbeat.machine,
             owner.node
         );
-        self.wait_for_map(request, report, owner, WaitsFor::Claim);
+        self.wait_for_map(request, heartbeat, owner, DeferralReason::Claim);
     }
 }
 
 impl Leader {
     /// Gives claimed machines to those who claim them, if the map still has them where they were then.
-    pub(super) fn serve_claims(&mut self, view: &View, living: &BTreeMap<Node, u64>, now: Time) {
+    pub(super) fn serve_claims(
+        &mut self,
+        store: &StoreReplica,
+        living: &BTreeMap<Node, u64>,
+        now: Time,
+    ) {
         let standing = self.config.deployment.workers.lease_s * CLAIM_LEASES;
         self.claimed.retain(|_, since| now - *since < standing);
-        for (node, process) in view.nodes() {
+        for (node, process) in store.nodes() {
             let incarnation = process.record.incarnation;
             for claim in &process.record.claims {
                 let Some(owner) = self.map.owners.machines.get(&claim.machine) else {
@@ -132,7 +143,7 @@
                 };
                 let former = (owner.node.clone(), owner.incarnation);
                 let lives = living.get(&former.0) == Some(&former.1);
-                if owner.term != claim.term || owner.node == *node || !lives {
+                if owner.token != claim.token || owner.node == *node || !lives {
                     continue;
                 }
                 tracing::info!(
@@ -140,7 +151,7 @@
                     claim.machine,
                     former.0
                 );
-                self.give_machine(&claim.machine, node, incarnation, Some(former));
+                self.assign_machine(&claim.machine, node, incarnation, Some(former));
                 self.claimed.insert(claim.machine.clone(), now);
             }
         }
--- a/src/core/machine_orders.rs
+++ b/src/core/machine_orders.rs
@@ -1,24 +1,24 @@
 //! What machines are told: starts and stops, in direct messages and in the answers to reports.
 
-use super::io::Io;
 use super::jobs::Task;
-use super::machines::{Carrier, Freshness, Orders, Phase, TrackedAttempt};
+use super::machines::{Carrier, CommandBatch, Freshness, Phase, TrackedAttempt};
+use super::outbox::Outbox;
 use super::owned_jobs::describe;
-use super::owner::Owner;
+use super::owner::Shard;
 use super::starts_in_flight::AttemptKey;
-use super::view::View;
+use super::store::StoreReplica;
 use super::{CallId, Time, WorkerReply};
 use crate::ids::{Attempt, JobId, MachineId, TaskId};
-use crate::wire::{DirectOrders, Report};
+use crate::wire::{DirectCommands, Heartbeat};
 use std::collections::BTreeSet;
 
 /// Direct orders under way at once at most, as a part of the limit on sockets. What is over goes in
 /// the answers to the next reports, or as soon as others have been answered.
-const ORDERS_PER_SOCKET: f64 = 0.15;
+const COMMANDS_PER_SOCKET: f64 = 0.15;
 /// Direct messages to a machine that may arrive late, at which it gets a fresh token.
 pub(super) const GIVEN_UP_MESSAGES: usize = 8;
 
-impl Owner {
+impl Shard {
     /// Issues the start of a task.
     pub(super) fn start(
         &mut self,
@@ -55,7 +55,7 @@
         );
         self.task_index.add(&task.job, &machine.id);
         machine.attempts.insert((task, attempt), tracked);
-        self.unsent_orders.insert(machine.id.clone());
+        self.unsent_commands.insert(machine.id.clone());
     }
 
     /// Tells an attempt to stop; gangs are stopped whole.
@@ -90,21 +90,21 @@
                 && !tracked.exited()
             {
                 tracked.stop = Some(grace);
-                self.unsent_orders.insert(machine.id.clone());
+                self.unsent_commands.insert(machine.id.clone());
             }
         }
     }
 
     /// Direct messages to machines that may be under way at once.
-    pub(super) fn most_direct_orders(&self) -> usize {
-        (self.config.deployment.limits.fd_limit as f64 * ORDERS_PER_SOCKET).ceil() as usize
+    pub(super) fn max_direct_commands(&self) -> usize {
+        (self.config.deployment.limits.fd_limit as f64 * COMMANDS_PER_SOCKET).ceil() as usize
     }
 
     /// Sends the orders that machines have not been told yet, as many messages at once as there may be.
-    pub(super) fn push_orders(&mut self, io: &mut Io) {
-        let most = self.most_direct_orders();
-        while io.direct_orders() < most
-            && let Some(id) = self.unsent_orders.pop_first()
+    pub(super) fn send_direct_commands(&mut self, outbox: &mut Outbox) {
+        let most = self.max_direct_commands();
+        while outbox.direct_commands() < most
+            && let Some(id) = self.unsent_commands.pop_first()
         {
             let Some(machine) = self.machines.get_mut(&id) else {
                 continue;
@@ -116,39 +116,40 @@
             if !machine.trusted || machine.suspect || machine.raise {
                 continue;
             }
-            let Orders { list, starts } = machine.orders(&self.starts_in_flight, Carrier::Direct);
+            let CommandBatch { list, starts } =
+                machine.commands(&self.starts_in_flight, Carrier::Direct);
             if list.is_empty() {
                 continue;
             }
-            let (token, session) = (machine.token, machine.session);
-            let message = DirectOrders {
+            let (token, agent_epoch) = (machine.token, machine.agent_epoch);
+            let message = DirectCommands {
                 token,
-                session,
-                orders: list,
+                agent_epoch,
+                commands: list,
             };
-            let call = io.worker(&id, &machine.address, message);
+            let call = outbox.worker(&id, &machine.address, message);
             self.starts_in_flight
-                .sent(&id, call, (token, session), starts);
+                .sent(&id, call, (token, agent_epoch), starts);
         }
     }
 
     /// A direct message was answered, or its answer is not waited for any more.
-    pub fn orders_answered(
+    pub fn commands_answered(
         &mut self,
-        io: &mut Io,
-        view: &View,
+        outbox: &mut Outbox,
+        store: &StoreReplica,
         id: &MachineId,
         call: CallId,
         reply: WorkerReply,
     ) {
         match reply {
-            WorkerReply::Executed(report) | WorkerReply::Fenced(report) => {
-                self.starts_in_flight.settled(id, call);
-                self.take_direct_report(io, view, id, &report);
+            WorkerReply::Executed(heartbeat) | WorkerReply::Fenced(heartbeat) => {
+                self.starts_in_flight.outcome_known(id, call);
+                self.take_direct_heartbeat(outbox, store, id, &heartbeat);
             }
             WorkerReply::NotSent => {
-                let unsent = self.starts_in_flight.settled(id, call);
-                self.drop_unsent(id, unsent, io.now);
+                let unsent = self.starts_in_flight.outcome_known(id, call);
+                self.drop_unsent(id, unsent, outbox.now);
             }
             WorkerReply::Unknown => {
                 let given_up = self.starts_in_flight.given_up(id, call);
@@ -161,22 +162,22 @@
     }
 
     /// Takes up the report in the answer to a direct message.
-    pub(super) fn take_direct_report(
+    pub(super) fn take_direct_heartbeat(
         &mut self,
-        io: &mut Io,
-        view: &View,
+        outbox: &mut Outbox,
+        store: &StoreReplica,
         id: &MachineId,
-        report: &Report,
+        heartbeat: &Heartbeat,
     ) {
         // Of a machine that has changed hands meanwhile its new owner tells.
         let Some(machine) = self.machines.get_mut(id).filter(|machine| machine.mine) else {
             return;
         };
-        if report.machine != *id || report.token > machine.token {
+        if heartbeat.machine != *id || heartbeat.token > machine.token {
             return;
         }
-        if let Freshness::NewReport { new_session } = machine.freshness(report, true) {
-            self.take_report(io, view, report, new_session, false);
+        if let Freshness::NewReport { new_epoch } = machine.freshness(heartbeat, true) {
+            self.take_heartbeat(outbox, store, heartbeat, new_epoch, false);
         }
     }
 
--- a/src/core/machines.rs
+++ b/src/core/machines.rs
@@ -1,11 +1,11 @@
 //! A machine as its owner knows it, and what may be on it.
 
 use super::Time;
-use super::authority::Process;
+use super::ownership::Process;
 use super::placement::Resources;
 use super::starts_in_flight::{AttemptKey, StartsInFlight};
-use crate::ids::{Image, JobId, MachineId, Team, Term, TypeName, Version, Zone};
-use crate::wire::{Exit, MachineType, Order, Priority, Report, TaskState};
+use crate::ids::{FencingToken, Image, JobId, MachineId, Team, TypeName, Version, Zone};
+use crate::wire::{Command, Exit, Heartbeat, MachineType, Priority, TaskState};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Fetches run at the published rate, give or take a third.
@@ -30,7 +30,7 @@
     /// It makes way for everything else ([`super::opportunistic`]).
     pub opportunistic: bool,
     /// What it needs to save when it is stopped; 0 if it never saves.
-    pub save_s: f64,
+    pub checkpoint_write_s: f64,
     pub phase: Phase,
     pub issued: Time,
     /// When it was first seen with its image.
@@ -51,7 +51,7 @@
             image: None,
             priority: Priority::Low,
             opportunistic: false,
-            save_s: 0.0,
+            checkpoint_write_s: 0.0,
             phase: Phase::Issued,
             issued: now,
             began: None,
@@ -66,8 +66,8 @@
     }
 
     pub fn has_image(&self) -> bool {
-        use TaskState::{Running, Saving, Waiting};
-        matches!(self.phase, Phase::Seen(Waiting | Running | Saving))
+        use TaskState::{Checkpointing, Running, Waiting};
+        matches!(self.phase, Phase::Seen(Waiting | Running | Checkpointing))
     }
 }
 
@@ -80,16 +80,16 @@
     pub total: Resources,
     pub fetch_rate: f64,
     cache_gb: f64,
-    pub session: u64,
+    pub agent_epoch: u64,
     /// The session was seen under a token of this owner, so that a higher one ends what is here.
-    session_ours: bool,
+    epoch_is_ours: bool,
     /// Newest message of the session taken up, and newest report among them.
-    seq: u64,
-    checkin: u64,
+    sequence: u64,
+    handle_heartbeat: u64,
     /// Sessions up to this one are over: their tasks are counted as gone.
-    over: u64,
+    ended_epoch: u64,
     /// The token it must show.
-    pub token: Term,
+    pub token: FencingToken,
     /// A report of this session has shown the token.
     pub trusted: bool,
     /// When a report of it was last answered with 200; its lease cannot outlast this by more
@@ -115,7 +115,7 @@
     pub suspect: bool,
     pub releasing: bool,
     /// Its replicas move elsewhere; nothing is started on it until they have gone.
-    pub emptying: bool,
+    pub draining: bool,
     /// It is to get a fresh token, so that what may still be under way to it is void.
     pub raise: bool,
     /// It was said to be silent under the present term, and is not answered until it has a new one.
@@ -125,7 +125,7 @@
     /// Jobs that failed on it.
     pub failed_jobs: BTreeSet<JobId>,
     /// Not to be used before this time.
-    pub aside_until: Time,
+    pub cordoned_until: Time,
     pub seen: Time,
     /// When a sibling last relayed a report of it.
     pub relayed: Time,
@@ -135,7 +135,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub enum Freshness {
     NewReport {
-        new_session: bool,
+        new_epoch: bool,
     },
     /// Live, but something newer of the same session has been taken up.
     Overtaken,
@@ -144,7 +144,7 @@
 
 impl Machine {
     /// Known only by name: from the map of an earlier leader.
-    pub fn named(id: MachineId, token: Term, now: Time) -> Self {
+    pub fn named(id: MachineId, token: FencingToken, now: Time) -> Self {
         Self {
             id,
             address: String::new(),
@@ -154,11 +154,11 @@
             total: Resources::default(),
             fetch_rate: 0.0,
             cache_gb: 0.0,
-            session: 0,
-            session_ours: false,
-            seq: 0,
-            checkin: 0,
-            over: 0,
+            agent_epoch: 0,
+            epoch_is_ours: false,
+            sequence: 0,
+            handle_heartbeat: 0,
+            ended_epoch: 0,
             token,
             trusted: false,
             answered: now,
@@ -172,24 +172,24 @@
             idle_since: now,
             suspect: false,
             releasing: false,
-            emptying: false,
+            draining: false,
             raise: false,
             unresponsive: false,
             awaited: now,
             failed_jobs: BTreeSet::new(),
-            aside_until: 0.0,
+            cordoned_until: 0.0,
             seen: now,
             relayed: Time::NEG_INFINITY,
         }
     }
 
-    pub fn describe(&mut self, report: &Report, types: &[MachineType]) {
-        if self.address != report.address {
-            self.address.clone_from(&report.address);
+    pub fn describe(&mut self, heartbeat: &Heartbeat, types: &[MachineType]) {
+        if self.address != heartbeat.address {
+            self.address.clone_from(&heartbeat.address);
         }
-        self.type_name = report.type_name.clone();
-        self.zone = report.zone.clone();
-        self.spot = report.spot;
+        self.type_name = heartbeat.type_name.clone();
+        self.zone = heartbeat.zone.clone();
+        self.spot = heartbeat.spot;
         self.set_type(types);
     }
 
@@ -206,53 +206,53 @@
     }
 
     /// Orders messages by (session, seq). `direct`: the answer to a direct command.
-    pub fn freshness(&mut self, report: &Report, direct: bool) -> Freshness {
-        if report.session < self.session || report.session <= self.over {
+    pub fn freshness(&mut self, heartbeat: &Heartbeat, direct: bool) -> Freshness {
+        if heartbeat.agent_epoch < self.agent_epoch || heartbeat.agent_epoch <= self.ended_epoch {
             return Freshness::Copy;
         }
         // Of a machine that comes from another owner the session is known only once it has shown
         // our token. What was known when it was here before, or from the copy of an old report, may
         // be older than the tasks that its former owner told of.
-        let new_session = report.session > self.session && self.session_ours;
-        if report.session > self.session {
-            self.session = report.session;
-            self.seq = 0;
-            self.checkin = 0;
+        let new_epoch = heartbeat.agent_epoch > self.agent_epoch && self.epoch_is_ours;
+        if heartbeat.agent_epoch > self.agent_epoch {
+            self.agent_epoch = heartbeat.agent_epoch;
+            self.sequence = 0;
+            self.handle_heartbeat = 0;
         }
-        self.session_ours |= report.token == self.token;
+        self.epoch_is_ours |= heartbeat.token == self.token;
         if !direct {
-            if report.seq <= self.checkin {
+            if heartbeat.sequence <= self.handle_heartbeat {
                 return Freshness::Copy;
             }
-            self.checkin = report.seq;
+            self.handle_heartbeat = heartbeat.sequence;
         }
-        if report.seq <= self.seq {
+        if heartbeat.sequence <= self.sequence {
             return Freshness::Overtaken;
         }
-        self.seq = report.seq;
-        Freshness::NewReport { new_session }
+        self.sequence = heartbeat.sequence;
+        Freshness::NewReport { new_epoch }
     }
 
     /// Sessions up to this one are over.
-    pub fn over(&self) -> u64 {
-        self.over
+    pub fn ended_epoch(&self) -> u64 {
+        self.ended_epoch
     }
 
     /// Everything on it is gone, and nothing of its present session will count again.
-    pub fn end_session(&mut self) {
-        self.over = self.session;
+    pub fn end_epoch(&mut self) {
+        self.ended_epoch = self.agent_epoch;
         self.trusted = false;
         self.empty = true;
     }
 
     /// It has a new owner or a new token. Its tasks keep running, and what was sent under the
     /// earlier token is void once it has shown the new one.
-    pub fn change_hands(&mut self, token: Term, mine: bool, now: Time) {
+    pub fn change_hands(&mut self, token: FencingToken, mine: bool, now: Time) {
         if !self.mine && mine {
             // Its former owner may have answered it until now.
             self.answered = now;
             self.empty = false;
-            self.session_ours = false;
+            self.epoch_is_ours = false;
         }
         self.mine = mine;
         self.token = token;
@@ -261,7 +261,7 @@
         self.unresponsive = false;
         self.awaited = now;
         self.releasing = false;
-        self.emptying = false;
+        self.draining = false;
     }
 
     /// Its former owner answers it no more, but may have done so until now.
@@ -271,7 +271,7 @@
     }
 
     /// Everything that may be on it is known.
-    pub fn settled(&self) -> bool {
+    pub fn reconciled(&self) -> bool {
         self.trusted || self.empty
     }
 
@@ -358,11 +358,11 @@
             && self.mine
             && !self.suspect
             && !self.releasing
-            && !self.emptying
+            && !self.draining
             && !self.raise
             && !self.unresponsive
             && self.leaves.is_none()
-            && now >= self.aside_until
+            && now >= self.cordoned_until
     }
 
     pub fn used_image(&mut self, image: &Image, gb: f64) {
@@ -438,8 +438,8 @@
     }
 
     /// What its next message should tell it, by what is under way to it already.
-    pub fn orders(&self, in_flight: &StartsInFlight, carrier: Carrier) -> Orders {
-        let mut orders = Orders::default();
+    pub fn commands(&self, in_flight: &StartsInFlight, carrier: Carrier) -> CommandBatch {
+        let mut commands = CommandBatch::default();
         for (key, tracked) in &self.attempts {
             let (task, attempt) = (key.0.to_string(), key.1);
             match (&tracked.phase, tracked.stop) {
@@ -449,11 +449,11 @@
                     if carrier == Carrier::Direct && in_flight.awaits_answer(&self.id, key) {
                         continue;
                     }
-                    orders.list.push(Order::Start { task, attempt });
-                    orders.starts.insert(key.clone());
+                    commands.list.push(Command::Start { task, attempt });
+                    commands.starts.insert(key.clone());
                 }
                 (Phase::Issued | Phase::Seen(_), Some(grace_s)) => {
-                    orders.list.push(Order::Stop {
+                    commands.list.push(Command::Stop {
                         task,
                         attempt,
                         grace_s,
@@ -461,12 +461,12 @@
                 }
                 // While a start may still arrive, forgetting would let it start again.
                 (Phase::Exited(_), _) if tracked.forget && !in_flight.may_arrive(&self.id, key) => {
-                    orders.list.push(Order::Forget { task, attempt });
+                    commands.list.push(Command::Forget { task, attempt });
                 }
                 _ => {}
             }
         }
-        orders
+        commands
     }
 }
 
@@ -474,13 +474,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Carrier {
     Direct,
-    ReportAnswer,
+    HeartbeatResponse,
 }
 
 /// The orders of one message to a machine.
 #[derive(Debug, Default)]
-pub struct Orders {
-    pub list: Vec<Order>,
+pub struct CommandBatch {
+    pub list: Vec<Command>,
     /// The attempts that the message starts.
     pub starts: BTreeSet<AttemptKey>,
 }
--- a/src/core/machines/tests.rs
+++ b/src/core/machines/tests.rs
@@ -1,33 +1,33 @@
 use super::super::test_support;
 use super::*;
 
-fn report(session: u64, seq: u64) -> Report {
-    test_support::report("m-1", session, seq, Term(1))
+fn heartbeat(agent_epoch: u64, sequence: u64) -> Heartbeat {
+    test_support::heartbeat("m-1", agent_epoch, sequence, FencingToken(1))
 }
 
 /// Copies of reports arrive seconds to minutes late; they must prove nothing.
 #[test]
 fn copies_and_old_reports_are_recognised() {
-    let mut machine = Machine::named("m-1".into(), Term(1), 0.0);
+    let mut machine = Machine::named("m-1".into(), FencingToken(1), 0.0);
     assert_eq!(
-        machine.freshness(&report(1, 5), false),
-        Freshness::NewReport { new_session: false }
+        machine.freshness(&heartbeat(1, 5), false),
+        Freshness::NewReport { new_epoch: false }
     );
-    assert_eq!(machine.freshness(&report(1, 5), false), Freshness::Copy);
+    assert_eq!(machine.freshness(&heartbeat(1, 5), false), Freshness::Copy);
     assert_eq!(
-        machine.freshness(&report(1, 8), true),
-        Freshness::NewReport { new_session: false }
+        machine.freshness(&heartbeat(1, 8), true),
+        Freshness::NewReport { new_epoch: false }
     );
     assert_eq!(
-        machine.freshness(&report(1, 7), false),
+        machine.freshness(&heartbeat(1, 7), false),
         Freshness::Overtaken
     );
-    assert_eq!(machine.freshness(&report(1, 6), false), Freshness::Copy);
-    machine.end_session();
-    assert_eq!(machine.freshness(&report(1, 99), false), Freshness::Copy);
+    assert_eq!(machine.freshness(&heartbeat(1, 6), false), Freshness::Copy);
+    machine.end_epoch();
+    assert_eq!(machine.freshness(&heartbeat(1, 99), false), Freshness::Copy);
     assert_eq!(
-        machine.freshness(&report(2, 1), false),
-        Freshness::NewReport { new_session: true }
+        machine.freshness(&heartbeat(2, 1), false),
+        Freshness::NewReport { new_epoch: true }
     );
 }
 
@@ -36,40 +36,40 @@
 /// cut off before).
 #[test]
 fn a_session_from_before_the_hand_over_ends_nothing() {
-    let mut machine = Machine::named("m-1".into(), Term(1), 0.0);
+    let mut machine = Machine::named("m-1".into(), FencingToken(1), 0.0);
     machine.mine = true;
     assert_eq!(
-        machine.freshness(&report(1, 5), false),
-        Freshness::NewReport { new_session: false }
+        machine.freshness(&heartbeat(1, 5), false),
+        Freshness::NewReport { new_epoch: false }
     );
-    machine.change_hands(Term(2), false, 1.0);
-    machine.change_hands(Term(3), true, 2.0);
+    machine.change_hands(FencingToken(2), false, 1.0);
+    machine.change_hands(FencingToken(3), true, 2.0);
     // Without our token: first a copy from long ago, then the living machine.
     assert_eq!(
-        machine.freshness(&report(1, 7), false),
-        Freshness::NewReport { new_session: false }
+        machine.freshness(&heartbeat(1, 7), false),
+        Freshness::NewReport { new_epoch: false }
     );
     assert_eq!(
-        machine.freshness(&report(2, 1), false),
-        Freshness::NewReport { new_session: false }
+        machine.freshness(&heartbeat(2, 1), false),
+        Freshness::NewReport { new_epoch: false }
     );
-    let shows = |session, seq| Report {
-        token: Term(3),
-        ..report(session, seq)
+    let shows = |agent_epoch, sequence| Heartbeat {
+        token: FencingToken(3),
+        ..heartbeat(agent_epoch, sequence)
     };
     assert_eq!(
         machine.freshness(&shows(2, 2), false),
-        Freshness::NewReport { new_session: false }
+        Freshness::NewReport { new_epoch: false }
     );
     assert_eq!(
         machine.freshness(&shows(3, 1), false),
-        Freshness::NewReport { new_session: true }
+        Freshness::NewReport { new_epoch: true }
     );
 }
 
 #[test]
 fn the_least_recently_used_image_leaves_the_cache() {
-    let mut machine = Machine::named("m-1".into(), Term(1), 0.0);
+    let mut machine = Machine::named("m-1".into(), FencingToken(1), 0.0);
     machine.cache_gb = 100.0;
     machine.fetch_rate = 2.0;
     for image in ["a", "b", "a", "c"] {
--- a/src/core/mesh_messages.rs
+++ b/src/core/mesh_messages.rs
@@ -1,12 +1,12 @@
 //! The messages between controllers. What they hold stays readable by earlier versions: new fields are optional.
 
-use super::authority::Process;
 use super::failure_detection::Detection;
+use super::ownership::Process;
 use super::peer_sync::PeerUpdate;
+use super::store::FinalStates;
 use super::unresponsive::Unresponsive;
-use super::view::Finals;
 use crate::ids::{JobId, Node, Version};
-use crate::wire::{JobSpec, Report, ReportAnswer};
+use crate::wire::{Heartbeat, HeartbeatResponse, JobSpec};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -21,7 +21,8 @@
     Cancel(JobId),
     /// A worker that does not reach its machine's owner. A version that doesn't know this message
     /// refuses it, and the worker is sent to the owner as before.
-    Report(Box<Report>),
+    #[serde(rename = "Report")]
+    Heartbeat(Box<Heartbeat>),
     /// This job was cancelled; saves the leader the wait for its next sync.
     Cancelled(JobId),
 }
@@ -34,7 +35,8 @@
     /// Rises with every hello of a process, so that late ones are known.
     pub number: u64,
     /// The sender cannot renew its lease.
-    pub wants_voucher: bool,
+    #[serde(rename = "wants_voucher")]
+    pub wants_extension: bool,
     /// The sender leads and wants to hand on these lapsed processes' shares.
     pub wants_consent: Vec<Process>,
     /// Tasks done and running, of jobs that run in the sender's share.
@@ -46,11 +48,19 @@
     #[serde(rename = "news")]
     pub update: Option<PeerUpdate>,
     /// The sender's syncs fail: it asks for final states after this version.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub finals_after: Option<Version>,
-    /// The sender's authority ends a bounded time after its key has gone ([`super::authority`]). A
+    #[serde(
+        rename = "finals_after",
+        default,
+        skip_serializing_if = "Option::is_none"
+    )]
+    pub final_states_after: Option<Version>,
+    /// The sender's authority ends a bounded time after its key has gone ([`super::ownership`]). A
     /// version without this says nothing, and its share waits for consents.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
+    #[serde(
+        rename = "authority_ends",
+        default,
+        skip_serializing_if = "std::ops::Not::not"
+    )]
     pub authority_ends: bool,
     /// The sender takes part in the detection of failures, and what it has found.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -68,22 +78,24 @@
     },
     Noted,
     /// Nothing, if the machine is not the receiver's or it may not act.
-    ReportAnswer(Option<ReportAnswer>),
+    #[serde(rename = "ReportAnswer")]
+    HeartbeatResponse(Option<HeartbeatResponse>),
 }
 
 /// The answer to a [`Hello`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HelloReply {
     pub incarnation: u64,
-    pub vouches: bool,
+    #[serde(rename = "vouches")]
+    pub grants_extension: bool,
     pub consents: Vec<Process>,
     pub has_state: bool,
     /// Workers came here lately and were sent to the asker.
     pub sends_workers: bool,
-    /// The answer to `finals_after`. A version without it leaves the asker uninformed, so that its
+    /// The answer to `final_states_after`. A version without it leaves the asker uninformed, so that its
     /// authority ends sooner.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub finals: Option<Finals>,
+    #[serde(rename = "finals", default, skip_serializing_if = "Option::is_none")]
+    pub final_states: Option<FinalStates>,
     /// See [`Hello::detection`].
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub detection: Option<Detection>,
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,15 +1,14 @@
 //! The state machine that decides everything. It does no I/O: batches of [`Input`]s and the time
 //! go in, [`Effect`]s come out. Same inputs, same times and same seed give the same effects.
 
-pub mod authority;
 pub mod cancelled;
 pub mod catalog;
 pub mod consolidation;
+pub mod deferred_heartbeats;
 pub mod dependencies;
 pub mod failure_detection;
 pub mod forecast;
 pub mod gained_machines;
-pub mod io;
 pub mod job_failures;
 pub mod job_records;
 pub mod jobs;
@@ -20,8 +19,10 @@
 pub mod machines;
 pub mod mesh_messages;
 pub mod opportunistic;
+pub mod outbox;
 pub mod owned_jobs;
 pub mod owner;
+pub mod ownership;
 pub mod pacing;
 pub mod part_map;
 pub mod peer_sync;
@@ -29,17 +30,18 @@
 pub mod placement;
 pub mod plan;
 pub mod preemption;
+pub mod process_pause;
 pub mod quota;
 pub mod ranges;
 pub mod rebalance;
 pub mod renting;
 pub mod report_routing;
-pub mod resumption;
 pub mod schedule;
 pub mod share_log;
 pub mod spare_machines;
 pub mod starts_in_flight;
 pub mod status;
+pub mod store;
 pub mod supply;
 pub mod task_index;
 pub mod team_grants;
@@ -50,28 +52,26 @@
 pub mod unresponsive;
 pub mod upcoming;
 pub mod user_requests;
-pub mod view;
-pub mod waiting_reports;
 pub mod zone_contact;
 
 use crate::config::Config;
 use crate::ids::{JobId, Node, Team, Version};
 use crate::status::Status;
 use crate::wire::{
-    Changes, DirectOrders, JobSpec, Listing, MachineList, MachineNames, MachineTypes, Rental,
-    Report, ReportAnswer, Transaction,
+    Changes, DirectCommands, Heartbeat, HeartbeatResponse, JobSpec, Listing, MachineList,
+    MachineNames, MachineTypes, Rental, Transaction,
 };
-use authority::Authority;
-use io::{Io, Pending};
 use leader::Leader;
-use owner::Owner;
+use outbox::{Outbox, Pending};
+use owner::Shard;
+use ownership::OwnershipLease;
 use peers::{MeshMessage, MeshReply, Peers};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use serde_json::Value;
 use std::rc::Rc;
+use store::StoreReplica;
 use user_requests::UserRequests;
-use view::View;
 
 /// Seconds on the process's steady clock.
 pub type Time = f64;
@@ -103,12 +103,12 @@
 #[derive(Debug)]
 pub enum Input {
     User(RequestId, UserRequest),
-    Report(RequestId, Report),
+    Heartbeat(RequestId, Heartbeat),
     Health(RequestId),
     /// An operator asks.
     Status(RequestId),
     Mesh(RequestId, MeshMessage),
-    State(CallId, StateReply),
+    State(CallId, StoreReply),
     Cloud(CallId, CloudReply),
     Worker(CallId, WorkerReply),
     MeshReply(CallId, Option<MeshReply>),
@@ -119,7 +119,7 @@
     pub fn is_question(&self) -> bool {
         match self {
             Self::User(..)
-            | Self::Report(..)
+            | Self::Heartbeat(..)
             | Self::Health(_)
             | Self::Status(_)
             | Self::Mesh(..) => true,
@@ -132,9 +132,9 @@
 pub enum Effect {
     Answer(RequestId, Answer),
     MeshAnswer(RequestId, MeshReply),
-    State(CallId, StateCall),
+    State(CallId, StoreCall),
     Cloud(CallId, CloudCall),
-    Worker(CallId, String, DirectOrders),
+    Worker(CallId, String, DirectCommands),
     Mesh(CallId, Node, MeshMessage),
 }
 
@@ -150,7 +150,7 @@
 pub enum Body {
     Empty,
     Value(Value),
-    Orders(ReportAnswer),
+    HeartbeatResponse(HeartbeatResponse),
     Status(Box<Status>),
 }
 
@@ -180,7 +180,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum StateCall {
+pub enum StoreCall {
     List {
         prefix: &'static str,
         from: Option<String>,
@@ -202,7 +202,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum StateReply {
+pub enum StoreReply {
     Listing(Listing),
     Changes(Changes),
     /// Changes since then are no longer kept.
@@ -246,9 +246,9 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerReply {
-    Executed(Report),
+    Executed(Heartbeat),
     /// Nothing executed: token or session did not match.
-    Fenced(Report),
+    Fenced(Heartbeat),
     /// The connection could not be made, so nothing was sent.
     NotSent,
     /// No answer: executed, or not, or later.
@@ -258,24 +258,24 @@
 /// One controller.
 pub struct Core {
     config: Rc<Config>,
-    io: Io,
-    view: View,
+    outbox: Outbox,
+    store: StoreReplica,
     user_requests: UserRequests,
     peers: Peers,
-    authority: Authority,
+    ownership: OwnershipLease,
     /// This process's share, while it is registered.
-    owner: Option<Owner>,
+    shard: Option<Shard>,
     /// The map and the cloud, while this process leads.
     leader: Option<Leader>,
     catalog: catalog::Catalog,
     /// What siblings told of machines' images before there was a share.
     hints: owner::Hints,
     unresponsive: unresponsive::UnresponsiveMachines,
-    relays: report_routing::Relays,
+    relays: report_routing::HeartbeatRelays,
     claims: machine_claims::MachineClaims,
-    resumption: resumption::Resumption,
+    process_pause: process_pause::ProcessPause,
     detection: failure_detection::FailureDetection,
-    waiting_reports: waiting_reports::WaitingReports,
+    deferred_heartbeats: deferred_heartbeats::DeferredHeartbeats,
     contacts: gained_machines::MachineContacts,
 }
 
@@ -285,21 +285,21 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let incarnation = rand::Rng::random::<u64>(&mut rng) >> 12;
         Self {
-            io: Io::new(rng, &config),
-            view: View::new(&config),
+            outbox: Outbox::new(rng, &config),
+            store: StoreReplica::new(&config),
             user_requests: UserRequests::default(),
             peers: Peers::new(&config),
-            authority: Authority::new(&config, incarnation),
-            owner: None,
+            ownership: OwnershipLease::new(&config, incarnation),
+            shard: None,
             leader: None,
             catalog: catalog::Catalog::default(),
             hints: owner::Hints::new(),
             unresponsive: unresponsive::UnresponsiveMachines::default(),
-            relays: report_routing::Relays::new(&config),
+            relays: report_routing::HeartbeatRelays::new(&config),
             claims: machine_claims::MachineClaims::new(&config),
-            resumption: resumption::Resumption::new(&config),
+            process_pause: process_pause::ProcessPause::new(&config),
             detection: failure_detection::FailureDetection::default(),
-            waiting_reports: waiting_reports::WaitingReports::new(&config),
+            deferred_heartbeats: deferred_heartbeats::DeferredHeartbeats::new(&config),
             contacts: gained_machines::MachineContacts::default(),
             config,
         }
@@ -307,21 +307,21 @@
 
     /// Works through a batch. `now` is the steady clock; `wall_ms` the time of day.
     pub fn step(&mut self, now: Time, wall_ms: u64, batch: Vec<Input>) -> Vec<Effect> {
-        self.io.begin(now, wall_ms);
+        self.outbox.begin(now, wall_ms);
         self.peers.detector_mut().step(now);
-        if let Some(paused) = self.resumption.step(now) {
+        if let Some(paused) = self.process_pause.step(now) {
             self.resumed(paused);
         }
         for input in batch {
             self.input(input);
         }
         self.advance();
-        self.io.take_effects()
+        self.outbox.take_effects()
     }
 
     /// Whether this controller leads and is entitled to act.
     pub fn leads(&self, now: Time) -> bool {
-        self.leader.is_some() && self.authority.entitled(now)
+        self.leader.is_some() && self.ownership.holds_lease(now)
     }
 
     /// How a sibling is judged.
@@ -331,21 +331,24 @@
 
     /// The teams for which this controller can start tasks: it is entitled to, and has machines.
     pub fn teams(&self, now: Time) -> Vec<Team> {
-        let owner = self.owner.as_ref().filter(|_| self.authority.entitled(now));
+        let owner = self
+            .shard
+            .as_ref()
+            .filter(|_| self.ownership.holds_lease(now));
         let owner = owner.filter(|owner| owner.has_machines());
-        owner.map(Owner::settled_teams).unwrap_or_default()
+        owner.map(Shard::reconciled_teams).unwrap_or_default()
     }
 
     /// Attempts and jobs of the share looked at so far because something happened to them, and rounds
     /// of placement: what its work is in proportion to.
     pub fn work(&self) -> (u64, u64) {
-        self.owner.as_ref().map(Owner::work).unwrap_or_default()
+        self.shard.as_ref().map(Shard::work).unwrap_or_default()
     }
 
     /// Starts of this process's share that the last guard has held back so far: more than none is a
     /// fault of the tracking.
     pub fn starts_held_back(&self) -> u64 {
-        self.owner
+        self.shard
             .as_ref()
             .map(|owner| owner.starts_held_back)
             .unwrap_or_default()
@@ -356,48 +359,48 @@
             Input::User(request, what) => self.user_request(request, what),
             Input::Health(request) => self.health(request),
             Input::Status(request) => self.answer_status(request),
-            Input::Report(request, report) => self.report(request, report),
+            Input::Heartbeat(request, heartbeat) => self.heartbeat(request, heartbeat),
             Input::Mesh(request, message) => self.mesh_message(request, message),
             Input::State(call, reply) => {
-                if let Some(pending) = self.io.finish(call) {
-                    self.state_reply(pending, reply);
+                if let Some(pending) = self.outbox.finish(call) {
+                    self.store_reply(pending, reply);
                 }
             }
-            Input::Cloud(call, reply) => match self.io.finish(call) {
+            Input::Cloud(call, reply) => match self.outbox.finish(call) {
                 Some(Pending::Cloud(None)) => self.catalog_reply(reply),
                 Some(Pending::Cloud(Some(work))) => {
                     if let Some(leader) = self.leader.as_mut() {
-                        leader.cloud_reply(&mut self.io, work, reply);
+                        leader.cloud_reply(&mut self.outbox, work, reply);
                     }
                 }
                 _ => {}
             },
-            Input::Worker(call, reply) => match (self.io.finish(call), self.owner.as_mut()) {
-                (Some(Pending::Orders { machine }), Some(owner)) => {
-                    owner.orders_answered(&mut self.io, &self.view, &machine, call, reply);
+            Input::Worker(call, reply) => match (self.outbox.finish(call), self.shard.as_mut()) {
+                (Some(Pending::DirectCommands { machine }), Some(owner)) => {
+                    owner.commands_answered(&mut self.outbox, &self.store, &machine, call, reply);
                 }
-                (Some(Pending::Question { machine }), Some(_)) => {
-                    self.question_answered(&machine, reply);
+                (Some(Pending::Inspection { machine }), Some(_)) => {
+                    self.inspection_answered(&machine, reply);
                 }
                 _ => {}
             },
             Input::MeshReply(call, reply) => {
-                if let Some(pending) = self.io.finish(call) {
+                if let Some(pending) = self.outbox.finish(call) {
                     self.mesh_reply(pending, reply);
                 }
             }
         }
     }
 
-    fn state_reply(&mut self, pending: Pending, reply: StateReply) {
-        self.io.pace(pending.is_change(), &reply);
+    fn store_reply(&mut self, pending: Pending, reply: StoreReply) {
+        self.outbox.pace(pending.is_change(), &reply);
         match reply {
-            StateReply::Refused => self.detection.refused(),
-            StateReply::Busy => {}
-            StateReply::Unknown => self.detection.not_refused(),
+            StoreReply::Refused => self.detection.refused(),
+            StoreReply::Busy => {}
+            StoreReply::Unknown => self.detection.not_refused(),
             _ => {
                 self.detection.not_refused();
-                self.view.state_answered(self.io.now);
+                self.store.state_answered(self.outbox.now);
             }
         }
         match pending {
@@ -405,72 +408,72 @@
                 self.synced(sent, reply);
                 // A process whose key has gone learns no more, so that its authority ends.
                 if self
-                    .view
-                    .is_registered(&self.config.node, self.authority.incarnation())
+                    .store
+                    .is_registered(&self.config.node, self.ownership.incarnation())
                 {
-                    self.authority.informed(self.view.current_as_of);
+                    self.ownership.note_known_as_of(self.store.current_as_of);
                 }
             }
             Pending::UserWrite(pending) => self.user_write_answered(pending, reply),
-            Pending::Authority(pending) => self.authority_reply(pending, reply),
+            Pending::OwnershipLease(pending) => self.ownership_reply(pending, reply),
             Pending::Records(writes) => {
-                if let Some(owner) = self.owner.as_mut() {
-                    owner.records_written(&mut self.io, &mut self.view, writes, reply);
+                if let Some(owner) = self.shard.as_mut() {
+                    owner.records_written(&mut self.outbox, &mut self.store, writes, reply);
                 }
             }
             Pending::Map(write) => {
                 if let Some(leader) = self.leader.as_mut() {
-                    leader.map_written(&mut self.io, &mut self.view, write, reply);
+                    leader.map_written(&mut self.outbox, &mut self.store, write, reply);
                 }
             }
             Pending::Grant(written) => {
-                if let Some(owner) = self.owner.as_mut() {
-                    owner.grant_written(&mut self.io, &mut self.view, written, reply);
+                if let Some(owner) = self.shard.as_mut() {
+                    owner.grant_written(&mut self.outbox, &mut self.store, written, reply);
                 }
             }
             Pending::Types(write) => match reply {
-                StateReply::Committed(version) => self.view.apply_write(&write, version),
-                StateReply::Rejected => self.catalog.not_storable(),
+                StoreReply::Committed(version) => self.store.apply_write(&write, version),
+                StoreReply::Rejected => self.catalog.not_storable(),
                 _ => {}
             },
-            Pending::Orders { .. }
-            | Pending::Question { .. }
+            Pending::DirectCommands { .. }
+            | Pending::Inspection { .. }
             | Pending::Hello { .. }
             | Pending::Relay { .. }
-            | Pending::RelayedReport { .. }
+            | Pending::RelayedHeartbeat { .. }
             | Pending::Notice
             | Pending::Cloud(_) => {}
         }
     }
 
-    /// The process stood still, and its clock ran on ([`resumption`]).
+    /// The process stood still, and its clock ran on ([`process_pause`]).
     fn resumed(&mut self, paused: Time) {
         tracing::info!("stood still for {paused:.1} s");
-        self.peers.heard_workers(self.io.now);
-        self.view.want_sync();
+        self.peers.heard_workers(self.outbox.now);
+        self.store.want_sync();
     }
 
     /// Everything that happens by itself as time passes.
     fn advance(&mut self) {
-        let now = self.io.now;
-        let resuming = self.resumption.lasts(self.view.current_as_of, now);
+        let now = self.outbox.now;
+        let catching_up = self.process_pause.lasts(self.store.current_as_of, now);
         self.sync_when_due();
         self.time_out_user_requests();
         self.judge_siblings();
-        self.relays.follow(&self.view, now);
-        self.keep_authority();
+        self.relays.follow(&self.store, now);
+        self.keep_ownership();
         self.catalog_when_due();
         self.take_roles();
-        if self.authority.entitled(now) {
-            if let Some(owner) = self.owner.as_mut() {
-                owner.resuming = resuming;
+        if self.ownership.holds_lease(now) {
+            if let Some(owner) = self.shard.as_mut() {
+                owner.catching_up = catching_up;
                 owner.advance(
-                    &mut self.io,
-                    &mut self.view,
+                    &mut self.outbox,
+                    &mut self.store,
                     &self.catalog,
                     &self.unresponsive,
                 );
-                owner.plan_when_due(&self.io, &self.view, &self.catalog);
+                owner.plan_when_due(&self.outbox, &self.store, &self.catalog);
                 if !owner.has_machines() {
                     // Nobody to hear from: silence says nothing.
                     self.peers.heard_workers(now);
@@ -480,24 +483,24 @@
                 }
             }
             if let Some(leader) = self.leader.as_mut() {
-                if let Some(owner) = self.owner.as_mut() {
+                if let Some(owner) = self.shard.as_mut() {
                     leader.needs(&self.config.node, owner.need.clone());
                     owner.refused = leader.refused();
                 }
-                leader.resuming = resuming;
+                leader.catching_up = catching_up;
                 leader.advance(
-                    &mut self.io,
-                    &self.view,
-                    &mut self.authority,
+                    &mut self.outbox,
+                    &self.store,
+                    &mut self.ownership,
                     &self.peers,
                     &self.catalog,
                     &self.unresponsive,
                 );
-                if self.authority.take_new_question() && self.acts_on_failures() {
+                if self.ownership.take_new_question() && self.acts_on_failures() {
                     self.peers.sync_soon(now);
                 }
             }
-            self.ask_gained_machines();
+            self.inspect_acquired_machines();
         }
         self.answer_waiting_reports();
         self.hello_when_due();
@@ -505,22 +508,22 @@
 
     /// A share begins once this process is registered; leading begins and ends with the key.
     fn take_roles(&mut self) {
-        let now = self.io.now;
-        let incarnation = self.authority.incarnation();
-        let registered = self.view.is_registered(&self.config.node, incarnation);
-        if self.owner.is_none() && registered && self.authority.entitled(now) {
+        let now = self.outbox.now;
+        let incarnation = self.ownership.incarnation();
+        let registered = self.store.is_registered(&self.config.node, incarnation);
+        if self.shard.is_none() && registered && self.ownership.holds_lease(now) {
             let hints = std::mem::take(&mut self.hints);
-            self.owner = Some(Owner::new(&self.config, incarnation, hints, now));
+            self.shard = Some(Shard::new(&self.config, incarnation, hints, now));
             self.peers.heard_workers(now);
         }
-        let leads = self.authority.leads(&self.view);
+        let leads = self.ownership.leads(&self.store);
         if self.leader.as_ref().map(|leader| leader.term) != leads {
             // The map as of the key's own revision has every change of earlier leaders.
             self.leader = leads
-                .filter(|term| self.view.revision() >= *term)
+                .filter(|term| self.store.revision() >= *term)
                 .map(|term| {
                     tracing::info!("leading under term {term}");
-                    Leader::new(&self.config, term, &self.view, now)
+                    Leader::new(&self.config, term, &self.store, now)
                 });
         }
     }
--- a/src/core/opportunistic.rs
+++ b/src/core/opportunistic.rs
@@ -7,7 +7,7 @@
 use super::forecast::longest_boot;
 use super::jobs::Job;
 use super::machines::Machine;
-use super::owner::Owner;
+use super::owner::Shard;
 use super::placement::Resources;
 use super::supply::Offer;
 use crate::config::Config;
@@ -90,7 +90,7 @@
     *spot && of_type.is_some_and(|t| price(t) <= least * PRICE_MARGIN)
 }
 
-impl Owner {
+impl Shard {
     /// Ordinary machines that are kept for starved jobs: one for each that runs nowhere else. Returned
     /// under such a job, it would be rented again only once the job had starved again, so that a job of
     /// long tasks would never end.
@@ -118,10 +118,10 @@
             return;
         };
         let saves = machine.attempts.iter().filter(|(_, tracked)| {
-            !tracked.exited() && tracked.stop.is_none() && tracked.save_s > 0.0
+            !tracked.exited() && tracked.stop.is_none() && tracked.checkpoint_write_s > 0.0
         });
         let stops: Vec<_> = saves
-            .map(|(key, tracked)| (key.clone(), tracked.save_s))
+            .map(|(key, tracked)| (key.clone(), tracked.checkpoint_write_s))
             .collect();
         for ((task, attempt), grace) in stops {
             self.stop(id, &task, attempt, grace);
--- a/src/core/opportunistic/tests.rs
+++ b/src/core/opportunistic/tests.rs
@@ -1,13 +1,13 @@
 use super::super::catalog::Catalog;
-use super::super::io::Io;
 use super::super::machines::TrackedAttempt;
+use super::super::outbox::Outbox;
 use super::super::owned_jobs::describe;
-use super::super::plan::{Bin, Plan, Wanted};
-use super::super::supply::Need;
-use super::super::test_support::{config, record, service, share, types};
-use super::super::view::View;
+use super::super::plan::{PackingCandidate, Plan, TaskDemand};
+use super::super::store::StoreReplica;
+use super::super::supply::CapacityDemand;
+use super::super::test_support::{config, record, service, shard, types};
 use super::*;
-use crate::ids::{Attempt, TaskId, Term, TypeName, Zone};
+use crate::ids::{Attempt, FencingToken, TaskId, TypeName, Zone};
 use crate::wire::Kind;
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -29,14 +29,14 @@
 }
 
 /// What a share without room asks for on behalf of an opportunistic job.
-fn wanted(spec: &Rc<JobSpec>, starved: bool, refused: &BTreeSet<Offer>) -> Need {
-    let (types, mut need) = (types(), Need::default());
+fn wanted(spec: &Rc<JobSpec>, starved: bool, refused: &BTreeSet<Offer>) -> CapacityDemand {
+    let (types, mut need) = (types(), CapacityDemand::default());
     let mut plan = Plan::new(&types, refused, Vec::new(), 400);
     let mut rentals = rentals_worth(&types, machine_time(&types, spec, spec.tasks));
     if starved {
         rentals = rentals.max(1);
     }
-    let waiting = Wanted::expected(&types, spec.clone(), spec.tasks);
+    let waiting = TaskDemand::expected(&types, spec.clone(), spec.tasks);
     plan.serve_opportunistic(waiting, starved, &mut rentals, &mut need);
     need
 }
@@ -110,23 +110,26 @@
 fn other_work_is_planned_in_the_room_of_opportunistic_work() {
     let (types, refused) = (types(), BTreeSet::new());
     let full = total_room(&types[1]);
-    let bin = Bin {
+    let candidate = PackingCandidate {
         free: full,
         opportunistic: full,
-        ..Bin::empty(
+        ..PackingCandidate::empty(
             Some("m-1".into()),
             (TypeName::from("g8"), Zone::from("a"), false),
         )
     };
-    let (mut plan, mut need) = (Plan::new(&types, &refused, vec![bin], 400), Need::default());
+    let (mut plan, mut need) = (
+        Plan::new(&types, &refused, vec![candidate], 400),
+        CapacityDemand::default(),
+    );
     plan.serve(
-        Wanted::expected(&types, service("chat", "x", 1.0), 2),
+        TaskDemand::expected(&types, service("chat", "x", 1.0), 2),
         &mut need,
     );
     assert_eq!(need.wanted(), 0);
     // Opportunistic work itself finds none there.
     plan.count_opportunistic();
-    let waiting = Wanted::expected(&types, guest_array(30.0), 1);
+    let waiting = TaskDemand::expected(&types, guest_array(30.0), 1);
     plan.serve_opportunistic(waiting, false, &mut 1, &mut need);
     assert_eq!(need.wanted(), 1);
 }
@@ -148,46 +151,46 @@
 }
 
 /// A machine of a type with 64 CPUs, trusted, with one task of the array on it since the beginning.
-fn share_with_a_filled_machine(spot: bool) -> (Owner, Io, View) {
-    let (mut owner, io, view) = share();
-    let mut machine = Machine::named("m-1".into(), Term(9), 0.0);
+fn share_with_a_filled_machine(spot: bool) -> (Shard, Outbox, StoreReplica) {
+    let (mut owner, outbox, store) = shard();
+    let mut machine = Machine::named("m-1".into(), FencingToken(9), 0.0);
     (machine.mine, machine.trusted, machine.spot) = (true, true, spot);
     machine.type_name = "g8".into();
     machine.address = "m-1".into();
     machine.set_type(&types());
     let mut tracked = TrackedAttempt::new(0.0);
     let mut spec = (*guest_array(30.0)).clone();
-    (spec.checkpoint_s, spec.save_s) = (5.0, 2.0);
+    (spec.checkpoint_interval_s, spec.checkpoint_write_s) = (5.0, 2.0);
     describe(&mut tracked, &owner.config, &spec);
     machine.attempts.insert(
         (TaskId::parse("req-000001/0").unwrap(), Attempt(1)),
         tracked,
     );
     owner.machines.insert("m-1".into(), machine);
-    (owner, io, view)
+    (owner, outbox, store)
 }
 
 /// Ordinary machines stayed up for as long as guests came.
 #[test]
 fn a_machine_that_only_opportunistic_work_is_on_yields_and_is_returned_unless_it_is_spot() {
     for spot in [false, true] {
-        let (mut owner, mut io, view) = share_with_a_filled_machine(spot);
+        let (mut owner, mut outbox, store) = share_with_a_filled_machine(spot);
         let catalog = Catalog::with_types(types());
-        let grace = |owner: &Owner| {
+        let grace = |owner: &Shard| {
             let machine = &owner.machines[&MachineId::from("m-1")];
             machine.attempts.values().next().unwrap().stop
         };
-        io.begin(5.0, 5_000);
-        owner.plan_when_due(&io, &view, &catalog);
+        outbox.begin(5.0, 5_000);
+        owner.plan_when_due(&outbox, &store, &catalog);
         assert_eq!(owner.need.yielding, vec![MachineId::from("m-1")]);
         assert_eq!(grace(&owner), None, "not idle for long");
-        io.begin(100.0, 100_000);
+        outbox.begin(100.0, 100_000);
         owner
             .machines
             .get_mut(&MachineId::from("m-1"))
             .unwrap()
             .answered = 100.0;
-        owner.plan_when_due(&io, &view, &catalog);
+        owner.plan_when_due(&outbox, &store, &catalog);
         assert_eq!(grace(&owner), if spot { None } else { Some(2.0) });
     }
 }
--- a/src/core/io.rs
+++ b/src/core/outbox.rs
@@ -1,18 +1,18 @@
 //! The effects of a step, and what is to be done with each call's reply.
 
-use super::authority::AuthorityCall;
 use super::job_records::RecordWrite;
 use super::leader::MapWrite;
+use super::ownership::OwnershipCall;
 use super::pacing::Pacing;
-use super::part_map::Owner as MapOwner;
+use super::part_map::ShardOwner;
 use super::peers::{MeshMessage, MeshReply};
-use super::renting::CloudWork;
+use super::renting::CloudOperation;
 use super::team_grants::GrantWrite;
 use super::user_requests::UserWrite;
-use super::{Answer, CallId, CloudCall, Effect, RequestId, StateCall, StateReply, Time};
+use super::{Answer, CallId, CloudCall, Effect, RequestId, StoreCall, StoreReply, Time};
 use crate::config::Config;
 use crate::ids::{MachineId, Node};
-use crate::wire::{DirectOrders, Report, Write};
+use crate::wire::{DirectCommands, Heartbeat, Write};
 use rand::Rng;
 use rand::rngs::StdRng;
 use std::collections::HashMap;
@@ -24,18 +24,18 @@
         sent: Time,
     },
     UserWrite(UserWrite),
-    Authority(AuthorityCall),
+    OwnershipLease(OwnershipCall),
     Records(Vec<RecordWrite>),
     Map(MapWrite),
     /// A team's record of grants.
     Grant(GrantWrite),
     /// The machine types are written.
     Types(Write),
-    Orders {
+    DirectCommands {
         machine: MachineId,
     },
     /// What a machine holds that has come to this share.
-    Question {
+    Inspection {
         machine: MachineId,
     },
     Hello {
@@ -46,13 +46,13 @@
         request: RequestId,
     },
     /// A report that its machine's owner answers.
-    RelayedReport {
+    RelayedHeartbeat {
         request: RequestId,
-        owner: MapOwner,
-        report: Box<Report>,
+        owner: ShardOwner,
+        heartbeat: Box<Heartbeat>,
     },
     Notice,
-    Cloud(Option<CloudWork>),
+    Cloud(Option<CloudOperation>),
 }
 
 impl Pending {
@@ -64,13 +64,13 @@
             | Self::Map(_)
             | Self::Types(_)
             | Self::Grant(_) => true,
-            Self::Authority(call) => call.is_change(),
+            Self::OwnershipLease(call) => call.is_change(),
             _ => false,
         }
     }
 }
 
-pub struct Io {
+pub struct Outbox {
     pub now: Time,
     pub wall_ms: u64,
     /// Of changes in the state service, and of all requests to it.
@@ -79,11 +79,11 @@
     rng: StdRng,
     next_call: u64,
     calls: HashMap<CallId, Pending>,
-    direct_orders: usize,
+    direct_commands: usize,
     effects: Vec<Effect>,
 }
 
-impl Io {
+impl Outbox {
     pub fn new(rng: StdRng, config: &Config) -> Self {
         let (calls, effects) = (HashMap::new(), Vec::new());
         let (changes, requests) = (Pacing::new(config), Pacing::new(config));
@@ -95,7 +95,7 @@
             rng,
             next_call: 0,
             calls,
-            direct_orders: 0,
+            direct_commands: 0,
             effects,
         }
     }
@@ -111,15 +111,15 @@
 
     pub fn finish(&mut self, call: CallId) -> Option<Pending> {
         let pending = self.calls.remove(&call);
-        if let Some(Pending::Orders { .. } | Pending::Question { .. }) = pending {
-            self.direct_orders -= 1;
+        if let Some(Pending::DirectCommands { .. } | Pending::Inspection { .. }) = pending {
+            self.direct_commands -= 1;
         }
         pending
     }
 
     /// Direct orders to workers that are under way.
-    pub fn direct_orders(&self) -> usize {
-        self.direct_orders
+    pub fn direct_commands(&self) -> usize {
+        self.direct_commands
     }
 
     fn call(&mut self, pending: Pending) -> CallId {
@@ -137,43 +137,48 @@
         self.effects.push(Effect::MeshAnswer(request, reply));
     }
 
-    pub fn state(&mut self, pending: Pending, what: StateCall) {
+    pub fn state(&mut self, pending: Pending, what: StoreCall) {
         let call = self.call(pending);
         self.effects.push(Effect::State(call, what));
     }
 
     /// `pending`: the leader's business; None for the machine types.
-    pub fn cloud(&mut self, pending: Option<CloudWork>, what: CloudCall) {
+    pub fn cloud(&mut self, pending: Option<CloudOperation>, what: CloudCall) {
         let call = self.call(Pending::Cloud(pending));
         self.effects.push(Effect::Cloud(call, what));
     }
 
-    pub fn worker(&mut self, machine: &MachineId, address: &str, orders: DirectOrders) -> CallId {
+    pub fn worker(
+        &mut self,
+        machine: &MachineId,
+        address: &str,
+        commands: DirectCommands,
+    ) -> CallId {
         self.direct(
-            Pending::Orders {
+            Pending::DirectCommands {
                 machine: machine.clone(),
             },
             address,
-            orders,
+            commands,
         )
     }
 
     /// Asks a machine what it holds, by orders that order nothing.
-    pub fn question(&mut self, machine: &MachineId, address: &str, orders: DirectOrders) {
+    pub fn inspect(&mut self, machine: &MachineId, address: &str, commands: DirectCommands) {
         self.direct(
-            Pending::Question {
+            Pending::Inspection {
                 machine: machine.clone(),
             },
             address,
-            orders,
+            commands,
         );
     }
 
-    fn direct(&mut self, pending: Pending, address: &str, orders: DirectOrders) -> CallId {
-        self.direct_orders += 1;
+    fn direct(&mut self, pending: Pending, address: &str, commands: DirectCommands) -> CallId {
+        self.direct_commands += 1;
         let call = self.call(pending);
         self.effects
-            .push(Effect::Worker(call, address.to_owned(), orders));
+            .push(Effect::Worker(call, address.to_owned(), commands));
         call
     }
 
@@ -199,10 +204,10 @@
 
     /// The state service has answered: how soon more may be asked of it. A refused change says nothing
     /// of the rate of all requests, which is far higher.
-    pub fn pace(&mut self, change: bool, reply: &StateReply) {
+    pub fn pace(&mut self, change: bool, reply: &StoreReply) {
         let now = self.now;
         match reply {
-            StateReply::Busy => {
+            StoreReply::Busy => {
                 let spread = self.jitter(1.0);
                 let pacing = if change {
                     &mut self.changes
@@ -211,7 +216,7 @@
                 };
                 pacing.refused(now, spread);
             }
-            StateReply::Refused | StateReply::Unknown => {}
+            StoreReply::Refused | StoreReply::Unknown => {}
             _ if change => self.changes.served(now),
             _ => self.requests.served(now),
         }
--- a/src/core/owned_jobs.rs
+++ b/src/core/owned_jobs.rs
@@ -5,9 +5,9 @@
 use super::jobs::{Job, Task};
 use super::machines::{Machine, Phase, TrackedAttempt};
 use super::opportunistic::is_opportunistic;
-use super::owner::Owner;
+use super::owner::Shard;
 use super::placement::Resources;
-use super::view::{JobRecord, Leaving, View};
+use super::store::{JobRecord, StoreReplica, TerminatingTasks};
 use crate::config::Config;
 use crate::ids::{Attempt, JobId, MachineId, TaskId, Version, Zone};
 use crate::wire::{JobSpec, TaskState};
@@ -22,11 +22,11 @@
     attempt: Attempt,
 }
 
-impl Owner {
+impl Shard {
     /// A job's record is new or has changed.
     pub(super) fn take_job(
         &mut self,
-        view: &View,
+        store: &StoreReplica,
         id: &JobId,
         record: &Rc<JobRecord>,
         version: Version,
@@ -38,19 +38,19 @@
         if let Some(job) = self.jobs.get_mut(id) {
             job.version = version;
             job.record = record.clone();
-            return self.make_urgent(view, id, (now, wall_ms));
+            return self.make_urgent(store, id, (now, wall_ms));
         }
         let Some(spec) = &record.spec else { return };
         let Some(team) = self.teams.get(&spec.team) else {
             return;
         };
-        if view.dependency_cancelled(id) {
+        if store.dependency_cancelled(id) {
             self.dependency_cancelled.entry(id.clone()).or_insert(now);
             return;
         }
         // Until all that it needs is done, durably and as read here, it is no work of this share. Its
         // view takes it up again with the last of them.
-        let Some(ready_ms) = view.ready_ms(record) else {
+        let Some(ready_ms) = store.ready_ms(record) else {
             return;
         };
         // The team's former owner may have started everything that it could read before it saw the
@@ -58,20 +58,20 @@
         // its next sync brings the jobs that came before that; so it is the versions that tell, not
         // when a job appeared here. Progress is recorded only of what has run.
         let unheard_of = version > team.gained && record.done.is_empty();
-        let settled = team.unsettled.is_empty() || unheard_of;
+        let reconciled = team.unreconciled.is_empty() || unheard_of;
         let age = wall_ms.saturating_sub(ready_ms) as f64 / 1e3;
-        let mut job = Job::new(spec.clone(), record.clone(), version, now - age, settled);
+        let mut job = Job::new(spec.clone(), record.clone(), version, now - age, reconciled);
         if job.is_gang() && !job.done.is_empty() {
             (0..spec.tasks).for_each(|index| job.set(index, Task::Done, None));
         }
         let ended = job.all_done();
         let exits = self.find_attempts(id, &mut job);
-        if job.unsettled() > 0 {
-            self.unsettled_jobs.insert(id.clone());
+        if job.unreconciled() > 0 {
+            self.unreconciled_jobs.insert(id.clone());
         }
         self.forecast.arrived(spec, job.submitted);
         self.jobs.insert(id.clone(), job);
-        self.make_urgent(view, id, (now, wall_ms));
+        self.make_urgent(store, id, (now, wall_ms));
         self.changed = true;
         if ended {
             self.note_progress(id, now);
@@ -176,7 +176,7 @@
     }
 
     /// A job takes the priority and the deadline of those that need it.
-    fn make_urgent(&mut self, view: &View, id: &JobId, (now, wall_ms): (Time, u64)) {
+    fn make_urgent(&mut self, store: &StoreReplica, id: &JobId, (now, wall_ms): (Time, u64)) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -184,7 +184,7 @@
         let finish = self.config.finish_objective(&job.spec.class);
         let own = job.spec.deadline_s.filter(|_| finish.is_none());
         let own = own.map(|due| on_clock(job.record.accepted_ms) + due);
-        let inherited = view.inherited(id);
+        let inherited = store.inherited(id);
         let theirs = inherited.and_then(|urgency| urgency.due_ms).map(on_clock);
         job.deadline = [own, theirs].into_iter().flatten().min_by(Time::total_cmp);
         let Some(urgency) = inherited else { return };
@@ -212,7 +212,7 @@
                 stopped.push(at.machine.clone());
             }
         });
-        self.unsent_orders.extend(stopped);
+        self.unsent_commands.extend(stopped);
     }
 
     /// What is recorded as done may be forgotten by its machines.
@@ -301,7 +301,7 @@
                 && tracked.stop.is_none()
             {
                 tracked.stop = Some(0.0);
-                self.unsent_orders.insert(machine.id.clone());
+                self.unsent_commands.insert(machine.id.clone());
             }
         }
     }
@@ -313,15 +313,15 @@
     tracked.image = Some((spec.image.clone(), spec.image_gb));
     tracked.priority = spec.priority;
     tracked.opportunistic = is_opportunistic(config, spec);
-    tracked.save_s = if spec.checkpoint_s > 0.0 {
-        spec.save_s
+    tracked.checkpoint_write_s = if spec.checkpoint_interval_s > 0.0 {
+        spec.checkpoint_write_s
     } else {
         0.0
     };
 }
 
 /// What is left of a cancelled job, as its record tells.
-pub(super) fn describe_leaving(tracked: &mut TrackedAttempt, leaving: &Leaving) {
-    tracked.room = Some(leaving.need);
-    tracked.team = Some(leaving.team.clone());
+pub(super) fn describe_terminating(tracked: &mut TrackedAttempt, terminating: &TerminatingTasks) {
+    tracked.room = Some(terminating.need);
+    tracked.team = Some(terminating.team.clone());
 }
--- a/src/core/owner.rs
+++ b/src/core/owner.rs
@@ -3,34 +3,34 @@
 //! in [`super::tracking`], where they are commanded too.
 
 use super::Time;
-use super::authority::Process;
 use super::catalog::Catalog;
 use super::forecast::Forecast;
-use super::io::Io;
 use super::job_records::{Unrecorded, write_rate};
 use super::jobs::Job;
 use super::machines::{Machine, TrackedAttempt};
+use super::outbox::Outbox;
+use super::ownership::Process;
 use super::part_map;
 use super::placement::{Resources, Weights};
 use super::starts_in_flight::StartsInFlight;
-use super::supply::{Need, Offer};
+use super::store::{JobRecord, StoreReplica};
+use super::supply::{CapacityDemand, Offer};
 use super::task_index::TaskIndex;
 use super::team_grants::TeamGrant;
 use super::token_bucket::TokenBucket;
 use super::unresponsive::UnresponsiveMachines;
-use super::view::{JobRecord, View};
 use crate::config::Config;
-use crate::ids::{Attempt, Image, JobId, MachineId, Node, Team, Term, Version};
+use crate::ids::{Attempt, FencingToken, Image, JobId, MachineId, Node, Team, Version};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 /// A team this share owns.
 pub struct OwnedTeam {
-    term: Term,
+    token: FencingToken,
     /// The view's revision when it was gained.
     pub gained: Version,
     /// Machines that may still hold tasks of it which nobody has told of.
-    pub unsettled: BTreeSet<MachineId>,
+    pub unreconciled: BTreeSet<MachineId>,
     attempts: u64,
     /// Its part in the team's record of grants.
     pub(super) grant: Option<TeamGrant>,
@@ -38,12 +38,12 @@
 
 impl OwnedTeam {
     /// The term under which it is owned.
-    pub(super) fn term(&self) -> Term {
-        self.term
+    pub(super) fn token(&self) -> FencingToken {
+        self.token
     }
 }
 
-pub struct Owner {
+pub struct Shard {
     pub(super) config: Rc<Config>,
     pub(super) incarnation: u64,
     pub(super) jobs: BTreeMap<JobId, Job>,
@@ -54,7 +54,7 @@
     pub(super) teams: BTreeMap<Team, OwnedTeam>,
     map_seen: Option<u64>,
     /// Machines that have orders to be sent at once.
-    pub(super) unsent_orders: BTreeSet<MachineId>,
+    pub(super) unsent_commands: BTreeSet<MachineId>,
     /// Machines that have come here and were not asked yet what they hold.
     pub(super) gained: BTreeSet<MachineId>,
     /// Something changed that placement may profit from.
@@ -68,9 +68,9 @@
     /// Jobs with progress or an end that is not recorded.
     pub(super) unrecorded: Unrecorded,
     /// Jobs with tasks that may be on machines that have not told.
-    pub(super) unsettled_jobs: BTreeSet<JobId>,
+    pub(super) unreconciled_jobs: BTreeSet<JobId>,
     next_check: Time,
-    pub(super) next_share_log: Time,
+    pub(super) next_shard_log: Time,
     /// Attempts and jobs looked at so far because something happened, and rounds of placement.
     pub(super) visits: u64,
     pub(super) rounds: u64,
@@ -81,7 +81,7 @@
     pub(super) running_at: Time,
     pub(super) weights: Weights,
     pub(super) forecast: Forecast,
-    pub(super) need: Need,
+    pub(super) need: CapacityDemand,
     pub(super) next_plan: Time,
     /// What the cloud has none of at present, as the leader knows.
     pub(super) refused: BTreeSet<Offer>,
@@ -94,7 +94,7 @@
     /// When a worker was last heard.
     pub(super) heard: Time,
     /// This process stood still and does not know yet what came meanwhile.
-    pub(super) resuming: bool,
+    pub(super) catching_up: bool,
 }
 
 /// Images that each machine holds, as far as anybody knows. Only a hint: it decides what is quick,
@@ -108,7 +108,7 @@
 /// Attempt numbers to a term of a team.
 const ATTEMPTS: u64 = 1 << 16;
 
-impl Owner {
+impl Shard {
     pub fn new(config: &Rc<Config>, incarnation: u64, hints: Hints, now: Time) -> Self {
         let rate = write_rate(config, config.controllers());
         Self {
@@ -119,16 +119,16 @@
             machines: BTreeMap::new(),
             teams: BTreeMap::new(),
             map_seen: None,
-            unsent_orders: BTreeSet::new(),
+            unsent_commands: BTreeSet::new(),
             gained: BTreeSet::new(),
             changed: true,
             task_index: TaskIndex::default(),
             starts_in_flight: StartsInFlight::default(),
             starts_held_back: 0,
             unrecorded: Unrecorded::default(),
-            unsettled_jobs: BTreeSet::new(),
+            unreconciled_jobs: BTreeSet::new(),
             next_check: now,
-            next_share_log: now,
+            next_shard_log: now,
             visits: 0,
             rounds: 0,
             scheduled: now,
@@ -137,46 +137,46 @@
             running_at: Time::NEG_INFINITY,
             weights: Weights::default(),
             forecast: Forecast::new(config),
-            need: Need::default(),
+            need: CapacityDemand::default(),
             next_plan: now,
             refused: BTreeSet::new(),
             hints,
             listeners: BTreeSet::new(),
             sync_soon: false,
             heard: Time::NEG_INFINITY,
-            resuming: false,
+            catching_up: false,
         }
     }
 
     pub fn advance(
         &mut self,
-        io: &mut Io,
-        view: &mut View,
+        outbox: &mut Outbox,
+        store: &mut StoreReplica,
         catalog: &Catalog,
         unresponsive: &UnresponsiveMachines,
     ) {
-        let now = io.now;
-        self.follow_map(io, view, unresponsive);
-        self.follow_grants(view);
-        for id in view.take_changed() {
-            if let Some(stored) = view.job(&id) {
+        let now = outbox.now;
+        self.follow_map(outbox, store, unresponsive);
+        self.follow_grants(store);
+        for id in store.take_changed() {
+            if let Some(stored) = store.job(&id) {
                 let (record, version) = (stored.record.clone(), stored.version);
-                self.take_job(view, &id, &record, version, (now, io.wall_ms));
+                self.take_job(store, &id, &record, version, (now, outbox.wall_ms));
             }
         }
-        self.check_machines(view, catalog, now);
-        self.settle_when_known(view);
-        self.record_progress(io);
-        self.record_dependent_cancellations(io, view);
-        self.place_when_due(io, view, catalog);
+        self.check_machines(store, catalog, now);
+        self.reconcile_when_known(store);
+        self.record_progress(outbox);
+        self.record_dependent_cancellations(outbox, store);
+        self.place_when_due(outbox, store, catalog);
         self.count_running(now);
-        self.push_orders(io);
-        self.log_share_when_due(now);
+        self.send_direct_commands(outbox);
+        self.log_shard_when_due(now);
     }
 
     /// What time alone changes of machines: looked at a fixed number of times a lease, however much
     /// happens.
-    fn check_machines(&mut self, view: &View, catalog: &Catalog, now: Time) {
+    fn check_machines(&mut self, store: &StoreReplica, catalog: &Catalog, now: Time) {
         if now < self.next_check {
             return;
         }
@@ -187,32 +187,33 @@
             }
             // A successor of its process has registered, so that has ended.
             let ended = |(node, incarnation): &Process| {
-                view.node(node)
+                store
+                    .node(node)
                     .is_some_and(|n| n.record.incarnation != *incarnation)
             };
             if machine.former.as_ref().is_some_and(ended) {
                 machine.former_let_go(now);
             }
         }
-        self.declare_unresponsive(view, now);
-        self.expire_machines(view, now);
+        self.declare_unresponsive(store, now);
+        self.expire_machines(store, now);
     }
 
     /// A round of placement looks at the whole share, so changes that come close together share one.
-    fn place_when_due(&mut self, io: &mut Io, view: &View, catalog: &Catalog) {
+    fn place_when_due(&mut self, outbox: &mut Outbox, store: &StoreReplica, catalog: &Catalog) {
         let workers = &self.config.deployment.workers;
-        let since = io.now - self.scheduled;
+        let since = outbox.now - self.scheduled;
         let due = self.changed && since >= workers.lease_s * ROUND_LEASES;
         if !due && since <= workers.report_s * 0.25 {
             return;
         }
         self.changed = false;
-        self.scheduled = io.now;
+        self.scheduled = outbox.now;
         self.rounds += 1;
-        self.drain(io.now);
-        let mut usage = self.usage(view, io.wall_ms);
-        self.schedule(io.now, &mut usage, catalog);
-        self.write_grants(io, view, &usage);
+        self.drain(outbox.now);
+        let mut usage = self.usage(store, outbox.wall_ms);
+        self.schedule(outbox.now, &mut usage, catalog);
+        self.write_grants(outbox, store, &usage);
     }
 
     /// Attempts and jobs looked at so far because something happened to them, and rounds of placement.
@@ -225,22 +226,22 @@
     /// Takes up what the map gives this process, and lets go of what it gives to others.
     pub(super) fn follow_map(
         &mut self,
-        io: &mut Io,
-        view: &View,
+        outbox: &mut Outbox,
+        store: &StoreReplica,
         unresponsive: &UnresponsiveMachines,
     ) {
-        if self.map_seen.replace(view.map_changes()) == Some(view.map_changes()) {
+        if self.map_seen.replace(store.map_changes()) == Some(store.map_changes()) {
             return;
         }
-        let now = io.now;
-        let wanted = self.teams_on_map(view);
+        let now = outbox.now;
+        let wanted = self.teams_on_map(store);
         let lost = self.lost_teams(&wanted);
-        self.release_grants(io, view, &lost);
-        let owners = view.owners();
+        self.release_grants(outbox, store, &lost);
+        let owners = store.owners();
         let with_teams: BTreeSet<&Node> = owners.teams.values().map(|owner| &owner.node).collect();
         self.record_rate
             .set_rate(write_rate(&self.config, with_teams.len().max(1)));
-        let mine = |o: &part_map::Owner| o.is(&self.config.node, self.incarnation);
+        let mine = |o: &part_map::ShardOwner| o.is(&self.config.node, self.incarnation);
         let sibling = |(node, _): &Process| *node != self.config.node;
         for (id, owner) in &owners.machines {
             let mine = mine(owner);
@@ -248,18 +249,18 @@
                 .prior
                 .and_then(|prior| unresponsive.answered(id, prior));
             match self.machines.get_mut(id) {
-                Some(machine) if machine.mine != mine || machine.token != owner.term => {
+                Some(machine) if machine.mine != mine || machine.token != owner.token => {
                     // A fresh token says nothing of whether a former owner has let go.
                     let former = machine.former.take().filter(|_| machine.mine);
                     let gained = mine && !machine.mine;
-                    machine.change_hands(owner.term, mine, now);
+                    machine.change_hands(owner.token, mine, now);
                     if let (true, Some(answered)) = (gained, answered) {
                         machine.answered = answered;
                         machine.awaited = answered;
                     }
                     let former = owner.former.clone().or(former);
                     machine.former = former.filter(|former| mine && sibling(former));
-                    machine.gained = view.map_revision();
+                    machine.gained = store.map_revision();
                     if gained {
                         self.gained.insert(id.clone());
                     }
@@ -267,10 +268,10 @@
                 }
                 None if mine => {
                     let answered = answered.unwrap_or(now);
-                    let mut machine = Machine::named(id.clone(), owner.term, answered);
+                    let mut machine = Machine::named(id.clone(), owner.token, answered);
                     machine.mine = true;
                     machine.former = owner.former.clone().filter(sibling);
-                    machine.gained = view.map_revision();
+                    machine.gained = store.map_revision();
                     self.gained.insert(id.clone());
                     self.machines.insert(id.clone(), machine);
                 }
@@ -294,9 +295,9 @@
             self.teams.remove(&team);
             self.jobs.retain(|_, job| job.spec.team != team);
         }
-        for (team, term) in wanted {
+        for (team, token) in wanted {
             if !self.teams.contains_key(&team) {
-                self.gain_team(io, view, team, term);
+                self.gain_team(outbox, store, team, token);
             }
         }
         for machine in self.machines.values_mut().filter(|machine| machine.mine) {
@@ -326,85 +327,92 @@
     }
 
     /// The teams that the map gives to this process, and under which terms.
-    fn teams_on_map(&self, view: &View) -> BTreeMap<Team, Term> {
-        let teams = view.owners().teams.iter();
+    fn teams_on_map(&self, store: &StoreReplica) -> BTreeMap<Team, FencingToken> {
+        let teams = store.owners().teams.iter();
         let mine = teams.filter(|(_, owner)| owner.is(&self.config.node, self.incarnation));
-        mine.map(|(team, owner)| (team.clone(), owner.term))
+        mine.map(|(team, owner)| (team.clone(), owner.token))
             .collect()
     }
 
     /// Teams that are no longer ours. Under another term a team may have been elsewhere since this
     /// process last read the map, so it is lost and gained anew.
-    fn lost_teams(&self, wanted: &BTreeMap<Team, Term>) -> Vec<Team> {
-        let kept = |team: &Team, owned: &OwnedTeam| wanted.get(team) == Some(&owned.term);
+    fn lost_teams(&self, wanted: &BTreeMap<Team, FencingToken>) -> Vec<Team> {
+        let kept = |team: &Team, owned: &OwnedTeam| wanted.get(team) == Some(&owned.token);
         let lost = self.teams.iter().filter(|(team, owned)| !kept(team, owned));
         lost.map(|(team, _)| team.clone()).collect()
     }
 
     /// Nothing of a team that is new here is started until every machine in the map has shown
     /// what it holds, or is known empty. Jobs that appear later were started by nobody else.
-    fn gain_team(&mut self, io: &mut Io, view: &View, team: Team, term: Term) {
-        tracing::info!("team {team} is ours under term {}", term.0);
-        let unsettled = view.owners().machines.keys().cloned().collect();
-        let gained = view.map_revision();
-        let grant = self.new_team_grant(&team, term);
+    fn gain_team(
+        &mut self,
+        outbox: &mut Outbox,
+        store: &StoreReplica,
+        team: Team,
+        token: FencingToken,
+    ) {
+        tracing::info!("team {team} is ours under term {}", token.0);
+        let unreconciled = store.owners().machines.keys().cloned().collect();
+        let gained = store.map_revision();
+        let grant = self.new_team_grant(&team, token);
         let owned = OwnedTeam {
-            term,
+            token,
             gained,
-            unsettled,
+            unreconciled,
             attempts: 0,
             grant,
         };
         self.teams.insert(team.clone(), owned);
-        self.follow_grants(view);
-        self.settle_when_known(view);
+        self.follow_grants(store);
+        self.reconcile_when_known(store);
         let of_team = |record: &JobRecord| record.spec.as_ref().is_some_and(|s| s.team == team);
-        for (id, stored) in view.jobs() {
+        for (id, stored) in store.jobs() {
             // One of our own writes, newer than the view, waits for the next sync.
-            if of_team(&stored.record) && stored.version <= view.revision() {
+            if of_team(&stored.record) && stored.version <= store.revision() {
                 self.take_job(
-                    view,
+                    store,
                     id,
                     &stored.record,
                     stored.version,
-                    (io.now, io.wall_ms),
+                    (outbox.now, outbox.wall_ms),
                 );
             }
         }
     }
 
     /// A team's tasks that nobody showed are nowhere once every machine is settled.
-    fn settle_when_known(&mut self, view: &View) {
+    fn reconcile_when_known(&mut self, store: &StoreReplica) {
         let machines = &self.machines;
-        let on_map = &view.owners().machines;
-        let settled = |id: &MachineId| machines.get(id).is_some_and(|m| m.mine && m.settled());
+        let on_map = &store.owners().machines;
+        let reconciled =
+            |id: &MachineId| machines.get(id).is_some_and(|m| m.mine && m.reconciled());
         for (name, team) in &mut self.teams {
-            if !team.unsettled.is_empty() {
-                team.unsettled
-                    .retain(|id| on_map.contains_key(id) && !settled(id));
-                if team.unsettled.is_empty() {
+            if !team.unreconciled.is_empty() {
+                team.unreconciled
+                    .retain(|id| on_map.contains_key(id) && !reconciled(id));
+                if team.unreconciled.is_empty() {
                     tracing::info!("team {name} is settled");
                 }
             }
         }
         let mut torn = Vec::new();
-        for id in std::mem::take(&mut self.unsettled_jobs) {
+        for id in std::mem::take(&mut self.unreconciled_jobs) {
             self.visits += 1;
-            let Some(job) = self.jobs.get_mut(&id).filter(|job| job.unsettled() > 0) else {
+            let Some(job) = self.jobs.get_mut(&id).filter(|job| job.unreconciled() > 0) else {
                 continue;
             };
             if self
                 .teams
                 .get(&job.spec.team)
-                .is_some_and(|team| team.unsettled.is_empty())
+                .is_some_and(|team| team.unreconciled.is_empty())
             {
-                job.settle();
+                job.reconcile();
                 self.changed = true;
                 if job.is_gang() && job.placed() > 0 && !job.waiting().is_empty() {
                     torn.push(id);
                 }
             } else {
-                self.unsettled_jobs.insert(id);
+                self.unreconciled_jobs.insert(id);
             }
         }
         // Part of a gang was lost between two owners: the rest cannot go on.
@@ -441,12 +449,12 @@
         }
     }
 
-    pub fn settled_teams(&self) -> Vec<Team> {
-        let settled = self
+    pub fn reconciled_teams(&self) -> Vec<Team> {
+        let reconciled = self
             .teams
             .iter()
-            .filter(|(_, team)| team.unsettled.is_empty());
-        settled.map(|(name, _)| name.clone()).collect()
+            .filter(|(_, team)| team.unreconciled.is_empty());
+        reconciled.map(|(name, _)| name.clone()).collect()
     }
 
     /// A fresh attempt number for a team's tasks: higher than any before, whoever owned it. None
@@ -454,23 +462,23 @@
     pub(super) fn next_attempt(&mut self, team: &Team) -> Option<Attempt> {
         let team = self.teams.get_mut(team)?;
         team.attempts += 1;
-        (team.attempts < ATTEMPTS).then_some(Attempt(team.term.0 * ATTEMPTS + team.attempts))
+        (team.attempts < ATTEMPTS).then_some(Attempt(team.token.0 * ATTEMPTS + team.attempts))
     }
 
     /// Whether an attempt of a team's task was started here since the team was gained.
     pub(super) fn started_here(&self, team: &Team, attempt: Attempt) -> bool {
         self.teams
             .get(team)
-            .is_some_and(|owned| attempt.0 / ATTEMPTS == owned.term.0)
+            .is_some_and(|owned| attempt.0 / ATTEMPTS == owned.token.0)
     }
 
     /// Teams whose term is running out of attempt numbers.
-    pub(super) fn worn_teams(&self) -> Vec<Team> {
-        let worn = self
+    pub(super) fn teams_short_of_attempts(&self) -> Vec<Team> {
+        let exhausted = self
             .teams
             .iter()
             .filter(|(_, team)| team.attempts > ATTEMPTS / 2);
-        worn.map(|(team, _)| team.clone()).collect()
+        exhausted.map(|(team, _)| team.clone()).collect()
     }
 }
 
