--- a/src/core/owner/tests.rs
+++ b/src/core/owner/tests.rs
@@ -1,8 +1,8 @@
-use super::super::owned_jobs::describe_leaving;
-use super::super::part_map::{Owner as MapOwner, Share};
-use super::super::test_support::{map, owner, record, share};
+use super::super::owned_jobs::describe_terminating;
+use super::super::part_map::{ShardEntry, ShardOwner};
+use super::super::store::{job_key, put};
+use super::super::test_support::{map, owner, record, shard};
 use super::super::unresponsive::Unresponsive;
-use super::super::view::{job_key, put};
 use super::*;
 use crate::ids::TaskId;
 
@@ -10,73 +10,73 @@
 /// it, and its tasks live on (hunted days of a starved controller).
 #[test]
 fn a_silent_machine_is_empty_only_by_a_map_read_after_its_lease() {
-    let (mut share, mut io, mut view) = share();
-    let mine = Share {
+    let (mut shard, mut outbox, mut store) = shard();
+    let mine = ShardEntry {
         owner: owner("n0"),
         teams: vec![],
         machines: vec!["m-1".into()],
     };
-    map(&mut view, 5, vec![mine]);
-    share.follow_map(&mut io, &view, &UnresponsiveMachines::default());
-    view.current_as_of = 9.0;
-    share.expire_machines(&view, 60.0);
-    assert!(!share.machines[&MachineId::from("m-1")].empty);
-    view.current_as_of = 59.0;
-    share.expire_machines(&view, 60.0);
-    assert!(share.machines[&MachineId::from("m-1")].empty);
+    map(&mut store, 5, vec![mine]);
+    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    store.current_as_of = 9.0;
+    shard.expire_machines(&store, 60.0);
+    assert!(!shard.machines[&MachineId::from("m-1")].empty);
+    store.current_as_of = 59.0;
+    shard.expire_machines(&store, 60.0);
+    assert!(shard.machines[&MachineId::from("m-1")].empty);
 }
 
 /// Who has a silent machine next counts its lease from the last answer that its former owner
 /// told of, if the map says that nobody else had it in between.
 #[test]
 fn the_lease_of_a_silent_machine_is_counted_on_through_a_hand_over() {
-    let (mut share, mut io, mut view) = share();
+    let (mut shard, mut outbox, mut store) = shard();
     let mut unresponsive = UnresponsiveMachines::default();
     let said = |id: &str| Unresponsive {
         machine: id.into(),
-        term: Term(8),
+        token: FencingToken(8),
         age: 6.0,
     };
     unresponsive.note([said("m-1"), said("m-2")], 20.0);
-    let known = MapOwner {
-        prior: Some(Term(8)),
+    let known = ShardOwner {
+        prior: Some(FencingToken(8)),
         ..owner("n0")
     };
-    let chain = Share {
+    let chain = ShardEntry {
         owner: known,
         teams: vec![],
         machines: vec!["m-1".into()],
     };
-    let other = Share {
+    let other = ShardEntry {
         owner: owner("n0"),
         teams: vec![],
         machines: vec!["m-2".into()],
     };
-    map(&mut view, 5, vec![chain, other]);
-    io.begin(21.0, 0);
-    share.follow_map(&mut io, &view, &unresponsive);
-    let answered = |share: &Owner, id: &str| share.machines[&MachineId::from(id)].answered;
-    assert!((14.0..14.1).contains(&answered(&share, "m-1")));
-    assert_eq!(answered(&share, "m-2"), 21.0);
+    map(&mut store, 5, vec![chain, other]);
+    outbox.begin(21.0, 0);
+    shard.follow_map(&mut outbox, &store, &unresponsive);
+    let answered = |shard: &Shard, id: &str| shard.machines[&MachineId::from(id)].answered;
+    assert!((14.0..14.1).contains(&answered(&shard, "m-1")));
+    assert_eq!(answered(&shard, "m-2"), 21.0);
 }
 
 /// In the first seconds of a share one machine got the replicas of four images, which shared
 /// its fetch rate, while hundreds were about to report.
 #[test]
 fn what_would_queue_for_a_fetch_waits_for_machines_about_to_report() {
-    let (mut share, mut io, mut view) = share();
+    let (mut shard, mut outbox, mut store) = shard();
     let machines = vec!["m-1".into(), "m-2".into()];
     map(
-        &mut view,
+        &mut store,
         5,
-        vec![Share {
+        vec![ShardEntry {
             owner: owner("n0"),
             teams: vec!["red".into()],
             machines,
         }],
     );
-    share.follow_map(&mut io, &view, &UnresponsiveMachines::default());
-    let first = share.machines.get_mut(&MachineId::from("m-1")).unwrap();
+    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    let first = shard.machines.get_mut(&MachineId::from("m-1")).unwrap();
     first.trusted = true;
     first.total = Resources {
         cpus: 32.0,
@@ -87,102 +87,106 @@
     for (id, image) in [("req-000001", "a"), ("req-000002", "b")] {
         let mut record = record(false);
         Rc::make_mut(record.spec.as_mut().unwrap()).image = image.into();
-        share.take_job(&view, &id.into(), &Rc::new(record), 9, (0.0, 0));
+        shard.take_job(&store, &id.into(), &Rc::new(record), 9, (0.0, 0));
     }
-    let started = |share: &Owner| share.machines[&MachineId::from("m-1")].attempts.len();
-    io.begin(0.1, 0);
-    let mut usage = share.usage(&view, io.wall_ms);
-    share.schedule(io.now, &mut usage, &Catalog::default());
+    let started = |shard: &Shard| shard.machines[&MachineId::from("m-1")].attempts.len();
+    outbox.begin(0.1, 0);
+    let mut usage = shard.usage(&store, outbox.wall_ms);
+    shard.schedule(outbox.now, &mut usage, &Catalog::default());
     assert_eq!(
-        started(&share),
+        started(&shard),
         2,
         "both replicas of one image, none of the other"
     );
-    io.begin(60.0, 0);
-    let mut usage = share.usage(&view, io.wall_ms);
-    share.schedule(io.now, &mut usage, &Catalog::default());
-    assert_eq!(started(&share), 4, "not for ever");
+    outbox.begin(60.0, 0);
+    let mut usage = shard.usage(&store, outbox.wall_ms);
+    shard.schedule(outbox.now, &mut usage, &Catalog::default());
+    assert_eq!(started(&shard), 4, "not for ever");
 }
 
 /// What was said of its last answer has to stay true until it has a fresh token.
 #[test]
 fn a_machine_said_to_be_silent_is_not_answered_under_that_term() {
-    let (mut share, mut io, mut view) = share();
-    let mine = Share {
+    let (mut shard, mut outbox, mut store) = shard();
+    let mine = ShardEntry {
         owner: owner("n0"),
         teams: vec![],
         machines: vec!["m-1".into()],
     };
-    map(&mut view, 5, vec![mine]);
-    share.follow_map(&mut io, &view, &UnresponsiveMachines::default());
-    let report = |seq| crate::wire::Report {
+    map(&mut store, 5, vec![mine]);
+    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    let heartbeat = |sequence| crate::wire::Heartbeat {
         machine: "m-1".into(),
         address: "a".into(),
         type_name: "g".into(),
         zone: "z".into(),
         spot: false,
-        session: 1,
-        seq,
-        token: Term(9),
+        agent_epoch: 1,
+        sequence,
+        token: FencingToken(9),
         notice_s: None,
         tasks: Vec::new(),
     };
-    let checkin = |share: &mut Owner, io: &mut Io, now, seq| {
-        io.begin(now, 0);
-        let answer = share.checkin(io, &view, &Catalog::default(), report(seq));
+    let handle_heartbeat = |shard: &mut Shard, outbox: &mut Outbox, now, sequence| {
+        outbox.begin(now, 0);
+        let answer =
+            shard.handle_heartbeat(outbox, &store, &Catalog::default(), heartbeat(sequence));
         answer.unwrap().status
     };
-    assert_eq!(checkin(&mut share, &mut io, 1.0, 1), 200);
-    let lease = share.config.deployment.workers.lease_s;
-    let mut current = View::new(&share.config);
+    assert_eq!(handle_heartbeat(&mut shard, &mut outbox, 1.0, 1), 200);
+    let lease = shard.config.deployment.workers.lease_s;
+    let mut current = StoreReplica::new(&shard.config);
     current.current_as_of = 1.0 + lease * 0.75;
-    share.declare_unresponsive(&current, 1.0 + lease * 0.75);
+    shard.declare_unresponsive(&current, 1.0 + lease * 0.75);
     assert!(
-        share.unresponsive(lease).is_empty(),
+        shard.unresponsive(lease).is_empty(),
         "hearing nobody says nothing of one"
     );
-    share.heard = 1.0 + lease * 0.75;
-    share.declare_unresponsive(&current, 1.0 + lease * 0.75);
-    assert_eq!(share.unresponsive(lease).len(), 1);
-    assert_eq!(checkin(&mut share, &mut io, 1.0 + lease * 0.78, 2), 503);
-    assert_eq!(share.need.raise, [("m-1".into(), Term(9))]);
+    shard.heard = 1.0 + lease * 0.75;
+    shard.declare_unresponsive(&current, 1.0 + lease * 0.75);
+    assert_eq!(shard.unresponsive(lease).len(), 1);
+    assert_eq!(
+        handle_heartbeat(&mut shard, &mut outbox, 1.0 + lease * 0.78, 2),
+        503
+    );
+    assert_eq!(shard.need.raise, [("m-1".into(), FencingToken(9))]);
     // With a fresh token it is heard again, and has the time to be.
-    let fresh = MapOwner {
-        term: Term(10),
+    let fresh = ShardOwner {
+        token: FencingToken(10),
         ..owner("n0")
     };
-    let mine = Share {
+    let mine = ShardEntry {
         owner: fresh,
         teams: vec![],
         machines: vec!["m-1".into()],
     };
-    map(&mut view, 6, vec![mine]);
-    io.begin(1.0 + lease * 0.8, 0);
-    share.follow_map(&mut io, &view, &UnresponsiveMachines::default());
-    share.declare_unresponsive(&current, 1.0 + lease * 0.8);
-    let machine = &share.machines[&MachineId::from("m-1")];
-    assert!(!machine.unresponsive && machine.token == Term(10));
+    map(&mut store, 6, vec![mine]);
+    outbox.begin(1.0 + lease * 0.8, 0);
+    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    shard.declare_unresponsive(&current, 1.0 + lease * 0.8);
+    let machine = &shard.machines[&MachineId::from("m-1")];
+    assert!(!machine.unresponsive && machine.token == FencingToken(10));
 }
 
 /// A leader owns a machine by its own write, before it has read the jobs that came before.
 #[test]
 fn a_machine_with_unknown_tasks_is_not_told_as_settled() {
-    let (mut share, mut io, mut view) = share();
-    let mine = Share {
+    let (mut shard, mut outbox, mut store) = shard();
+    let mine = ShardEntry {
         owner: owner("n0"),
         teams: vec![],
         machines: vec!["m-1".into()],
     };
-    let other = Share {
+    let other = ShardEntry {
         owner: owner("n1"),
         teams: vec!["red".into()],
         machines: vec![],
     };
-    map(&mut view, 5, vec![mine, other]);
-    share.follow_map(&mut io, &view, &UnresponsiveMachines::default());
-    share.listeners.insert("n1".into());
+    map(&mut store, 5, vec![mine, other]);
+    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    shard.listeners.insert("n1".into());
     let id = MachineId::from("m-1");
-    share.machines.get_mut(&id).unwrap().trusted = true;
+    shard.machines.get_mut(&id).unwrap().trusted = true;
     let task = TaskId {
         job: "req-000001".into(),
         index: 0,
@@ -192,37 +196,37 @@
         attempt: Attempt(1),
         state: crate::wire::TaskState::Running,
         why: None,
-        saved: None,
+        checkpointed: None,
     };
-    share.take_task(&mut io, &view, &id, task.clone(), &shown);
-    let news = |share: &Owner, view: &View| {
-        let news = share.update_for(&"n1".into(), view, None, Hints::new(), Default::default());
-        (news.settled.len(), news.observations.len())
+    shard.take_task(&mut outbox, &store, &id, task.clone(), &shown);
+    let news = |shard: &Shard, store: &StoreReplica| {
+        let news = shard.update_for(&"n1".into(), store, None, Hints::new(), Default::default());
+        (news.reconciled.len(), news.observations.len())
     };
-    assert_eq!(news(&share, &view), (0, 0));
-    view.apply_write(&put(&job_key(&task.job), &record(false), None), 4);
-    share.take_task(&mut io, &view, &id, task, &shown);
-    assert_eq!(news(&share, &view), (1, 1));
+    assert_eq!(news(&shard, &store), (0, 0));
+    store.apply_write(&put(&job_key(&task.job), &record(false), None), 4);
+    shard.take_task(&mut outbox, &store, &id, task, &shown);
+    assert_eq!(news(&shard, &store), (1, 1));
 }
 
 /// A sibling that has read of the team's next owner before this one did leaves it out.
 #[test]
 fn silence_about_a_team_that_the_sender_gives_to_another_says_nothing() {
-    let (mut share, mut io, mut view) = share();
-    let mine = Share {
+    let (mut shard, mut outbox, mut store) = shard();
+    let mine = ShardEntry {
         owner: owner("n0"),
         teams: vec!["red".into()],
         machines: vec![],
     };
-    let other = Share {
+    let other = ShardEntry {
         owner: owner("n1"),
         teams: vec![],
         machines: vec!["m-1".into()],
     };
-    map(&mut view, 5, vec![mine, other]);
-    share.follow_map(&mut io, &view, &UnresponsiveMachines::default());
+    map(&mut store, 5, vec![mine, other]);
+    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
     let id = MachineId::from("m-1");
-    let mut machine = Machine::named(id.clone(), Term(9), 0.0);
+    let mut machine = Machine::named(id.clone(), FencingToken(9), 0.0);
     let mut tracked = TrackedAttempt::new(0.0);
     tracked.team = Some("red".into());
     let task = TaskId {
@@ -230,26 +234,28 @@
         index: 0,
     };
     machine.attempts.insert((task, Attempt(1)), tracked);
-    share.machines.insert(id.clone(), machine);
+    shard.machines.insert(id.clone(), machine);
     let news = |teams: &[&str]| super::super::peer_sync::PeerUpdate {
         revision: 7,
         teams: teams.iter().map(|team| Team::from(*team)).collect(),
         listening: false,
-        settled: vec![(id.clone(), Term(9))],
+        reconciled: vec![(id.clone(), FencingToken(9))],
         observations: vec![],
         commands: vec![],
-        need: Need::default(),
+        need: CapacityDemand::default(),
         refused: None,
         images: Hints::new(),
         contacts: Default::default(),
     };
-    share.take_update(&mut io, &view, &"n1".into(), 1, news(&[]));
+    shard.take_update(&mut outbox, &store, &"n1".into(), 1, news(&[]));
     assert!(
-        share.machines.contains_key(&id) && !share.teams[&Team::from("red")].unsettled.is_empty()
+        shard.machines.contains_key(&id)
+            && !shard.teams[&Team::from("red")].unreconciled.is_empty()
     );
-    share.take_update(&mut io, &view, &"n1".into(), 1, news(&["red"]));
+    shard.take_update(&mut outbox, &store, &"n1".into(), 1, news(&["red"]));
     assert!(
-        !share.machines.contains_key(&id) && share.teams[&Team::from("red")].unsettled.is_empty()
+        !shard.machines.contains_key(&id)
+            && shard.teams[&Team::from("red")].unreconciled.is_empty()
     );
 }
 
@@ -257,43 +263,43 @@
 /// started meanwhile is not known here.
 #[test]
 fn a_team_under_another_term_is_settled_anew() {
-    let (mut share, mut io, mut view) = share();
-    let other = Share {
+    let (mut shard, mut outbox, mut store) = shard();
+    let other = ShardEntry {
         owner: owner("n1"),
         teams: vec![],
         machines: vec!["m-1".into()],
     };
-    let mine = |term| MapOwner {
-        term: Term(term),
+    let mine = |token| ShardOwner {
+        token: FencingToken(token),
         ..owner("n0")
     };
-    let share_of = |term| Share {
-        owner: mine(term),
+    let share_of = |token| ShardEntry {
+        owner: mine(token),
         teams: vec!["red".into()],
         machines: vec![],
     };
-    map(&mut view, 5, vec![share_of(9), other.clone()]);
-    share.follow_map(&mut io, &view, &UnresponsiveMachines::default());
-    share
+    map(&mut store, 5, vec![share_of(9), other.clone()]);
+    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    shard
         .teams
         .get_mut(&Team::from("red"))
         .unwrap()
-        .unsettled
+        .unreconciled
         .clear();
     let id = JobId::from("req-000001");
-    view.apply_write(&put(&job_key(&id), &record(false), None), 7);
-    share.take_job(&view, &id, &Rc::new(record(false)), 7, (1.0, 0));
-    assert_eq!(share.jobs[&id].unsettled(), 0);
-    map(&mut view, 8, vec![share_of(11), other]);
-    view.apply_write(
+    store.apply_write(&put(&job_key(&id), &record(false), None), 7);
+    shard.take_job(&store, &id, &Rc::new(record(false)), 7, (1.0, 0));
+    assert_eq!(shard.jobs[&id].unreconciled(), 0);
+    map(&mut store, 8, vec![share_of(11), other]);
+    store.apply_write(
         &put(&job_key(&"req-000002".into()), &record(false), None),
         9,
     );
-    share.follow_map(&mut io, &view, &UnresponsiveMachines::default());
-    assert!(!share.teams[&Team::from("red")].unsettled.is_empty());
-    share.take_job(&view, &id, &Rc::new(record(false)), 7, (1.0, 0));
+    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    assert!(!shard.teams[&Team::from("red")].unreconciled.is_empty());
+    shard.take_job(&store, &id, &Rc::new(record(false)), 7, (1.0, 0));
     assert_eq!(
-        share.jobs[&id].unsettled(),
+        shard.jobs[&id].unreconciled(),
         2,
         "perhaps started elsewhere meanwhile"
     );
@@ -303,30 +309,30 @@
 /// team's former owner read, and perhaps started, before that.
 #[test]
 fn only_jobs_from_after_the_gain_are_known_to_run_nowhere() {
-    let (mut share, mut io, mut view) = share();
-    let mine = Share {
+    let (mut shard, mut outbox, mut store) = shard();
+    let mine = ShardEntry {
         owner: owner("n0"),
         teams: vec!["red".into()],
         machines: vec![],
     };
-    let other = Share {
+    let other = ShardEntry {
         owner: owner("n1"),
         teams: vec![],
         machines: vec!["m-1".into()],
     };
-    map(&mut view, 105, vec![mine, other]);
-    share.follow_map(&mut io, &view, &UnresponsiveMachines::default());
+    map(&mut store, 105, vec![mine, other]);
+    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
     let ids = ["req-000001", "req-000002", "req-000003"].map(JobId::from);
     for (id, version, done) in [
         (&ids[0], 100, false),
         (&ids[1], 107, true),
         (&ids[2], 108, false),
     ] {
-        share.take_job(&view, id, &Rc::new(record(done)), version, (1.0, 0));
+        shard.take_job(&store, id, &Rc::new(record(done)), version, (1.0, 0));
     }
-    let unsettled = ids.map(|id| share.jobs[&id].unsettled());
+    let unreconciled = ids.map(|id| shard.jobs[&id].unreconciled());
     assert_eq!(
-        unsettled,
+        unreconciled,
         [2, 1, 0],
         "before the gain; begun before it was seen; after it"
     );
@@ -336,44 +342,45 @@
 /// have told what they hold; a long history of cancellations delays nothing.
 #[test]
 fn only_recent_cancellations_count_towards_a_limit() {
-    let (mut share, mut io, mut view) = share();
+    let (mut shard, mut outbox, mut store) = shard();
     let now_ms = 1_000_000;
     let recent_ms = now_ms - 59_000;
     let cancelled = |at: u64| JobRecord {
         ended_ms: Some(at),
         ..record(false).cancelled(at)
     };
-    let tell = |view: &mut View, id: &str, record: &JobRecord, version: Version| {
-        view.apply_write(&put(&job_key(&id.into()), record, None), version);
+    let tell = |store: &mut StoreReplica, id: &str, record: &JobRecord, version: Version| {
+        store.apply_write(&put(&job_key(&id.into()), record, None), version);
     };
     for number in 0..50 {
         let old = cancelled(now_ms - 61_000);
-        tell(&mut view, &format!("req-{number:06}"), &old, number + 1);
+        tell(&mut store, &format!("req-{number:06}"), &old, number + 1);
     }
-    let mine = |teams| Share {
+    let mine = |teams| ShardEntry {
         owner: owner("n0"),
         teams,
         machines: vec!["m-1".into()],
     };
-    map(&mut view, 60, vec![mine(vec!["red".into()])]);
-    share.follow_map(&mut io, &view, &UnresponsiveMachines::default());
-    io.begin(1.0, now_ms);
-    let used = |share: &Owner, view: &View| share.usage(view, now_ms).gpus(&"red".into());
-    assert_eq!(used(&share, &view), 0.0, "long gone");
-    tell(&mut view, "req-000100", &cancelled(recent_ms), 59);
-    assert_eq!(used(&share, &view), 2.0, "perhaps still there");
+    map(&mut store, 60, vec![mine(vec!["red".into()])]);
+    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    outbox.begin(1.0, now_ms);
+    let used = |shard: &Shard, store: &StoreReplica| shard.usage(store, now_ms).gpus(&"red".into());
+    assert_eq!(used(&shard, &store), 0.0, "long gone");
+    tell(&mut store, "req-000100", &cancelled(recent_ms), 59);
+    assert_eq!(used(&shard, &store), 2.0, "perhaps still there");
     // Carried out late, after newer ones: the team was gained before.
-    tell(&mut view, "req-000101", &cancelled(1), 61);
-    assert_eq!(used(&share, &view), 4.0);
+    tell(&mut store, "req-000101", &cancelled(1), 61);
+    assert_eq!(used(&shard, &store), 4.0);
     // What is seen is counted where it is, and not twice.
-    let machine = share.machines.get_mut(&MachineId::from("m-1")).unwrap();
+    let machine = shard.machines.get_mut(&MachineId::from("m-1")).unwrap();
     let mut tracked = TrackedAttempt::new(0.0);
-    describe_leaving(
+    describe_terminating(
         &mut tracked,
-        view.job(&"req-000100".into())
+        store
+            .job(&"req-000100".into())
             .unwrap()
             .record
-            .leaving
+            .terminating
             .as_ref()
             .unwrap(),
     );
@@ -388,50 +395,50 @@
         ),
         tracked,
     );
-    assert_eq!(used(&share, &view), 4.0);
-    let limits = crate::config::TeamLimits {
+    assert_eq!(used(&shard, &store), 4.0);
+    let team_limits = crate::config::TeamLimits {
         name: "red".into(),
         cpus: 0.0,
         cpus_max: 0.0,
         gpus: 0.0,
         gpus_max: 9.0,
     };
-    assert!(share.usage(&view, now_ms).allows(&limits, 1.0, 1.0));
+    assert!(shard.usage(&store, now_ms).allows(&team_limits, 1.0, 1.0));
     // Whose it was is not known: by an older version, and no later record is old.
     let plain = JobRecord {
         ended_ms: None,
-        leaving: None,
+        terminating: None,
         ..cancelled(1)
     };
-    tell(&mut view, "req-000102", &plain, 62);
-    assert!(!share.usage(&view, now_ms).allows(&limits, 1.0, 1.0));
-    share
+    tell(&mut store, "req-000102", &plain, 62);
+    assert!(!shard.usage(&store, now_ms).allows(&team_limits, 1.0, 1.0));
+    shard
         .teams
         .get_mut(&Team::from("red"))
         .unwrap()
-        .unsettled
+        .unreconciled
         .clear();
-    assert_eq!(used(&share, &view), 1.0, "settled: only what is held");
-    assert!(share.usage(&view, now_ms).allows(&limits, 1.0, 1.0));
+    assert_eq!(used(&shard, &store), 1.0, "settled: only what is held");
+    assert!(shard.usage(&store, now_ms).allows(&team_limits, 1.0, 1.0));
 }
 
 /// Records of an older version, which don't tell their time, are as old as the records before which
 /// they were written.
 #[test]
 fn cancellations_without_a_time_count_until_a_later_record_is_old() {
-    let (_, _, mut view) = share();
-    let since = super::super::cancelled::Since {
+    let (_, _, mut store) = shard();
+    let since = super::super::cancelled::CancelledSince {
         wall_ms: 1000,
         version: 90,
     };
     let plain = JobRecord {
         ended_ms: None,
-        leaving: None,
+        terminating: None,
         ..record(false).cancelled(1)
     };
-    view.apply_write(&put(&job_key(&"req-000001".into()), &plain, None), 10);
-    assert!(view.undescribed_cancellation_since(since));
-    view.apply_write(
+    store.apply_write(&put(&job_key(&"req-000001".into()), &plain, None), 10);
+    assert!(store.undescribed_cancellation_since(since));
+    store.apply_write(
         &put(
             &job_key(&"req-000002".into()),
             &record(false).done(1500),
@@ -439,8 +446,8 @@
         ),
         11,
     );
-    assert!(view.undescribed_cancellation_since(since));
-    view.apply_write(
+    assert!(store.undescribed_cancellation_since(since));
+    store.apply_write(
         &put(
             &job_key(&"req-000003".into()),
             &record(false).done(900),
@@ -448,10 +455,10 @@
         ),
         12,
     );
-    assert!(!view.undescribed_cancellation_since(since));
-    view.apply_write(&put(&job_key(&"req-000004".into()), &plain, None), 91);
+    assert!(!store.undescribed_cancellation_since(since));
+    store.apply_write(&put(&job_key(&"req-000004".into()), &plain, None), 91);
     assert!(
-        view.undescribed_cancellation_since(since),
+        store.undescribed_cancellation_since(since),
         "since the team was gained"
     );
 }
@@ -459,19 +466,19 @@
 /// Starts on many machines at once do not take all sockets: what is over goes as others are answered.
 #[test]
 fn direct_orders_under_way_are_bounded() {
-    let (mut share, mut io, mut view) = share();
+    let (mut shard, mut outbox, mut store) = shard();
     let ids: Vec<MachineId> = (0..150)
         .map(|n| MachineId::from(format!("m-{n:03}")))
         .collect();
-    let mine = Share {
+    let mine = ShardEntry {
         owner: owner("n0"),
         teams: vec!["red".into()],
         machines: ids.clone(),
     };
-    map(&mut view, 5, vec![mine]);
-    share.follow_map(&mut io, &view, &UnresponsiveMachines::default());
+    map(&mut store, 5, vec![mine]);
+    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
     for (index, id) in (0..).zip(&ids) {
-        let machine = share.machines.get_mut(id).unwrap();
+        let machine = shard.machines.get_mut(id).unwrap();
         machine.trusted = true;
         let task = TaskId {
             job: "req-000001".into(),
@@ -480,34 +487,34 @@
         machine
             .attempts
             .insert((task, Attempt(1)), TrackedAttempt::new(0.0));
-        share.unsent_orders.insert(id.clone());
+        shard.unsent_commands.insert(id.clone());
     }
-    share.push_orders(&mut io);
-    let sent = io.take_effects();
+    shard.send_direct_commands(&mut outbox);
+    let sent = outbox.take_effects();
     assert_eq!(sent.len(), 105, "of 700 sockets");
-    share.push_orders(&mut io);
-    assert!(io.take_effects().is_empty());
+    shard.send_direct_commands(&mut outbox);
+    assert!(outbox.take_effects().is_empty());
     for effect in sent.into_iter().take(20) {
         let crate::core::Effect::Worker(call, ..) = effect else {
             panic!("{effect:?}")
         };
-        assert!(io.finish(call).is_some());
+        assert!(outbox.finish(call).is_some());
     }
-    share.push_orders(&mut io);
-    assert_eq!(io.take_effects().len(), 20);
+    shard.send_direct_commands(&mut outbox);
+    assert_eq!(outbox.take_effects().len(), 20);
 }
 
 /// A deadline counts from the submission; every other time from when the last dependency was done.
 #[test]
 fn waiting_for_others_counts_towards_the_deadline_only() {
-    let (mut share, mut io, mut view) = share();
-    let mine = Share {
+    let (mut shard, mut outbox, mut store) = shard();
+    let mine = ShardEntry {
         owner: owner("n0"),
         teams: vec!["red".into()],
         machines: vec![],
     };
-    map(&mut view, 5, vec![mine]);
-    share.follow_map(&mut io, &view, &UnresponsiveMachines::default());
+    map(&mut store, 5, vec![mine]);
+    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
     let mut waiting = JobRecord {
         accepted_ms: 10_000,
         ..record(false)
@@ -516,18 +523,18 @@
     spec.dependencies = vec!["req-000001".into(), "req-000002".into()];
     spec.deadline_s = Some(90.0);
     let (id, now, wall_ms) = (JobId::from("req-000003"), 100.0, 60_000);
-    let done = |view: &mut View, id: &str, at_ms: u64| {
-        view.apply_write(
+    let done = |store: &mut StoreReplica, id: &str, at_ms: u64| {
+        store.apply_write(
             &put(&job_key(&id.into()), &record(false).done(at_ms), None),
             at_ms,
         );
     };
-    done(&mut view, "req-000001", 55_000);
-    share.take_job(&view, &id, &Rc::new(waiting.clone()), 9, (now, wall_ms));
-    assert!(share.jobs.is_empty(), "one of them is not done");
-    done(&mut view, "req-000002", 40_000);
-    share.take_job(&view, &id, &Rc::new(waiting), 9, (now, wall_ms));
-    let job = &share.jobs[&id];
+    done(&mut store, "req-000001", 55_000);
+    shard.take_job(&store, &id, &Rc::new(waiting.clone()), 9, (now, wall_ms));
+    assert!(shard.jobs.is_empty(), "one of them is not done");
+    done(&mut store, "req-000002", 40_000);
+    shard.take_job(&store, &id, &Rc::new(waiting), 9, (now, wall_ms));
+    let job = &shard.jobs[&id];
     assert_eq!(job.submitted, 95.0, "5 s ago, with the last of them");
     assert_eq!(
         job.deadline,
--- a/src/core/authority.rs
+++ b/src/core/ownership.rs
@@ -7,12 +7,12 @@
 //! short time and only while it cannot read the store itself.
 //!
 //! Whatever authority rests on, it ends before a cancellation that this process has not heard of can
-//! be late. What any user was told up to `informed` is known here: from a sync sent then, or because
+//! be late. What any user was told up to `known_as_of` is known here: from a sync sent then, or because
 //! every sibling has told, in answer to a question sent then, all final states that it knows. (What
 //! a sibling's earlier process told its users is in what the present one has read since it began.)
-//! So a cancellation unknown here was confirmed after `informed`; machines were last answered before
-//! `informed + outlast`; and what they run ends with their leases, before `cancel_s` is over:
-//! `outlast + lease_s` with drift and a report's way is at most `cancel_s`.
+//! So a cancellation unknown here was confirmed after `known_as_of`; machines were last answered before
+//! `known_as_of + max_staleness`; and what they run ends with their leases, before `cancel_s` is over:
+//! `max_staleness + lease_s` with drift and a report's way is at most `cancel_s`.
 //!
 //! To hand a lapsed process's share to
 //! others the leader therefore needs, beside the lapse in the store, to know that no voucher is
@@ -21,13 +21,13 @@
 //! off from one another the leader may hear nobody, though all can read the state service. Where so many controllers are away that no majority can
 //! consent, it waits: a process learns nothing more once its key has gone, for it counts only reads
 //! that show its key, and a sibling that has seen it gone tells it nothing; so its authority ends
-//! `outlast` after that. (Every sibling has to tell, so one is enough. One that has restarted has read the
+//! `max_staleness` after that. (Every sibling has to tell, so one is enough. One that has restarted has read the
 //! store since.) A process says in its hellos that it keeps to this; of others the leader waits for consents.
 
-use super::io::Pending;
+use super::outbox::Pending;
 use super::peers::Peers;
-use super::view::{LEADER_KEY, ProcessRecord, View, guard, node_key, put};
-use super::{Core, StateCall, StateReply, Time};
+use super::store::{LEADER_KEY, ProcessRecord, StoreReplica, node_key, precondition, put};
+use super::{Core, StoreCall, StoreReply, Time};
 use crate::config::{Config, Workers};
 use crate::ids::{Node, Version};
 use crate::wire::Transaction;
@@ -43,7 +43,7 @@
 pub type Process = (Node, u64);
 
 #[derive(Debug)]
-pub enum AuthorityCall {
+pub enum OwnershipCall {
     Create { sent: Time },
     Register { lease: u64 },
     Claim { lease: u64 },
@@ -51,7 +51,7 @@
     End,
 }
 
-impl AuthorityCall {
+impl OwnershipCall {
     /// Whether it writes a key; leases count as requests only.
     pub fn is_change(&self) -> bool {
         matches!(self, Self::Register { .. } | Self::Claim { .. })
@@ -65,7 +65,7 @@
     Held(u64),
 }
 
-pub struct Authority {
+pub struct OwnershipLease {
     node: Node,
     /// Changes whenever the process has to begin anew, as after a restart.
     incarnation: u64,
@@ -73,13 +73,13 @@
     /// Life of the lease: short enough that a hand-over ends before the workers' leases do.
     ttl: Time,
     margin: Time,
-    voucher: Time,
-    /// How long authority may last beyond `informed`.
-    outlast: Time,
+    extension_time: Time,
+    /// How long authority may last beyond `known_as_of`.
+    max_staleness: Time,
     /// Every cancellation or end that any user was told before then is known here.
-    informed: Time,
+    known_as_of: Time,
     /// When each sibling was last asked for all it knows, and told that.
-    told: BTreeMap<Node, Time>,
+    siblings_known_as_of: BTreeMap<Node, Time>,
     siblings: usize,
     lease: Lease,
     renewed: Time,
@@ -89,9 +89,9 @@
     next_attempt: Time,
     writing: bool,
     next_write: Time,
-    vouchers: BTreeMap<Node, Time>,
+    extensions: BTreeMap<Node, Time>,
     /// Until when this controller's vouchers for others run.
-    promised: BTreeMap<Node, Time>,
+    extensions_granted: BTreeMap<Node, Time>,
     /// Processes whose share may be handed on: no voucher for them from here.
     revoked: BTreeSet<Process>,
     /// Lapsed processes the leader wants to replace, and who has consented.
@@ -106,14 +106,14 @@
 }
 
 /// See the argument above.
-fn outlast(workers: &Workers) -> Time {
+fn max_staleness(workers: &Workers) -> Time {
     let tasks_end = workers.lease_s * (1.0 + DRIFT) + workers.report_s * 0.5;
     (workers.cancel_s * 0.5)
         .min((workers.cancel_s - tasks_end) * 0.9)
         .max(0.0)
 }
 
-impl Authority {
+impl OwnershipLease {
     pub fn new(config: &Config, incarnation: u64) -> Self {
         let workers = &config.deployment.workers;
         let ttl = (workers.lease_s * 0.35).clamp(0.1, 600.0);
@@ -124,10 +124,10 @@
             majority: controllers / 2 + 1,
             ttl,
             margin: ttl * 0.1,
-            voucher: workers.lease_s * 0.2,
-            outlast: outlast(workers),
-            informed: Time::NEG_INFINITY,
-            told: BTreeMap::new(),
+            extension_time: workers.lease_s * 0.2,
+            max_staleness: max_staleness(workers),
+            known_as_of: Time::NEG_INFINITY,
+            siblings_known_as_of: BTreeMap::new(),
             siblings: config.siblings.len(),
             lease: Lease::None,
             renewed: Time::NEG_INFINITY,
@@ -136,8 +136,8 @@
             next_attempt: 0.0,
             writing: false,
             next_write: 0.0,
-            vouchers: BTreeMap::new(),
-            promised: BTreeMap::new(),
+            extensions: BTreeMap::new(),
+            extensions_granted: BTreeMap::new(),
             revoked: BTreeSet::new(),
             consents: BTreeMap::new(),
             asked_since: BTreeMap::new(),
@@ -157,7 +157,7 @@
     pub fn hold(&mut self, lease: u64, now: Time) {
         self.lease = Lease::Held(lease);
         self.renewed = now;
-        self.informed = now;
+        self.known_as_of = now;
     }
 
     pub fn ttl(&self) -> Time {
@@ -169,24 +169,28 @@
     }
 
     /// Whether this process may command the machines that the map gives it.
-    pub fn entitled(&self, now: Time) -> bool {
+    pub fn holds_lease(&self, now: Time) -> bool {
         matches!(self.lease, Lease::Held(_))
-            && now < self.informed + self.outlast
-            && (now < self.store_until() || now < self.vouched_until())
+            && now < self.known_as_of + self.max_staleness
+            && (now < self.store_until() || now < self.extended_until())
     }
 
     /// Everything that users were told before `asked` is known here.
-    pub fn informed(&mut self, asked: Time) {
-        self.informed = self.informed.max(asked);
+    pub fn note_known_as_of(&mut self, asked: Time) {
+        self.known_as_of = self.known_as_of.max(asked);
     }
 
     /// A sibling has told all that it knew when it answered a question sent at `asked`.
-    pub fn told(&mut self, node: &Node, asked: Time) {
-        self.told.insert(node.clone(), asked);
-        if self.told.len() == self.siblings
-            && let Some(earliest) = self.told.values().copied().min_by(Time::total_cmp)
+    pub fn note_sibling_known_as_of(&mut self, node: &Node, asked: Time) {
+        self.siblings_known_as_of.insert(node.clone(), asked);
+        if self.siblings_known_as_of.len() == self.siblings
+            && let Some(earliest) = self
+                .siblings_known_as_of
+                .values()
+                .copied()
+                .min_by(Time::total_cmp)
         {
-            self.informed(earliest);
+            self.note_known_as_of(earliest);
         }
     }
 
@@ -195,50 +199,56 @@
     }
 
     /// Until when a majority's vouchers run, this controller's own word included.
-    fn vouched_until(&self) -> Time {
+    fn extended_until(&self) -> Time {
         if self.revoked.contains(&self.myself()) {
             return Time::NEG_INFINITY;
         }
-        let mut ends: Vec<Time> = self.vouchers.values().copied().collect();
+        let mut ends: Vec<Time> = self.extensions.values().copied().collect();
         ends.sort_by(|a, b| b.total_cmp(a));
         let majority = self.majority.checked_sub(2).and_then(|i| ends.get(i));
         majority.copied().unwrap_or(Time::NEG_INFINITY)
     }
 
     /// The leader's term, if this process holds the leader's key as far as it knows.
-    pub fn leads(&self, view: &View) -> Option<Version> {
-        let leader = view.leader()?;
+    pub fn leads(&self, store: &StoreReplica) -> Option<Version> {
+        let leader = store.leader()?;
         let mine = leader.record.node == self.node && leader.record.incarnation == self.incarnation;
         (mine && matches!(self.lease, Lease::Held(_))).then_some(leader.version)
     }
 
-    pub fn wants_voucher(&self, now: Time) -> Option<u64> {
+    pub fn wants_extension(&self, now: Time) -> Option<u64> {
         // A restarted controller's own word counts only after one voucher time; and a majority
         // needs that word, which the leader may have by now for the hand-over of this share.
         let wants = matches!(self.lease, Lease::Held(_))
             && now - self.renewed > self.ttl * 0.5
-            && now > self.voucher
+            && now > self.extension_time
             && !self.revoked.contains(&self.myself());
         wants.then_some(self.incarnation)
     }
 
     /// Asked to vouch for a process; a yes binds this controller for one voucher time.
-    pub fn vouch(&mut self, node: &Node, incarnation: u64, view: &View, now: Time) -> bool {
-        let known = view.is_registered(node, incarnation);
-        let blind = view.state_silence(now) > self.ttl * 0.3;
+    pub fn grant_extension(
+        &mut self,
+        node: &Node,
+        incarnation: u64,
+        store: &StoreReplica,
+        now: Time,
+    ) -> bool {
+        let known = store.is_registered(node, incarnation);
+        let blind = store.state_silence(now) > self.ttl * 0.3;
         let revoked = self.revoked.contains(&(node.clone(), incarnation));
-        let yes = known && blind && !revoked && now > self.voucher;
+        let yes = known && blind && !revoked && now > self.extension_time;
         if yes {
-            self.promised
-                .insert(node.clone(), now + self.voucher * (1.0 + DRIFT));
+            self.extensions_granted
+                .insert(node.clone(), now + self.extension_time * (1.0 + DRIFT));
         }
         yes
     }
 
-    pub fn vouched(&mut self, node: &Node, sent: Time, now: Time) {
-        if self.wants_voucher(now).is_some() {
-            let until = sent + self.voucher * (1.0 - DRIFT) - self.margin;
-            self.vouchers.insert(node.clone(), until);
+    pub fn extension_granted(&mut self, node: &Node, sent: Time, now: Time) {
+        if self.wants_extension(now).is_some() {
+            let until = sent + self.extension_time * (1.0 - DRIFT) - self.margin;
+            self.extensions.insert(node.clone(), until);
         }
     }
 
@@ -247,13 +257,13 @@
         let own = *process == self.myself();
         let free = match own {
             // Its own word stands behind its authority for as long as that lasts.
-            true => !self.entitled(now),
+            true => !self.holds_lease(now),
             false => self
-                .promised
+                .extensions_granted
                 .get(&process.0)
                 .is_none_or(|until| *until < now),
         };
-        let yes = free && now > self.voucher;
+        let yes = free && now > self.extension_time;
         if yes {
             self.revoked.insert(process.clone());
         }
@@ -282,12 +292,18 @@
 
     /// For the leader: whether nothing is left of a process's authority. Asks for consents as
     /// long as that is open.
-    pub fn lapsed(&mut self, process: &Process, view: &View, peers: &Peers, now: Time) -> bool {
+    pub fn lease_expired(
+        &mut self,
+        process: &Process,
+        store: &StoreReplica,
+        peers: &Peers,
+        now: Time,
+    ) -> bool {
         if process.0 == self.node {
             // An earlier process of this very controller, or this one before it began anew.
             return process.1 != self.incarnation;
         }
-        if let Some(registered) = view.node(&process.0) {
+        if let Some(registered) = store.node(&process.0) {
             // Its successor has registered, so it has ended.
             return registered.record.incarnation != process.1;
         }
@@ -299,13 +315,13 @@
         let own = self.consent(process, now).then(|| self.node.clone());
         self.has_new_question |= !self.consents.contains_key(process);
         let asked = self.consents.entry(process.clone()).or_default();
-        let stored = view
+        let stored = store
             .nodes()
             .iter()
             .filter(|(_, n)| n.record.consents.contains(process));
         let stored = stored.map(|(node, _)| node);
         let consents: BTreeSet<&Node> = asked.iter().chain(stored).chain(&own).collect();
-        let over = since + self.outlast * (1.0 + DRIFT) + self.margin;
+        let over = since + self.max_staleness * (1.0 + DRIFT) + self.margin;
         consents.len() >= self.majority || (peers.authority_ends(process) && now > over)
     }
 
@@ -316,26 +332,26 @@
 
     /// Consents to the hand-over of processes that own something though their keys have gone, while the
     /// leader, who would ask for that, is not heard. What was told once stays told, for it holds for good.
-    fn consent_unasked(&mut self, view: &View, peers: &Peers, now: Time) {
+    fn consent_unasked(&mut self, store: &StoreReplica, peers: &Peers, now: Time) {
         if now < self.next_stored_consents {
             return;
         }
         self.next_stored_consents = now + self.ttl * CONSENT_TTLS;
         let unheard = |node: &Node| *node != self.node && !peers.hears(node, now);
-        if !view
+        if !store
             .leader()
             .is_some_and(|leader| unheard(&leader.record.node))
         {
             return;
         }
-        let owners = view.owners();
+        let owners = store.owners();
         let owners = owners.teams.values().chain(owners.machines.values());
         let owners: BTreeSet<Process> = owners
             .map(|owner| (owner.node.clone(), owner.incarnation))
             .collect();
         let gone = owners
             .into_iter()
-            .filter(|(node, _)| view.node(node).is_none());
+            .filter(|(node, _)| store.node(node).is_none());
         let gone: Vec<Process> = gone.collect();
         self.stored_consents = gone
             .into_iter()
@@ -354,7 +370,7 @@
         self.incarnation += 1;
         self.renewing = false;
         self.writing = false;
-        self.vouchers.clear();
+        self.extensions.clear();
         self.consents.clear();
         self.asked_since.clear();
         self.stored_consents.clear();
@@ -363,94 +379,97 @@
 }
 
 impl Core {
-    pub(super) fn authority_reply(&mut self, call: AuthorityCall, reply: StateReply) {
-        let now = self.io.now;
+    pub(super) fn ownership_reply(&mut self, call: OwnershipCall, reply: StoreReply) {
+        let now = self.outbox.now;
         match call {
-            AuthorityCall::Create { sent } => {
-                if self.authority.lease != Lease::Creating {
+            OwnershipCall::Create { sent } => {
+                if self.ownership.lease != Lease::Creating {
                     return;
                 }
-                if let StateReply::Lease(lease) = reply {
-                    self.authority.lease = Lease::Held(lease);
-                    self.authority.renewed = sent;
-                    self.authority.next_renewal = sent + self.authority.ttl / 3.0;
+                if let StoreReply::Lease(lease) = reply {
+                    self.ownership.lease = Lease::Held(lease);
+                    self.ownership.renewed = sent;
+                    self.ownership.next_renewal = sent + self.ownership.ttl / 3.0;
                 } else {
-                    self.authority.lease = Lease::None;
-                    self.authority.next_attempt = now + self.io.jitter(self.authority.ttl * 0.1);
+                    self.ownership.lease = Lease::None;
+                    self.ownership.next_attempt =
+                        now + self.outbox.jitter(self.ownership.ttl * 0.1);
                 }
             }
-            AuthorityCall::Register { lease } | AuthorityCall::Claim { lease } => {
-                if self.authority.lease != Lease::Held(lease) {
+            OwnershipCall::Register { lease } | OwnershipCall::Claim { lease } => {
+                if self.ownership.lease != Lease::Held(lease) {
                     return;
                 }
                 // Written, or perhaps, or not: the view tells, once it is that far.
-                self.authority.writing = false;
-                self.authority.next_write = now + self.io.jitter(self.authority.ttl * 0.1);
-                self.view.want_sync();
-                if reply == StateReply::LeaseGone {
+                self.ownership.writing = false;
+                self.ownership.next_write = now + self.outbox.jitter(self.ownership.ttl * 0.1);
+                self.store.want_sync();
+                if reply == StoreReply::LeaseGone {
                     self.begin_anew("the lease has ended", 0.0);
                 }
             }
-            AuthorityCall::Renew { lease, sent } => {
-                if self.authority.lease != Lease::Held(lease) {
+            OwnershipCall::Renew { lease, sent } => {
+                if self.ownership.lease != Lease::Held(lease) {
                     return;
                 }
-                self.authority.renewing = false;
+                self.ownership.renewing = false;
                 match reply {
-                    StateReply::Done => {
-                        self.authority.renewed = self.authority.renewed.max(sent);
-                        self.authority.next_renewal = now + self.authority.ttl / 3.0;
-                        self.authority.vouchers.clear();
+                    StoreReply::Done => {
+                        self.ownership.renewed = self.ownership.renewed.max(sent);
+                        self.ownership.next_renewal = now + self.ownership.ttl / 3.0;
+                        self.ownership.extensions.clear();
                     }
-                    StateReply::LeaseGone => self.begin_anew("the lease has ended", 0.0),
+                    StoreReply::LeaseGone => self.begin_anew("the lease has ended", 0.0),
                     // Everything else waits for longer than this, so that renewals come first.
-                    StateReply::Busy => {
-                        self.authority.next_renewal =
-                            now + self.io.jitter(self.authority.ttl / 100.0);
+                    StoreReply::Busy => {
+                        self.ownership.next_renewal =
+                            now + self.outbox.jitter(self.ownership.ttl / 100.0);
                     }
                     _ => {
-                        self.authority.next_renewal =
-                            now + self.io.jitter(self.authority.ttl / 12.0);
+                        self.ownership.next_renewal =
+                            now + self.outbox.jitter(self.ownership.ttl / 12.0);
                     }
                 }
             }
-            AuthorityCall::End => {}
+            OwnershipCall::End => {}
         }
     }
 
     /// Drops everything this process owned, as a restart would.
     pub(super) fn begin_anew(&mut self, why: &str, pause: Time) {
         tracing::info!("share lost: {why}");
-        self.authority.lost(self.io.now + pause);
-        if let Some(owner) = self.owner.take() {
+        self.ownership.lost(self.outbox.now + pause);
+        if let Some(owner) = self.shard.take() {
             self.hints = owner.known_images();
             self.unresponsive
-                .note(owner.unresponsive(self.io.now), self.io.now);
+                .note(owner.unresponsive(self.outbox.now), self.outbox.now);
         }
         self.leader = None;
     }
 
     /// Keeps the lease, the process's key and, if nobody leads, the leader's key.
-    pub(super) fn keep_authority(&mut self) {
-        let now = self.io.now;
-        if !self.view.complete() {
+    pub(super) fn keep_ownership(&mut self) {
+        let now = self.outbox.now;
+        if !self.store.complete() {
             return;
         }
-        match self.authority.lease {
-            Lease::None if now >= self.authority.next_attempt => {
+        match self.ownership.lease {
+            Lease::None if now >= self.ownership.next_attempt => {
                 self.end_predecessor();
-                self.authority.lease = Lease::Creating;
-                let ttl_ms = (self.authority.ttl * 1000.0) as u64;
-                let pending = Pending::Authority(AuthorityCall::Create { sent: now });
-                self.io.state(pending, StateCall::LeaseCreate { ttl_ms });
+                self.ownership.lease = Lease::Creating;
+                let ttl_ms = (self.ownership.ttl * 1000.0) as u64;
+                let pending = Pending::OwnershipLease(OwnershipCall::Create { sent: now });
+                self.outbox
+                    .state(pending, StoreCall::LeaseCreate { ttl_ms });
             }
             Lease::None | Lease::Creating => {}
             Lease::Held(lease) => {
-                let due = !self.authority.renewing && now >= self.authority.next_renewal;
+                let due = !self.ownership.renewing && now >= self.ownership.next_renewal;
                 if due && !self.renews_for_nobody() {
-                    self.authority.renewing = true;
-                    let pending = Pending::Authority(AuthorityCall::Renew { lease, sent: now });
-                    self.io.state(pending, StateCall::LeaseRenew { lease });
+                    self.ownership.renewing = true;
+                    let pending =
+                        Pending::OwnershipLease(OwnershipCall::Renew { lease, sent: now });
+                    self.outbox.state(pending, StoreCall::LeaseRenew { lease });
                 }
                 self.write_keys(lease);
                 self.resign_if_failed_in_part(lease);
@@ -461,68 +480,75 @@
     /// An earlier process of this controller has ended for certain: what hangs on its lease need
     /// not wait for the lease to end.
     fn end_predecessor(&mut self) {
-        let keys = [self.view.node(&self.config.node), self.view.leader()];
+        let keys = [self.store.node(&self.config.node), self.store.leader()];
         let mine = keys.into_iter().flatten().map(|key| &key.record);
         let earlier = mine
             .filter(|record| record.node == self.config.node)
             .map(|r| r.lease);
         for lease in earlier.collect::<BTreeSet<u64>>() {
-            if self.authority.ended_predecessor.replace(lease) != Some(lease) {
-                let pending = Pending::Authority(AuthorityCall::End);
-                self.io.state(pending, StateCall::LeaseEnd { lease });
+            if self.ownership.ended_predecessor.replace(lease) != Some(lease) {
+                let pending = Pending::OwnershipLease(OwnershipCall::End);
+                self.outbox.state(pending, StoreCall::LeaseEnd { lease });
             }
         }
     }
 
     fn write_keys(&mut self, lease: u64) {
-        let now = self.io.now;
-        if self.authority.writing || now < self.authority.next_write {
+        let now = self.outbox.now;
+        if self.ownership.writing || now < self.ownership.next_write {
             return;
         }
-        self.authority.consent_unasked(&self.view, &self.peers, now);
+        self.ownership
+            .consent_unasked(&self.store, &self.peers, now);
         let record = ProcessRecord {
-            node: self.authority.node.clone(),
-            incarnation: self.authority.incarnation,
+            node: self.ownership.node.clone(),
+            incarnation: self.ownership.incarnation,
             lease,
             keeps_grants: super::team_grants::are_on(&self.config),
-            consents: self.authority.stored_consents.clone(),
+            consents: self.ownership.stored_consents.clone(),
             claims: self.claims.told(),
         };
-        let known = self.view.node(&record.node);
+        let known = self.store.node(&record.node);
         let (key, version, call) = if known.is_none_or(|known| known.record != record) {
             // Guarded, so that a late write of an earlier process cannot replace it.
             let version = known.map_or(0, |known| known.version);
             (
                 node_key(&record.node),
                 version,
-                AuthorityCall::Register { lease },
+                OwnershipCall::Register { lease },
             )
-        } else if self.view.leader().is_none() && self.authority.entitled(now) {
-            (LEADER_KEY.to_owned(), 0, AuthorityCall::Claim { lease })
-        } else if let Some(worn) = self.leader.as_ref().filter(|leader| leader.is_worn()) {
+        } else if self.store.leader().is_none() && self.ownership.holds_lease(now) {
+            (LEADER_KEY.to_owned(), 0, OwnershipCall::Claim { lease })
+        } else if let Some(exhausted) = self
+            .leader
+            .as_ref()
+            .filter(|leader| leader.terms_exhausted())
+        {
             // Under the key's new revision there are fresh terms. It stays this process's key.
             (
                 LEADER_KEY.to_owned(),
-                worn.term,
-                AuthorityCall::Claim { lease },
+                exhausted.term,
+                OwnershipCall::Claim { lease },
             )
         } else if let Some(version) = self.failed_leader() {
             tracing::info!("takes over from the leader, which has failed");
             (
                 LEADER_KEY.to_owned(),
                 version,
-                AuthorityCall::Claim { lease },
+                OwnershipCall::Claim { lease },
             )
         } else {
             return;
         };
-        self.authority.writing = true;
+        self.ownership.writing = true;
         let transaction = Transaction {
-            guards: vec![guard(&key, version)],
+            preconditions: vec![precondition(&key, version)],
             writes: vec![put(&key, &record, Some(lease))],
         };
-        self.io
-            .state(Pending::Authority(call), StateCall::Commit(transaction));
+        self.outbox.state(
+            Pending::OwnershipLease(call),
+            StoreCall::Commit(transaction),
+        );
     }
 }
 
--- a/src/core/authority/tests.rs
+++ b/src/core/ownership/tests.rs
@@ -24,82 +24,85 @@
         (1.0, 10.0, 30.0),
         (3.0, 14.0, 18.0),
     ] {
-        let outlast = outlast(&workers(report_s, lease_s, cancel_s));
-        assert!(outlast > 0.0);
+        let max_staleness = max_staleness(&workers(report_s, lease_s, cancel_s));
+        assert!(max_staleness > 0.0);
         assert!(
-            outlast + lease_s * (1.0 + DRIFT) + report_s * 0.5 < cancel_s,
+            max_staleness + lease_s * (1.0 + DRIFT) + report_s * 0.5 < cancel_s,
             "{lease_s} {cancel_s}"
         );
     }
     assert_eq!(
-        outlast(&workers(3.0, 14.0, 10.0)),
+        max_staleness(&workers(3.0, 14.0, 10.0)),
         0.0,
         "better idle than late"
     );
 }
 
-fn held(siblings: usize) -> Authority {
+fn held(siblings: usize) -> OwnershipLease {
     let mut settings = crate::config::TEST_SETTINGS.to_owned();
     for sibling in 1..=siblings {
         settings +=
             &format!("[[siblings]]\nhost_name = \"n{sibling}\"\naddr = \"127.0.0.1:{sibling}\"\n");
     }
-    let mut authority = Authority::new(&Config::parse(&settings).unwrap(), 1);
-    authority.lease = Lease::Held(5);
-    authority.renewed = 0.0;
-    authority.informed(0.0);
-    authority
+    let mut ownership = OwnershipLease::new(&Config::parse(&settings).unwrap(), 1);
+    ownership.lease = Lease::Held(5);
+    ownership.renewed = 0.0;
+    ownership.note_known_as_of(0.0);
+    ownership
 }
 
 /// Vouchers of all controllers once carried authority without an end: each of them may have
 /// confirmed a cancellation just before.
 #[test]
 fn vouchers_last_no_longer_than_what_is_known() {
-    let mut authority = held(2);
+    let mut ownership = held(2);
     let (n1, n2) = (Node::from("n1"), Node::from("n2"));
-    let vouch = |authority: &mut Authority, now: Time| {
+    let grant_extension = |ownership: &mut OwnershipLease, now: Time| {
         for node in [&n1, &n2] {
-            authority
-                .vouchers
-                .insert(node.clone(), now + authority.voucher);
+            ownership
+                .extensions
+                .insert(node.clone(), now + ownership.extension_time);
         }
-        authority.entitled(now + 1.0)
+        ownership.holds_lease(now + 1.0)
     };
-    let outlast = authority.outlast;
-    assert!(vouch(&mut authority, outlast - 1.5));
-    assert!(!vouch(&mut authority, outlast), "nothing heard since");
-    authority.told(&n1, outlast);
+    let max_staleness = ownership.max_staleness;
+    assert!(grant_extension(&mut ownership, max_staleness - 1.5));
     assert!(
-        !vouch(&mut authority, outlast),
+        !grant_extension(&mut ownership, max_staleness),
+        "nothing heard since"
+    );
+    ownership.note_sibling_known_as_of(&n1, max_staleness);
+    assert!(
+        !grant_extension(&mut ownership, max_staleness),
         "one of them may have confirmed it"
     );
-    authority.told(&n2, outlast - 2.0);
-    assert!(vouch(&mut authority, outlast));
-    assert!(!vouch(&mut authority, outlast * 2.0 - 2.0));
+    ownership.note_sibling_known_as_of(&n2, max_staleness - 2.0);
+    assert!(grant_extension(&mut ownership, max_staleness));
+    assert!(!grant_extension(&mut ownership, max_staleness * 2.0 - 2.0));
 }
 
 /// With two of three controllers away no majority could consent, and their shares waited for them.
 #[test]
 fn without_a_majority_a_share_is_handed_on_once_its_authority_is_over() {
-    let mut authority = held(2);
+    let mut ownership = held(2);
     let mut settings = crate::config::TEST_SETTINGS.to_owned();
     settings += "[[siblings]]\nhost_name = \"n1\"\naddr = \"127.0.0.1:1\"\n";
     let config = Config::parse(&settings).unwrap();
-    let (view, mut peers) = (View::new(&config), Peers::new(&config));
+    let (store, mut peers) = (StoreReplica::new(&config), Peers::new(&config));
     let process = (Node::from("n1"), 7);
     let since = 100.0;
-    let over = since + authority.outlast * (1.0 + DRIFT) + authority.margin;
-    assert!(!authority.lapsed(&process, &view, &peers, since));
+    let over = since + ownership.max_staleness * (1.0 + DRIFT) + ownership.margin;
+    assert!(!ownership.lease_expired(&process, &store, &peers, since));
     assert!(
-        !authority.lapsed(&process, &view, &peers, over + 1.0),
+        !ownership.lease_expired(&process, &store, &peers, over + 1.0),
         "a version that may go on"
     );
     peers.says_authority_ends(&process);
-    assert!(!authority.lapsed(&process, &view, &peers, over - 0.01));
-    assert!(authority.lapsed(&process, &view, &peers, over + 0.01));
+    assert!(!ownership.lease_expired(&process, &store, &peers, over - 0.01));
+    assert!(ownership.lease_expired(&process, &store, &peers, over + 0.01));
     let other = (Node::from("n1"), 8);
     assert!(
-        !authority.lapsed(&other, &view, &peers, over + 1.0),
+        !ownership.lease_expired(&other, &store, &peers, over + 1.0),
         "another process"
     );
 }
@@ -110,29 +113,34 @@
 fn a_worn_leadership_is_claimed_anew() {
     let config = crate::config::Config::parse(crate::config::TEST_SETTINGS).unwrap();
     let mut core = Core::new(config, 1);
-    core.io.begin(1.0, 0);
-    core.authority.lease = Lease::Held(5);
+    core.outbox.begin(1.0, 0);
+    core.ownership.lease = Lease::Held(5);
     let record = ProcessRecord {
         node: core.config.node.clone(),
-        incarnation: core.authority.incarnation,
+        incarnation: core.ownership.incarnation,
         lease: 5,
         keeps_grants: false,
         consents: Vec::new(),
         claims: Vec::new(),
     };
-    core.view
+    core.store
         .apply_write(&put(&node_key(&record.node), &record, Some(5)), 7);
-    core.view.apply_write(&put(LEADER_KEY, &record, Some(5)), 8);
-    core.leader = Some(Leader::new(&core.config, 8, &core.view, 1.0));
+    core.store
+        .apply_write(&put(LEADER_KEY, &record, Some(5)), 8);
+    core.leader = Some(Leader::new(&core.config, 8, &core.store, 1.0));
     core.write_keys(5);
-    assert!(core.io.take_effects().is_empty(), "not yet worn");
-    while let Some(leader) = core.leader.as_mut().filter(|leader| !leader.is_worn()) {
-        assert!(leader.map.next_term().is_some());
+    assert!(core.outbox.take_effects().is_empty(), "not yet worn");
+    while let Some(leader) = core
+        .leader
+        .as_mut()
+        .filter(|leader| !leader.terms_exhausted())
+    {
+        assert!(leader.map.next_token().is_some());
     }
     core.write_keys(5);
-    let effects = core.io.take_effects();
-    let [Effect::State(_, StateCall::Commit(claim))] = &effects[..] else {
+    let effects = core.outbox.take_effects();
+    let [Effect::State(_, StoreCall::Commit(claim))] = &effects[..] else {
         panic!("{effects:?}")
     };
-    assert_eq!(claim.guards, [guard(LEADER_KEY, 8)]);
+    assert_eq!(claim.preconditions, [precondition(LEADER_KEY, 8)]);
 }
--- a/src/core/part_map.rs
+++ b/src/core/part_map.rs
@@ -4,32 +4,33 @@
 //! that may hold tasks. A term is the leader key's revision with a counter of the leader's changes
 //! below it: never used twice, and higher with every change and every leader.
 
-use super::authority::Process;
-use super::view::{MAP_PREFIX, Versioned};
-use crate::ids::{MachineId, Node, Team, Term, Version};
+use super::ownership::Process;
+use super::store::{MAP_PREFIX, Versioned};
+use crate::ids::{FencingToken, MachineId, Node, Team, Version};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Changes that one leadership can number.
 const CHANGE_BITS: u32 = 16;
 /// Part of them after which leadership is claimed anew, long before they run out.
-const WORN_PART: f64 = 0.5;
+const EXHAUSTED_PART: f64 = 0.5;
 
 /// One stored value of the map.
 #[derive(Clone, Debug, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct MapChunk {
-    pub shares: Vec<Share>,
+pub struct ShardMapChunk {
+    #[serde(rename = "shares")]
+    pub shards: Vec<ShardEntry>,
     /// Beside teams: since which term every owner has kept to its grants ([`super::team_grants`]).
     /// A leader that does not know this field leaves it out, and so nobody relies on it.
     #[serde(rename = "q", default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub grants_kept_since: BTreeMap<Team, Term>,
+    pub grants_kept_since: BTreeMap<Team, FencingToken>,
 }
 
 /// What one process owns under one term, as far as one chunk tells.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Share {
+pub struct ShardEntry {
     #[serde(rename = "o")]
-    pub owner: Owner,
+    pub owner: ShardOwner,
     #[serde(rename = "t", default, skip_serializing_if = "Vec::is_empty")]
     pub teams: Vec<Team>,
     #[serde(rename = "m", default, skip_serializing_if = "Vec::is_empty")]
@@ -38,22 +39,22 @@
 
 /// A process of a controller, and the term under which it owns something.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Owner {
+pub struct ShardOwner {
     #[serde(rename = "n")]
     pub node: Node,
     #[serde(rename = "i")]
     pub incarnation: u64,
     #[serde(rename = "t")]
-    pub term: Term,
+    pub token: FencingToken,
     /// The process it was taken from, if that was alive.
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
     pub former: Option<Process>,
     /// The term directly before, if its owner had said that it answers the machine no more.
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
-    pub prior: Option<Term>,
+    pub prior: Option<FencingToken>,
 }
 
-impl Owner {
+impl ShardOwner {
     pub fn is(&self, node: &Node, incarnation: u64) -> bool {
         self.node == *node && self.incarnation == incarnation
     }
@@ -61,29 +62,29 @@
 
 /// The whole map, by what is owned.
 #[derive(Clone, Debug, Default)]
-pub struct Owners {
-    pub teams: BTreeMap<Team, Owner>,
-    pub machines: BTreeMap<MachineId, Owner>,
-    pub grants_kept_since: BTreeMap<Team, Term>,
+pub struct ShardMap {
+    pub teams: BTreeMap<Team, ShardOwner>,
+    pub machines: BTreeMap<MachineId, ShardOwner>,
+    pub grants_kept_since: BTreeMap<Team, FencingToken>,
 }
 
-impl Owners {
-    pub fn read<'a>(chunks: impl Iterator<Item = &'a MapChunk>) -> Self {
+impl ShardMap {
+    pub fn read<'a>(chunks: impl Iterator<Item = &'a ShardMapChunk>) -> Self {
         let mut owners = Self::default();
         for chunk in chunks {
             owners
                 .grants_kept_since
                 .extend(chunk.grants_kept_since.clone());
-            for share in &chunk.shares {
-                let teams = share
+            for shard in &chunk.shards {
+                let teams = shard
                     .teams
                     .iter()
-                    .map(|team| (team.clone(), share.owner.clone()));
+                    .map(|team| (team.clone(), shard.owner.clone()));
                 owners.teams.extend(teams);
-                let machines = share
+                let machines = shard
                     .machines
                     .iter()
-                    .map(|id| (id.clone(), share.owner.clone()));
+                    .map(|id| (id.clone(), shard.owner.clone()));
                 owners.machines.extend(machines);
             }
         }
@@ -92,8 +93,8 @@
 }
 
 /// The map as its leader wants it to be.
-pub struct PartMap {
-    pub owners: Owners,
+pub struct ShardMapEditor {
+    pub owners: ShardMap,
     leader: Version,
     changes: u64,
     chunk_of: BTreeMap<MachineId, usize>,
@@ -112,10 +113,14 @@
     format!("{MAP_PREFIX}teams")
 }
 
-impl PartMap {
+impl ShardMapEditor {
     /// Continues the stored map under a new leadership.
-    pub fn new(leader: Version, stored: &BTreeMap<String, Versioned<MapChunk>>, kb: f64) -> Self {
-        let owners = Owners::read(stored.values().map(|chunk| &chunk.record));
+    pub fn new(
+        leader: Version,
+        stored: &BTreeMap<String, Versioned<ShardMapChunk>>,
+        kb: f64,
+    ) -> Self {
+        let owners = ShardMap::read(stored.values().map(|chunk| &chunk.record));
         // Every machine may have an owner's record to itself: up to 150 bytes.
         let capacity = ((kb * 1024.0 / 150.0) as usize).max(1);
         let (mut chunk_of, mut members): (BTreeMap<MachineId, usize>, Vec<BTreeSet<MachineId>>) =
@@ -128,7 +133,7 @@
                 .and_then(|n| n.parse::<usize>().ok());
             if let Some(number) = number {
                 members.resize_with(members.len().max(number + 1), BTreeSet::new);
-                for id in chunk.record.shares.iter().flat_map(|share| &share.machines) {
+                for id in chunk.record.shards.iter().flat_map(|shard| &shard.machines) {
                     // Split off by an earlier leader that could not write the rest.
                     if let Some(split) = chunk_of.insert(id.clone(), number) {
                         members[split].remove(id);
@@ -152,32 +157,32 @@
     }
 
     /// Takes up what is stored, and goes on counting.
-    pub fn follow(&mut self, stored: PartMap) {
-        *self = PartMap {
+    pub fn follow(&mut self, stored: ShardMapEditor) {
+        *self = ShardMapEditor {
             changes: self.changes,
             ..stored
         };
     }
 
     /// A term that nobody has used; None when this leadership has no more.
-    pub fn next_term(&mut self) -> Option<Term> {
+    pub fn next_token(&mut self) -> Option<FencingToken> {
         self.changes += 1;
         (self.changes < 1 << CHANGE_BITS)
-            .then_some(Term((self.leader << CHANGE_BITS) | self.changes))
+            .then_some(FencingToken((self.leader << CHANGE_BITS) | self.changes))
     }
 
     /// Whether this leadership has numbered so many changes that it should be claimed anew.
-    pub fn is_worn(&self) -> bool {
-        self.changes as f64 > f64::from(1 << CHANGE_BITS) * WORN_PART
+    pub fn terms_exhausted(&self) -> bool {
+        self.changes as f64 > f64::from(1 << CHANGE_BITS) * EXHAUSTED_PART
     }
 
-    pub fn set_team(&mut self, team: &Team, owner: Owner) {
+    pub fn set_team(&mut self, team: &Team, owner: ShardOwner) {
         self.owners.teams.insert(team.clone(), owner);
         self.teams_dirty = true;
     }
 
     /// Since which term every owner of a team has kept to its grants; None if that is not known.
-    pub fn set_grants_kept_since(&mut self, team: &Team, since: Option<Term>) {
+    pub fn set_grants_kept_since(&mut self, team: &Team, since: Option<FencingToken>) {
         let known = &mut self.owners.grants_kept_since;
         let before = match since {
             Some(since) => known.insert(team.clone(), since),
@@ -187,13 +192,13 @@
     }
 
     /// A team goes to `owner`: notes whether grants have been kept to all the time.
-    pub fn carry_grants(&mut self, team: &Team, owner: &Owner, keeps_grants: bool) {
+    pub fn carry_grants(&mut self, team: &Team, owner: &ShardOwner, keeps_grants: bool) {
         let before = self.owners.grants_kept_since.get(team).copied();
-        let since = keeps_grants.then(|| before.unwrap_or(owner.term));
+        let since = keeps_grants.then(|| before.unwrap_or(owner.token));
         self.set_grants_kept_since(team, since);
     }
 
-    pub fn set_machine(&mut self, id: &MachineId, owner: Owner) {
+    pub fn set_machine(&mut self, id: &MachineId, owner: ShardOwner) {
         let chunk = match self.chunk_of.get(id) {
             Some(chunk) => *chunk,
             None => {
@@ -222,19 +227,19 @@
     }
 
     /// Values that differ from what is stored: up to `limit` of them, and about `bytes` in all.
-    pub fn take_dirty(&mut self, limit: usize, bytes: usize) -> Vec<(String, MapChunk)> {
+    pub fn take_dirty(&mut self, limit: usize, bytes: usize) -> Vec<(String, ShardMapChunk)> {
         let mut values = Vec::new();
         let mut size = 0;
         if std::mem::take(&mut self.teams_dirty) {
-            let mut shares: BTreeMap<&Owner, Share> = BTreeMap::new();
+            let mut shards: BTreeMap<&ShardOwner, ShardEntry> = BTreeMap::new();
             let grants_kept_since = self.owners.grants_kept_since.clone();
             for (team, owner) in &self.owners.teams {
-                share(&mut shares, owner).teams.push(team.clone());
+                shard(&mut shards, owner).teams.push(team.clone());
             }
             values.push((
                 teams_key(),
-                MapChunk {
-                    shares: shares.into_values().collect(),
+                ShardMapChunk {
+                    shards: shards.into_values().collect(),
                     grants_kept_since,
                 },
             ));
@@ -265,26 +270,29 @@
         values
     }
 
-    fn value(&self, chunk: usize, members: &BTreeSet<MachineId>) -> (String, MapChunk) {
-        let mut shares: BTreeMap<&Owner, Share> = BTreeMap::new();
+    fn value(&self, chunk: usize, members: &BTreeSet<MachineId>) -> (String, ShardMapChunk) {
+        let mut shards: BTreeMap<&ShardOwner, ShardEntry> = BTreeMap::new();
         for id in members {
             if let Some(owner) = self.owners.machines.get(id) {
-                share(&mut shares, owner).machines.push(id.clone());
+                shard(&mut shards, owner).machines.push(id.clone());
             }
         }
-        let shares = shares.into_values().collect();
+        let shards = shards.into_values().collect();
         (
             chunk_key(chunk),
-            MapChunk {
-                shares,
-                ..MapChunk::default()
+            ShardMapChunk {
+                shards,
+                ..ShardMapChunk::default()
             },
         )
     }
 }
 
-fn share<'a, 'b>(shares: &'b mut BTreeMap<&'a Owner, Share>, owner: &'a Owner) -> &'b mut Share {
-    shares.entry(owner).or_insert_with(|| Share {
+fn shard<'a, 'b>(
+    shards: &'b mut BTreeMap<&'a ShardOwner, ShardEntry>,
+    owner: &'a ShardOwner,
+) -> &'b mut ShardEntry {
+    shards.entry(owner).or_insert_with(|| ShardEntry {
         owner: owner.clone(),
         teams: Vec::new(),
         machines: Vec::new(),
--- a/src/core/part_map/tests.rs
+++ b/src/core/part_map/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-fn owner(node: &str, term: u64) -> Owner {
+fn owner(node: &str, token: u64) -> ShardOwner {
     let former = Some(("drumhead-2".into(), 1 << 51));
-    Owner {
+    ShardOwner {
         node: node.into(),
         incarnation: 1 << 51,
-        term: Term(term),
+        token: FencingToken(token),
         former,
         prior: None,
     }
@@ -13,12 +13,12 @@
 
 #[test]
 fn the_map_is_read_back_and_keeps_within_the_value_limit() {
-    let mut map = PartMap::new(1 << 20, &BTreeMap::new(), 4.0);
+    let mut map = ShardMapEditor::new(1 << 20, &BTreeMap::new(), 4.0);
     for i in 0..200 {
-        let term = map.next_term().unwrap().0;
+        let token = map.next_token().unwrap().0;
         map.set_machine(
             &MachineId::from(format!("m-{i:06}")),
-            owner("drumhead-0", term),
+            owner("drumhead-0", token),
         );
     }
     map.set_team(&"a".into(), owner("drumhead-1", 7));
@@ -31,17 +31,17 @@
         map.take_dirty(usize::MAX, usize::MAX).is_empty(),
         "written only on change"
     );
-    let mut next = PartMap::new(1 << 21, &stored, 4.0);
+    let mut next = ShardMapEditor::new(1 << 21, &stored, 4.0);
     assert_eq!(next.owners.machines, map.owners.machines);
     assert_eq!(next.owners.teams, map.owners.teams);
-    let highest = map.owners.machines.values().map(|o| o.term).max().unwrap();
+    let highest = map.owners.machines.values().map(|o| o.token).max().unwrap();
     assert!(
-        next.next_term().unwrap() > highest,
+        next.next_token().unwrap() > highest,
         "terms rise with every leader"
     );
     // Limits were lowered: what is stored larger is split when it is next written, and until all is
     // written every machine stays on the map.
-    let mut lower = PartMap::new(1 << 22, &stored, 2.0);
+    let mut lower = ShardMapEditor::new(1 << 22, &stored, 2.0);
     lower.set_machine(&"m-000003".into(), owner("drumhead-0", 9));
     let mut lowered = stored.clone();
     loop {
@@ -59,7 +59,7 @@
                 },
             );
         }
-        let read = PartMap::new(1 << 23, &lowered, 2.0);
+        let read = ShardMapEditor::new(1 << 23, &lowered, 2.0);
         assert_eq!(read.owners.machines.len(), 200);
         assert_eq!(
             read.chunk_of.len(),
@@ -77,11 +77,11 @@
 /// A fleet that runs for weeks under one leader used up its terms, and then nothing changed hands any more.
 #[test]
 fn a_leadership_is_worn_long_before_its_terms_run_out() {
-    let mut map = PartMap::new(7, &BTreeMap::new(), 4.0);
+    let mut map = ShardMapEditor::new(7, &BTreeMap::new(), 4.0);
     let mut changes = 0;
-    while !map.is_worn() {
-        assert!(map.next_term().is_some());
+    while !map.terms_exhausted() {
+        assert!(map.next_token().is_some());
         changes += 1;
     }
-    assert!(changes > 1 << 14 && (0..1 << 14).all(|_| map.next_term().is_some()));
+    assert!(changes > 1 << 14 && (0..1 << 14).all(|_| map.next_token().is_some()));
 }
--- a/src/core/peer_sync.rs
+++ b/src/core/peer_sync.rs
@@ -4,13 +4,13 @@
 //! state, so that a lost or late one does no harm.
 
 use super::gained_machines::MachineContacts;
-use super::io::Io;
 use super::leader::Leader;
 use super::machines::{Machine, Phase};
-use super::owner::{Hints, Owner};
-use super::supply::{Need, Offer};
-use super::view::View;
-use crate::ids::{Attempt, MachineId, Node, TaskId, Team, Term, Version, Zone};
+use super::outbox::Outbox;
+use super::owner::{Hints, Shard};
+use super::store::StoreReplica;
+use super::supply::{CapacityDemand, Offer};
+use crate::ids::{Attempt, FencingToken, MachineId, Node, TaskId, Team, Version, Zone};
 use crate::wire::{ReportedTask, TaskState};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -26,7 +26,8 @@
     /// The sender wants to know of all the receiver's machines.
     pub listening: bool,
     /// The sender's machines that have shown this term's token, or are known empty.
-    pub settled: Vec<(MachineId, Term)>,
+    #[serde(rename = "settled")]
+    pub reconciled: Vec<(MachineId, FencingToken)>,
     /// Of those, the ones with tasks of the receiver's teams.
     #[serde(rename = "facts")]
     pub observations: Vec<TaskObservation>,
@@ -34,21 +35,26 @@
     #[serde(rename = "wishes")]
     pub commands: Vec<TaskCommand>,
     /// To the leader: what the sender's share lacks and has to spare.
-    pub need: Need,
+    pub need: CapacityDemand,
     /// From the leader: what the cloud has none of at present.
     pub refused: Option<BTreeSet<Offer>>,
     /// Now and then: the images on the sender's machines; to a process that has just begun, all
     /// that the sender knows. A new owner starts without them where it would have to fetch.
     pub images: Hints,
     /// With the images: where those machines are reached, so that whoever has them next can ask them at once.
-    #[serde(default, skip_serializing_if = "MachineContacts::is_empty")]
+    #[serde(
+        rename = "contacts",
+        default,
+        skip_serializing_if = "MachineContacts::is_empty"
+    )]
     pub contacts: MachineContacts,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TaskObservation {
     pub machine: MachineId,
-    pub term: Term,
+    #[serde(rename = "term")]
+    pub token: FencingToken,
     pub zone: Zone,
     pub tasks: Vec<ReportedTask>,
 }
@@ -62,7 +68,7 @@
     pub forget: bool,
 }
 
-impl Owner {
+impl Shard {
     /// Something that a sibling should hear of soon.
     pub(super) fn take_sync_soon(&mut self) -> bool {
         std::mem::take(&mut self.sync_soon)
@@ -71,30 +77,30 @@
     pub fn update_for(
         &self,
         node: &Node,
-        view: &View,
+        store: &StoreReplica,
         leader: Option<&Leader>,
         images: Hints,
         contacts: MachineContacts,
     ) -> PeerUpdate {
-        let owners = view.owners();
+        let owners = store.owners();
         let theirs: BTreeSet<&Team> = owners
             .teams
             .iter()
             .filter(|(_, o)| o.node == *node)
             .map(|(team, _)| team)
             .collect();
-        let (mut settled, mut observations, mut commands) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut reconciled, mut observations, mut commands) = (Vec::new(), Vec::new(), Vec::new());
         let tells = self.listeners.contains(node);
         for machine in self.machines.values() {
-            if machine.mine && machine.settled() && tells && all_known(machine, view) {
-                settled.push((machine.id.clone(), machine.token));
+            if machine.mine && machine.reconciled() && tells && all_known(machine, store) {
+                reconciled.push((machine.id.clone(), machine.token));
                 let tasks = tasks_of(machine, &theirs);
                 if !tasks.is_empty() {
-                    let (id, term, zone) =
+                    let (id, token, zone) =
                         (machine.id.clone(), machine.token, machine.zone.clone());
                     observations.push(TaskObservation {
                         machine: id,
-                        term,
+                        token,
                         zone,
                         tasks,
                     });
@@ -119,10 +125,10 @@
             }
         }
         PeerUpdate {
-            revision: view.revision(),
+            revision: store.revision(),
             teams: theirs.into_iter().cloned().collect(),
             listening: self.listening(),
-            settled,
+            reconciled,
             observations,
             commands,
             need: self.need.clone(),
@@ -146,7 +152,9 @@
 
     /// Whether this share waits for observations, or follows tasks on others' machines.
     fn listening(&self) -> bool {
-        self.teams.values().any(|team| !team.unsettled.is_empty())
+        self.teams
+            .values()
+            .any(|team| !team.unreconciled.is_empty())
             || self
                 .machines
                 .values()
@@ -155,8 +163,8 @@
 
     pub fn take_update(
         &mut self,
-        io: &mut Io,
-        view: &View,
+        outbox: &mut Outbox,
+        store: &StoreReplica,
         from: &Node,
         incarnation: u64,
         update: PeerUpdate,
@@ -174,27 +182,28 @@
         for machine in self.machines.values_mut() {
             // It has seen the change of the map, and so answers the machine no more.
             if machine.former.as_ref() == Some(&former) && update.revision >= machine.gained {
-                machine.former_let_go(io.now);
+                machine.former_let_go(outbox.now);
             }
         }
         for command in update.commands {
-            self.carry_out(view, from, command);
+            self.carry_out(store, from, command);
         }
         let mut observations: BTreeMap<MachineId, TaskObservation> = update
             .observations
             .into_iter()
             .map(|observation| (observation.machine.clone(), observation))
             .collect();
-        for (id, term) in update.settled {
-            let current = |o: &super::part_map::Owner| o.is(from, incarnation) && o.term == term;
+        for (id, token) in update.reconciled {
+            let current =
+                |o: &super::part_map::ShardOwner| o.is(from, incarnation) && o.token == token;
             // What a former owner says, or says of an earlier term, does not count.
-            if view.owners().machines.get(&id).is_some_and(current) {
+            if store.owners().machines.get(&id).is_some_and(current) {
                 let observation = observations.remove(&id);
                 self.take_observation(
-                    io,
-                    view,
+                    outbox,
+                    store,
                     &id,
-                    term,
+                    token,
                     (update.revision, &update.teams),
                     observation,
                 );
@@ -205,33 +214,33 @@
     /// A sibling's machine is settled: these tasks of our teams are on it, and no others.
     fn take_observation(
         &mut self,
-        io: &mut Io,
-        view: &View,
+        outbox: &mut Outbox,
+        store: &StoreReplica,
         id: &MachineId,
-        term: Term,
+        token: FencingToken,
         (revision, covers): (Version, &BTreeSet<Team>),
         observation: Option<TaskObservation>,
     ) {
-        let now = io.now;
+        let now = outbox.now;
         if observation.is_none() && !self.machines.contains_key(id) {
-            return self.settled_elsewhere(id, revision, covers);
+            return self.reconciled_elsewhere(id, revision, covers);
         }
         let machine = self
             .machines
             .entry(id.clone())
-            .or_insert_with(|| Machine::named(id.clone(), term, now));
+            .or_insert_with(|| Machine::named(id.clone(), token, now));
         if machine.mine {
             return;
         }
         // It has shown its owner's token, or its session is over.
-        self.starts_in_flight.shown(id, term, 0);
+        self.starts_in_flight.shown(id, token, 0);
         let mut shown = BTreeSet::new();
         if let Some(observation) = observation {
             machine.zone = observation.zone;
             for reported in &observation.tasks {
                 if let Some(task) = TaskId::parse(&reported.task) {
                     shown.insert((task.clone(), reported.attempt));
-                    self.take_task(io, view, id, task, reported);
+                    self.take_task(outbox, store, id, task, reported);
                 }
             }
         }
@@ -267,19 +276,19 @@
         {
             self.machines.remove(id);
         }
-        self.settled_elsewhere(id, revision, covers);
+        self.reconciled_elsewhere(id, revision, covers);
     }
 
-    fn settled_elsewhere(&mut self, id: &MachineId, revision: Version, covers: &BTreeSet<Team>) {
+    fn reconciled_elsewhere(&mut self, id: &MachineId, revision: Version, covers: &BTreeSet<Team>) {
         for (name, team) in &mut self.teams {
             if revision >= team.gained && covers.contains(name) {
-                team.unsettled.remove(id);
+                team.unreconciled.remove(id);
             }
         }
     }
 
     /// Carries out what a team's owner wants of a task on one of our machines.
-    fn carry_out(&mut self, view: &View, from: &Node, command: TaskCommand) {
+    fn carry_out(&mut self, store: &StoreReplica, from: &Node, command: TaskCommand) {
         let Some(task) = TaskId::parse(&command.task) else {
             return;
         };
@@ -292,7 +301,7 @@
         let owner = tracked
             .team
             .as_ref()
-            .and_then(|team| view.owners().teams.get(team));
+            .and_then(|team| store.owners().teams.get(team));
         if owner.is_none_or(|owner| owner.node != *from) {
             return;
         }
@@ -301,7 +310,7 @@
             && tracked.stop.is_none_or(|before| grace < before)
         {
             tracked.stop = Some(grace);
-            self.unsent_orders.insert(command.machine);
+            self.unsent_commands.insert(command.machine);
         }
     }
 }
@@ -309,9 +318,12 @@
 /// Whether it is known of every task there whose it is. A leader has a machine by its own write
 /// before it has read the jobs that came before that; what it does not know of it cannot pass on,
 /// and its owner would take the machine to be without it.
-fn all_known(machine: &Machine, view: &View) -> bool {
+fn all_known(machine: &Machine, store: &StoreReplica) -> bool {
     machine.attempts.iter().all(|((task, _), tracked)| {
-        tracked.team.is_some() || view.job(&task.job).is_some_and(|job| job.record.is_final())
+        tracked.team.is_some()
+            || store
+                .job(&task.job)
+                .is_some_and(|job| job.record.is_final())
     })
 }
 
@@ -333,7 +345,7 @@
                 attempt: *attempt,
                 state,
                 why,
-                saved: None,
+                checkpointed: None,
             }
         })
         .collect()
--- a/src/core/peers.rs
+++ b/src/core/peers.rs
@@ -2,10 +2,10 @@
 //! how many tasks run (for display), and users' requests that a controller cannot answer itself. Who of
 //! them lives is judged by the detector ([`super::failure_detection`]).
 
-use super::authority::Process;
-use super::io::Pending;
 use super::mesh_messages::{Hello, HelloReply};
-use super::owner::Owner;
+use super::outbox::Pending;
+use super::owner::Shard;
+use super::ownership::Process;
 use super::{Answer, Body, Core, RequestId, Time, UserRequest};
 use crate::config::Config;
 use crate::ids::{JobId, Node};
@@ -200,31 +200,32 @@
 
 impl Core {
     pub(super) fn hello_when_due(&mut self) {
-        let now = self.io.now;
+        let now = self.outbox.now;
         if now < self.peers.next_hello {
             return;
         }
-        self.peers.next_hello = now + self.io.jitter(self.peers.interval);
+        self.peers.next_hello = now + self.outbox.jitter(self.peers.interval);
         self.peers.number += 1;
-        let entitled = self.authority.entitled(now);
-        let owner = self.owner.as_ref().filter(|_| entitled);
-        let running = owner.map(Owner::running).unwrap_or_default();
-        let (wants_voucher, wants_consent) = (
-            self.authority.wants_voucher(now).is_some(),
-            self.authority.wanted_consents(),
+        let holds_lease = self.ownership.holds_lease(now);
+        let owner = self.shard.as_ref().filter(|_| holds_lease);
+        let running = owner.map(Shard::running).unwrap_or_default();
+        let (wants_extension, wants_consent) = (
+            self.ownership.wants_extension(now).is_some(),
+            self.ownership.wanted_consents(),
         );
-        if let Some(owner) = &self.owner {
+        if let Some(owner) = &self.shard {
             self.unresponsive.note(owner.unresponsive(now), now);
         }
-        if self.view.complete() {
-            self.unresponsive.prune(self.view.owners());
-            self.contacts.prune(self.view.owners());
+        if self.store.complete() {
+            self.unresponsive.prune(self.store.owners());
+            self.contacts.prune(self.store.owners());
         }
         let unresponsive = self.unresponsive.all(now);
         let detection = self.own_detection();
         let acts_on_failures = self.acts_on_failures();
-        let behind = now - self.view.current_as_of > self.peers.recent;
-        let finals_after = (behind && self.view.complete()).then(|| self.view.finals_known());
+        let behind = now - self.store.current_as_of > self.peers.recent;
+        let final_states_after =
+            (behind && self.store.complete()).then(|| self.store.final_states_known());
         let nodes: Vec<Node> = self.peers.peers.keys().cloned().collect();
         for node in nodes {
             let Some(peer) = self.peers.peers.get_mut(&node) else {
@@ -234,7 +235,7 @@
                 continue;
             }
             let now_and_then = self.peers.number.is_multiple_of(IMAGES_EVERY);
-            let update = self.owner.as_ref().filter(|_| entitled).map(|owner| {
+            let update = self.shard.as_ref().filter(|_| holds_lease).map(|owner| {
                 let (images, contacts) = match (std::mem::take(&mut peer.ignorant), now_and_then) {
                     (true, _) => (owner.known_images(), self.contacts.with(owner.contacts())),
                     (false, true) => (owner.own_images(), owner.contacts()),
@@ -245,18 +246,18 @@
                 } else {
                     Default::default()
                 };
-                owner.update_for(&node, &self.view, self.leader.as_ref(), images, contacts)
+                owner.update_for(&node, &self.store, self.leader.as_ref(), images, contacts)
             });
             let hello = Hello {
                 from: self.peers.node.clone(),
-                incarnation: self.authority.incarnation(),
+                incarnation: self.ownership.incarnation(),
                 number: self.peers.number,
-                wants_voucher,
+                wants_extension,
                 wants_consent: wants_consent.clone(),
                 running: running.clone(),
                 unresponsive: unresponsive.clone(),
                 update,
-                finals_after,
+                final_states_after,
                 authority_ends: true,
                 detection: detection.clone(),
             };
@@ -264,7 +265,7 @@
                 node: node.clone(),
                 sent: now,
             };
-            self.io
+            self.outbox
                 .mesh(pending, &node, MeshMessage::Hello(Box::new(hello)));
         }
     }
@@ -277,16 +278,16 @@
             }
             MeshMessage::Poll(id) => self.relayed_request(request, UserRequest::Poll(id)),
             MeshMessage::Cancel(id) => self.relayed_request(request, UserRequest::Cancel(id)),
-            MeshMessage::Report(report) => self.relayed_report(request, *report),
+            MeshMessage::Heartbeat(heartbeat) => self.relayed_heartbeat(request, *heartbeat),
             MeshMessage::Cancelled(_) => {
-                self.view.want_sync();
-                self.io.mesh_answer(request, MeshReply::Noted);
+                self.store.want_sync();
+                self.outbox.mesh_answer(request, MeshReply::Noted);
             }
         }
     }
 
     fn hello(&mut self, request: RequestId, hello: Hello) {
-        let now = self.io.now;
+        let now = self.outbox.now;
         let Hello {
             from,
             incarnation,
@@ -295,12 +296,12 @@
             ..
         } = hello;
         self.peers.detector.message_received(&from, now);
-        let registered = self.view.is_registered(&from, incarnation);
+        let registered = self.store.is_registered(&from, incarnation);
         if hello.authority_ends {
             self.peers.says_authority_ends(&(from.clone(), incarnation));
         }
         let Some(peer) = self.peers.peers.get_mut(&from) else {
-            return self.io.mesh_answer(request, MeshReply::Noted);
+            return self.outbox.mesh_answer(request, MeshReply::Noted);
         };
         // True whenever it was said: that it arrives late only makes it weaker.
         self.unresponsive.note(unresponsive, now);
@@ -316,13 +317,15 @@
                 .map(|(job, done, runs)| (job, (done, runs)))
                 .collect();
         }
-        let vouches =
-            hello.wants_voucher && self.authority.vouch(&from, incarnation, &self.view, now);
+        let grants_extension = hello.wants_extension
+            && self
+                .ownership
+                .grant_extension(&from, incarnation, &self.store, now);
         let consents = wants_consent
             .into_iter()
-            .filter(|process| self.authority.consent(process, now))
+            .filter(|process| self.ownership.consent(process, now))
             .collect();
-        if let (Some(update), None, false) = (&hello.update, &self.owner, late) {
+        if let (Some(update), None, false) = (&hello.update, &self.shard, late) {
             self.hints.extend(update.images.clone());
         }
         if let (Some(mut update), false) = (hello.update, late) {
@@ -330,32 +333,32 @@
             if let Some(leader) = self.leader.as_mut() {
                 leader.needs(&from, update.need.clone());
             }
-            if let Some(owner) = self.owner.as_mut() {
-                owner.take_update(&mut self.io, &self.view, &from, incarnation, update);
+            if let Some(owner) = self.shard.as_mut() {
+                owner.take_update(&mut self.outbox, &self.store, &from, incarnation, update);
             }
         }
         if let Some(detection) = hello.detection.filter(|_| !late) {
             self.take_detection(&from, incarnation, detection);
         }
         let reply = HelloReply {
-            incarnation: self.authority.incarnation(),
-            vouches,
+            incarnation: self.ownership.incarnation(),
+            grants_extension,
             consents,
             detection: self.own_detection(),
             has_state: self.has_state(),
             sends_workers,
             // A view that is being read again knows what it knew before, but one that never was
             // complete says nothing. Nor is a process told whose key has gone: its authority is to end.
-            finals: hello
-                .finals_after
-                .filter(|_| self.view.complete() && registered)
-                .map(|from| self.view.finals_after(from)),
+            final_states: hello
+                .final_states_after
+                .filter(|_| self.store.complete() && registered)
+                .map(|from| self.store.final_states_after(from)),
         };
-        self.io.mesh_answer(request, MeshReply::Hello(reply));
+        self.outbox.mesh_answer(request, MeshReply::Hello(reply));
     }
 
     pub(super) fn mesh_reply(&mut self, pending: Pending, reply: Option<MeshReply>) {
-        let now = self.io.now;
+        let now = self.outbox.now;
         match (pending, reply) {
             (Pending::Hello { node, sent }, reply) => {
                 if let Some(peer) = self.peers.peers.get_mut(&node) {
@@ -377,19 +380,19 @@
                     self.peers.served(&node, sent, detection.state_age);
                     self.take_detection(&node, reply.incarnation, detection);
                 }
-                if let Some(finals) = reply.finals {
-                    let complete = finals.complete;
-                    self.view.take_finals(finals);
+                if let Some(final_states) = reply.final_states {
+                    let complete = final_states.complete;
+                    self.store.take_final_states(final_states);
                     if complete {
-                        self.authority.told(&node, sent);
+                        self.ownership.note_sibling_known_as_of(&node, sent);
                     } else {
                         self.peers.sync_soon(now);
                     }
                 }
-                if reply.vouches {
-                    self.authority.vouched(&node, sent, now);
+                if reply.grants_extension {
+                    self.ownership.extension_granted(&node, sent, now);
                 }
-                self.authority.consented(&node, &reply.consents);
+                self.ownership.consented(&node, &reply.consents);
             }
             (
                 Pending::Relay { request },
@@ -400,7 +403,7 @@
                 }),
             ) => {
                 let body = body.map_or(Body::Empty, Body::Value);
-                self.io.answer(
+                self.outbox.answer(
                     request,
                     Answer {
                         status,
@@ -410,21 +413,21 @@
                 );
             }
             (
-                Pending::RelayedReport {
+                Pending::RelayedHeartbeat {
                     request,
                     owner,
-                    report,
+                    heartbeat,
                 },
                 reply,
             ) => {
                 let answer = match reply {
-                    Some(MeshReply::ReportAnswer(answer)) => answer,
+                    Some(MeshReply::HeartbeatResponse(answer)) => answer,
                     _ => None,
                 };
-                self.report_relayed(request, &owner, *report, answer);
+                self.heartbeat_relayed(request, &owner, *heartbeat, answer);
             }
             (Pending::Relay { request }, _) => {
-                self.io.answer(request, Answer::unavailable());
+                self.outbox.answer(request, Answer::unavailable());
             }
             _ => {}
         }
@@ -432,17 +435,17 @@
 
     /// Whether this controller's reads of the state service work.
     pub(super) fn has_state(&self) -> bool {
-        let silence = self.view.state_silence(self.io.now);
-        self.view.complete() && silence < self.peers.recent
+        let silence = self.store.state_silence(self.outbox.now);
+        self.store.complete() && silence < self.peers.recent
     }
 
     /// Able to take requests: reads the state service, or reaches a sibling that may (in an
     /// outage for all, staying in rotation costs users less than leaving and coming back).
     pub(super) fn health(&mut self, request: RequestId) {
-        let able = self.view.complete()
+        let able = self.store.complete()
             && self.catalog.known()
-            && (self.has_state() || self.peers.heard_any(self.io.now));
-        self.io
+            && (self.has_state() || self.peers.heard_any(self.outbox.now));
+        self.outbox
             .answer(request, Answer::empty(if able { 200 } else { 503 }));
     }
 }
--- a/src/core/plan.rs
+++ b/src/core/plan.rs
@@ -7,7 +7,7 @@
 use super::opportunistic::is_cheap;
 use super::placement::Resources;
 use super::schedule::allowed;
-use super::supply::{Need, Offer, Want};
+use super::supply::{CapacityDemand, MachineDemand, Offer};
 use crate::ids::{MachineId, Zone};
 use crate::wire::{JobSpec, MachineType, Priority};
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,7 +17,7 @@
 /// with every machine; what is left over is seen by the next plan.
 const PLACED_ON_MACHINES: u32 = 1000;
 /// Tasks that a plan has to find room for.
-pub struct Wanted {
+pub struct TaskDemand {
     pub spec: Rc<JobSpec>,
     pub count: u32,
     /// Where the job's other tasks are: a plan that put these where the rules will not have them
@@ -31,7 +31,7 @@
     pub spares_gpus: bool,
 }
 
-impl Wanted {
+impl TaskDemand {
     /// Tasks of a job that is only expected, and so has none anywhere.
     pub fn expected(types: &[MachineType], spec: Rc<JobSpec>, count: u32) -> Self {
         let spares_gpus = fits_without_gpus(types, &spec);
@@ -48,7 +48,7 @@
 }
 
 /// Somewhere a task could go in a plan.
-pub struct Bin {
+pub struct PackingCandidate {
     pub machine: Option<MachineId>,
     pub offer: Offer,
     /// Beside what is on it and what is planned there; opportunistic work counts once
@@ -61,7 +61,7 @@
     /// Something other than opportunistic work is on it or goes there.
     pub used: bool,
     /// To be returned unless nothing else will do.
-    pub emptying: bool,
+    pub draining: bool,
     /// Something that waits or is expected goes here.
     pub planned: bool,
     /// Something that waits does.
@@ -70,7 +70,7 @@
     pub fills_up: bool,
 }
 
-impl Bin {
+impl PackingCandidate {
     /// Nothing is on it, and it has no room yet.
     pub fn empty(machine: Option<MachineId>, offer: Offer) -> Self {
         Self {
@@ -80,7 +80,7 @@
             total: Resources::default(),
             opportunistic: Resources::default(),
             used: false,
-            emptying: false,
+            draining: false,
             planned: false,
             waited_for: false,
             fills_up: false,
@@ -95,7 +95,7 @@
     types: &'a [MachineType],
     /// What the cloud has none of at present.
     refused: &'a BTreeSet<Offer>,
-    bins: Vec<Bin>,
+    candidates: Vec<PackingCandidate>,
     machines_in_zone: BTreeMap<Zone, u32>,
 }
 
@@ -103,40 +103,43 @@
     pub fn new(
         types: &'a [MachineType],
         refused: &'a BTreeSet<Offer>,
-        bins: Vec<Bin>,
+        candidates: Vec<PackingCandidate>,
         most_wanted: u32,
     ) -> Self {
         let mut machines_in_zone: BTreeMap<Zone, u32> = BTreeMap::new();
-        for bin in &bins {
-            *machines_in_zone.entry(bin.offer.1.clone()).or_default() += 1;
+        for candidate in &candidates {
+            *machines_in_zone
+                .entry(candidate.offer.1.clone())
+                .or_default() += 1;
         }
         Self {
             most_wanted,
             types,
             refused,
-            bins,
+            candidates,
             machines_in_zone,
         }
     }
 
-    pub fn bins(&self) -> &[Bin] {
-        &self.bins
+    pub fn candidates(&self) -> &[PackingCandidate] {
+        &self.candidates
     }
 
-    pub fn into_bins(self) -> Vec<Bin> {
-        self.bins
+    pub fn into_bins(self) -> Vec<PackingCandidate> {
+        self.candidates
     }
 
     /// Resources on a machine that will be free by the time of what is served next.
     pub fn release(&mut self, machine: &MachineId, room: &Resources) {
-        let of_machine = |bin: &&mut Bin| bin.machine.as_ref() == Some(machine);
-        if let Some(bin) = self.bins.iter_mut().find(of_machine) {
-            bin.free = bin.free.plus(room);
+        let of_machine =
+            |candidate: &&mut PackingCandidate| candidate.machine.as_ref() == Some(machine);
+        if let Some(candidate) = self.candidates.iter_mut().find(of_machine) {
+            candidate.free = candidate.free.plus(room);
         }
     }
 
     /// Finds room for tasks, and adds what they lack to `need`.
-    pub fn serve(&mut self, wanted: Wanted, need: &mut Need) {
+    pub fn serve(&mut self, wanted: TaskDemand, need: &mut CapacityDemand) {
         if wanted.urgency.is_some() {
             let size = if wanted.spec.gpus > 0.0 {
                 wanted.spec.gpus
@@ -152,16 +155,16 @@
     /// added to `need`, and unless the job is starved only cheap ones; those that it takes are deducted.
     pub fn serve_opportunistic(
         &mut self,
-        wanted: Wanted,
+        wanted: TaskDemand,
         starved: bool,
         rentals: &mut u32,
-        need: &mut Need,
+        need: &mut CapacityDemand,
     ) {
         self.place(wanted, Purpose::Opportunistic { starved, rentals }, need);
     }
 
-    fn place(&mut self, wanted: Wanted, mut purpose: Purpose, need: &mut Need) {
-        let Wanted {
+    fn place(&mut self, wanted: TaskDemand, mut purpose: Purpose, need: &mut CapacityDemand) {
+        let TaskDemand {
             spec,
             count,
             zones: mut tasks_in_zone,
@@ -184,15 +187,19 @@
                 return;
             }
             let open = |zone: &Zone| zone_allows(&spec, zone, &tasks_in_zone);
-            let zone = match self.best_bin(first, &task, &avoided, &open) {
-                Some(bin) => {
-                    bin.free = bin.free.less(&room);
-                    placed_on_machines += u32::from(bin.machine.is_some());
-                    purpose.mark(bin, urgency);
-                    bin.offer.1.clone()
+            let zone = match self.best_candidate(first, &task, &avoided, &open) {
+                Some(candidate) => {
+                    candidate.free = candidate.free.less(&room);
+                    placed_on_machines += u32::from(candidate.machine.is_some());
+                    purpose.mark(candidate, urgency);
+                    candidate.offer.1.clone()
                 }
                 None => {
-                    first = if bound_to_zones { 0 } else { self.bins.len() };
+                    first = if bound_to_zones {
+                        0
+                    } else {
+                        self.candidates.len()
+                    };
                     let rented = self.rent(&task, &open, urgency, &mut purpose, need);
                     let Some(zone) = rented else { return };
                     zone
@@ -204,39 +211,49 @@
 
     /// From here on room that opportunistic work takes is not free.
     pub fn count_opportunistic(&mut self) {
-        for bin in &mut self.bins {
-            bin.free = bin.free.less(&bin.opportunistic);
+        for candidate in &mut self.candidates {
+            candidate.free = candidate.free.less(&candidate.opportunistic);
         }
     }
 
     /// The bin that a task fits into best, of those from `first` on.
-    fn best_bin(
+    fn best_candidate(
         &mut self,
         first: usize,
         task: &PlannedTask,
         avoided: &BTreeSet<MachineId>,
         open: &dyn Fn(&Zone) -> bool,
-    ) -> Option<&mut Bin> {
+    ) -> Option<&mut PackingCandidate> {
         let PlannedTask { spec, room, .. } = task;
-        let fits = |bin: &Bin| {
-            task.room_in(bin).holds(room)
-                && bin
+        let fits = |candidate: &PackingCandidate| {
+            task.room_in(candidate).holds(room)
+                && candidate
                     .machine
                     .as_ref()
                     .is_none_or(|machine| !avoided.contains(machine))
-                && allowed(spec, &bin.offer.0, &bin.offer.1, bin.offer.2)
-                && open(&bin.offer.1)
+                && allowed(
+                    spec,
+                    &candidate.offer.0,
+                    &candidate.offer.1,
+                    candidate.offer.2,
+                )
+                && open(&candidate.offer.1)
         };
-        let left = |bin: &Bin| (bin.free.gpus - room.gpus, bin.free.cpus - room.cpus);
-        let dear = |bin: &Bin| spec.spot && !bin.offer.2;
-        self.bins[first..]
+        let left = |candidate: &PackingCandidate| {
+            (
+                candidate.free.gpus - room.gpus,
+                candidate.free.cpus - room.cpus,
+            )
+        };
+        let dear = |candidate: &PackingCandidate| spec.spot && !candidate.offer.2;
+        self.candidates[first..]
             .iter_mut()
-            .filter(|bin| fits(bin))
+            .filter(|candidate| fits(candidate))
             .min_by(|a, b| {
                 let (a_left, b_left) = (left(a), left(b));
                 (dear(a).cmp(&dear(b)))
                     .then(b.used.cmp(&a.used))
-                    .then(a.emptying.cmp(&b.emptying))
+                    .then(a.draining.cmp(&b.draining))
                     .then(a_left.0.total_cmp(&b_left.0))
                     .then(a_left.1.total_cmp(&b_left.1))
             })
@@ -249,7 +266,7 @@
         open: &dyn Fn(&Zone) -> bool,
         urgency: Option<Priority>,
         purpose: &mut Purpose,
-        need: &mut Need,
+        need: &mut CapacityDemand,
     ) -> Option<Zone> {
         if !purpose.may_rent(need, self.most_wanted) {
             return None;
@@ -272,7 +289,7 @@
         let (offer, total) = cheapest(self.types, spec, room, open, zones, &refused)?;
         let opportunistic = purpose.rented();
         let (wanted, gpus) = (offer.clone(), room.gpus);
-        need.want(Want {
+        need.want(MachineDemand {
             count: 1,
             offer: wanted,
             any_of,
@@ -286,15 +303,20 @@
     }
 
     /// A machine that is to be rented.
-    fn add_rented(&mut self, offer: Offer, total: Resources, taken: &Resources) -> &mut Bin {
+    fn add_rented(
+        &mut self,
+        offer: Offer,
+        total: Resources,
+        taken: &Resources,
+    ) -> &mut PackingCandidate {
         *self.machines_in_zone.entry(offer.1.clone()).or_default() += 1;
-        self.bins.push(Bin {
+        self.candidates.push(PackingCandidate {
             free: total.less(taken),
             total,
-            ..Bin::empty(None, offer)
+            ..PackingCandidate::empty(None, offer)
         });
-        let last = self.bins.len() - 1;
-        &mut self.bins[last]
+        let last = self.candidates.len() - 1;
+        &mut self.candidates[last]
     }
 }
 
@@ -307,11 +329,11 @@
 
 impl PlannedTask<'_> {
     /// What it may take of a bin.
-    fn room_in(&self, bin: &Bin) -> Resources {
+    fn room_in(&self, candidate: &PackingCandidate) -> Resources {
         if self.spares_gpus {
-            bin.free.beside_free_gpus(&bin.total)
+            candidate.free.beside_free_gpus(&candidate.total)
         } else {
-            bin.free
+            candidate.free
         }
     }
 }
@@ -326,20 +348,20 @@
 
 impl Purpose<'_> {
     /// A task goes to this bin.
-    fn mark(&self, bin: &mut Bin, urgency: Option<Priority>) {
+    fn mark(&self, candidate: &mut PackingCandidate, urgency: Option<Priority>) {
         match self {
             Self::Ordinary => {
-                bin.used = true;
-                bin.planned = true;
-                bin.waited_for |= urgency.is_some();
+                candidate.used = true;
+                candidate.planned = true;
+                candidate.waited_for |= urgency.is_some();
             }
-            Self::Opportunistic { .. } => bin.fills_up = true,
+            Self::Opportunistic { .. } => candidate.fills_up = true,
         }
     }
 
     /// Whether another machine may be wanted. A job of 100,000 tasks is no reason to want more than
     /// can be rented soon.
-    fn may_rent(&self, need: &Need, most_wanted: u32) -> bool {
+    fn may_rent(&self, need: &CapacityDemand, most_wanted: u32) -> bool {
         match self {
             Self::Ordinary => need.wanted() < most_wanted,
             Self::Opportunistic { rentals, .. } => **rentals > 0,
--- a/src/core/plan/tests.rs
+++ b/src/core/plan/tests.rs
@@ -23,18 +23,18 @@
 fn a_machine_that_a_job_avoids_is_no_room_for_it() {
     let (types, refused) = (types(), BTreeSet::new());
     let offer = || (TypeName::from("g8"), Zone::from("a"), false);
-    let bin = || Bin {
+    let candidate = || PackingCandidate {
         free: total_room(&types[1]),
-        ..Bin::empty(Some("m-1".into()), offer())
+        ..PackingCandidate::empty(Some("m-1".into()), offer())
     };
     let wants = |avoided: BTreeSet<MachineId>| {
         let (mut plan, mut need) = (
-            Plan::new(&types, &refused, vec![bin()], 10),
-            Need::default(),
+            Plan::new(&types, &refused, vec![candidate()], 10),
+            CapacityDemand::default(),
         );
-        let waiting = Wanted {
+        let waiting = TaskDemand {
             avoided,
-            ..Wanted::expected(&types, service("chat", "x", 1.0), 1)
+            ..TaskDemand::expected(&types, service("chat", "x", 1.0), 1)
         };
         plan.serve(waiting, &mut need);
         need.wanted()
@@ -50,9 +50,9 @@
     let (types, refused) = (types(), BTreeSet::new());
     let wants = |tasks: u32| {
         let mut plan = Plan::new(&types, &refused, Vec::new(), 4000);
-        let mut need = Need::default();
+        let mut need = CapacityDemand::default();
         plan.serve(
-            Wanted::expected(&types, service("chat", "x", 1.0), tasks),
+            TaskDemand::expected(&types, service("chat", "x", 1.0), tasks),
             &mut need,
         );
         need.wanted()
@@ -69,15 +69,15 @@
 fn opportunistic_work_is_planned_within_its_zones() {
     let (types, refused) = (types(), BTreeSet::new());
     let offer = || (TypeName::from("g8"), Zone::from("a"), true);
-    let bins = vec![Bin {
+    let candidates = vec![PackingCandidate {
         free: total_room(&types[1]),
-        ..Bin::empty(Some("m-1".into()), offer())
+        ..PackingCandidate::empty(Some("m-1".into()), offer())
     }];
-    let mut plan = Plan::new(&types, &refused, bins, 10);
-    let (mut need, mut rentals) = (Need::default(), 5);
+    let mut plan = Plan::new(&types, &refused, candidates, 10);
+    let (mut need, mut rentals) = (CapacityDemand::default(), 5);
     let mut job = (*service("chat", "x", 1.0)).clone();
     (job.spread, job.spot, job.tasks) = (true, true, 4);
-    let wanted = Wanted::expected(&types, job.into(), 4);
+    let wanted = TaskDemand::expected(&types, job.into(), 4);
     plan.serve_opportunistic(wanted, false, &mut rentals, &mut need);
     assert_eq!(
         need.wanted(),
@@ -105,13 +105,16 @@
     let machine = total_room(&types[1]);
     let offer = || (TypeName::from("g8"), Zone::from("a"), false);
     let wants = |types: &[MachineType], refused: &BTreeSet<Offer>| {
-        let bin = Bin {
+        let candidate = PackingCandidate {
             free: machine,
             total: machine,
-            ..Bin::empty(Some("m-1".into()), offer())
+            ..PackingCandidate::empty(Some("m-1".into()), offer())
         };
-        let (mut plan, mut need) = (Plan::new(types, refused, vec![bin], 10), Need::default());
-        plan.serve(Wanted::expected(types, job.clone(), 1), &mut need);
+        let (mut plan, mut need) = (
+            Plan::new(types, refused, vec![candidate], 10),
+            CapacityDemand::default(),
+        );
+        plan.serve(TaskDemand::expected(types, job.clone(), 1), &mut need);
         need.wants
     };
     let none_refused = BTreeSet::new();
--- a/src/core/preemption.rs
+++ b/src/core/preemption.rs
@@ -4,15 +4,15 @@
 
 use super::Time;
 use super::machines::{Machine, TrackedAttempt};
-use super::owner::Owner;
+use super::owner::Shard;
 use super::placement::Resources;
 use super::quota::Usage;
-use super::schedule::{Slot, allowed, limits};
+use super::schedule::{MachineSnapshot, allowed, team_limits};
 use crate::ids::{Attempt, JobId, MachineId, TaskId, Team, Zone};
 use crate::wire::{Kind, Priority};
 use std::collections::BTreeMap;
 
-pub struct Stop {
+pub struct Preemption {
     pub machine: MachineId,
     pub task: TaskId,
     pub attempt: Attempt,
@@ -20,54 +20,54 @@
 }
 
 /// What stopping a task loses, in seconds of its work.
-fn loss(share: &Owner, task: &TaskId, tracked: &TrackedAttempt, now: Time) -> Option<(Time, f64)> {
+fn loss(shard: &Shard, task: &TaskId, tracked: &TrackedAttempt, now: Time) -> Option<(Time, f64)> {
     if tracked.opportunistic && tracked.team.is_some() {
-        return Some((0.0, tracked.save_s));
+        return Some((0.0, tracked.checkpoint_write_s));
     }
     let ran = tracked.began.map_or(0.0, |began| now - began);
-    let Some(job) = share.jobs.get(&task.job) else {
+    let Some(job) = shard.jobs.get(&task.job) else {
         // Of another share's team, on a machine that moved here: its owner starts it elsewhere.
-        let known = tracked.team.is_some() && tracked.save_s > 0.0;
-        return known.then_some((tracked.save_s, tracked.save_s));
+        let known = tracked.team.is_some() && tracked.checkpoint_write_s > 0.0;
+        return known.then_some((tracked.checkpoint_write_s, tracked.checkpoint_write_s));
     };
-    let saves = job.spec.checkpoint_s > 0.0;
+    let saves = job.spec.checkpoint_interval_s > 0.0;
     Some(match job.spec.kind {
         // A replica that stops is missed until it is up elsewhere.
-        Kind::Service => (ran.min(share.config.deployment.workers.cancel_s) + 1.0, 0.0),
+        Kind::Service => (ran.min(shard.config.deployment.workers.cancel_s) + 1.0, 0.0),
         _ if tracked.began.is_none() => (0.0, 0.0),
-        _ if saves => (job.spec.save_s, job.spec.save_s),
+        _ if saves => (job.spec.checkpoint_write_s, job.spec.checkpoint_write_s),
         _ => (ran, 0.0),
     })
 }
 
 /// Tasks of a job that found no room.
-pub struct Lacking<'a> {
+pub struct UnplacedTasks<'a> {
     pub job: &'a JobId,
     pub tasks: usize,
-    /// They don't take what belongs to GPUs ([`Owner::spares_gpus`]).
+    /// They don't take what belongs to GPUs ([`Shard::spares_gpus`]).
     pub spares_gpus: bool,
 }
 
 /// Picks what to stop for tasks that found no room.
 pub fn make_room(
-    share: &Owner,
-    lacking: Lacking,
-    slots: &mut [Slot],
+    shard: &Shard,
+    lacking: UnplacedTasks,
+    snapshots: &mut [MachineSnapshot],
     usage: &Usage,
     now: Time,
-) -> Vec<Stop> {
-    let Lacking {
+) -> Vec<Preemption> {
+    let UnplacedTasks {
         job: id,
         tasks: count,
         spares_gpus,
     } = lacking;
-    let Some(job) = share.jobs.get(id) else {
+    let Some(job) = shard.jobs.get(id) else {
         return Vec::new();
     };
     let need = job.need();
-    let guaranteed = limits(&share.config, &job.spec)
-        .is_some_and(|limits| usage.guaranteed(limits, need.cpus, need.gpus));
-    let beyond: Vec<&Team> = share
+    let guaranteed = team_limits(&shard.config, &job.spec)
+        .is_some_and(|team_limits| usage.guaranteed(team_limits, need.cpus, need.gpus));
+    let beyond: Vec<&Team> = shard
         .config
         .deployment
         .teams
@@ -86,7 +86,7 @@
                 .team
                 .as_ref()
                 .is_some_and(|team| beyond.contains(&team))
-                && share
+                && shard
                     .jobs
                     .get(&task.job)
                     .is_some_and(|o| o.spec.kind != Kind::Service))
@@ -94,13 +94,18 @@
     let mut stops = Vec::new();
     let mut in_zone: BTreeMap<Zone, u32> = BTreeMap::new();
     for _ in 0..count {
-        let mut best: Option<((Time, Time), usize, Vec<Stop>)> = None;
-        for (index, slot) in slots.iter().enumerate() {
-            if slot.reserved
-                || (spares_gpus && slot.total.gpus > 0.0)
-                || !slot.total.holds(&need)
-                || !allowed(&job.spec, &slot.type_name, &slot.zone, slot.spot)
-                || !job.zone_allows(&slot.zone, &in_zone)
+        let mut best: Option<((Time, Time), usize, Vec<Preemption>)> = None;
+        for (index, snapshot) in snapshots.iter().enumerate() {
+            if snapshot.reserved
+                || (spares_gpus && snapshot.total.gpus > 0.0)
+                || !snapshot.total.holds(&need)
+                || !allowed(
+                    &job.spec,
+                    &snapshot.type_name,
+                    &snapshot.zone,
+                    snapshot.spot,
+                )
+                || !job.zone_allows(&snapshot.zone, &in_zone)
             {
                 continue;
             }
@@ -110,16 +115,16 @@
             } else {
                 Priority::COUNT
             };
-            let at_most = slot.running[..below]
+            let at_most = snapshot.running[..below]
                 .iter()
-                .fold(slot.later, |a, room| a.plus(room));
+                .fold(snapshot.later, |a, room| a.plus(room));
             if !at_most.holds(&need) {
                 continue;
             }
-            let Some(machine) = share.machines.get(&slot.id) else {
+            let Some(machine) = shard.machines.get(&snapshot.id) else {
                 continue;
             };
-            let found = cheapest(share, machine, slot.later, &need, &yields, now);
+            let found = cheapest(shard, machine, snapshot.later, &need, &yields, now);
             let Some((cost, victims)) = found else {
                 continue;
             };
@@ -134,20 +139,20 @@
         let Some((_, index, victims)) = best else {
             break;
         };
-        let slot = &mut slots[index];
+        let snapshot = &mut snapshots[index];
         for victim in &victims {
-            if let Some(room) = share.machines[&victim.machine]
+            if let Some(room) = shard.machines[&victim.machine]
                 .attempts
                 .get(&(victim.task.clone(), victim.attempt))
                 .and_then(|tracked| tracked.room)
             {
-                slot.later = slot.later.plus(&room);
+                snapshot.later = snapshot.later.plus(&room);
             }
         }
         // What is being freed is spoken for.
-        slot.later = slot.later.less(&need);
-        slot.free = slot.free.min(&slot.later);
-        *in_zone.entry(slot.zone.clone()).or_default() += 1;
+        snapshot.later = snapshot.later.less(&need);
+        snapshot.free = snapshot.free.min(&snapshot.later);
+        *in_zone.entry(snapshot.zone.clone()).or_default() += 1;
         stops.extend(victims);
     }
     stops
@@ -155,21 +160,21 @@
 
 /// The cheapest set of tasks on a machine whose end makes room, with what it loses.
 fn cheapest(
-    share: &Owner,
+    shard: &Shard,
     machine: &Machine,
     mut later: Resources,
     need: &Resources,
     yields: &dyn Fn(&TaskId, &TrackedAttempt) -> bool,
     now: Time,
-) -> Option<(Time, Vec<Stop>)> {
-    let mut victims: Vec<(Time, Stop, Resources)> = Vec::new();
+) -> Option<(Time, Vec<Preemption>)> {
+    let mut victims: Vec<(Time, Preemption, Resources)> = Vec::new();
     for ((task, attempt), tracked) in &machine.attempts {
         if let (true, Some(room), Some((cost, grace))) = (
             yields(task, tracked),
             tracked.room,
-            loss(share, task, tracked, now),
+            loss(shard, task, tracked, now),
         ) {
-            let stop = Stop {
+            let stop = Preemption {
                 machine: machine.id.clone(),
                 task: task.clone(),
                 attempt: *attempt,
--- a/src/core/resumption.rs
+++ b/src/core/process_pause.rs
@@ -12,14 +12,14 @@
 /// Workers report within this many report times.
 const REPORT_TIMES: f64 = 1.5;
 
-pub struct Resumption {
+pub struct ProcessPause {
     standstill: Time,
     reports_within: Time,
     last_step: Option<Time>,
     resumed: Option<Time>,
 }
 
-impl Resumption {
+impl ProcessPause {
     pub fn new(config: &Config) -> Self {
         let workers = &config.deployment.workers;
         Self {
--- a/src/core/resumption/tests.rs
+++ b/src/core/process_pause/tests.rs
@@ -1,63 +1,66 @@
 use super::super::catalog::Catalog;
 use super::super::machines::Machine;
-use super::super::owner::Owner;
+use super::super::owner::Shard;
 use super::super::peers::Peers;
-use super::super::test_support::{config, share, types};
-use super::super::{Core, Effect, Input, StateCall, StateReply};
+use super::super::test_support::{config, shard, types};
+use super::super::{Core, Effect, Input, StoreCall, StoreReply};
 use super::*;
-use crate::ids::{MachineId, Term};
+use crate::ids::{FencingToken, MachineId};
 
-fn resumption() -> Resumption {
-    Resumption::new(&config())
+fn process_pause() -> ProcessPause {
+    ProcessPause::new(&config())
 }
 
 /// A pause is told once, and lasts until a read that was sent since and until workers could report.
 #[test]
 fn it_lasts_until_others_were_heard_again() {
-    let mut resumption = resumption();
-    assert_eq!(resumption.step(10.0), None, "the first step");
-    assert_eq!(resumption.step(10.5), None, "a busy moment");
-    assert!(!resumption.lasts(10.4, 10.5));
-    assert_eq!(resumption.step(17.5), Some(7.0));
-    assert_eq!(resumption.step(17.6), None);
-    assert!(resumption.lasts(17.4, 30.0), "nothing was read since");
-    assert!(resumption.lasts(17.6, 18.0), "workers report once a second");
-    assert!(!resumption.lasts(17.6, 19.1));
+    let mut process_pause = process_pause();
+    assert_eq!(process_pause.step(10.0), None, "the first step");
+    assert_eq!(process_pause.step(10.5), None, "a busy moment");
+    assert!(!process_pause.lasts(10.4, 10.5));
+    assert_eq!(process_pause.step(17.5), Some(7.0));
+    assert_eq!(process_pause.step(17.6), None);
+    assert!(process_pause.lasts(17.4, 30.0), "nothing was read since");
+    assert!(
+        process_pause.lasts(17.6, 18.0),
+        "workers report once a second"
+    );
+    assert!(!process_pause.lasts(17.6, 19.1));
 }
 
 /// The first report that arrives after a standstill does not make all other machines silent ones.
 #[test]
 fn machines_are_not_silent_because_the_owner_stood_still() {
-    let (mut owner, mut io, mut view) = share();
-    let mut machine = Machine::named("m-1".into(), Term(9), 0.0);
+    let (mut owner, mut outbox, mut store) = shard();
+    let mut machine = Machine::named("m-1".into(), FencingToken(9), 0.0);
     machine.mine = true;
     owner.machines.insert("m-1".into(), machine);
-    io.begin(8.0, 8_000);
-    (owner.heard, view.current_as_of) = (8.0, 8.0);
-    let silent = |owner: &Owner| owner.machines[&MachineId::from("m-1")].unresponsive;
-    owner.resuming = true;
-    owner.declare_unresponsive(&view, 8.0);
+    outbox.begin(8.0, 8_000);
+    (owner.heard, store.current_as_of) = (8.0, 8.0);
+    let silent = |owner: &Shard| owner.machines[&MachineId::from("m-1")].unresponsive;
+    owner.catching_up = true;
+    owner.declare_unresponsive(&store, 8.0);
     assert!(!silent(&owner));
-    owner.resuming = false;
-    owner.declare_unresponsive(&view, 8.0);
+    owner.catching_up = false;
+    owner.declare_unresponsive(&store, 8.0);
     assert!(silent(&owner), "else it would be");
 }
 
 /// Machines that were idle before the standstill are not returned before the owner knows what came since.
 #[test]
 fn nothing_is_planned_before_the_owner_is_up_to_date() {
-    let (mut owner, mut io, view) = share();
-    let mut machine = Machine::named("m-1".into(), Term(9), 0.0);
+    let (mut owner, mut outbox, store) = shard();
+    let mut machine = Machine::named("m-1".into(), FencingToken(9), 0.0);
     (machine.mine, machine.trusted, machine.answered) = (true, true, 100.0);
     machine.address = "m-1".into();
     owner.machines.insert("m-1".into(), machine);
     let catalog = Catalog::with_types(types());
-    io.begin(100.0, 100_000);
-    owner.resuming = true;
-    owner.plan_when_due(&io, &view, &catalog);
+    outbox.begin(100.0, 100_000);
+    owner.catching_up = true;
+    owner.plan_when_due(&outbox, &store, &catalog);
     assert!(owner.need.closed.is_empty());
-    owner.resuming = false;
-    owner.plan_when_due(&io, &view, &catalog);
+    owner.catching_up = false;
+    owner.plan_when_due(&outbox, &store, &catalog);
     assert_eq!(
         owner.need.closed,
         vec![MachineId::from("m-1")],
@@ -86,22 +89,22 @@
     // No answer but one to the lease's creation, which comes after the standstill.
     let effects = core.step(now, 10_000, Vec::new());
     let listing = effects.into_iter().find_map(|effect| match effect {
-        Effect::State(call, StateCall::List { .. }) => Some(call),
+        Effect::State(call, StoreCall::List { .. }) => Some(call),
         _ => None,
     });
     let empty = serde_json::from_value(serde_json::json!({
         "entries": [], "more": false, "ledger": 1
     }));
-    let reply = StateReply::Listing(empty.unwrap());
+    let reply = StoreReply::Listing(empty.unwrap());
     now += 0.05;
     let listed = Input::State(listing.unwrap(), reply);
     let effects = core.step(now, 10_050, vec![listed]);
     let create = effects.into_iter().find_map(|effect| match effect {
-        Effect::State(call, StateCall::LeaseCreate { .. }) => Some(call),
+        Effect::State(call, StoreCall::LeaseCreate { .. }) => Some(call),
         _ => None,
     });
     now += 7.0;
-    let lease = Input::State(create.unwrap(), StateReply::Lease(7));
+    let lease = Input::State(create.unwrap(), StoreReply::Lease(7));
     core.step(now, 17_050, vec![lease]);
-    assert!(!core.authority.entitled(now));
+    assert!(!core.ownership.holds_lease(now));
 }
--- a/src/core/quota.rs
+++ b/src/core/quota.rs
@@ -1,10 +1,10 @@
 //! Teams' guarantees and limits, against everything that may be on a machine.
 
-use super::cancelled::Since;
-use super::owner::Owner;
+use super::cancelled::CancelledSince;
+use super::owner::Shard;
 use super::placement::Resources;
+use super::store::StoreReplica;
 use super::team_grants::{Basis, limit_of};
-use super::view::View;
 use crate::config::TeamLimits;
 use crate::ids::{JobId, Team};
 use quota_ledger::Amount;
@@ -17,12 +17,12 @@
 
 /// CPUs and GPUs together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Units {
+struct QuotaUnits {
     cpus: f64,
     gpus: f64,
 }
 
-impl Units {
+impl QuotaUnits {
     fn of(need: &Resources) -> Self {
         Self {
             cpus: need.cpus,
@@ -51,16 +51,16 @@
 #[derive(Clone, Debug, Default)]
 struct TeamUsage {
     /// All of it.
-    all: Units,
+    all: QuotaUnits,
     /// The part that was started here since the team was gained.
-    own: Units,
+    own: QuotaUnits,
     /// What was started here may not pass our grant.
     ceiling: Option<Amount>,
     /// Nor can our grant pass this, as long as others hold what they hold.
     reachable: Option<Amount>,
     /// What waits beyond the ceiling though the limit allows it, and the first of that.
-    lacking: Units,
-    first_lacking: Units,
+    lacking: QuotaUnits,
+    first_lacking: QuotaUnits,
 }
 
 impl TeamUsage {
@@ -68,15 +68,15 @@
     fn own_within(
         &self,
         bound: Option<Amount>,
-        limits: &TeamLimits,
+        team_limits: &TeamLimits,
         need: &Resources,
         most: usize,
     ) -> usize {
         let Some(bound) = bound else { return most };
-        let limit = limit_of(limits);
+        let limit = limit_of(team_limits);
         fitting(most, |count| {
             let mut own = self.own;
-            own.add(Units::of(need).times(count));
+            own.add(QuotaUnits::of(need).times(count));
             bound.covers(&limit.limited(&own.amount()))
         })
     }
@@ -96,13 +96,13 @@
     /// More that was started here.
     pub fn add(&mut self, team: &Team, cpus: f64, gpus: f64) {
         let used = self.teams.entry(team.clone()).or_default();
-        used.all.add(Units { cpus, gpus });
-        used.own.add(Units { cpus, gpus });
+        used.all.add(QuotaUnits { cpus, gpus });
+        used.own.add(QuotaUnits { cpus, gpus });
     }
 
     /// Many tasks more that were started here.
     pub fn add_tasks(&mut self, team: &Team, need: &Resources, count: usize) {
-        let Units { cpus, gpus } = Units::of(need).times(count);
+        let QuotaUnits { cpus, gpus } = QuotaUnits::of(need).times(count);
         self.add(team, cpus, gpus);
     }
 
@@ -112,7 +112,7 @@
             .entry(team.clone())
             .or_default()
             .all
-            .add(Units { cpus, gpus });
+            .add(QuotaUnits { cpus, gpus });
     }
 
     pub fn close(&mut self, team: &Team) {
@@ -124,7 +124,7 @@
         self.of(team).gpus
     }
 
-    fn of(&self, team: &Team) -> Units {
+    fn of(&self, team: &Team) -> QuotaUnits {
         self.teams
             .get(team)
             .map(|used| used.all)
@@ -142,41 +142,42 @@
     }
 
     /// Whether the team may use this much more without passing its limit and our grant.
-    pub fn allows(&self, limits: &TeamLimits, cpus: f64, gpus: f64) -> bool {
+    pub fn allows(&self, team_limits: &TeamLimits, cpus: f64, gpus: f64) -> bool {
         let need = Resources {
             cpus,
             gpus,
             ..Resources::default()
         };
-        self.room_in_limit(limits, &need, 1) == 1 && self.covered_by_grant(limits, &need, 1) == 1
+        self.room_in_limit(team_limits, &need, 1) == 1
+            && self.covered_by_grant(team_limits, &need, 1) == 1
     }
 
-    fn is_closed(&self, limits: &TeamLimits) -> bool {
-        let closed = limit_of(limits).is_limited() && self.closed.contains(&limits.name);
-        closed || self.undecided.contains(&limits.name)
+    fn is_closed(&self, team_limits: &TeamLimits) -> bool {
+        let closed = limit_of(team_limits).is_limited() && self.closed.contains(&team_limits.name);
+        closed || self.undecided.contains(&team_limits.name)
     }
 
-    fn covered_by_grant(&self, limits: &TeamLimits, need: &Resources, most: usize) -> usize {
-        let used = self.teams.get(&limits.name);
+    fn covered_by_grant(&self, team_limits: &TeamLimits, need: &Resources, most: usize) -> usize {
+        let used = self.teams.get(&team_limits.name);
         used.map_or(most, |used| {
-            used.own_within(used.ceiling, limits, need, most)
+            used.own_within(used.ceiling, team_limits, need, most)
         })
     }
 
     /// How many of `most` tasks fit into the team's limit, less what is granted to others.
-    pub fn room_in_limit(&self, limits: &TeamLimits, need: &Resources, most: usize) -> usize {
-        if self.is_closed(limits) {
+    pub fn room_in_limit(&self, team_limits: &TeamLimits, need: &Resources, most: usize) -> usize {
+        if self.is_closed(team_limits) {
             return 0;
         }
-        let of_team = self.teams.get(&limits.name);
+        let of_team = self.teams.get(&team_limits.name);
         let reachable = of_team.map_or(most, |used| {
-            used.own_within(used.reachable, limits, need, most)
+            used.own_within(used.reachable, team_limits, need, most)
         });
-        let used = self.of(&limits.name);
+        let used = self.of(&team_limits.name);
         fitting(reachable, |count| {
-            let more = Units::of(need).times(count);
-            within(used.cpus + more.cpus, limits.cpus_max)
-                && within(used.gpus + more.gpus, limits.gpus_max)
+            let more = QuotaUnits::of(need).times(count);
+            within(used.cpus + more.cpus, team_limits.cpus_max)
+                && within(used.gpus + more.gpus, team_limits.gpus_max)
         })
     }
 
@@ -184,19 +185,19 @@
     /// they are to be `whole`. Notes what it holds back.
     pub fn room_in_grant(
         &mut self,
-        limits: &TeamLimits,
+        team_limits: &TeamLimits,
         need: &Resources,
         most: usize,
         whole: bool,
     ) -> usize {
-        let covered = self.covered_by_grant(limits, need, most);
-        let need = Units::of(need);
+        let covered = self.covered_by_grant(team_limits, need, most);
+        let need = QuotaUnits::of(need);
         if covered == most {
             return most;
         }
         let room = if whole { 0 } else { covered };
-        let used = self.teams.entry(limits.name.clone()).or_default();
-        if used.lacking == Units::default() {
+        let used = self.teams.entry(team_limits.name.clone()).or_default();
+        if used.lacking == QuotaUnits::default() {
             used.first_lacking = need.times(if whole { most } else { 1 });
         }
         used.lacking.add(need.times(most - room));
@@ -227,13 +228,13 @@
 
     /// Counts a team by its grants: what former owners started is at most what was granted to them,
     /// and once nothing is granted to them any more, all that runs is ours.
-    fn count_by_grants(&mut self, limits: &TeamLimits, basis: Basis) {
-        let limit = limit_of(limits);
-        let closed = self.closed.contains(&limits.name);
-        let used = self.teams.entry(limits.name.clone()).or_default();
+    fn count_by_grants(&mut self, team_limits: &TeamLimits, basis: Basis) {
+        let limit = limit_of(team_limits);
+        let closed = self.closed.contains(&team_limits.name);
+        let used = self.teams.entry(team_limits.name.clone()).or_default();
         match basis {
             Basis::Undecided => {
-                self.undecided.insert(limits.name.clone());
+                self.undecided.insert(team_limits.name.clone());
             }
             Basis::Counting { beginning } => {
                 used.ceiling = beginning;
@@ -253,7 +254,7 @@
                     false => counted,
                 };
                 let limited = limit.amount();
-                let inherited = Units {
+                let inherited = QuotaUnits {
                     cpus: bound(
                         used.all.cpus - used.own.cpus,
                         cpus,
@@ -267,36 +268,36 @@
                 };
                 used.all = used.own;
                 used.all.add(inherited);
-                self.closed.remove(&limits.name);
+                self.closed.remove(&team_limits.name);
             }
         }
     }
 
     /// Whether the team, with this much more, stays inside what it is guaranteed.
-    pub fn guaranteed(&self, limits: &TeamLimits, cpus: f64, gpus: f64) -> bool {
-        let used = self.of(&limits.name);
+    pub fn guaranteed(&self, team_limits: &TeamLimits, cpus: f64, gpus: f64) -> bool {
+        let used = self.of(&team_limits.name);
         let inside = |used: f64, guarantee: f64| guarantee > 0.0 && used <= guarantee + EPSILON;
-        let named = limits.cpus > 0.0 || limits.gpus > 0.0;
+        let named = team_limits.cpus > 0.0 || team_limits.gpus > 0.0;
         named
-            && (limits.cpus == 0.0 || inside(used.cpus + cpus, limits.cpus))
-            && (limits.gpus == 0.0 || inside(used.gpus + gpus, limits.gpus))
+            && (team_limits.cpus == 0.0 || inside(used.cpus + cpus, team_limits.cpus))
+            && (team_limits.gpus == 0.0 || inside(used.gpus + gpus, team_limits.gpus))
     }
 }
 
-impl Owner {
+impl Shard {
     /// Everything of our teams that may be on a machine, and what may be on machines not heard.
-    pub(super) fn usage(&self, view: &View, wall_ms: u64) -> Usage {
+    pub(super) fn usage(&self, store: &StoreReplica, wall_ms: u64) -> Usage {
         let mut usage = Usage::default();
         self.add_held(&mut usage);
-        self.add_unsettled(&mut usage);
-        self.add_cancelled(view, wall_ms, &mut usage);
-        for limits in &self.config.deployment.teams {
+        self.add_unreconciled(&mut usage);
+        self.add_cancelled(store, wall_ms, &mut usage);
+        for team_limits in &self.config.deployment.teams {
             let grant = self
                 .teams
-                .get(&limits.name)
+                .get(&team_limits.name)
                 .and_then(|team| team.grant.as_ref());
             if let Some(grant) = grant {
-                usage.count_by_grants(limits, grant.basis());
+                usage.count_by_grants(team_limits, grant.basis());
             }
         }
         usage
@@ -321,39 +322,46 @@
         }
     }
 
-    fn add_unsettled(&self, usage: &mut Usage) {
-        for job in self.jobs.values().filter(|job| job.unsettled() > 0) {
-            let tasks = f64::from(job.unsettled());
+    fn add_unreconciled(&self, usage: &mut Usage) {
+        for job in self.jobs.values().filter(|job| job.unreconciled() > 0) {
+            let tasks = f64::from(job.unreconciled());
             usage.add_inherited(&job.spec.team, job.spec.cpus * tasks, job.spec.gpus * tasks);
         }
     }
 
     /// Cancelled jobs' tasks run on where a stop has not arrived, and a team's new owner has to
     /// count them too until every machine has told what it holds.
-    fn add_cancelled(&self, view: &View, wall_ms: u64, usage: &mut Usage) {
-        let unsettled: Vec<_> = self
+    fn add_cancelled(&self, store: &StoreReplica, wall_ms: u64, usage: &mut Usage) {
+        let unreconciled: Vec<_> = self
             .teams
             .iter()
-            .filter(|(_, team)| !team.unsettled.is_empty())
+            .filter(|(_, team)| !team.unreconciled.is_empty())
             .collect();
-        if unsettled.is_empty() {
+        if unreconciled.is_empty() {
             return;
         }
         let tracked = self.tracked_of_cancelled();
         let recent_ms = self.config.deployment.workers.cancel_s * CANCELLED_COUNTS * 1e3;
         let recent = wall_ms.saturating_sub(recent_ms as u64);
-        for (name, team) in unsettled {
-            let since = Since {
+        for (name, team) in unreconciled {
+            let since = CancelledSince {
                 wall_ms: recent,
                 version: team.gained,
             };
-            if view.undescribed_cancellation_since(since) {
+            if store.undescribed_cancellation_since(since) {
                 usage.close(name);
             }
-            for (id, leaving) in view.cancelled_since(since).filter(|(_, l)| l.team == *name) {
+            for (id, terminating) in store
+                .cancelled_since(since)
+                .filter(|(_, l)| l.team == *name)
+            {
                 let known = tracked.get(id).map_or(0, BTreeSet::len) as u32;
-                let tasks = f64::from(leaving.tasks.saturating_sub(known));
-                usage.add_inherited(name, leaving.need.cpus * tasks, leaving.need.gpus * tasks);
+                let tasks = f64::from(terminating.tasks.saturating_sub(known));
+                usage.add_inherited(
+                    name,
+                    terminating.need.cpus * tasks,
+                    terminating.need.gpus * tasks,
+                );
             }
         }
     }
--- a/src/core/quota/tests.rs
+++ b/src/core/quota/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn limits_hold_and_zero_means_none() {
-    let limits = TeamLimits {
+    let team_limits = TeamLimits {
         name: "t".into(),
         cpus: 0.0,
         cpus_max: 0.0,
@@ -10,8 +10,8 @@
         gpus_max: 8.0,
     };
     let mut usage = Usage::default();
-    assert!(usage.allows(&limits, 1e9, 8.0) && usage.guaranteed(&limits, 1e9, 4.0));
+    assert!(usage.allows(&team_limits, 1e9, 8.0) && usage.guaranteed(&team_limits, 1e9, 4.0));
     usage.add(&"t".into(), 2.0, 6.0);
-    assert!(usage.allows(&limits, 2.0, 2.0) && !usage.allows(&limits, 2.0, 2.5));
-    assert!(!usage.guaranteed(&limits, 0.0, 0.0));
+    assert!(usage.allows(&team_limits, 2.0, 2.0) && !usage.allows(&team_limits, 2.0, 2.5));
+    assert!(!usage.guaranteed(&team_limits, 0.0, 0.0));
 }
--- a/src/core/rebalance.rs
+++ b/src/core/rebalance.rs
@@ -6,7 +6,7 @@
 use super::Time;
 use super::leader::Leader;
 use super::spare_machines::SpareMachines;
-use super::supply::{Need, Offer, Want};
+use super::supply::{CapacityDemand, MachineDemand, Offer};
 use crate::ids::{MachineId, Node, Team};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -59,7 +59,7 @@
             .next_back();
         if let Some(team) = team {
             tracing::info!("team {team} moves from {most} to {least}");
-            self.give_team(&team, &least, living[&least]);
+            self.assign_team(&team, &least, living[&least]);
         }
     }
 
@@ -83,7 +83,7 @@
             .collect();
         for (at, (id, from)) in stranded.into_iter().enumerate() {
             let to = with[at % with.len()].clone();
-            self.give_machine(&id, &to, living[&to], Some((from.clone(), living[&from])));
+            self.assign_machine(&id, &to, living[&to], Some((from.clone(), living[&from])));
         }
     }
 
@@ -98,7 +98,7 @@
         &mut self,
         living: &BTreeMap<Node, u64>,
         now: Time,
-        served: fn(&Want) -> bool,
+        served: fn(&MachineDemand) -> bool,
     ) {
         if !self.needs.values().flat_map(|need| &need.wants).any(served) {
             return;
@@ -109,15 +109,16 @@
             let Some(need) = self.needs.get_mut(node) else {
                 continue;
             };
-            let (wants, mut open): (Vec<Want>, Vec<Want>) = std::mem::take(&mut need.wants)
-                .into_iter()
-                .partition(served);
+            let (wants, mut open): (Vec<MachineDemand>, Vec<MachineDemand>) =
+                std::mem::take(&mut need.wants)
+                    .into_iter()
+                    .partition(served);
             for mut want in wants {
                 while want.count > 0 {
                     let found = pool.take_for(&want, node);
                     let found = found.or_else(|| self.roomy_for(&want, node, now));
                     let Some((id, from)) = found else { break };
-                    self.hand_machine(&id, &from, node, living);
+                    self.reassign_machine(&id, &from, node, living);
                     moved.insert(id);
                     want.count -= 1;
                 }
@@ -158,13 +159,18 @@
     /// The cloud has none and nobody can spare one: a machine of another share with room for what
     /// waits, if nothing as urgent waits there. One at a time, for what the move changes has to be
     /// seen before the next.
-    fn roomy_for(&mut self, want: &Want, to: &Node, now: Time) -> Option<(MachineId, Node)> {
+    fn roomy_for(
+        &mut self,
+        want: &MachineDemand,
+        to: &Node,
+        now: Time,
+    ) -> Option<(MachineId, Node)> {
         let urgency = want.urgency.filter(|_| !want.opportunistic)?;
         let refused = |offer: &Offer| self.cloud.refused.contains_key(offer);
         if now < self.next_urgent || !want.any_of.iter().filter(|o| !o.2).all(refused) {
             return None;
         }
-        let calm = |need: &Need| {
+        let calm = |need: &CapacityDemand| {
             let mut wants = need.wants.iter().filter(|other| !other.opportunistic);
             wants.all(|other| other.urgency < Some(urgency))
         };
@@ -200,11 +206,11 @@
         to: &Node,
         living: &BTreeMap<Node, u64>,
     ) {
-        self.hand_machine(id, from, to, living);
+        self.reassign_machine(id, from, to, living);
         self.strike(&BTreeSet::from([id.clone()]));
     }
 
-    fn hand_machine(
+    fn reassign_machine(
         &mut self,
         id: &MachineId,
         from: &Node,
@@ -212,7 +218,7 @@
         living: &BTreeMap<Node, u64>,
     ) {
         tracing::info!("{id} moves from {from} to {to}");
-        self.give_machine(id, to, living[to], Some((from.clone(), living[from])));
+        self.assign_machine(id, to, living[to], Some((from.clone(), living[from])));
     }
 
     /// What was moved is offered by its former shares no longer.
@@ -283,7 +289,7 @@
 impl SparePool {
     /// A machine in another share that would do; best one of the very kind. What waits also gets
     /// idle ones that are kept for what is only expected elsewhere.
-    fn take_for(&mut self, want: &Want, except: &Node) -> Option<(MachineId, Node)> {
+    fn take_for(&mut self, want: &MachineDemand, except: &Node) -> Option<(MachineId, Node)> {
         let exact = std::slice::from_ref(&want.offer);
         let idle = self.spare.take(exact, except);
         let idle = idle.or_else(|| self.spare.take(&want.any_of, except));
--- a/src/core/renting.rs
+++ b/src/core/renting.rs
@@ -2,8 +2,8 @@
 //! one at a time and within its rate; one whose outcome is unknown is repeated under its name.
 
 use super::catalog::Catalog;
-use super::io::Io;
 use super::leader::Leader;
+use super::outbox::Outbox;
 use super::supply::Offer;
 use super::token_bucket::TokenBucket;
 use super::unresponsive::UnresponsiveMachines;
@@ -32,14 +32,14 @@
 const REPLACED_LATE_PART: f64 = 0.25;
 
 #[derive(Debug)]
-pub enum CloudWork {
+pub enum CloudOperation {
     List {
         term: Version,
         seen: Vec<ListedMachine>,
     },
     Rent {
         term: Version,
-        order: RentOrder,
+        order: RentalRequest,
     },
     Release {
         term: Version,
@@ -49,7 +49,7 @@
 
 /// A rental, and whom each of its machines is for.
 #[derive(Clone, Debug)]
-pub struct RentOrder {
+pub struct RentalRequest {
     rental: Rental,
     nodes: Vec<Node>,
 }
@@ -68,7 +68,7 @@
     listing: bool,
     pending: BTreeMap<MachineId, PendingMachine>,
     /// Rentals without an outcome; repeated under the same name until they have one.
-    open: Vec<RentOrder>,
+    open: Vec<RentalRequest>,
     renting: bool,
     pub(super) refused: BTreeMap<Offer, Time>,
     /// Where nothing is rented since no machine there could report.
@@ -152,14 +152,14 @@
 impl Leader {
     pub(super) fn cloud_when_due(
         &mut self,
-        io: &mut Io,
+        outbox: &mut Outbox,
         catalog: &Catalog,
         unresponsive: &UnresponsiveMachines,
         living: &BTreeMap<Node, u64>,
     ) {
-        let now = io.now;
+        let now = outbox.now;
         let lag = self.config.deployment.cloud.list_lag_s.max(1.0);
-        if now >= self.cloud.next_plan && catalog.known() && !self.resuming {
+        if now >= self.cloud.next_plan && catalog.known() && !self.catching_up {
             self.cloud.next_plan = now + PLAN_S;
             self.note_zones_cut_off(catalog, unresponsive, now);
             self.plan(catalog, now, living);
@@ -169,8 +169,8 @@
             let order = cloud.open.remove(0);
             cloud.renting = true;
             let rental = order.rental.clone();
-            io.cloud(
-                Some(CloudWork::Rent {
+            outbox.cloud(
+                Some(CloudOperation::Rent {
                     term: self.term,
                     order,
                 }),
@@ -181,34 +181,34 @@
             let machines: Vec<MachineId> =
                 cloud.releases.iter().take(RELEASE_LIMIT).cloned().collect();
             cloud.releasing = true;
-            let work = CloudWork::Release {
+            let work = CloudOperation::Release {
                 term: self.term,
                 machines: machines.clone(),
             };
-            io.cloud(Some(work), CloudCall::Release(MachineNames { machines }));
+            outbox.cloud(Some(work), CloudCall::Release(MachineNames { machines }));
         }
         if !cloud.listing && now >= cloud.next_list && cloud.may_call(now) {
             cloud.listing = true;
-            cloud.next_list = now + io.jitter(lag * 0.5);
-            let work = CloudWork::List {
+            cloud.next_list = now + outbox.jitter(lag * 0.5);
+            let work = CloudOperation::List {
                 term: self.term,
                 seen: Vec::new(),
             };
-            io.cloud(Some(work), CloudCall::List { after: None });
+            outbox.cloud(Some(work), CloudCall::List { after: None });
         }
     }
 
-    pub fn cloud_reply(&mut self, io: &mut Io, work: CloudWork, reply: CloudReply) {
-        let now = io.now;
+    pub fn cloud_reply(&mut self, outbox: &mut Outbox, work: CloudOperation, reply: CloudReply) {
+        let now = outbox.now;
         if matches!(reply, CloudReply::Refused | CloudReply::Unknown) {
-            self.cloud.pause_until = now + io.jitter(1.0 / self.config.deployment.cloud.rps);
+            self.cloud.pause_until = now + outbox.jitter(1.0 / self.config.deployment.cloud.rps);
         }
         match work {
-            CloudWork::List { term, .. }
-            | CloudWork::Rent { term, .. }
-            | CloudWork::Release { term, .. }
+            CloudOperation::List { term, .. }
+            | CloudOperation::Rent { term, .. }
+            | CloudOperation::Release { term, .. }
                 if term != self.term => {}
-            CloudWork::List { mut seen, .. } => {
+            CloudOperation::List { mut seen, .. } => {
                 self.cloud.listing = false;
                 let CloudReply::List(page) = reply else {
                     return;
@@ -218,20 +218,20 @@
                 if more && seen.len() < LIST_LIMIT {
                     self.cloud.listing = true;
                     let after = seen.last().map(|listed| listed.machine.to_string());
-                    let work = CloudWork::List {
+                    let work = CloudOperation::List {
                         term: self.term,
                         seen,
                     };
-                    io.cloud(Some(work), CloudCall::List { after });
+                    outbox.cloud(Some(work), CloudCall::List { after });
                 } else {
                     self.take_list(seen, now);
                 }
             }
-            CloudWork::Rent { order, .. } => {
+            CloudOperation::Rent { order, .. } => {
                 self.cloud.renting = false;
                 self.rented(order, reply, now);
             }
-            CloudWork::Release { machines, .. } => {
+            CloudOperation::Release { machines, .. } => {
                 self.cloud.releasing = false;
                 if reply == CloudReply::Released {
                     tracing::info!("returned {} machines", machines.len());
@@ -245,7 +245,7 @@
         }
     }
 
-    fn rented(&mut self, order: RentOrder, reply: CloudReply, now: Time) {
+    fn rented(&mut self, order: RentalRequest, reply: CloudReply, now: Time) {
         let rental = &order.rental;
         let offer = (rental.type_name.clone(), rental.zone.clone(), rental.spot);
         // Capacity comes back as others return machines: asked again after a while.
@@ -315,7 +315,7 @@
             };
             let machines = zones.entry(zone.clone()).or_default();
             machines.all += 1;
-            machines.silent += usize::from(unresponsive.answered(id, owner.term).is_some());
+            machines.silent += usize::from(unresponsive.answered(id, owner.token).is_some());
         }
         let cloud = &mut self.cloud;
         cloud
@@ -410,7 +410,7 @@
                     spot,
                     count: count as u32,
                 };
-                self.cloud.open.push(RentOrder {
+                self.cloud.open.push(RentalRequest {
                     rental,
                     nodes: nodes.to_vec(),
                 });
--- a/src/core/report_routing.rs
+++ b/src/core/report_routing.rs
@@ -4,15 +4,15 @@
 //! once, so that its lease does not run out meanwhile. While a term is young its machine may have been told the
 //! token by a direct message ([`super::gained_machines`]), so that its worker was not there yet.
 
-use super::io::Pending;
-use super::part_map::Owner as MapOwner;
+use super::deferred_heartbeats::DeferralReason;
+use super::outbox::Pending;
+use super::part_map::ShardOwner;
 use super::peers::{MeshMessage, MeshReply};
-use super::view::View;
-use super::waiting_reports::WaitsFor;
+use super::store::StoreReplica;
 use super::{Answer, Body, Core, RequestId, Time};
 use crate::config::Config;
-use crate::ids::{MachineId, Node, Term};
-use crate::wire::{Report, ReportAnswer, report_to};
+use crate::ids::{FencingToken, MachineId, Node};
+use crate::wire::{Heartbeat, HeartbeatResponse, redirect_to};
 use failure_detector::Stage;
 use std::collections::BTreeMap;
 
@@ -26,7 +26,7 @@
 const RELAYS_PER_SOCKET: f64 = 0.05;
 
 /// The relaying of one machine's reports.
-struct Relayed {
+struct RelayedMachine {
     since: Time,
     last: Time,
 }
@@ -36,26 +36,26 @@
 enum Route {
     Relay,
     /// It has been relayed for long: the worker is to try its owner once more.
-    Owner,
+    Shard,
     /// Too many are under way: the worker is to try another controller.
     Elsewhere,
 }
 
 /// Machines whose reports are relayed.
-pub struct Relays {
+pub struct HeartbeatRelays {
     lease: Time,
-    machines: BTreeMap<MachineId, Relayed>,
+    machines: BTreeMap<MachineId, RelayedMachine>,
     under_way: usize,
     most: usize,
     next_prune: Time,
     /// When each term of the map was first seen, and the map of that.
-    terms: BTreeMap<Term, Time>,
+    tokens: BTreeMap<FencingToken, Time>,
     map_seen: Option<u64>,
     /// Workers that were sent to their machines' owners, under which terms.
-    sent: BTreeMap<MachineId, Term>,
+    sent: BTreeMap<MachineId, FencingToken>,
 }
 
-impl Relays {
+impl HeartbeatRelays {
     /// None yet.
     pub fn new(config: &Config) -> Self {
         let sockets = config.deployment.limits.fd_limit as f64;
@@ -63,7 +63,7 @@
             lease: config.deployment.workers.lease_s,
             machines: BTreeMap::new(),
             under_way: 0,
-            terms: BTreeMap::new(),
+            tokens: BTreeMap::new(),
             map_seen: None,
             sent: BTreeMap::new(),
             most: (sockets * RELAYS_PER_SOCKET).ceil() as usize,
@@ -77,7 +77,7 @@
         if self.under_way >= self.most {
             return Route::Elsewhere;
         }
-        let fresh = Relayed {
+        let fresh = RelayedMachine {
             since: now,
             last: now,
         };
@@ -85,40 +85,40 @@
         relayed.last = now;
         if now - relayed.since > self.lease * RELAY_LEASES {
             self.machines.remove(machine);
-            return Route::Owner;
+            return Route::Shard;
         }
         self.under_way += 1;
         Route::Relay
     }
 
     /// Takes up which terms there are.
-    pub(super) fn follow(&mut self, view: &View, now: Time) {
+    pub(super) fn follow(&mut self, store: &StoreReplica, now: Time) {
         let first = self.map_seen.is_none();
-        if self.map_seen.replace(view.map_changes()) == Some(view.map_changes()) {
+        if self.map_seen.replace(store.map_changes()) == Some(store.map_changes()) {
             return;
         }
-        let owners = view.owners();
+        let owners = store.owners();
         let since = if first { Time::NEG_INFINITY } else { now };
-        let known = std::mem::take(&mut self.terms);
+        let known = std::mem::take(&mut self.tokens);
         for owner in owners.machines.values() {
-            let seen = known.get(&owner.term).copied().unwrap_or(since);
-            self.terms.entry(owner.term).or_insert(seen);
+            let seen = known.get(&owner.token).copied().unwrap_or(since);
+            self.tokens.entry(owner.token).or_insert(seen);
         }
         self.sent
-            .retain(|id, term| owners.machines.get(id).is_some_and(|o| o.term == *term));
+            .retain(|id, token| owners.machines.get(id).is_some_and(|o| o.token == *token));
     }
 
     /// Whether a worker is to try its owner before its reports are relayed: it may know the token without
     /// having been there. One that is relayed already could not reach that owner, whatever its token.
-    fn owner_first(&mut self, machine: &MachineId, term: Term, now: Time) -> bool {
+    fn owner_first(&mut self, machine: &MachineId, token: FencingToken, now: Time) -> bool {
         if self.include(machine) {
             return false;
         }
         let young = self
-            .terms
-            .get(&term)
+            .tokens
+            .get(&token)
             .is_some_and(|seen| now - seen < self.lease * YOUNG_LEASES);
-        young && self.sent.insert(machine.clone(), term) != Some(term)
+        young && self.sent.insert(machine.clone(), token) != Some(token)
     }
 
     /// A machine's reports are relayed.
@@ -126,7 +126,7 @@
     pub fn mark(&mut self, machine: &MachineId, now: Time) {
         self.machines.insert(
             machine.clone(),
-            Relayed {
+            RelayedMachine {
                 since: now,
                 last: now,
             },
@@ -154,83 +154,93 @@
 
 impl Core {
     /// Answers a worker, or sends it to its machine's owner.
-    pub(super) fn report(&mut self, request: RequestId, report: Report) {
-        let now = self.io.now;
-        if let Some(answer) = self.checkin(report.clone()) {
+    pub(super) fn heartbeat(&mut self, request: RequestId, heartbeat: Heartbeat) {
+        let now = self.outbox.now;
+        if let Some(answer) = self.handle_heartbeat(heartbeat.clone()) {
             self.peers.heard_workers(now);
-            return self.io.answer(request, answer);
+            return self.outbox.answer(request, answer);
         }
-        let owner = self.view.owners().machines.get(&report.machine).cloned();
-        let entitled = self.authority.entitled(now);
+        let owner = self
+            .store
+            .owners()
+            .machines
+            .get(&heartbeat.machine)
+            .cloned();
+        let holds_lease = self.ownership.holds_lease(now);
         if owner.is_none()
-            && let Some(leader) = self.leader.as_mut().filter(|_| entitled)
+            && let Some(leader) = self.leader.as_mut().filter(|_| holds_lease)
         {
-            leader.newcomer(&report);
+            leader.add_unassigned_machine(&heartbeat);
         }
-        let left = owner.as_ref().filter(|owner| self.has_left(&report, owner));
-        if let Some(owner) = left.filter(|owner| !self.owner_first(&report, owner)) {
-            match self.relays.begin(&report.machine, now) {
-                Route::Relay => return self.relay_report(request, owner.clone(), report),
+        let left = owner
+            .as_ref()
+            .filter(|owner| self.has_left(&heartbeat, owner));
+        if let Some(owner) = left.filter(|owner| !self.owner_first(&heartbeat, owner)) {
+            match self.relays.begin(&heartbeat.machine, now) {
+                Route::Relay => return self.relay_heartbeat(request, owner.clone(), heartbeat),
                 Route::Elsewhere => return self.send_elsewhere(request, &owner.node.clone()),
-                Route::Owner => {}
+                Route::Shard => {}
             }
         }
         if let Some(owner) = owner
             .as_ref()
-            .filter(|owner| self.may_claim(&report, owner))
+            .filter(|owner| self.may_claim(&heartbeat, owner))
         {
             let owner = owner.clone();
-            return self.claim(request, report, &owner);
+            return self.claim(request, heartbeat, &owner);
         }
         if let Some(owner) = owner
             .as_ref()
-            .filter(|owner| self.awaits_hand_over(&report, owner))
+            .filter(|owner| self.awaits_hand_over(&heartbeat, owner))
         {
             let owner = owner.clone();
-            return self.await_map(request, report, &owner, WaitsFor::HandOver);
+            return self.await_map(request, heartbeat, &owner, DeferralReason::HandOver);
         }
         if let Some(owner) = owner
             .as_ref()
-            .filter(|owner| self.is_overtaken(&report, owner))
+            .filter(|owner| self.is_overtaken(&heartbeat, owner))
         {
             let owner = owner.clone();
-            return self.await_map(request, report, &owner, WaitsFor::Change);
+            return self.await_map(request, heartbeat, &owner, DeferralReason::Change);
         }
         // A machine without an owner is the leader's to place.
-        let leader = || self.view.leader().map(|leader| leader.record.node.clone());
+        let leader = || self.store.leader().map(|leader| leader.record.node.clone());
         let to = owner.map(|owner| owner.node).or_else(leader);
         self.redirect(request, to.filter(|node| *node != self.config.node));
     }
 
     /// Whether a worker that knows its owner's token is all the same to try that owner first.
-    fn owner_first(&mut self, report: &Report, owner: &MapOwner) -> bool {
-        let now = self.io.now;
-        self.acts_on_failures() && self.relays.owner_first(&report.machine, owner.term, now)
+    fn owner_first(&mut self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
+        let now = self.outbox.now;
+        self.acts_on_failures()
+            && self
+                .relays
+                .owner_first(&heartbeat.machine, owner.token, now)
     }
 
     /// Whether a worker knows its machine's owner, which this controller can reach, and is here.
-    fn has_left(&self, report: &Report, owner: &MapOwner) -> bool {
+    fn has_left(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
         // A relayed machine may not have heard of its owner's fresh token yet.
-        let knows = report.token == owner.term || self.relays.include(&report.machine);
-        owner.node != self.config.node && knows && self.peers.hears(&owner.node, self.io.now)
+        let knows = heartbeat.token == owner.token || self.relays.include(&heartbeat.machine);
+        owner.node != self.config.node && knows && self.peers.hears(&owner.node, self.outbox.now)
     }
 
     /// Whether a machine's owner answers nobody, so that its worker is not to be sent there. Of one that is only
     /// suspected here that is certain if the worker comes from it.
-    pub(super) fn awaits_hand_over(&self, report: &Report, owner: &MapOwner) -> bool {
+    pub(super) fn awaits_hand_over(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
         if !self.acts_on_failures() {
             return false;
         }
         let suspected = self.peers.detector().stage(&owner.node) == Stage::Suspected;
-        let comes_from_owner = report.token == owner.term;
+        let comes_from_owner = heartbeat.token == owner.token;
         self.is_unreachable_owner(&owner.node, owner.incarnation) || (suspected && comes_from_owner)
     }
 
     /// Whether the map that is known here is older than what the worker has seen, or may be since the state
     /// service serves others only. Such a map led workers to owners that had lost them.
-    fn is_overtaken(&self, report: &Report, owner: &MapOwner) -> bool {
-        let cut_off = !self.has_state() && self.peers.with_state(self.io.now).is_some();
-        self.acts_on_failures() && (report.token > owner.term || cut_off)
+    fn is_overtaken(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
+        let cut_off = !self.has_state() && self.peers.with_state(self.outbox.now).is_some();
+        self.acts_on_failures() && (heartbeat.token > owner.token || cut_off)
     }
 
     /// The worker waits here for the map. Where the state service is not heard the map does not change:
@@ -238,86 +248,88 @@
     fn await_map(
         &mut self,
         request: RequestId,
-        report: Report,
-        owner: &MapOwner,
-        waits_for: WaitsFor,
+        heartbeat: Heartbeat,
+        owner: &ShardOwner,
+        reason: DeferralReason,
     ) {
-        if self.waiting_reports.are_full() || !self.has_state() {
+        if self.deferred_heartbeats.are_full() || !self.has_state() {
             return self.send_to_reachable(request);
         }
-        self.wait_for_map(request, report, owner, waits_for);
+        self.wait_for_map(request, heartbeat, owner, reason);
     }
 
     /// The owner's answer, if this controller owns the machine and may act.
-    pub(super) fn checkin(&mut self, report: Report) -> Option<Answer> {
-        let entitled = self.authority.entitled(self.io.now);
-        let share = self.owner.as_mut().filter(|_| entitled)?;
-        share.checkin(&mut self.io, &self.view, &self.catalog, report)
+    pub(super) fn handle_heartbeat(&mut self, heartbeat: Heartbeat) -> Option<Answer> {
+        let holds_lease = self.ownership.holds_lease(self.outbox.now);
+        let shard = self.shard.as_mut().filter(|_| holds_lease)?;
+        shard.handle_heartbeat(&mut self.outbox, &self.store, &self.catalog, heartbeat)
     }
 
     pub(super) fn redirect(&mut self, request: RequestId, to: Option<Node>) {
         if let Some(node) = &to {
-            self.peers.sent_worker(node, self.io.now);
+            self.peers.sent_worker(node, self.outbox.now);
         }
-        self.io
-            .answer(request, Answer::value(421, report_to(to.as_ref())));
+        self.outbox
+            .answer(request, Answer::value(421, redirect_to(to.as_ref())));
     }
 
     /// The worker is to try the next controller. Sent to an owner that it can't reach it would wait for
     /// that in vain for 4 s of its lease, which then ended before its machine had a new owner.
     pub(super) fn send_elsewhere(&mut self, request: RequestId, owner: &Node) {
-        self.peers.sent_worker(owner, self.io.now);
-        self.io.answer(request, Answer::unavailable());
+        self.peers.sent_worker(owner, self.outbox.now);
+        self.outbox.answer(request, Answer::unavailable());
     }
 
-    fn relay_report(&mut self, request: RequestId, owner: MapOwner, report: Report) {
+    fn relay_heartbeat(&mut self, request: RequestId, owner: ShardOwner, heartbeat: Heartbeat) {
         let node = owner.node.clone();
         tracing::debug!(
             "{} does not reach {node}: its report is relayed",
-            report.machine
+            heartbeat.machine
         );
-        self.peers.sent_worker(&node, self.io.now);
-        self.peers.detector_mut().worker_left(&node, self.io.now);
-        let message = MeshMessage::Report(Box::new(report.clone()));
-        let pending = Pending::RelayedReport {
+        self.peers.sent_worker(&node, self.outbox.now);
+        self.peers
+            .detector_mut()
+            .worker_left(&node, self.outbox.now);
+        let message = MeshMessage::Heartbeat(Box::new(heartbeat.clone()));
+        let pending = Pending::RelayedHeartbeat {
             request,
             owner,
-            report: Box::new(report),
+            heartbeat: Box::new(heartbeat),
         };
-        self.io.mesh(pending, &node, message);
+        self.outbox.mesh(pending, &node, message);
     }
 
     /// A sibling relays a report of one of our machines. It is never passed on from here, and it is
     /// no sign that workers reach this controller.
-    pub(super) fn relayed_report(&mut self, request: RequestId, report: Report) {
-        let now = self.io.now;
-        if let Some(owner) = self.owner.as_mut() {
-            owner.note_relayed(&report.machine, now);
+    pub(super) fn relayed_heartbeat(&mut self, request: RequestId, heartbeat: Heartbeat) {
+        let now = self.outbox.now;
+        if let Some(owner) = self.shard.as_mut() {
+            owner.note_relayed(&heartbeat.machine, now);
         }
-        let answer = match self.checkin(report) {
+        let answer = match self.handle_heartbeat(heartbeat) {
             Some(Answer {
                 status: 200,
-                body: Body::Orders(orders),
+                body: Body::HeartbeatResponse(commands),
                 ..
-            }) => Some(orders),
+            }) => Some(commands),
             _ => None,
         };
-        self.io
-            .mesh_answer(request, MeshReply::ReportAnswer(answer));
+        self.outbox
+            .mesh_answer(request, MeshReply::HeartbeatResponse(answer));
     }
 
-    pub(super) fn report_relayed(
+    pub(super) fn heartbeat_relayed(
         &mut self,
         request: RequestId,
-        owner: &MapOwner,
-        report: Report,
-        answer: Option<ReportAnswer>,
+        owner: &ShardOwner,
+        heartbeat: Heartbeat,
+        answer: Option<HeartbeatResponse>,
     ) {
         self.relays.end();
         match answer {
-            Some(orders) => {
-                let body = Body::Orders(orders);
-                self.io.answer(
+            Some(commands) => {
+                let body = Body::HeartbeatResponse(commands);
+                self.outbox.answer(
                     request,
                     Answer {
                         status: 200,
@@ -328,7 +340,7 @@
             }
             // Whoever gives up a share takes no more reports: the map is about to change.
             None if self.acts_on_failures() => {
-                self.await_map(request, report, owner, WaitsFor::Change);
+                self.await_map(request, heartbeat, owner, DeferralReason::Change);
             }
             None => self.send_elsewhere(request, &owner.node),
         }
--- a/src/core/report_routing/tests.rs
+++ b/src/core/report_routing/tests.rs
@@ -1,6 +1,6 @@
 use super::super::Effect;
-use super::super::part_map::Share;
-use super::super::test_support::{config, owner, report};
+use super::super::part_map::ShardEntry;
+use super::super::test_support::{config, heartbeat, owner};
 use super::*;
 
 /// A worker that can't reach its owner is relayed, and sent there again now and then.
@@ -8,7 +8,7 @@
 fn relaying_is_interrupted_now_and_then_and_bounded() {
     let config = config();
     let lease = config.deployment.workers.lease_s;
-    let mut relays = Relays::new(&config);
+    let mut relays = HeartbeatRelays::new(&config);
     let machine = MachineId::from("m-1");
     let mut now = 0.0;
     while relays.begin(&machine, now) == Route::Relay {
@@ -43,9 +43,9 @@
 fn a_worker_that_is_not_relayed_is_not_sent_back_to_its_owner() {
     let mut core = Core::new(config(), 1);
     core.relays.under_way = 1;
-    let report = report("m-1", 1, 1, Term(9));
-    core.report_relayed(RequestId(1), &owner("n1"), report, None);
-    let effects = core.io.take_effects();
+    let heartbeat = heartbeat("m-1", 1, 1, FencingToken(9));
+    core.heartbeat_relayed(RequestId(1), &owner("n1"), heartbeat, None);
+    let effects = core.outbox.take_effects();
     let refused = |effect: &Effect| {
         matches!(effect, Effect::Answer(RequestId(1), answer)
             if answer.status == 503 && answer.retry_after.is_some())
@@ -60,37 +60,42 @@
 fn a_worker_tries_the_owner_of_a_young_term_once_unless_it_is_relayed() {
     let mut core = Core::new(config(), 1);
     let machine = MachineId::from("m-1");
-    let share = |term| MapOwner {
-        term: Term(term),
+    let shard = |token| ShardOwner {
+        token: FencingToken(token),
         ..owner("n1")
     };
-    let map = |core: &mut Core, version, term| {
+    let map = |core: &mut Core, version, token| {
         let machines = vec![machine.clone(), "m-2".into()];
-        let share = Share {
-            owner: share(term),
+        let shard = ShardEntry {
+            owner: shard(token),
             teams: Vec::new(),
             machines,
         };
-        crate::core::test_support::map(&mut core.view, version, vec![share]);
-        core.relays.follow(&core.view, 10.0);
+        crate::core::test_support::map(&mut core.store, version, vec![shard]);
+        core.relays.follow(&core.store, 10.0);
     };
     map(&mut core, 1, 3);
     assert!(
-        !core.relays.owner_first(&machine, Term(3), 10.0),
+        !core.relays.owner_first(&machine, FencingToken(3), 10.0),
         "known since this process began"
     );
     map(&mut core, 2, 9);
-    assert!(core.relays.owner_first(&machine, Term(9), 11.0));
-    assert!(!core.relays.owner_first(&machine, Term(9), 11.0), "once");
+    assert!(core.relays.owner_first(&machine, FencingToken(9), 11.0));
+    assert!(
+        !core.relays.owner_first(&machine, FencingToken(9), 11.0),
+        "once"
+    );
     core.relays.mark(&"m-2".into(), 11.0);
     assert!(
-        !core.relays.owner_first(&"m-2".into(), Term(9), 11.0),
+        !core
+            .relays
+            .owner_first(&"m-2".into(), FencingToken(9), 11.0),
         "it is relayed"
     );
     map(&mut core, 3, 12);
     let later = 10.0 + core.config.deployment.workers.lease_s;
     assert!(
-        !core.relays.owner_first(&machine, Term(12), later),
+        !core.relays.owner_first(&machine, FencingToken(12), later),
         "no longer young"
     );
 }
--- a/src/core/schedule.rs
+++ b/src/core/schedule.rs
@@ -4,7 +4,7 @@
 use super::catalog::{Catalog, fits_without_gpus};
 use super::jobs::Job;
 use super::machines::Machine;
-use super::owner::Owner;
+use super::owner::Shard;
 use super::placement::{Candidate, Late, Resources, best_fit};
 use super::preemption;
 use super::quota::Usage;
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A machine during a round, with what the round has taken off it already.
-pub struct Slot {
+pub struct MachineSnapshot {
     pub id: MachineId,
     pub type_name: TypeName,
     pub zone: Zone,
@@ -31,7 +31,7 @@
     pub warm: Vec<(Image, Resources)>,
 }
 
-impl Slot {
+impl MachineSnapshot {
     /// Free room less what is held back for other images.
     fn open_to(&self, image: Option<&Image>) -> Resources {
         let others = self.warm.iter().filter(|(other, _)| Some(other) != image);
@@ -63,14 +63,14 @@
 struct Round {
     /// Machines are about to report for the first time.
     expecting: bool,
-    /// See [`Owner::spares_gpus`].
+    /// See [`Shard::spares_gpus`].
     spares_gpus: bool,
     now: Time,
 }
 
 /// How machines are looked for.
 #[derive(Clone, Copy)]
-struct Search {
+struct PlacementRequest {
     /// Tasks that need one.
     count: usize,
     /// All of them or none.
@@ -96,7 +96,7 @@
 
 /// Where a job stands in the queue: smaller is sooner.
 #[derive(PartialEq)]
-struct Rank {
+struct QueueRank {
     priority: std::cmp::Reverse<Priority>,
     beyond_guarantee: bool,
     /// Of its kind it comes last.
@@ -130,15 +130,15 @@
     due.unwrap_or(job.submitted + config.deployment.workers.cancel_s)
 }
 
-pub fn limits<'a>(config: &'a Config, spec: &JobSpec) -> Option<&'a TeamLimits> {
+pub fn team_limits<'a>(config: &'a Config, spec: &JobSpec) -> Option<&'a TeamLimits> {
     config.team_limits(&spec.team)
 }
 
-impl Owner {
-    pub(super) fn slots(&self, now: Time) -> Vec<Slot> {
+impl Shard {
+    pub(super) fn snapshots(&self, now: Time) -> Vec<MachineSnapshot> {
         let usable = self.machines.values().filter(|m| m.usable(now));
         usable
-            .map(|m| Slot {
+            .map(|m| MachineSnapshot {
                 id: m.id.clone(),
                 type_name: m.type_name.clone(),
                 zone: m.zone.clone(),
@@ -155,16 +155,16 @@
 
     /// Jobs with tasks that wait, in the order in which they are served.
     pub(super) fn queue(&self, usage: &Usage, now: Time) -> Vec<JobId> {
-        let mut queue: Vec<(Rank, Time, &JobId)> = Vec::new();
+        let mut queue: Vec<(QueueRank, Time, &JobId)> = Vec::new();
         for (id, job) in &self.jobs {
             let zoned = job.spec.spread || job.spec.one_zone || job.is_gang();
-            if job.waiting().is_empty() || (job.unsettled() > 0 && zoned) {
+            if job.waiting().is_empty() || (job.unreconciled() > 0 && zoned) {
                 continue;
             }
             let need = job.need();
-            let guaranteed = limits(&self.config, &job.spec)
-                .is_some_and(|limits| usage.guaranteed(limits, need.cpus, need.gpus));
-            let rank = Rank {
+            let guaranteed = team_limits(&self.config, &job.spec)
+                .is_some_and(|team_limits| usage.guaranteed(team_limits, need.cpus, need.gpus));
+            let rank = QueueRank {
                 priority: std::cmp::Reverse(job.priority),
                 beyond_guarantee: !guaranteed,
                 last: self.comes_last(job),
@@ -211,8 +211,8 @@
 
     /// Starts what waits and finds room; `usage` goes on counting.
     pub(super) fn schedule(&mut self, now: Time, usage: &mut Usage, catalog: &Catalog) {
-        let mut slots = self.slots(now);
-        self.hold_warm(&mut slots, catalog, now);
+        let mut snapshots = self.snapshots(now);
+        self.hold_warm(&mut snapshots, catalog, now);
         let expecting = self.expects_machines(now);
         let mut starts = 0;
         for id in self.queue(usage, now) {
@@ -222,7 +222,7 @@
                 spares_gpus,
                 now,
             };
-            starts += self.schedule_job(&id, &mut slots, usage, round);
+            starts += self.schedule_job(&id, &mut snapshots, usage, round);
             if starts >= STARTS_PER_ROUND {
                 self.changed = true;
                 return;
@@ -248,7 +248,7 @@
     fn schedule_job(
         &mut self,
         id: &JobId,
-        slots: &mut [Slot],
+        snapshots: &mut [MachineSnapshot],
         usage: &mut Usage,
         round: Round,
     ) -> usize {
@@ -260,7 +260,7 @@
         let Some(job) = self.jobs.get(id) else {
             return 0;
         };
-        let Some(limits) = limits(&self.config, &job.spec).cloned() else {
+        let Some(team_limits) = team_limits(&self.config, &job.spec).cloned() else {
             return 0;
         };
         let need = job.need();
@@ -270,29 +270,29 @@
         if waiting.is_empty() || (whole && waiting.len() as u32 != job.spec.tasks) {
             return 0;
         }
-        let room = usage.room_in_limit(&limits, &need, waiting.len());
+        let room = usage.room_in_limit(&team_limits, &need, waiting.len());
         if room == 0 || (whole && room < waiting.len()) {
             return 0;
         }
         let wanted = &waiting[..room];
         // Warm room is for whom it is held, unless nothing else will do, or something that ran
         // is down: that is missed now, what the room is held for only perhaps later.
-        let search = Search {
+        let search = PlacementRequest {
             count: wanted.len(),
             whole,
             spare_warm: !job.began,
             spares_gpus,
         };
-        let mut chosen = self.choose(job, search, slots, now);
+        let mut chosen = self.choose(job, search, snapshots, now);
         let fills_up = job.is_opportunistic(&self.config);
         if chosen.len() < wanted.len() && !fills_up {
             chosen = self.choose(
                 job,
-                Search {
+                PlacementRequest {
                     spare_warm: false,
                     ..search
                 },
-                slots,
+                snapshots,
                 now,
             );
         }
@@ -304,7 +304,7 @@
         };
         if expecting {
             // Machines that are about to report take what would queue for another's fetch here.
-            chosen.retain(|slot| !self.queues_up(&slots[*slot].id, &spec, now));
+            chosen.retain(|snapshot| !self.queues_up(&snapshots[*snapshot].id, &spec, now));
             if whole && chosen.len() < wanted.len() {
                 chosen.clear();
             }
@@ -315,32 +315,32 @@
         if whole && starting.len() < chosen.len() {
             return 0;
         }
-        for (_, slot) in &starting {
-            slots[*slot].take(&need, &spec.image);
+        for (_, snapshot) in &starting {
+            snapshots[*snapshot].take(&need, &spec.image);
         }
         // What only the grant holds back keeps the room it found until the grant is larger.
-        starting.truncate(usage.room_in_grant(&limits, &need, starting.len(), whole));
+        starting.truncate(usage.room_in_grant(&team_limits, &need, starting.len(), whole));
         if !starting.is_empty() {
-            let Some(attempt) = self.next_attempt(&limits.name) else {
+            let Some(attempt) = self.next_attempt(&team_limits.name) else {
                 return 0;
             };
-            for (index, slot) in &starting {
-                usage.add(&limits.name, need.cpus, need.gpus);
-                let machine = slots[*slot].id.clone();
+            for (index, snapshot) in &starting {
+                usage.add(&team_limits.name, need.cpus, need.gpus);
+                let machine = snapshots[*snapshot].id.clone();
                 self.start(id, *index, &machine, attempt, now);
             }
         }
         if missing > 0 {
-            let lacking = preemption::Lacking {
+            let lacking = preemption::UnplacedTasks {
                 job: id,
                 tasks: missing,
                 spares_gpus,
             };
-            let stops = preemption::make_room(self, lacking, slots, usage, now);
+            let stops = preemption::make_room(self, lacking, snapshots, usage, now);
             for stop in stops {
                 self.stop(&stop.machine, &stop.task, stop.attempt, stop.grace);
             }
-            self.reserve(id, missing, slots);
+            self.reserve(id, missing, snapshots);
         }
         if let Some(job) = self.jobs.get_mut(id) {
             job.waits_since = (missing > 0).then(|| job.waits_since.unwrap_or(now));
@@ -367,30 +367,33 @@
     /// Holds room back, on machines that have an image whose fetch takes longer than starts may,
     /// for as many of its tasks as came lately: an extension of the design, in which other work
     /// would best-fit itself into just that room.
-    fn hold_warm(&self, slots: &mut [Slot], catalog: &Catalog, now: Time) {
+    fn hold_warm(&self, snapshots: &mut [MachineSnapshot], catalog: &Catalog, now: Time) {
         let tight = self
             .forecast
             .tight_images(&self.config, catalog.types(), now);
         for (image, (spec, recent)) in tight {
             let need = Resources::of(&spec);
-            let zones: BTreeSet<Zone> = slots.iter().map(|slot| slot.zone.clone()).collect();
+            let zones: BTreeSet<Zone> = snapshots
+                .iter()
+                .map(|snapshot| snapshot.zone.clone())
+                .collect();
             for zone in &zones {
                 let mut wanted = recent.div_ceil(zones.len() as u32).max(1);
-                let mut holders: Vec<usize> = (0..slots.len())
+                let mut holders: Vec<usize> = (0..snapshots.len())
                     .filter(|index| {
-                        let slot = &slots[*index];
-                        slot.zone == *zone
-                            && allowed(&spec, &slot.type_name, &slot.zone, slot.spot)
+                        let snapshot = &snapshots[*index];
+                        snapshot.zone == *zone
+                            && allowed(&spec, &snapshot.type_name, &snapshot.zone, snapshot.spot)
                             && self
                                 .machines
-                                .get(&slot.id)
+                                .get(&snapshot.id)
                                 .is_some_and(|m| m.has_image(&image))
                     })
                     .collect();
-                holders.sort_by(|a, b| slots[*a].free.gpus.total_cmp(&slots[*b].free.gpus));
+                holders.sort_by(|a, b| snapshots[*a].free.gpus.total_cmp(&snapshots[*b].free.gpus));
                 for index in holders {
-                    while wanted > 0 && slots[index].open_to(None).holds(&need) {
-                        slots[index].warm.push((image.clone(), need));
+                    while wanted > 0 && snapshots[index].open_to(None).holds(&need) {
+                        snapshots[index].warm.push((image.clone(), need));
                         wanted -= 1;
                     }
                 }
@@ -399,14 +402,20 @@
     }
 
     /// Slots for tasks of a job.
-    fn choose(&self, job: &Job, search: Search, slots: &[Slot], now: Time) -> Vec<usize> {
-        let Search { count, whole, .. } = search;
-        let zones: BTreeSet<&Zone> = slots.iter().map(|slot| &slot.zone).collect();
+    fn choose(
+        &self,
+        job: &Job,
+        search: PlacementRequest,
+        snapshots: &[MachineSnapshot],
+        now: Time,
+    ) -> Vec<usize> {
+        let PlacementRequest { count, whole, .. } = search;
+        let zones: BTreeSet<&Zone> = snapshots.iter().map(|snapshot| &snapshot.zone).collect();
         if job.spec.one_zone && count > 1 && job.placed() == 0 {
             // The zone that takes the most of it.
             let mut best = Vec::new();
             for zone in zones {
-                let chosen = self.choose_in(job, search, slots, now, Some(zone));
+                let chosen = self.choose_in(job, search, snapshots, now, Some(zone));
                 if chosen.len() > best.len() {
                     best = chosen;
                 }
@@ -417,7 +426,7 @@
                 best
             };
         }
-        let chosen = self.choose_in(job, search, slots, now, None);
+        let chosen = self.choose_in(job, search, snapshots, now, None);
         if whole && chosen.len() < count {
             Vec::new()
         } else {
@@ -428,12 +437,12 @@
     fn choose_in(
         &self,
         job: &Job,
-        search: Search,
-        slots: &[Slot],
+        search: PlacementRequest,
+        snapshots: &[MachineSnapshot],
         now: Time,
         zone: Option<&Zone>,
     ) -> Vec<usize> {
-        let Search {
+        let PlacementRequest {
             count,
             spare_warm,
             spares_gpus,
@@ -449,35 +458,37 @@
         } else {
             Late::BestFit
         };
-        let spot_fits = |slot: &&Slot| slot.spot && slot.open_to(Some(&spec.image)).holds(&need);
+        let spot_fits = |snapshot: &&MachineSnapshot| {
+            snapshot.spot && snapshot.open_to(Some(&spec.image)).holds(&need)
+        };
         // What may run on spot machines leaves the dear ones to what may not.
-        let spot_only = spec.spot && slots.iter().filter(spot_fits).count() >= count;
+        let spot_only = spec.spot && snapshots.iter().filter(spot_fits).count() >= count;
         let mut taken: BTreeMap<usize, Resources> = BTreeMap::new();
         let mut in_zone: BTreeMap<Zone, u32> = BTreeMap::new();
         let mut chosen = Vec::new();
-        let eligible: Vec<usize> = slots
+        let eligible: Vec<usize> = snapshots
             .iter()
             .enumerate()
-            .filter(|(_, slot)| {
-                !slot.reserved
-                    && slot.room_for(slot.free, spares_gpus).holds(&need)
-                    && (slot.spot || !spot_only)
-                    && zone.is_none_or(|zone| slot.zone == *zone)
-                    && allowed(spec, &slot.type_name, &slot.zone, slot.spot)
+            .filter(|(_, snapshot)| {
+                !snapshot.reserved
+                    && snapshot.room_for(snapshot.free, spares_gpus).holds(&need)
+                    && (snapshot.spot || !spot_only)
+                    && zone.is_none_or(|zone| snapshot.zone == *zone)
+                    && allowed(spec, &snapshot.type_name, &snapshot.zone, snapshot.spot)
                     && job
                         .failures
                         .avoided()
-                        .is_none_or(|avoided| !avoided.contains(&slot.id))
+                        .is_none_or(|avoided| !avoided.contains(&snapshot.id))
             })
             .map(|(index, _)| index)
             .collect();
-        let eligible = self.without_new_fetches(job, eligible, slots);
+        let eligible = self.without_new_fetches(job, eligible, snapshots);
         let ready: BTreeMap<usize, Time> = eligible
             .iter()
             .map(|index| {
                 (
                     *index,
-                    self.ready_in(&slots[*index].id, &spec.image, spec.image_gb, now),
+                    self.ready_in(&snapshots[*index].id, &spec.image, spec.image_gb, now),
                 )
             })
             .collect();
@@ -485,22 +496,22 @@
             let open: Vec<usize> = eligible
                 .iter()
                 .copied()
-                .filter(|index| job.zone_allows(&slots[*index].zone, &in_zone))
+                .filter(|index| job.zone_allows(&snapshots[*index].zone, &in_zone))
                 .collect();
             let candidates: Vec<Candidate> = open
                 .iter()
                 .map(|index| {
-                    let slot = &slots[*index];
+                    let snapshot = &snapshots[*index];
                     let open = if spare_warm {
-                        slot.open_to(Some(&spec.image))
+                        snapshot.open_to(Some(&spec.image))
                     } else {
-                        slot.free
+                        snapshot.free
                     };
-                    let free = slot.room_for(open, spares_gpus);
+                    let free = snapshot.room_for(open, spares_gpus);
                     let free = taken.get(index).copied().unwrap_or(free);
                     Candidate {
                         free,
-                        total: slot.total,
+                        total: snapshot.total,
                         ready_in: ready[index],
                     }
                 })
@@ -510,7 +521,7 @@
             };
             let index = open[pick];
             taken.insert(index, candidates[pick].free.less(&need));
-            *in_zone.entry(slots[index].zone.clone()).or_default() += 1;
+            *in_zone.entry(snapshots[index].zone.clone()).or_default() += 1;
             chosen.push(index);
         }
         chosen
@@ -518,15 +529,20 @@
 
     /// A job that fails everywhere is tried where its image is, if that is anywhere, and there first
     /// where it has not failed yet.
-    fn without_new_fetches(&self, job: &Job, eligible: Vec<usize>, slots: &[Slot]) -> Vec<usize> {
+    fn without_new_fetches(
+        &self,
+        job: &Job,
+        eligible: Vec<usize>,
+        snapshots: &[MachineSnapshot],
+    ) -> Vec<usize> {
         if !job.failures.fails_everywhere() {
             return eligible;
         }
         let holds = |index: &usize| {
-            let machine = self.machines.get(&slots[*index].id);
+            let machine = self.machines.get(&snapshots[*index].id);
             machine.is_some_and(|machine| machine.has_image(&job.spec.image))
         };
-        let untried = |index: &usize| !job.failures.machines().contains(&slots[*index].id);
+        let untried = |index: &usize| !job.failures.machines().contains(&snapshots[*index].id);
         let holders: Vec<usize> = eligible.iter().copied().filter(holds).collect();
         let fresh: Vec<usize> = holders.iter().copied().filter(untried).collect();
         [fresh, holders, eligible]
@@ -538,7 +554,7 @@
     /// Whether machines of this share are likely to report for the first time before long.
     fn expects_machines(&self, now: Time) -> bool {
         let patience = self.config.deployment.workers.report_s * 2.0;
-        let about_to = |m: &Machine| m.mine && !m.settled() && now < m.awaited + patience;
+        let about_to = |m: &Machine| m.mine && !m.reconciled() && now < m.awaited + patience;
         self.machines.values().any(about_to)
     }
 
@@ -557,19 +573,19 @@
 
     /// Keeps the machines that will soonest hold what a gang still lacks from work that comes
     /// after it, so that small tasks do not starve large ones.
-    fn reserve(&self, id: &JobId, count: usize, slots: &mut [Slot]) {
+    fn reserve(&self, id: &JobId, count: usize, snapshots: &mut [MachineSnapshot]) {
         let Some(job) = self.jobs.get(id).filter(|job| job.is_gang()) else {
             return;
         };
         let need = job.need();
         for _ in 0..count {
-            let best = slots
+            let best = snapshots
                 .iter_mut()
                 .filter(|s| !s.reserved && s.total.holds(&need))
                 .filter(|s| allowed(&job.spec, &s.type_name, &s.zone, s.spot))
                 .max_by(|a, b| a.later.gpus.total_cmp(&b.later.gpus));
-            let Some(slot) = best else { return };
-            slot.reserved = true;
+            let Some(snapshot) = best else { return };
+            snapshot.reserved = true;
         }
     }
 
@@ -583,10 +599,10 @@
                 continue;
             };
             for ((task, attempt), tracked) in &machine.attempts {
-                let due = leaves - now <= tracked.save_s * 1.1 + margin;
+                let due = leaves - now <= tracked.checkpoint_write_s * 1.1 + margin;
                 if tracked.stop.is_none() && !tracked.exited() && due {
-                    let grace = if leaves - now > tracked.save_s {
-                        tracked.save_s
+                    let grace = if leaves - now > tracked.checkpoint_write_s {
+                        tracked.checkpoint_write_s
                     } else {
                         0.0
                     };
