--- a/src/core/share_log.rs
+++ b/src/core/share_log.rs
@@ -2,16 +2,16 @@
 //! whoever looks into an incident later.
 
 use super::Time;
-use super::owner::Owner;
+use super::owner::Shard;
 use super::placement::Resources;
-use super::supply::{Offer, Want};
+use super::supply::{MachineDemand, Offer};
 use std::collections::BTreeMap;
 
 /// The unfinished tasks of one class.
 #[derive(Default)]
 struct ClassTasks {
     waiting: usize,
-    unsettled: u32,
+    unreconciled: u32,
     placed: u32,
 }
 
@@ -24,20 +24,20 @@
     free: Resources,
 }
 
-impl Owner {
-    pub(super) fn log_share_when_due(&mut self, now: Time) {
-        if now < self.next_share_log {
+impl Shard {
+    pub(super) fn log_shard_when_due(&mut self, now: Time) {
+        if now < self.next_shard_log {
             return;
         }
-        self.next_share_log = now + self.config.deployment.workers.lease_s;
+        self.next_shard_log = now + self.config.deployment.workers.lease_s;
         for (class, tasks) in self.tasks_by_class() {
             let ClassTasks {
                 waiting,
-                unsettled,
+                unreconciled,
                 placed,
             } = tasks;
             tracing::info!(
-                "tasks of {class}: {placed} placed, {waiting} wait, {unsettled} unsettled"
+                "tasks of {class}: {placed} placed, {waiting} wait, {unreconciled} unsettled"
             );
         }
         for ((type_name, zone, spot), room) in self.room_by_kind(now) {
@@ -59,7 +59,7 @@
             );
         }
         for want in &self.need.wants {
-            let Want {
+            let MachineDemand {
                 count,
                 offer: (type_name, zone, spot),
                 urgency,
@@ -71,12 +71,12 @@
         for (name, team) in self
             .teams
             .iter()
-            .filter(|(_, team)| !team.unsettled.is_empty())
+            .filter(|(_, team)| !team.unreconciled.is_empty())
         {
-            let first = team.unsettled.iter().next();
+            let first = team.unreconciled.iter().next();
             tracing::info!(
-                "team {name} waits for {} machines to report, {first:?} among them",
-                team.unsettled.len()
+                "team {name} waits for {} machines to heartbeat, {first:?} among them",
+                team.unreconciled.len()
             );
         }
     }
@@ -86,7 +86,7 @@
         for job in self.jobs.values() {
             let tasks = classes.entry(&job.spec.class).or_default();
             tasks.waiting += job.waiting().len();
-            tasks.unsettled += job.unsettled();
+            tasks.unreconciled += job.unreconciled();
             tasks.placed += job.placed();
         }
         classes
--- a/src/core/spare_machines.rs
+++ b/src/core/spare_machines.rs
@@ -33,8 +33,8 @@
     /// Takes the first machine of any of these kinds that is in another share than `except`.
     pub fn take(&mut self, kinds: &[Offer], except: &Node) -> Option<(MachineId, Node)> {
         let first_of = |kind: &Offer| {
-            let shares = self.by_kind.get(kind)?.iter();
-            let mut others = shares.filter(|(node, listed)| *node != except && !listed.is_empty());
+            let shards = self.by_kind.get(kind)?.iter();
+            let mut others = shards.filter(|(node, listed)| *node != except && !listed.is_empty());
             let (node, listed) = others.next()?;
             Some((node.clone(), listed.front()?.0, kind.clone()))
         };
--- a/src/core/starts_in_flight.rs
+++ b/src/core/starts_in_flight.rs
@@ -12,7 +12,7 @@
 //! moves of a machine to other controllers and back.
 
 use super::CallId;
-use crate::ids::{Attempt, MachineId, TaskId, Term};
+use crate::ids::{Attempt, FencingToken, MachineId, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// One attempt of a task.
@@ -22,8 +22,8 @@
 #[derive(Debug)]
 struct DirectMessage {
     call: CallId,
-    token: Term,
-    session: u64,
+    token: FencingToken,
+    agent_epoch: u64,
     starts: BTreeSet<AttemptKey>,
     /// Its answer is not waited for any more, but it may still arrive.
     given_up: bool,
@@ -35,13 +35,13 @@
     direct: Vec<DirectMessage>,
     /// The answer to its newest report. A worker has one report under way at a time, and executes the
     /// answer before it reports again or never.
-    answer: Option<ReportAnswer>,
+    answer: Option<HeartbeatResponse>,
 }
 
 /// The starts in the answer to a report of this session.
 #[derive(Debug)]
-struct ReportAnswer {
-    session: u64,
+struct HeartbeatResponse {
+    agent_epoch: u64,
     starts: BTreeSet<AttemptKey>,
 }
 
@@ -63,14 +63,14 @@
         &mut self,
         machine: &MachineId,
         call: CallId,
-        (token, session): (Term, u64),
+        (token, agent_epoch): (FencingToken, u64),
         starts: BTreeSet<AttemptKey>,
     ) {
         if !starts.is_empty() {
             let message = DirectMessage {
                 call,
                 token,
-                session,
+                agent_epoch,
                 starts,
                 given_up: false,
             };
@@ -84,7 +84,7 @@
 
     /// A direct message was executed or refused, or it never left: it will not arrive (again). The
     /// starts it carried.
-    pub fn settled(&mut self, machine: &MachineId, call: CallId) -> BTreeSet<AttemptKey> {
+    pub fn outcome_known(&mut self, machine: &MachineId, call: CallId) -> BTreeSet<AttemptKey> {
         let Some(starts) = self.machines.get_mut(machine) else {
             return BTreeSet::new();
         };
@@ -92,11 +92,11 @@
             .direct
             .iter()
             .position(|message| message.call == call);
-        let settled = at
+        let reconciled = at
             .map(|at| starts.direct.swap_remove(at).starts)
             .unwrap_or_default();
         self.prune(machine);
-        settled
+        reconciled
     }
 
     /// A direct message got no answer in time: executed, or not, or later. How many there are now
@@ -120,9 +120,17 @@
     }
 
     /// A report of the machine, in this session, is answered with these starts.
-    pub fn answered(&mut self, machine: &MachineId, session: u64, starts: BTreeSet<AttemptKey>) {
+    pub fn answered(
+        &mut self,
+        machine: &MachineId,
+        agent_epoch: u64,
+        starts: BTreeSet<AttemptKey>,
+    ) {
         if !starts.is_empty() {
-            let answer = ReportAnswer { session, starts };
+            let answer = HeartbeatResponse {
+                agent_epoch,
+                starts,
+            };
             self.machines.entry(machine.clone()).or_default().answer = Some(answer);
         }
     }
@@ -137,12 +145,14 @@
     }
 
     /// The machine has shown this token and session: what was sent under earlier ones is void.
-    pub fn shown(&mut self, machine: &MachineId, token: Term, session: u64) {
+    pub fn shown(&mut self, machine: &MachineId, token: FencingToken, agent_epoch: u64) {
         if let Some(starts) = self.machines.get_mut(machine) {
             starts
                 .direct
-                .retain(|message| message.token >= token && message.session >= session);
-            starts.answer.take_if(|answer| answer.session < session);
+                .retain(|message| message.token >= token && message.agent_epoch >= agent_epoch);
+            starts
+                .answer
+                .take_if(|answer| answer.agent_epoch < agent_epoch);
             self.prune(machine);
         }
     }
--- a/src/core/starts_in_flight/tests.rs
+++ b/src/core/starts_in_flight/tests.rs
@@ -18,21 +18,21 @@
 #[test]
 fn one_message_says_nothing_of_another() {
     let (mut flying, id) = (StartsInFlight::default(), MachineId::from("m-1"));
-    let under = (Term(5), 1);
+    let under = (FencingToken(5), 1);
     flying.sent(&id, CallId(1), under, starts(&[1]));
     flying.sent(&id, CallId(2), under, starts(&[1, 2]));
     flying.sent(&id, CallId(3), under, starts(&[]));
-    assert_eq!(flying.settled(&id, CallId(2)), starts(&[1, 2]));
+    assert_eq!(flying.outcome_known(&id, CallId(2)), starts(&[1, 2]));
     assert!(flying.may_arrive(&id, &attempt(1)) && flying.awaits_answer(&id, &attempt(1)));
     assert!(!flying.may_arrive(&id, &attempt(2)));
     assert_eq!(flying.given_up(&id, CallId(1)), 1);
     assert!(flying.may_arrive(&id, &attempt(1)) && !flying.awaits_answer(&id, &attempt(1)));
     assert!(!flying.may_arrive(&"m-2".into(), &attempt(1)));
     assert!(
-        flying.settled(&id, CallId(9)).is_empty(),
+        flying.outcome_known(&id, CallId(9)).is_empty(),
         "unknown, or settled before"
     );
-    flying.settled(&id, CallId(1));
+    flying.outcome_known(&id, CallId(1));
     assert!(
         flying.machines.is_empty(),
         "nothing is kept of what is settled"
@@ -43,17 +43,17 @@
 #[test]
 fn a_fresh_token_or_session_makes_earlier_messages_void() {
     let (mut flying, id) = (StartsInFlight::default(), MachineId::from("m-1"));
-    flying.sent(&id, CallId(1), (Term(5), 1), starts(&[1]));
-    flying.sent(&id, CallId(2), (Term(7), 1), starts(&[2]));
-    flying.sent(&id, CallId(3), (Term(7), 2), starts(&[3]));
-    flying.shown(&id, Term(5), 1);
+    flying.sent(&id, CallId(1), (FencingToken(5), 1), starts(&[1]));
+    flying.sent(&id, CallId(2), (FencingToken(7), 1), starts(&[2]));
+    flying.sent(&id, CallId(3), (FencingToken(7), 2), starts(&[3]));
+    flying.shown(&id, FencingToken(5), 1);
     assert!(
         flying.may_arrive(&id, &attempt(1)),
         "an older message of the worker proves nothing"
     );
-    flying.shown(&id, Term(7), 1);
+    flying.shown(&id, FencingToken(7), 1);
     assert!(!flying.may_arrive(&id, &attempt(1)) && flying.may_arrive(&id, &attempt(2)));
-    flying.shown(&id, Term(6), 2);
+    flying.shown(&id, FencingToken(6), 2);
     assert!(!flying.may_arrive(&id, &attempt(2)) && flying.may_arrive(&id, &attempt(3)));
     flying.void(&id);
     assert!(!flying.may_arrive(&id, &attempt(3)));
@@ -64,11 +64,11 @@
 fn the_answer_to_a_report_may_arrive_until_the_next_one() {
     let (mut flying, id) = (StartsInFlight::default(), MachineId::from("m-1"));
     flying.answered(&id, 1, starts(&[1]));
-    flying.shown(&id, Term(9), 1);
+    flying.shown(&id, FencingToken(9), 1);
     assert!(flying.may_arrive(&id, &attempt(1)) && !flying.awaits_answer(&id, &attempt(1)));
     flying.reported(&id);
     assert!(!flying.may_arrive(&id, &attempt(1)));
     flying.answered(&id, 1, starts(&[2]));
-    flying.shown(&id, Term(9), 2);
+    flying.shown(&id, FencingToken(9), 2);
     assert!(!flying.may_arrive(&id, &attempt(2)) && flying.machines.is_empty());
 }
--- a/src/core/status.rs
+++ b/src/core/status.rs
@@ -1,11 +1,11 @@
 //! What this controller tells operators ([`crate::status`]).
 
-use super::authority::Process;
+use super::ownership::Process;
+use super::store::StoredLedger;
 use super::team_grants::{Basis, TeamGrant, are_on};
-use super::view::StoredLedger;
 use super::{Answer, Body, Core, RequestId};
 use crate::config::TeamLimits;
-use crate::ids::{Node, Term};
+use crate::ids::{FencingToken, Node};
 use crate::status::{
     BasisStatus, Capacity, GrantStatus, HandOverStatus, HandOverWait, OpinionStatus,
     OwnedTeamStatus, RecordState, SiblingStatus, StageStatus, Status, TeamStatus,
@@ -18,7 +18,7 @@
     /// An operator asks.
     pub(super) fn answer_status(&mut self, request: RequestId) {
         let body = Body::Status(Box::new(self.status()));
-        self.io.answer(
+        self.outbox.answer(
             request,
             Answer {
                 status: 200,
@@ -29,13 +29,13 @@
     }
 
     fn status(&self) -> Status {
-        let now = self.io.now;
-        let entitled = self.authority.entitled(now);
+        let now = self.outbox.now;
+        let holds_lease = self.ownership.holds_lease(now);
         Status {
             controller: self.config.node.to_string(),
-            incarnation: self.authority.incarnation(),
+            incarnation: self.ownership.incarnation(),
             leads: self.leads(now),
-            entitled,
+            entitled: holds_lease,
             grants_on: are_on(&self.config),
             teams: self
                 .config
@@ -51,7 +51,7 @@
     }
 
     fn sibling_statuses(&self) -> Vec<SiblingStatus> {
-        let now = self.io.now;
+        let now = self.outbox.now;
         let detector = self.peers.detector();
         let status = |(node, evidence): (Node, Evidence)| {
             let told = detector.told_of(&node, now).into_iter();
@@ -79,7 +79,7 @@
 
     /// Processes that own something though they have failed or their keys have gone.
     fn hand_over_statuses(&self) -> Vec<HandOverStatus> {
-        let owners = self.view.owners();
+        let owners = self.store.owners();
         let mut owned: BTreeMap<Process, (usize, usize)> = BTreeMap::new();
         for owner in owners.teams.values() {
             owned
@@ -94,53 +94,53 @@
                 .1 += 1;
         }
         let status = |(process, (teams, machines)): (Process, (usize, usize))| {
-            let waits_for = self.hand_over_wait(&process)?;
+            let reason = self.hand_over_wait(&process)?;
             let (controller, incarnation) = (process.0.to_string(), process.1);
             Some(HandOverStatus {
                 controller,
                 incarnation,
                 teams,
                 machines,
-                waits_for,
+                waits_for: reason,
             })
         };
         owned.into_iter().filter_map(status).collect()
     }
 
     fn hand_over_wait(&self, process: &Process) -> Option<HandOverWait> {
-        if self.view.is_registered(&process.0, process.1) {
+        if self.store.is_registered(&process.0, process.1) {
             let failed = self.peers.detector().has_failed(&process.0);
             return failed.then_some(HandOverWait::Key);
         }
         if self.leader.is_none() {
             return Some(HandOverWait::Leader);
         }
-        let (given, needed) = self.authority.consents_to(process);
+        let (given, needed) = self.ownership.consents_to(process);
         Some(HandOverWait::Consents { given, needed })
     }
 
-    fn team_status(&self, limits: &TeamLimits) -> TeamStatus {
-        let since = self.view.grants_kept_since(&limits.name);
-        let stored = self.view.ledger(&limits.name);
+    fn team_status(&self, team_limits: &TeamLimits) -> TeamStatus {
+        let since = self.store.grants_kept_since(&team_limits.name);
+        let stored = self.store.ledger(&team_limits.name);
         let ledger = stored.and_then(|stored| stored.ledger.as_ref());
-        let owner = self.view.owners().teams.get(&limits.name);
+        let owner = self.store.owners().teams.get(&team_limits.name);
         let grants = ledger.map_or(&[][..], |ledger| ledger.grants());
         let grants = grants.iter().map(|grant| GrantStatus {
             controller: grant.holder.node.clone(),
             incarnation: grant.holder.incarnation,
             term: grant.holder.term,
             granted: capacity(&grant.amount),
-            current: owner.is_some_and(|owner| owner.term.0 == grant.holder.term),
+            current: owner.is_some_and(|owner| owner.token.0 == grant.holder.term),
         });
         TeamStatus {
-            team: limits.name.to_string(),
+            team: team_limits.name.to_string(),
             limit: Capacity {
-                cpus: limits.cpus_max,
-                gpus: limits.gpus_max,
+                cpus: team_limits.cpus_max,
+                gpus: team_limits.gpus_max,
             },
             guarantee: Capacity {
-                cpus: limits.cpus,
-                gpus: limits.gpus,
+                cpus: team_limits.cpus,
+                gpus: team_limits.gpus,
             },
             owner: owner.map(|owner| owner.node.to_string()),
             grants_kept_since: since.map(|term| term.0),
@@ -149,20 +149,20 @@
             folded: ledger
                 .map(|ledger| capacity(&ledger.folded()))
                 .unwrap_or_default(),
-            owned: self.owned_team_status(limits),
+            owned: self.owned_team_status(team_limits),
         }
     }
 
-    fn owned_team_status(&self, limits: &TeamLimits) -> Option<OwnedTeamStatus> {
-        let owner = self.owner.as_ref()?;
-        let team = owner.teams.get(&limits.name)?;
-        let usage = owner.usage(&self.view, self.io.wall_ms);
-        let (own, inherited) = usage.under_grants(&limits.name);
+    fn owned_team_status(&self, team_limits: &TeamLimits) -> Option<OwnedTeamStatus> {
+        let owner = self.shard.as_ref()?;
+        let team = owner.teams.get(&team_limits.name)?;
+        let usage = owner.usage(&self.store, self.outbox.wall_ms);
+        let (own, inherited) = usage.under_grants(&team_limits.name);
         Some(OwnedTeamStatus {
             basis: basis(team.grant.as_ref()),
             used: capacity(&own.plus(&inherited)),
             inherited: capacity(&inherited),
-            unknown_machines: team.unsettled.len(),
+            unknown_machines: team.unreconciled.len(),
         })
     }
 }
@@ -181,7 +181,7 @@
     Capacity { cpus, gpus }
 }
 
-fn record_state(stored: Option<&StoredLedger>, since: Option<Term>) -> RecordState {
+fn record_state(stored: Option<&StoredLedger>, since: Option<FencingToken>) -> RecordState {
     match stored.map(|stored| stored.ledger.as_ref()) {
         None => RecordState::None,
         Some(None) => RecordState::Damaged,
--- a/src/core/view.rs
+++ b/src/core/store.rs
@@ -3,18 +3,18 @@
 //! linearizable: an answer given after a sync that was sent after the question is up to date,
 //! and one sync serves every question that waits.
 
-use super::authority::Process;
-use super::cancelled::{CancelledJobs, Since};
+use super::cancelled::{CancelledJobs, CancelledSince};
 use super::dependencies::{Dependencies, Urgency};
-use super::io::Pending;
 use super::machine_claims::MachineClaim;
-use super::part_map::{MapChunk, Owners};
+use super::outbox::Pending;
+use super::ownership::Process;
+use super::part_map::{ShardMap, ShardMapChunk};
 use super::placement::Resources;
 use super::ranges::Ranges;
-use super::{Core, StateCall, StateReply, Time};
+use super::{Core, StoreCall, StoreReply, Time};
 use crate::config::Config;
-use crate::ids::{JobId, Node, Team, Term, Version};
-use crate::wire::{Change, Guard, JobSpec, JobStatus, MachineTypes, Write};
+use crate::ids::{FencingToken, JobId, Node, Team, Version};
+use crate::wire::{Change, JobSpec, JobStatus, MachineTypes, Precondition, Write};
 use quota_ledger::TeamLedger;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -52,7 +52,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "StoredJob", into = "StoredJob")]
 pub struct JobRecord {
-    pub stance: JobStatus,
+    #[serde(rename = "stance")]
+    pub status: JobStatus,
     /// When it was accepted, by the accepting controller's time of day.
     pub accepted_ms: u64,
     pub tasks: u32,
@@ -63,14 +64,15 @@
     pub ended_ms: Option<u64>,
     /// Of a cancelled job: what its tasks take until they have gone, for so long they count towards
     /// their team's limit.
-    pub leaving: Option<Leaving>,
+    #[serde(rename = "leaving")]
+    pub terminating: Option<TerminatingTasks>,
 }
 
 /// A job as stored.
 #[derive(Clone, Serialize, Deserialize)]
 struct StoredJob {
     #[serde(rename = "s")]
-    stance: JobStatus,
+    status: JobStatus,
     #[serde(rename = "at")]
     accepted_ms: u64,
     #[serde(rename = "n")]
@@ -86,29 +88,29 @@
     #[serde(rename = "e", default, skip_serializing_if = "Option::is_none")]
     ended_ms: Option<u64>,
     #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
-    leaving: Option<Leaving>,
+    terminating: Option<TerminatingTasks>,
 }
 
 impl From<StoredJob> for JobRecord {
     fn from(stored: StoredJob) -> Self {
         let StoredJob {
-            stance,
+            status,
             accepted_ms,
             tasks,
             done,
             ended_ms,
-            leaving,
+            terminating,
             ..
         } = stored;
         let spec = stored.spec.or(stored.dependent);
         Self {
-            stance,
+            status,
             accepted_ms,
             tasks,
             done,
             spec,
             ended_ms,
-            leaving,
+            terminating,
         }
     }
 }
@@ -116,34 +118,34 @@
 impl From<JobRecord> for StoredJob {
     fn from(record: JobRecord) -> Self {
         let JobRecord {
-            stance,
+            status,
             accepted_ms,
             tasks,
             done,
             spec,
             ended_ms,
-            leaving,
+            terminating,
         } = record;
         let (dependent, spec) = match spec {
             Some(spec) if !spec.dependencies.is_empty() => (Some(spec), None),
             spec => (None, spec),
         };
         Self {
-            stance,
+            status,
             accepted_ms,
             tasks,
             done,
             spec,
             dependent,
             ended_ms,
-            leaving,
+            terminating,
         }
     }
 }
 
 /// What may be left of a cancelled job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Leaving {
+pub struct TerminatingTasks {
     #[serde(rename = "t")]
     pub team: Team,
     #[serde(rename = "n")]
@@ -154,13 +156,13 @@
 
 impl JobRecord {
     pub fn is_final(&self) -> bool {
-        matches!(self.stance, JobStatus::Done | JobStatus::Cancelled)
+        matches!(self.status, JobStatus::Done | JobStatus::Cancelled)
     }
 
     pub fn done(&self, wall_ms: u64) -> Self {
         let (done, ended_ms) = (Ranges::default(), Some(wall_ms));
         Self {
-            stance: JobStatus::Done,
+            status: JobStatus::Done,
             done,
             spec: None,
             ended_ms,
@@ -169,14 +171,14 @@
     }
 
     pub fn cancelled(&self, wall_ms: u64) -> Self {
-        let leaving = self.spec.as_ref().map(|spec| Leaving {
+        let terminating = self.spec.as_ref().map(|spec| TerminatingTasks {
             team: spec.team.clone(),
             tasks: self.tasks.saturating_sub(self.done.len()),
             need: Resources::of(spec),
         });
         Self {
-            stance: JobStatus::Cancelled,
-            leaving,
+            status: JobStatus::Cancelled,
+            terminating,
             ..self.done(wall_ms)
         }
     }
@@ -185,16 +187,16 @@
     pub fn cancelled_unstarted(&self, wall_ms: u64) -> Self {
         let mut record = self.cancelled(wall_ms);
         record
-            .leaving
+            .terminating
             .iter_mut()
-            .for_each(|leaving| leaving.tasks = 0);
+            .for_each(|terminating| terminating.tasks = 0);
         record
     }
 }
 
 /// Final states that a controller knows beyond those that another one asked from.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Finals {
+pub struct FinalStates {
     /// Who takes these in knows all up to here.
     pub upto: Version,
     /// Nothing that its sender knew is left out.
@@ -203,7 +205,7 @@
 }
 
 /// Final states told at once.
-const FINALS_PAGE: usize = 200;
+const FINAL_STATES_PAGE: usize = 200;
 
 /// A controller's process, as its own key and the leader's key name it. Both hang on its lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -215,11 +217,11 @@
     #[serde(rename = "quota", default, skip_serializing_if = "std::ops::Not::not")]
     pub keeps_grants: bool,
     /// Processes whose share it lets be handed on, told here as it does not hear the leader
-    /// ([`super::authority`]).
-    #[serde(rename = "consents", default, skip_serializing_if = "Vec::is_empty")]
+    /// ([`super::ownership`]).
+    #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub consents: Vec<Process>,
     /// Machines that the leader is to give to it ([`super::machine_claims`]).
-    #[serde(rename = "claims", default, skip_serializing_if = "Vec::is_empty")]
+    #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub claims: Vec<MachineClaim>,
 }
 
@@ -237,28 +239,28 @@
     pub record: T,
 }
 
-pub struct View {
+pub struct StoreReplica {
     jobs: BTreeMap<JobId, Versioned<Rc<JobRecord>>>,
     leader: Option<Versioned<ProcessRecord>>,
     types: Option<Versioned<MachineTypes>>,
     nodes: BTreeMap<Node, Versioned<ProcessRecord>>,
-    map: BTreeMap<String, Versioned<MapChunk>>,
+    map: BTreeMap<String, Versioned<ShardMapChunk>>,
     ledgers: BTreeMap<Team, StoredLedger>,
-    owners: Owners,
+    owners: ShardMap,
     /// Rises with every change of the map.
     map_changes: u64,
     /// Jobs whose records changed since the leader last looked.
     changed: BTreeSet<JobId>,
     dependencies: Dependencies,
     /// Jobs by the version of their final state.
-    finals: BTreeSet<(Version, JobId)>,
+    final_states: BTreeSet<(Version, JobId)>,
     cancelled: CancelledJobs,
     /// Every final state up to here is known: from our own syncs, or a sibling told.
-    finals_known: Version,
+    final_states_known: Version,
     revision: Version,
     /// Newest removal of any other key than a job's, so that an older put cannot bring it back.
     removed: BTreeMap<String, Version>,
-    listing: Option<Relisting>,
+    listing: Option<FullRead>,
     complete: bool,
     in_flight: bool,
     next_sync: Time,
@@ -272,14 +274,14 @@
 }
 
 /// A full read in progress.
-struct Relisting {
+struct FullRead {
     after: Option<String>,
     revision: Version,
     sent: Time,
     keys: BTreeSet<String>,
 }
 
-impl View {
+impl StoreReplica {
     pub fn new(config: &Config) -> Self {
         // Of the state service's requests, each controller's syncs take at most 1/8 when users
         // wait and 1/30 when nobody does.
@@ -291,13 +293,13 @@
             nodes: BTreeMap::new(),
             map: BTreeMap::new(),
             ledgers: BTreeMap::new(),
-            owners: Owners::default(),
+            owners: ShardMap::default(),
             map_changes: 0,
             changed: BTreeSet::new(),
             dependencies: Dependencies::default(),
-            finals: BTreeSet::new(),
+            final_states: BTreeSet::new(),
             cancelled: CancelledJobs::default(),
-            finals_known: 0,
+            final_states_known: 0,
             revision: 0,
             removed: BTreeMap::new(),
             listing: None,
@@ -351,11 +353,11 @@
         &self.nodes
     }
 
-    pub fn map(&self) -> &BTreeMap<String, Versioned<MapChunk>> {
+    pub fn map(&self) -> &BTreeMap<String, Versioned<ShardMapChunk>> {
         &self.map
     }
 
-    pub fn owners(&self) -> &Owners {
+    pub fn owners(&self) -> &ShardMap {
         &self.owners
     }
 
@@ -365,7 +367,7 @@
     }
 
     /// Since which term every owner of a team has kept to its grants, if that is known.
-    pub fn grants_kept_since(&self, team: &Team) -> Option<Term> {
+    pub fn grants_kept_since(&self, team: &Team) -> Option<FencingToken> {
         self.owners.grants_kept_since.get(team).copied()
     }
 
@@ -461,15 +463,15 @@
             put_newer(&mut self.types, value, version);
         } else if let Some(node) = key.strip_prefix(NODE_PREFIX) {
             let node = Node::from(node);
-            let mut slot = self.nodes.remove(&node);
-            put_newer(&mut slot, value, version);
-            if let Some(record) = slot {
+            let mut snapshot = self.nodes.remove(&node);
+            put_newer(&mut snapshot, value, version);
+            if let Some(record) = snapshot {
                 self.nodes.insert(node, record);
             }
         } else if key.starts_with(MAP_PREFIX) {
-            let mut slot = self.map.remove(key);
-            put_newer(&mut slot, value, version);
-            if let Some(chunk) = slot {
+            let mut snapshot = self.map.remove(key);
+            put_newer(&mut snapshot, value, version);
+            if let Some(chunk) = snapshot {
                 self.map.insert(key.to_owned(), chunk);
             }
             self.map_changed();
@@ -502,7 +504,7 @@
             return;
         }
         if record.is_final() {
-            self.finals.insert((version, id.clone()));
+            self.final_states.insert((version, id.clone()));
             self.cancelled.take(&id, &record, version);
         }
         let jobs = &self.jobs;
@@ -526,7 +528,7 @@
 
     /// Whether a job is cancelled, by its user or with one that it needs.
     pub fn cancelled(&self, id: &JobId) -> bool {
-        let recorded = self.jobs.get(id).map(|job| job.record.stance);
+        let recorded = self.jobs.get(id).map(|job| job.record.status);
         recorded == Some(JobStatus::Cancelled) || self.dependency_cancelled(id)
     }
 
@@ -548,7 +550,7 @@
             let needed = &self
                 .jobs
                 .get(needed)
-                .filter(|n| n.record.stance == JobStatus::Done)?
+                .filter(|n| n.record.status == JobStatus::Done)?
                 .record;
             // An older version did not record the time.
             latest = latest.max(needed.ended_ms.unwrap_or(needed.accepted_ms));
@@ -557,62 +559,65 @@
     }
 
     /// Up to where this view knows every final state.
-    pub fn finals_known(&self) -> Version {
-        self.finals_known.max(self.revision)
+    pub fn final_states_known(&self) -> Version {
+        self.final_states_known.max(self.revision)
     }
 
     /// What this view knows of final states after `from`, a page of it.
-    pub fn finals_after(&self, from: Version) -> Finals {
-        let mut finals = Finals {
+    pub fn final_states_after(&self, from: Version) -> FinalStates {
+        let mut final_states = FinalStates {
             upto: self.revision,
             complete: true,
             jobs: Vec::new(),
         };
-        for (version, id) in self.finals.range((from + 1, JobId::from(""))..) {
+        for (version, id) in self.final_states.range((from + 1, JobId::from(""))..) {
             // States of one transaction share a version, and go together.
-            let last = finals.jobs.last().map(|(_, version, _)| *version);
-            if finals.jobs.len() >= FINALS_PAGE && last != Some(*version) {
-                finals.upto = self.revision.min(last.unwrap_or(from));
-                finals.complete = false;
+            let last = final_states.jobs.last().map(|(_, version, _)| *version);
+            if final_states.jobs.len() >= FINAL_STATES_PAGE && last != Some(*version) {
+                final_states.upto = self.revision.min(last.unwrap_or(from));
+                final_states.complete = false;
                 break;
             }
             if let Some(job) = self.jobs.get(id) {
-                finals
+                final_states
                     .jobs
                     .push((id.clone(), *version, (*job.record).clone()));
             }
         }
-        finals
+        final_states
     }
 
     /// Cancelled jobs that may still have tasks on machines.
-    pub fn cancelled_since(&self, since: Since) -> impl Iterator<Item = (&JobId, &Leaving)> {
+    pub fn cancelled_since(
+        &self,
+        since: CancelledSince,
+    ) -> impl Iterator<Item = (&JobId, &TerminatingTasks)> {
         self.cancelled.since(since).into_iter().filter_map(|id| {
             let record = &self.jobs.get(id)?.record;
-            Some((id, record.leaving.as_ref()?))
+            Some((id, record.terminating.as_ref()?))
         })
     }
 
     /// Whether a job may have been cancelled since then of which it is not known whose it was. One
     /// whose time is not recorded is older than that if a later record is.
-    pub fn undescribed_cancellation_since(&self, since: Since) -> bool {
+    pub fn undescribed_cancellation_since(&self, since: CancelledSince) -> bool {
         let Some(newest) = self.cancelled.newest_undescribed() else {
             return false;
         };
-        let later = self.finals.range((newest + 1, JobId::from(""))..);
+        let later = self.final_states.range((newest + 1, JobId::from(""))..);
         let ended_ms = |id: &JobId| self.jobs.get(id).and_then(|job| job.record.ended_ms);
         let mut ended = later.filter_map(|(_, id)| ended_ms(id));
         newest > since.version || !ended.any(|at| at < since.wall_ms)
     }
 
     /// Takes up what a sibling knows of final states.
-    pub fn take_finals(&mut self, finals: Finals) {
-        for (id, version, record) in finals.jobs {
+    pub fn take_final_states(&mut self, final_states: FinalStates) {
+        for (id, version, record) in final_states.jobs {
             if record.is_final() {
                 self.put_job(id, record, version);
             }
         }
-        self.finals_known = self.finals_known.max(finals.upto);
+        self.final_states_known = self.final_states_known.max(final_states.upto);
     }
 
     fn remove(&mut self, key: &str, version: Version) {
@@ -652,7 +657,7 @@
 
     fn map_changed(&mut self) {
         self.map_changes += 1;
-        self.owners = Owners::read(self.map.values().map(|chunk| &chunk.record));
+        self.owners = ShardMap::read(self.map.values().map(|chunk| &chunk.record));
     }
 
     /// After a full read: what was not in it is gone, unless it was written since.
@@ -669,19 +674,21 @@
 }
 
 fn put_newer<T: for<'de> Deserialize<'de>>(
-    slot: &mut Option<Versioned<T>>,
+    snapshot: &mut Option<Versioned<T>>,
     value: &Value,
     version: Version,
 ) {
-    if slot.as_ref().is_none_or(|known| known.version < version)
+    if snapshot
+        .as_ref()
+        .is_none_or(|known| known.version < version)
         && let Ok(record) = T::deserialize(value)
     {
-        *slot = Some(Versioned { version, record });
+        *snapshot = Some(Versioned { version, record });
     }
 }
 
-pub fn guard(key: &str, version: Version) -> Guard {
-    Guard {
+pub fn precondition(key: &str, version: Version) -> Precondition {
+    Precondition {
         key: key.to_owned(),
         version,
     }
@@ -698,49 +705,49 @@
 
 impl Core {
     pub(super) fn sync_when_due(&mut self) {
-        let view = &mut self.view;
-        let now = self.io.now;
-        if view.in_flight || now < view.next_sync || !self.io.may_read() {
+        let store = &mut self.store;
+        let now = self.outbox.now;
+        if store.in_flight || now < store.next_sync || !self.outbox.may_read() {
             return;
         }
-        if !view.wanted && view.listing.is_none() && now < view.next_sync + view.interval {
+        if !store.wanted && store.listing.is_none() && now < store.next_sync + store.interval {
             return;
         }
-        view.wanted = false;
-        view.in_flight = true;
-        let call = match &view.listing {
-            Some(listing) => StateCall::List {
+        store.wanted = false;
+        store.in_flight = true;
+        let call = match &store.listing {
+            Some(listing) => StoreCall::List {
                 prefix: ROOT,
                 from: listing.after.clone(),
             },
-            None if !view.complete => StateCall::List {
+            None if !store.complete => StoreCall::List {
                 prefix: ROOT,
                 from: None,
             },
-            None => StateCall::Changes {
+            None => StoreCall::Changes {
                 prefix: ROOT,
-                from: view.revision,
+                from: store.revision,
             },
         };
-        self.io.state(Pending::Sync { sent: now }, call);
+        self.outbox.state(Pending::Sync { sent: now }, call);
     }
 
-    pub(super) fn synced(&mut self, sent: Time, reply: StateReply) {
-        let now = self.io.now;
-        let view = &mut self.view;
-        view.in_flight = false;
-        view.next_sync = now + view.spacing;
+    pub(super) fn synced(&mut self, sent: Time, reply: StoreReply) {
+        let now = self.outbox.now;
+        let store = &mut self.store;
+        store.in_flight = false;
+        store.next_sync = now + store.spacing;
         match reply {
-            StateReply::Changes(changes) if view.complete => {
+            StoreReply::Changes(changes) if store.complete => {
                 for change in &changes.events {
-                    view.apply(change);
+                    store.apply(change);
                 }
-                view.revision = view.revision.max(changes.revision);
-                view.current_as_of = sent;
-                view.failures = 0;
+                store.revision = store.revision.max(changes.revision);
+                store.current_as_of = sent;
+                store.failures = 0;
             }
-            StateReply::Listing(page) => {
-                let listing = view.listing.get_or_insert_with(|| Relisting {
+            StoreReply::Listing(page) => {
+                let listing = store.listing.get_or_insert_with(|| FullRead {
                     after: None,
                     revision: page.revision,
                     sent,
@@ -751,29 +758,29 @@
                     .keys
                     .extend(page.entries.iter().map(|entry| entry.key.clone()));
                 for entry in &page.entries {
-                    view.put(&entry.key, &entry.value, entry.version);
+                    store.put(&entry.key, &entry.value, entry.version);
                 }
                 if !page.more
-                    && let Some(listing) = view.listing.take()
+                    && let Some(listing) = store.listing.take()
                 {
                     // Later pages are newer than the first; changes since it are read next.
-                    view.remove_unlisted(&listing.keys, listing.revision);
-                    view.revision = listing.revision;
-                    view.current_as_of = listing.sent;
-                    view.complete = true;
+                    store.remove_unlisted(&listing.keys, listing.revision);
+                    store.revision = listing.revision;
+                    store.current_as_of = listing.sent;
+                    store.complete = true;
                 }
-                view.failures = 0;
-                view.wanted = true;
+                store.failures = 0;
+                store.wanted = true;
             }
-            StateReply::TooOld => {
-                view.complete = false;
-                view.listing = None;
+            StoreReply::TooOld => {
+                store.complete = false;
+                store.listing = None;
             }
             _ => {
-                view.failures = (view.failures + 1).min(5);
-                let pause = view.spacing * f64::from(1 << view.failures);
-                view.next_sync = now + self.io.jitter(pause);
-                view.wanted = true;
+                store.failures = (store.failures + 1).min(5);
+                let pause = store.spacing * f64::from(1 << store.failures);
+                store.next_sync = now + self.outbox.jitter(pause);
+                store.wanted = true;
             }
         }
         self.resume_user_requests();
--- a/src/core/supply.rs
+++ b/src/core/supply.rs
@@ -6,17 +6,17 @@
 use super::Time;
 use super::catalog::Catalog;
 use super::forecast::longest_boot;
-use super::io::Io;
 use super::jobs::Job;
 use super::opportunistic::{machine_time, rentals_worth};
-use super::owner::Owner;
-use super::plan::{Bin, Plan, Wanted};
+use super::outbox::Outbox;
+use super::owner::Shard;
+use super::plan::{PackingCandidate, Plan, TaskDemand};
 use super::quota::Usage;
 use super::renting::RENT_LIMIT;
-use super::schedule::limits;
-use super::view::View;
+use super::schedule::team_limits;
+use super::store::StoreReplica;
 use crate::config::Config;
-use crate::ids::{JobId, MachineId, Team, Term, TypeName, Zone};
+use crate::ids::{FencingToken, JobId, MachineId, Team, TypeName, Zone};
 use crate::wire::{MachineType, Priority};
 use serde::{Deserialize, Serialize};
 
@@ -25,7 +25,7 @@
 
 /// Machines that a share lacks, all for the same reason.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Want {
+pub struct MachineDemand {
     pub count: u32,
     /// The cheapest for what waits.
     pub offer: Offer,
@@ -35,15 +35,19 @@
     pub urgency: Option<Priority>,
     pub gpus: f64,
     /// For opportunistic work, which comes after everything else.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
+    #[serde(
+        rename = "opportunistic",
+        default,
+        skip_serializing_if = "std::ops::Not::not"
+    )]
     pub opportunistic: bool,
 }
 
 /// What a share tells the leader.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Need {
+pub struct CapacityDemand {
     /// Machines that would serve what finds no room.
-    pub wants: Vec<Want>,
+    pub wants: Vec<MachineDemand>,
     /// GPUs (of tasks without: CPUs) that wait for room, a waiting gang counting whole.
     pub queued: f64,
     /// Idle machines that no plan uses.
@@ -63,14 +67,15 @@
     /// Machines that have not been heard of for long.
     pub silent: Vec<MachineId>,
     /// Machines that are to get a fresh token in place of this one.
-    pub raise: Vec<(MachineId, Term)>,
+    pub raise: Vec<(MachineId, FencingToken)>,
     /// Teams that are to get a fresh term.
-    pub worn: Vec<Team>,
+    #[serde(rename = "worn")]
+    pub exhausted: Vec<Team>,
 }
 
-impl Need {
+impl CapacityDemand {
     /// Asks for a fresh token; whether that is news.
-    pub fn raise(&mut self, id: &MachineId, token: Term) -> bool {
+    pub fn raise(&mut self, id: &MachineId, token: FencingToken) -> bool {
         let news = !self
             .raise
             .iter()
@@ -85,10 +90,10 @@
         self.wants.iter().map(|want| want.count).sum()
     }
 
-    pub fn want(&mut self, want: Want) {
+    pub fn want(&mut self, want: MachineDemand) {
         match self.wants.last_mut() {
             Some(last)
-                if (Want {
+                if (MachineDemand {
                     count: last.count,
                     ..want.clone()
                 }) == *last =>
@@ -119,7 +124,7 @@
 /// What a share needs room for.
 #[derive(Default)]
 struct Demand {
-    pressing: Vec<Wanted>,
+    pressing: Vec<TaskDemand>,
     opportunistic: Vec<OpportunisticDemand>,
 }
 
@@ -136,21 +141,26 @@
 /// Waiting tasks of an opportunistic job.
 struct OpportunisticDemand {
     job: JobId,
-    wanted: Wanted,
+    wanted: TaskDemand,
     /// See [`unserved`].
     unserved_s: Time,
 }
 
-impl Owner {
+impl Shard {
     /// Tells what this share lacks and can spare, once a second.
-    pub(super) fn plan_when_due(&mut self, io: &Io, view: &View, catalog: &Catalog) {
-        let now = io.now;
-        if now < self.next_plan || !catalog.known() || self.resuming {
+    pub(super) fn plan_when_due(
+        &mut self,
+        outbox: &Outbox,
+        store: &StoreReplica,
+        catalog: &Catalog,
+    ) {
+        let now = outbox.now;
+        if now < self.next_plan || !catalog.known() || self.catching_up {
             return;
         }
         self.next_plan = now + self.config.deployment.workers.lease_s / 10.0;
-        let mut need = Need::default();
-        self.plan(io, view, catalog, &mut need);
+        let mut need = CapacityDemand::default();
+        self.plan(outbox, store, catalog, &mut need);
         let lease = self.config.deployment.workers.lease_s;
         let lag = self.config.deployment.cloud.list_lag_s;
         for machine in self.machines.values().filter(|machine| machine.mine) {
@@ -160,18 +170,29 @@
                 need.raise.push((machine.id.clone(), machine.token));
             }
         }
-        need.worn = self.worn_teams();
+        need.exhausted = self.teams_short_of_attempts();
         self.sync_soon |= need.wants != self.need.wants;
         self.need = need;
     }
 
-    fn plan(&mut self, io: &Io, view: &View, catalog: &Catalog, need: &mut Need) {
-        let now = io.now;
+    fn plan(
+        &mut self,
+        outbox: &Outbox,
+        store: &StoreReplica,
+        catalog: &Catalog,
+        need: &mut CapacityDemand,
+    ) {
+        let now = outbox.now;
         let types = catalog.types();
         let refused = self.refused.clone();
-        let mut plan = Plan::new(types, &refused, self.bins(now), most_wanted(&self.config));
+        let mut plan = Plan::new(
+            types,
+            &refused,
+            self.candidates(now),
+            most_wanted(&self.config),
+        );
         // What is needed does not depend on how much of the limit is granted yet.
-        let mut usage = self.usage(view, io.wall_ms).without_grants();
+        let mut usage = self.usage(store, outbox.wall_ms).without_grants();
         let Demand {
             pressing,
             opportunistic,
@@ -179,7 +200,7 @@
         for wanted in pressing {
             plan.serve(wanted, need);
         }
-        let upcoming = self.upcoming(view, usage, types, now);
+        let upcoming = self.upcoming(store, usage, types, now);
         let expects_none = upcoming.wanted.is_empty();
         for (machine, room) in &upcoming.released {
             plan.release(machine, room);
@@ -188,18 +209,18 @@
             plan.serve(wanted, need);
         }
         if need.wants.is_empty() && need.queued == 0.0 && expects_none {
-            self.consolidate(plan.bins(), catalog, now);
+            self.consolidate(plan.candidates(), catalog, now);
         }
         self.plan_opportunistic(&mut plan, opportunistic, types, need);
         self.spare(&plan.into_bins(), catalog, now, need);
     }
 
-    fn bins(&self, now: Time) -> Vec<Bin> {
+    fn candidates(&self, now: Time) -> Vec<PackingCandidate> {
         let lease = self.config.deployment.workers.lease_s;
         let usable = self.machines.values().filter(|machine| {
-            let leaving = machine.leaves.is_some() || now < machine.aside_until;
+            let terminating = machine.leaves.is_some() || now < machine.cordoned_until;
             machine.mine
-                && !leaving
+                && !terminating
                 && !machine.unresponsive
                 && now <= machine.answered + lease
                 && !machine.address.is_empty()
@@ -212,13 +233,13 @@
                     machine.spot,
                 );
                 let opportunistic = machine.opportunistic_room();
-                Bin {
+                PackingCandidate {
                     free: machine.free_for_other_work(),
                     total: machine.total,
                     opportunistic,
-                    used: !machine.holds_only_opportunistic() && !machine.emptying,
-                    emptying: machine.emptying,
-                    ..Bin::empty(Some(machine.id.clone()), offer)
+                    used: !machine.holds_only_opportunistic() && !machine.draining,
+                    draining: machine.draining,
+                    ..PackingCandidate::empty(Some(machine.id.clone()), offer)
                 }
             })
             .collect()
@@ -230,7 +251,7 @@
         plan: &mut Plan,
         demand: Vec<OpportunisticDemand>,
         types: &[MachineType],
-        need: &mut Need,
+        need: &mut CapacityDemand,
     ) {
         plan.count_opportunistic();
         let busy = demand
@@ -269,17 +290,17 @@
             if job.failures.fails_everywhere() {
                 continue;
             }
-            let Some(limits) = limits(&self.config, &job.spec) else {
+            let Some(team_limits) = team_limits(&self.config, &job.spec) else {
                 continue;
             };
-            let room = usage.room_in_limit(limits, &job.need(), job.waiting().len());
-            usage.add_tasks(&limits.name, &job.need(), room);
+            let room = usage.room_in_limit(team_limits, &job.need(), job.waiting().len());
+            usage.add_tasks(&team_limits.name, &job.need(), room);
             let count = room as u32;
             let (spec, zones) = (job.spec.clone(), job.zones.clone());
             let avoided = job.failures.avoided().cloned().unwrap_or_default();
             let spares_gpus = self.spares_gpus(&id, catalog, now);
             let urgency = Some(job.priority);
-            let wanted = Wanted {
+            let wanted = TaskDemand {
                 spec,
                 count,
                 zones,
@@ -301,18 +322,26 @@
         let boot = longest_boot(types);
         for spec in self.forecast.expected(&self.config, boot, now) {
             let count = spec.tasks;
-            demand.pressing.push(Wanted::expected(types, spec, count));
+            demand
+                .pressing
+                .push(TaskDemand::expected(types, spec, count));
         }
         demand
     }
 
     /// Idle machines that the plan does not use; after long they are closed to placement, and
     /// opened again if they are needed before the leader has taken them.
-    fn spare(&mut self, bins: &[Bin], catalog: &Catalog, now: Time, need: &mut Need) {
+    fn spare(
+        &mut self,
+        candidates: &[PackingCandidate],
+        catalog: &Catalog,
+        now: Time,
+        need: &mut CapacityDemand,
+    ) {
         let mut emptied = Vec::new();
         let kept_for_starved = self.machines_of_starved_jobs();
-        for bin in bins {
-            let Some(machine) = bin
+        for candidate in candidates {
+            let Some(machine) = candidate
                 .machine
                 .as_ref()
                 .and_then(|id| self.machines.get_mut(id))
@@ -322,10 +351,10 @@
             // Another one would have to boot and to fetch what this one holds.
             let patience = catalog.boot_s(&machine.type_name) + machine.longest_fetch();
             let idle = machine.idle();
-            let spare = machine.trusted && machine.holds_only_opportunistic() && !bin.used;
-            machine.emptying &= !bin.planned && !idle;
+            let spare = machine.trusted && machine.holds_only_opportunistic() && !candidate.used;
+            machine.draining &= !candidate.planned && !idle;
             // Opportunistic work keeps spot machines only, and what was rented since a job was starved.
-            let filled = machine.spot && (bin.fills_up || !idle);
+            let filled = machine.spot && (candidate.fills_up || !idle);
             let filled = filled || kept_for_starved.contains(&machine.id);
             let closed = spare && !filled && now - machine.idle_since > patience;
             self.changed |= machine.releasing && !closed;
@@ -334,7 +363,7 @@
                 need.yielding.push(machine.id.clone());
             } else if spare {
                 need.spare.push(machine.id.clone());
-            } else if machine.usable(now) && idle && !bin.waited_for {
+            } else if machine.usable(now) && idle && !candidate.waited_for {
                 need.kept.push(machine.id.clone());
             }
             if closed && idle {
@@ -361,7 +390,7 @@
         let quiet = self
             .teams
             .iter()
-            .filter(|(name, t)| t.unsettled.is_empty() && !waits(name));
+            .filter(|(name, t)| t.unreconciled.is_empty() && !waits(name));
         need.quiet = quiet.map(|(name, _)| name.clone()).collect();
     }
 }
--- a/src/core/team_grants.rs
+++ b/src/core/team_grants.rs
@@ -7,16 +7,16 @@
 //! of the map's teams as well, so who has lost a team can't enlarge its grant any more.
 
 use super::Time;
-use super::io::{Io, Pending};
 use super::leader::Leader;
-use super::owner::Owner;
-use super::part_map::{Owner as MapOwner, teams_key};
+use super::outbox::{Outbox, Pending};
+use super::owner::Shard;
+use super::part_map::{ShardOwner, teams_key};
 use super::quota::Usage;
-use super::view::{View, guard, put, quota_key};
-use super::{StateCall, StateReply};
+use super::store::{StoreReplica, precondition, put, quota_key};
+use super::{StoreCall, StoreReply};
 use crate::config::{Config, TeamLimits};
-use crate::ids::{Node, Team, Term, Version};
-use crate::wire::{Guard, Transaction, Write};
+use crate::ids::{FencingToken, Node, Team, Version};
+use crate::wire::{Precondition, Transaction, Write};
 use quota_ledger::{Amount, Demand, Ended, Holder, HolderId, Limit, Outcome, Proposal};
 use std::collections::BTreeSet;
 
@@ -32,15 +32,15 @@
 }
 
 /// A team's limit as the ledger counts it.
-pub fn limit_of(limits: &TeamLimits) -> Limit {
-    Limit::new(limits.cpus_max, limits.gpus_max)
+pub fn limit_of(team_limits: &TeamLimits) -> Limit {
+    Limit::new(team_limits.cpus_max, team_limits.gpus_max)
 }
 
 /// A write of a team's record of grants.
 #[derive(Debug)]
 pub struct GrantWrite {
     team: Team,
-    term: Term,
+    term: FencingToken,
     /// Whether the holder waits for the outcome; it does not if the record is removed, or the grant
     /// given back as the team goes.
     proposed: bool,
@@ -64,7 +64,7 @@
     holder: Holder,
     /// Since when owners have kept to their grants, as far as was ever known here: once under a
     /// grant, a process stays under it for as long as it owns the team.
-    since: Option<Term>,
+    since: Option<FencingToken>,
     /// The team does without a record: it has no limit, or the state service refuses the record.
     refused: bool,
     seen: Option<Version>,
@@ -73,12 +73,17 @@
 }
 
 impl TeamGrant {
-    fn new(config: &Config, limits: &TeamLimits, incarnation: u64, term: Term) -> Option<Self> {
+    fn new(
+        config: &Config,
+        team_limits: &TeamLimits,
+        incarnation: u64,
+        term: FencingToken,
+    ) -> Option<Self> {
         let headroom = config
             .features
             .headroom(config.deployment.workers.lease_s)?;
-        let limit = limit_of(limits);
-        quota_key(&limits.name)?;
+        let limit = limit_of(team_limits);
+        quota_key(&team_limits.name)?;
         let node = config.node.to_string();
         let id = HolderId {
             term: term.0,
@@ -102,9 +107,9 @@
 
     /// Takes up what the view shows of the record. `gained`: the revision at which the team was
     /// gained; before the view is that far, a record may be there that it does not show.
-    fn follow(&mut self, view: &View, team: &Team, gained: Version) {
-        let since = view.grants_kept_since(team).or(self.since);
-        let stored = view.ledger(team);
+    fn follow(&mut self, store: &StoreReplica, team: &Team, gained: Version) {
+        let since = store.grants_kept_since(team).or(self.since);
+        let stored = store.ledger(team);
         let version = stored.map_or(0, |stored| stored.version);
         if self.seen != Some(version) || since != self.since {
             self.since = since;
@@ -115,7 +120,7 @@
         }
         // Others rely on a record for as long as it is there, so nothing starts beside it.
         let to_be_removed = self.refused && version != 0;
-        self.basis = if view.revision() < gained || to_be_removed {
+        self.basis = if store.revision() < gained || to_be_removed {
             Basis::Undecided
         } else if self.holder.ledger().is_some() {
             let (own, outstanding) = (self.holder.grant(), self.holder.outstanding());
@@ -137,9 +142,9 @@
     }
 }
 
-impl Owner {
+impl Shard {
     /// A team is ours: its grant, if it has a limit and grants are on.
-    pub(super) fn new_team_grant(&self, team: &Team, term: Term) -> Option<TeamGrant> {
+    pub(super) fn new_team_grant(&self, team: &Team, term: FencingToken) -> Option<TeamGrant> {
         TeamGrant::new(
             &self.config,
             self.config.team_limits(team)?,
@@ -149,41 +154,46 @@
     }
 
     /// Takes up what the view shows of the records of all our teams.
-    pub(super) fn follow_grants(&mut self, view: &View) {
+    pub(super) fn follow_grants(&mut self, store: &StoreReplica) {
         for (name, team) in &mut self.teams {
             let gained = team.gained;
             if let Some(grant) = &mut team.grant {
                 let before = grant.basis;
-                grant.follow(view, name, gained);
+                grant.follow(store, name, gained);
                 self.changed |= grant.basis != before;
             }
         }
     }
 
     /// Asks for what the teams need beyond their grants, or gives back what they don't.
-    pub(super) fn write_grants(&mut self, io: &mut Io, view: &View, usage: &Usage) {
+    pub(super) fn write_grants(
+        &mut self,
+        outbox: &mut Outbox,
+        store: &StoreReplica,
+        usage: &Usage,
+    ) {
         let names: Vec<Team> = self.teams.keys().cloned().collect();
         for name in names {
             // Starts wait for these few writes, so they don't wait for the rate of jobs' records.
-            if !io.may_write() {
+            if !outbox.may_write() {
                 return;
             }
             let Some(team) = self.teams.get_mut(&name) else {
                 continue;
             };
-            let settled = team.unsettled.is_empty() && usage.is_known(&name);
+            let reconciled = team.unreconciled.is_empty() && usage.is_known(&name);
             let Some(grant) = &mut team.grant else {
                 continue;
             };
             if grant.refused {
-                if let Some(version) = view.ledger(&name).map(|stored| stored.version) {
-                    self.remove_record(io, view, &name, version);
+                if let Some(version) = store.ledger(&name).map(|stored| stored.version) {
+                    self.remove_record(outbox, store, &name, version);
                 }
                 continue;
             }
             let (used, inherited) = usage.under_grants(&name);
             let (waiting, next) = usage.lacking(&name);
-            let ended = if settled {
+            let ended = if reconciled {
                 Ended::AllOthers
             } else {
                 Ended::Nobody
@@ -195,19 +205,24 @@
                 ended,
                 inherited,
             };
-            let Some(proposal) = grant.next_write(io.now, &demand) else {
+            let Some(proposal) = grant.next_write(outbox.now, &demand) else {
                 continue;
             };
-            self.write_record(io, view, &name, &proposal, true);
+            self.write_record(outbox, store, &name, &proposal, true);
         }
     }
 
     /// Teams go to other controllers: what may still run of our tasks stays granted.
-    pub(super) fn release_grants(&mut self, io: &mut Io, view: &View, lost: &[Team]) {
+    pub(super) fn release_grants(
+        &mut self,
+        outbox: &mut Outbox,
+        store: &StoreReplica,
+        lost: &[Team],
+    ) {
         if lost.is_empty() {
             return;
         }
-        let usage = self.usage(view, io.wall_ms);
+        let usage = self.usage(store, outbox.wall_ms);
         for name in lost.iter().filter(|name| usage.is_known(name)) {
             let Some(grant) = self.teams.get(name).and_then(|team| team.grant.as_ref()) else {
                 continue;
@@ -217,8 +232,8 @@
                 Basis::Granted { .. } => grant.holder.release(used),
                 Basis::Undecided | Basis::Counting { .. } => None,
             };
-            if let Some(released) = released.filter(|_| io.may_write()) {
-                self.write_record(io, view, name, &released, false);
+            if let Some(released) = released.filter(|_| outbox.may_write()) {
+                self.write_record(outbox, store, name, &released, false);
             }
         }
     }
@@ -226,8 +241,8 @@
     /// `proposed`: as the owner, and so only while the map names this process.
     fn write_record(
         &mut self,
-        io: &mut Io,
-        view: &View,
+        outbox: &mut Outbox,
+        store: &StoreReplica,
         name: &Team,
         proposal: &Proposal,
         proposed: bool,
@@ -236,45 +251,56 @@
             return;
         };
         let write = put(&key, &proposal.ledger, None);
-        let mut guards = vec![guard(&key, proposal.guard)];
+        let mut preconditions = vec![precondition(&key, proposal.guard)];
         if proposed {
-            guards.push(guard(&teams_key(), teams_version(view)));
+            preconditions.push(precondition(&teams_key(), teams_version(store)));
         }
         let pending = GrantWrite {
             team: name.clone(),
-            term: team.term(),
+            term: team.token(),
             proposed,
             write,
         };
-        self.commit_grant(io, guards, pending);
+        self.commit_grant(outbox, preconditions, pending);
     }
 
-    fn commit_grant(&mut self, io: &mut Io, guards: Vec<Guard>, pending: GrantWrite) {
+    fn commit_grant(
+        &mut self,
+        outbox: &mut Outbox,
+        preconditions: Vec<Precondition>,
+        pending: GrantWrite,
+    ) {
         let transaction = Transaction {
-            guards,
+            preconditions,
             writes: vec![pending.write.clone()],
         };
-        self.record_rate.take(io.now);
-        io.state(Pending::Grant(pending), StateCall::Commit(transaction));
+        self.record_rate.take(outbox.now);
+        outbox.state(Pending::Grant(pending), StoreCall::Commit(transaction));
     }
 
     /// Without a record nobody relies on it.
-    fn remove_record(&mut self, io: &mut Io, view: &View, name: &Team, version: Version) {
+    fn remove_record(
+        &mut self,
+        outbox: &mut Outbox,
+        store: &StoreReplica,
+        name: &Team,
+        version: Version,
+    ) {
         let (Some(key), Some(team)) = (quota_key(name), self.teams.get_mut(name)) else {
             return;
         };
-        let term = team.term();
+        let term = team.token();
         let Some(grant) = team
             .grant
             .as_mut()
-            .filter(|grant| io.now >= grant.write_after)
+            .filter(|grant| outbox.now >= grant.write_after)
         else {
             return;
         };
-        grant.write_after = io.now + io.jitter(FAILURE_PAUSE * 10.0);
-        let guards = vec![
-            guard(&key, version),
-            guard(&teams_key(), teams_version(view)),
+        grant.write_after = outbox.now + outbox.jitter(FAILURE_PAUSE * 10.0);
+        let preconditions = vec![
+            precondition(&key, version),
+            precondition(&teams_key(), teams_version(store)),
         ];
         let write = Write::Delete { key };
         let pending = GrantWrite {
@@ -283,27 +309,27 @@
             proposed: false,
             write,
         };
-        self.commit_grant(io, guards, pending);
+        self.commit_grant(outbox, preconditions, pending);
     }
 
     /// The answer to a write of a record.
     pub(super) fn grant_written(
         &mut self,
-        io: &mut Io,
-        view: &mut View,
+        outbox: &mut Outbox,
+        store: &mut StoreReplica,
         written: GrantWrite,
-        reply: StateReply,
+        reply: StoreReply,
     ) {
-        if let StateReply::Committed(version) = reply {
-            view.apply_write(&written.write, version);
+        if let StoreReply::Committed(version) = reply {
+            store.apply_write(&written.write, version);
         } else {
-            view.want_sync();
+            store.want_sync();
         }
         self.changed = true;
         let team = self
             .teams
             .get_mut(&written.team)
-            .filter(|team| team.term() == written.term);
+            .filter(|team| team.token() == written.term);
         let Some(grant) = team.and_then(|team| team.grant.as_mut()) else {
             return;
         };
@@ -311,33 +337,34 @@
             return;
         }
         grant.holder.answered(match reply {
-            StateReply::Committed(version) => Outcome::Committed(version),
-            StateReply::Unknown => Outcome::Unknown,
+            StoreReply::Committed(version) => Outcome::Committed(version),
+            StoreReply::Unknown => Outcome::Unknown,
             _ => Outcome::NotExecuted,
         });
         match reply {
-            StateReply::Committed(_) => {}
-            StateReply::Rejected => {
+            StoreReply::Committed(_) => {}
+            StoreReply::Rejected => {
                 let bytes = written.write.bytes();
                 let team = &written.team;
                 tracing::error!("the state service refuses {bytes} bytes of grants of team {team}");
                 grant.refused = true;
             }
-            _ => grant.write_after = io.now + io.jitter(FAILURE_PAUSE),
+            _ => grant.write_after = outbox.now + outbox.jitter(FAILURE_PAUSE),
         }
     }
 }
 
-fn teams_version(view: &View) -> Version {
-    view.map()
+fn teams_version(store: &StoreReplica) -> Version {
+    store
+        .map()
         .get(&teams_key())
         .map_or(0, |chunk| chunk.version)
 }
 
 impl Leader {
     /// Which living processes keep to grants: all of them, or it does not count.
-    pub(super) fn note_grant_keepers(&mut self, view: &View) {
-        let records = view.nodes().values().map(|node| &node.record);
+    pub(super) fn note_grant_keepers(&mut self, store: &StoreReplica) {
+        let records = store.nodes().values().map(|node| &node.record);
         let all = records.clone().all(|record| record.keeps_grants);
         let keepers = records
             .filter(|_| all)
@@ -350,8 +377,8 @@
         let unnoted = self.map.owners.teams.iter().filter(|(team, owner)| {
             !self.map.owners.grants_kept_since.contains_key(*team) && self.keeps_grants(owner)
         });
-        let unnoted: Vec<(Team, Term)> = unnoted
-            .map(|(team, owner)| (team.clone(), owner.term))
+        let unnoted: Vec<(Team, FencingToken)> = unnoted
+            .map(|(team, owner)| (team.clone(), owner.token))
             .collect();
         for (team, term) in unnoted {
             self.map.set_grants_kept_since(&team, Some(term));
@@ -359,7 +386,7 @@
     }
 
     /// Whether the process that owns something keeps to grants, as all others do.
-    pub(super) fn keeps_grants(&self, owner: &MapOwner) -> bool {
+    pub(super) fn keeps_grants(&self, owner: &ShardOwner) -> bool {
         let process = (owner.node.clone(), owner.incarnation);
         are_on(&self.config) && self.grant_keepers.contains(&process)
     }
--- a/src/core/team_grants/tests.rs
+++ b/src/core/team_grants/tests.rs
@@ -1,11 +1,11 @@
 use super::super::machines::TrackedAttempt;
-use super::super::owner::Owner as Controller;
-use super::super::part_map::{MapChunk, Owner as MapOwner, PartMap, Share};
+use super::super::owner::Shard as Controller;
+use super::super::part_map::{ShardEntry, ShardMapChunk, ShardMapEditor, ShardOwner};
 use super::super::placement::Resources;
+use super::super::store::{JobRecord, ProcessRecord, node_key};
 use super::super::test_support::{owner, record, share_with};
 use super::super::unresponsive::UnresponsiveMachines;
-use super::super::view::{JobRecord, ProcessRecord, node_key};
-use super::super::{CallId, Effect, StateCall};
+use super::super::{CallId, Effect, StoreCall};
 use super::*;
 use crate::config::Config;
 use crate::features::Features;
@@ -33,9 +33,9 @@
 /// A controller that has just gained the team under `term`, of which owners have kept to their grants
 /// since `since`.
 struct Scene {
-    share: Controller,
-    io: Io,
-    view: View,
+    shard: Controller,
+    outbox: Outbox,
+    store: StoreReplica,
     version: Version,
 }
 
@@ -50,11 +50,11 @@
         since: Option<u64>,
         stored: Option<serde_json::Value>,
     ) -> Self {
-        let (share, io, view) = share_with(config);
+        let (shard, outbox, store) = share_with(config);
         let mut scene = Self {
-            share,
-            io,
-            view,
+            shard,
+            outbox,
+            store,
             version: 10,
         };
         if let Some(value) = stored {
@@ -71,51 +71,51 @@
             value: value.clone(),
             lease: None,
         };
-        self.view.apply_write(&write, self.version);
+        self.store.apply_write(&write, self.version);
     }
 
     /// The map gives the team to this process of `node`.
     fn give(&mut self, node: &str, term: u64, since: Option<u64>) {
         self.version += 1;
-        let owner = MapOwner {
-            term: Term(term),
+        let owner = ShardOwner {
+            token: FencingToken(term),
             ..owner(node)
         };
-        let shares = vec![Share {
+        let shards = vec![ShardEntry {
             owner,
             teams: vec![RED.into()],
             machines: vec!["m-1".into()],
         }];
-        let grants_kept_since = since.map(|since| (Team::from(RED), Term(since)));
-        let chunk = MapChunk {
-            shares,
+        let grants_kept_since = since.map(|since| (Team::from(RED), FencingToken(since)));
+        let chunk = ShardMapChunk {
+            shards,
             grants_kept_since: grants_kept_since.into_iter().collect(),
         };
-        self.view
+        self.store
             .apply_write(&put(&teams_key(), &chunk, None), self.version);
         let unresponsive = UnresponsiveMachines::default();
-        self.share
-            .follow_map(&mut self.io, &self.view, &unresponsive);
-        self.share.follow_grants(&self.view);
+        self.shard
+            .follow_map(&mut self.outbox, &self.store, &unresponsive);
+        self.shard.follow_grants(&self.store);
     }
 
     /// The view is as far as the map.
     fn synced(&mut self) {
-        self.view.read_up_to(self.version);
-        self.share.follow_grants(&self.view);
+        self.store.read_up_to(self.version);
+        self.shard.follow_grants(&self.store);
     }
 
-    fn settle(&mut self) {
-        self.share
+    fn reconcile(&mut self) {
+        self.shard
             .teams
             .get_mut(&Team::from(RED))
             .unwrap()
-            .unsettled
+            .unreconciled
             .clear();
     }
 
     fn basis(&self) -> Basis {
-        self.share.teams[&Team::from(RED)]
+        self.shard.teams[&Team::from(RED)]
             .grant
             .as_ref()
             .unwrap()
@@ -123,17 +123,17 @@
     }
 
     fn usage(&self) -> Usage {
-        self.share.usage(&self.view, 0)
+        self.shard.usage(&self.store, 0)
     }
 
     fn allows(&self, gpus: f64) -> bool {
         self.usage()
-            .allows(&self.share.config.deployment.teams[0], 0.0, gpus)
+            .allows(&self.shard.config.deployment.teams[0], 0.0, gpus)
     }
 
     /// A task that was started here runs.
     fn runs(&mut self, gpus: f64) {
-        let machine = self.share.machines.get_mut(&"m-1".into()).unwrap();
+        let machine = self.shard.machines.get_mut(&"m-1".into()).unwrap();
         let mut tracked = TrackedAttempt::new(0.0);
         tracked.room = Some(Resources {
             gpus,
@@ -152,30 +152,31 @@
     /// What is written to the state service now.
     fn written(&mut self) -> Option<(CallId, Transaction)> {
         let usage = self.usage();
-        self.share.write_grants(&mut self.io, &self.view, &usage);
+        self.shard
+            .write_grants(&mut self.outbox, &self.store, &usage);
         self.effects()
     }
 
     fn effects(&mut self) -> Option<(CallId, Transaction)> {
-        self.io
+        self.outbox
             .take_effects()
             .into_iter()
             .find_map(|effect| match effect {
-                Effect::State(call, StateCall::Commit(transaction)) => Some((call, transaction)),
+                Effect::State(call, StoreCall::Commit(transaction)) => Some((call, transaction)),
                 _ => None,
             })
     }
 
-    fn answer(&mut self, call: CallId, reply: StateReply) {
-        let Some(Pending::Grant(written)) = self.io.finish(call) else {
+    fn answer(&mut self, call: CallId, reply: StoreReply) {
+        let Some(Pending::Grant(written)) = self.outbox.finish(call) else {
             panic!("a grant")
         };
-        if let StateReply::Committed(version) = reply {
+        if let StoreReply::Committed(version) = reply {
             self.version = version;
         }
-        self.share
-            .grant_written(&mut self.io, &mut self.view, written, reply);
-        self.share.follow_grants(&self.view);
+        self.shard
+            .grant_written(&mut self.outbox, &mut self.store, written, reply);
+        self.shard.follow_grants(&self.store);
     }
 }
 
@@ -205,16 +206,16 @@
     assert!(!scene.allows(1.0), "it has no grant yet");
     let (call, transaction) = scene.written().unwrap();
     let guarded: Vec<&str> = transaction
-        .guards
+        .preconditions
         .iter()
-        .map(|guard| guard.key.as_str())
+        .map(|precondition| precondition.key.as_str())
         .collect();
     assert_eq!(
         guarded,
         [key().as_str(), teams_key().as_str()],
         "fenced by the map"
     );
-    scene.answer(call, StateReply::Committed(30));
+    scene.answer(call, StoreReply::Committed(30));
     assert!(scene.allows(2.0), "its headroom, an eighth of the limit");
     assert!(!scene.allows(7.0), "10 of 16 are granted to another");
 }
@@ -242,10 +243,10 @@
         assert_eq!(scene.basis(), Basis::Counting { beginning: None });
         assert!(scene.allows(16.0), "as without a record");
         assert!(scene.written().is_none(), "what runs is not known yet");
-        scene.settle();
+        scene.reconcile();
         let (_, transaction) = scene.written().unwrap();
         assert_eq!(
-            transaction.guards[0].version, 11,
+            transaction.preconditions[0].version, 11,
             "in place of the damaged one"
         );
     }
@@ -255,9 +256,9 @@
 fn while_a_record_is_being_begun_no_more_starts_than_it_covers() {
     let mut scene = Scene::new(9, Some(9), None);
     scene.synced();
-    scene.settle();
+    scene.reconcile();
     let (call, _) = scene.written().unwrap();
-    scene.answer(call, StateReply::Unknown);
+    scene.answer(call, StoreReply::Unknown);
     assert_eq!(
         scene.basis(),
         Basis::Counting {
@@ -283,13 +284,13 @@
 fn who_loses_the_team_keeps_granted_only_what_may_still_run() {
     let mut scene = Scene::new(9, Some(9), None);
     scene.synced();
-    scene.settle();
+    scene.reconcile();
     let (call, _) = scene.written().unwrap();
-    scene.answer(call, StateReply::Committed(30));
+    scene.answer(call, StoreReply::Committed(30));
     scene.give("n1", 12, Some(9));
     let (_, transaction) = scene.effects().unwrap();
     assert_eq!(
-        transaction.guards.len(),
+        transaction.preconditions.len(),
         1,
         "it owns the team no more, and gives back only"
     );
@@ -304,9 +305,9 @@
 fn what_may_still_run_stays_granted_as_the_team_goes() {
     let mut scene = Scene::new(9, Some(9), None);
     scene.synced();
-    scene.settle();
+    scene.reconcile();
     let (call, _) = scene.written().unwrap();
-    scene.answer(call, StateReply::Committed(30));
+    scene.answer(call, StoreReply::Committed(30));
     scene.runs(1.5);
     scene.give("n1", 12, Some(9));
     let (_, transaction) = scene.effects().unwrap();
@@ -322,25 +323,25 @@
 fn no_more_is_asked_for_than_others_leave() {
     let mut scene = Scene::new(9, Some(5), Some(held_by_other(5, 10.0)));
     scene.synced();
-    let limits = scene.share.config.deployment.teams[0].clone();
+    let team_limits = scene.shard.config.deployment.teams[0].clone();
     let need = Resources {
         gpus: 1.0,
         ..Resources::default()
     };
     let mut usage = scene.usage();
     assert_eq!(
-        usage.room_in_limit(&limits, &need, 16),
+        usage.room_in_limit(&team_limits, &need, 16),
         6,
         "of 16 others hold 10"
     );
-    assert_eq!(usage.room_in_grant(&limits, &need, 6, false), 0);
+    assert_eq!(usage.room_in_grant(&team_limits, &need, 6, false), 0);
     let (waiting, next) = usage.lacking(&RED.into());
     assert_eq!(
         (waiting, next),
         (Amount::covering(0.0, 6.0), Amount::covering(0.0, 1.0))
     );
     assert_eq!(
-        usage.room_in_grant(&limits, &need, 6, true),
+        usage.room_in_grant(&team_limits, &need, 6, true),
         0,
         "a gang starts whole"
     );
@@ -363,8 +364,8 @@
         ..(*spec).clone()
     }));
     let taken = ((0.0), 0);
-    scene.share.take_job(
-        &scene.view,
+    scene.shard.take_job(
+        &scene.store,
         &"req-000001".into(),
         &Rc::new(waiting),
         3,
@@ -381,7 +382,7 @@
 #[test]
 fn the_leader_notes_nothing_while_a_process_keeps_to_no_grants() {
     let config = Rc::new(config());
-    let mut view = View::new(&config);
+    let mut store = StoreReplica::new(&config);
     let process = |node: &str, keeps_grants: bool| ProcessRecord {
         node: node.into(),
         incarnation: 1,
@@ -390,22 +391,22 @@
         consents: Vec::new(),
         claims: Vec::new(),
     };
-    let tell = |view: &mut View, node: &str, keeps: bool, version: Version| {
-        view.apply_write(
+    let tell = |store: &mut StoreReplica, node: &str, keeps: bool, version: Version| {
+        store.apply_write(
             &put(&node_key(&node.into()), &process(node, keeps), None),
             version,
         );
     };
-    tell(&mut view, "n0", true, 1);
-    tell(&mut view, "n1", false, 2);
-    let mut leader = Leader::new(&config, 3, &view, 0.0);
-    leader.note_grant_keepers(&view);
+    tell(&mut store, "n0", true, 1);
+    tell(&mut store, "n1", false, 2);
+    let mut leader = Leader::new(&config, 3, &store, 0.0);
+    leader.note_grant_keepers(&store);
     assert!(
         !leader.keeps_grants(&owner("n0")),
         "n1 would be asked to go on without"
     );
-    tell(&mut view, "n1", true, 4);
-    leader.note_grant_keepers(&view);
+    tell(&mut store, "n1", true, 4);
+    leader.note_grant_keepers(&store);
     assert!(leader.keeps_grants(&owner("n0")));
 }
 
@@ -414,7 +415,7 @@
     let mut scene = Scene::new(9, Some(5), Some(held_by_other(5, 10.0)));
     scene.synced();
     let (call, _) = scene.written().unwrap();
-    scene.answer(call, StateReply::Rejected);
+    scene.answer(call, StoreReply::Rejected);
     assert!(
         !scene.allows(1.0),
         "others may rely on the record as long as it is there"
@@ -424,9 +425,9 @@
         matches!(&transaction.writes[..], [Write::Delete { .. }]),
         "{transaction:?}"
     );
-    scene.answer(call, StateReply::Committed(40));
+    scene.answer(call, StoreReply::Committed(40));
     assert_eq!(scene.basis(), Basis::Counting { beginning: None });
-    scene.settle();
+    scene.reconcile();
     assert!(scene.written().is_none(), "it is not begun again");
 }
 
@@ -447,7 +448,7 @@
         matches!(&transaction.writes[..], [Write::Delete { .. }]),
         "{transaction:?}"
     );
-    scene.answer(call, StateReply::Committed(40));
+    scene.answer(call, StoreReply::Committed(40));
     assert!(scene.allows(1000.0) && scene.written().is_none());
 }
 
@@ -458,7 +459,7 @@
         let mut scene = Scene::with(config_with_limit(limit), 9, Some(5), stored);
         scene.synced();
         let (call, _) = scene.written().unwrap();
-        scene.answer(call, StateReply::Committed(30));
+        scene.answer(call, StoreReply::Committed(30));
         let expected = Basis::Granted {
             own: Amount::covering(0.0, granted),
             outstanding: Amount::covering(0.0, 10.0),
@@ -469,12 +470,12 @@
 
 /// What the leader notes in the map for a team that goes to `keepers` and others, one after the other.
 fn noted(owners: &[(&str, bool)]) -> Vec<Option<u64>> {
-    let mut map = PartMap::new(1, &BTreeMap::new(), 4.0);
+    let mut map = ShardMapEditor::new(1, &BTreeMap::new(), 4.0);
     let team = Team::from(RED);
     let mut noted = Vec::new();
     for (index, (node, keeps)) in owners.iter().enumerate() {
-        let owner = MapOwner {
-            term: Term(index as u64 + 1),
+        let owner = ShardOwner {
+            token: FencingToken(index as u64 + 1),
             ..owner(node)
         };
         map.carry_grants(&team, &owner, *keeps);
@@ -499,17 +500,17 @@
 /// A leader of a version without grants writes the teams without the note.
 #[test]
 fn a_leader_that_knows_no_grants_leaves_the_note_out() {
-    let chunk = MapChunk {
-        shares: vec![Share {
+    let chunk = ShardMapChunk {
+        shards: vec![ShardEntry {
             owner: owner("n0"),
             teams: vec![RED.into()],
             machines: vec![],
         }],
-        grants_kept_since: [(Team::from(RED), Term(3))].into(),
+        grants_kept_since: [(Team::from(RED), FencingToken(3))].into(),
     };
     let mut stored = serde_json::to_value(&chunk).unwrap();
     assert_eq!(stored["q"], serde_json::json!({ RED: 3 }));
     stored.as_object_mut().unwrap().remove("q");
-    let read: MapChunk = serde_json::from_value(stored).unwrap();
+    let read: ShardMapChunk = serde_json::from_value(stored).unwrap();
     assert!(read.grants_kept_since.is_empty());
 }
--- a/src/core/test_support.rs
+++ b/src/core/test_support.rs
@@ -1,14 +1,14 @@
 //! What several unit tests of the core begin with.
 
-use super::io::Io;
-use super::owner::{Hints, Owner};
-use super::part_map::{MapChunk, Owner as MapOwner, Share};
-use super::view::{JobRecord, LEADER_KEY, MAP_PREFIX, ProcessRecord, View, node_key, put};
-use super::{Core, Effect, Input, StateCall, StateReply, Time};
+use super::outbox::Outbox;
+use super::owner::{Hints, Shard};
+use super::part_map::{ShardEntry, ShardMapChunk, ShardOwner};
+use super::store::{JobRecord, LEADER_KEY, MAP_PREFIX, ProcessRecord, StoreReplica, node_key, put};
+use super::{Core, Effect, Input, StoreCall, StoreReply, Time};
 use crate::config::Config;
 use crate::features::Features;
-use crate::ids::{Node, Term, Version};
-use crate::wire::{Entry, JobSpec, JobStatus, Listing, MachineType, Report, Write};
+use crate::ids::{FencingToken, Node, Version};
+use crate::wire::{Entry, Heartbeat, JobSpec, JobStatus, Listing, MachineType, Write};
 use rand::SeedableRng;
 use std::rc::Rc;
 
@@ -22,13 +22,13 @@
     }
     let spec = Some(Rc::new(serde_json::from_value(spec).unwrap()));
     JobRecord {
-        stance: JobStatus::Pending,
+        status: JobStatus::Pending,
         accepted_ms: 0,
         tasks: 2,
         done: ranges,
         spec,
         ended_ms: None,
-        leaving: None,
+        terminating: None,
     }
 }
 
@@ -36,28 +36,28 @@
     Config::parse(crate::config::TEST_SETTINGS).unwrap()
 }
 
-pub fn share() -> (Owner, Io, View) {
+pub fn shard() -> (Shard, Outbox, StoreReplica) {
     share_with(config())
 }
 
-pub fn share_with(config: Config) -> (Owner, Io, View) {
+pub fn share_with(config: Config) -> (Shard, Outbox, StoreReplica) {
     let config = Rc::new(config);
     let rng = rand::rngs::StdRng::seed_from_u64(1);
-    let io = Io::new(rng, &config);
+    let outbox = Outbox::new(rng, &config);
     (
-        Owner::new(&config, 1, Hints::new(), 0.0),
-        io,
-        View::new(&config),
+        Shard::new(&config, 1, Hints::new(), 0.0),
+        outbox,
+        StoreReplica::new(&config),
     )
 }
 
-pub fn map(view: &mut View, version: Version, shares: Vec<Share>) {
-    view.apply_write(
+pub fn map(store: &mut StoreReplica, version: Version, shards: Vec<ShardEntry>) {
+    store.apply_write(
         &put(
             &format!("{MAP_PREFIX}m0000"),
-            &MapChunk {
-                shares,
-                ..MapChunk::default()
+            &ShardMapChunk {
+                shards,
+                ..ShardMapChunk::default()
             },
             None,
         ),
@@ -65,11 +65,11 @@
     );
 }
 
-pub fn owner(node: &str) -> MapOwner {
-    MapOwner {
+pub fn owner(node: &str) -> ShardOwner {
+    ShardOwner {
         node: node.into(),
         incarnation: 1,
-        term: Term(9),
+        token: FencingToken(9),
         former: None,
         prior: None,
     }
@@ -101,15 +101,15 @@
 }
 
 /// The report of a machine of kind `g8` on which nothing runs.
-pub fn report(machine: &str, session: u64, seq: u64, token: Term) -> Report {
-    Report {
+pub fn heartbeat(machine: &str, agent_epoch: u64, sequence: u64, token: FencingToken) -> Heartbeat {
+    Heartbeat {
         machine: machine.into(),
         address: machine.into(),
         type_name: "g8".into(),
         zone: "a".into(),
         spot: false,
-        session,
-        seq,
+        agent_epoch,
+        sequence,
         token,
         notice_s: None,
         tasks: Vec::new(),
@@ -149,7 +149,7 @@
     config.features = Features::parse(include_str!("../../deploy/failure-detection.toml")).unwrap();
     let mut core = Core::new(config, 1);
     let own = ProcessRecord {
-        incarnation: core.authority.incarnation(),
+        incarnation: core.ownership.incarnation(),
         lease: OWN_LEASE,
         ..process("n1")
     };
@@ -160,18 +160,18 @@
     entries.push(entry(LEADER_KEY, &process("n0")));
     let effects = core.step(now - 0.1, 0, Vec::new());
     let listing = effects.into_iter().find_map(|effect| match effect {
-        Effect::State(call, StateCall::List { .. }) => Some(call),
+        Effect::State(call, StoreCall::List { .. }) => Some(call),
         _ => None,
     });
-    let listed = StateReply::Listing(Listing {
+    let listed = StoreReply::Listing(Listing {
         entries,
         more: false,
         revision: 20,
     });
     core.step(now, 0, vec![Input::State(listing.unwrap(), listed)]);
-    core.authority.hold(OWN_LEASE, now);
+    core.ownership.hold(OWN_LEASE, now);
     core.take_roles();
-    assert!(core.owner.is_some());
+    assert!(core.shard.is_some());
     core
 }
 
@@ -190,7 +190,7 @@
 pub fn answered_until(core: &mut Core, siblings: &[&str], from: Time, until: Time) {
     let mut now = from;
     while now <= until {
-        core.io.begin(now, 0);
+        core.outbox.begin(now, 0);
         core.peers.detector_mut().step(now);
         for sibling in siblings {
             core.peers.answered(&Node::from(*sibling), 1, now);
--- a/src/core/tracking.rs
+++ b/src/core/tracking.rs
@@ -6,32 +6,32 @@
 //! answered, or its lease must have run out since its last answered report ([`super::lease_expiry`]).
 
 use super::catalog::Catalog;
-use super::io::Io;
 use super::jobs::Task;
 use super::machines::{Carrier, Freshness, Phase, TrackedAttempt};
-use super::owned_jobs::{describe, describe_leaving};
-use super::owner::Owner;
+use super::outbox::Outbox;
+use super::owned_jobs::{describe, describe_terminating};
+use super::owner::Shard;
 use super::placement::Resources;
-use super::view::View;
+use super::store::StoreReplica;
 use super::{Answer, Body, Time};
 use crate::ids::{Attempt, JobId, MachineId, TaskId};
-use crate::wire::{Exit, Kind, Order, Report, ReportAnswer, ReportedTask, TaskState};
+use crate::wire::{Command, Exit, Heartbeat, HeartbeatResponse, Kind, ReportedTask, TaskState};
 use std::collections::BTreeSet;
 
 /// Reports that may fail to show a task whose start was in their answers.
 const REPORTS_WITHOUT_A_START: u32 = 3;
 /// Leases for which a machine that fails every job is set aside.
-const ASIDE_LEASES: f64 = 20.0;
+const CORDON_LEASES: f64 = 20.0;
 
 /// Stops for the tasks that a report shows of jobs that are over.
-fn stops_of_ended(report: &Report, view: &View) -> Vec<Order> {
-    let over = |task: &&ReportedTask| {
-        let job = TaskId::parse(&task.task).and_then(|id| view.job(&id.job));
+fn stops_of_ended(heartbeat: &Heartbeat, store: &StoreReplica) -> Vec<Command> {
+    let ended_epoch = |task: &&ReportedTask| {
+        let job = TaskId::parse(&task.task).and_then(|id| store.job(&id.job));
         task.state != TaskState::Exited && job.is_some_and(|job| job.record.is_final())
     };
-    let ended = report.tasks.iter().filter(over);
+    let ended = heartbeat.tasks.iter().filter(ended_epoch);
     ended
-        .map(|task| Order::Stop {
+        .map(|task| Command::Stop {
             task: task.task.clone(),
             attempt: task.attempt,
             grace_s: 0.0,
@@ -39,32 +39,32 @@
         .collect()
 }
 
-impl Owner {
+impl Shard {
     /// Answers the report of a worker on one of our machines; None if it is not ours.
-    pub fn checkin(
+    pub fn handle_heartbeat(
         &mut self,
-        io: &mut Io,
-        view: &View,
+        outbox: &mut Outbox,
+        store: &StoreReplica,
         catalog: &Catalog,
-        report: Report,
+        heartbeat: Heartbeat,
     ) -> Option<Answer> {
-        let now = io.now;
-        let id = report.machine.clone();
+        let now = outbox.now;
+        let id = heartbeat.machine.clone();
         let machine = self.machines.get_mut(&id).filter(|machine| machine.mine)?;
-        if machine.total == Resources::default() || machine.address != report.address {
-            machine.describe(&report, catalog.types());
+        if machine.total == Resources::default() || machine.address != heartbeat.address {
+            machine.describe(&heartbeat, catalog.types());
         }
-        if report.token > machine.token {
+        if heartbeat.token > machine.token {
             // Somebody with a later term is in charge; the map will tell.
             return Some(Answer::unavailable());
         }
-        let freshness = machine.freshness(&report, false);
+        let freshness = machine.freshness(&heartbeat, false);
         if freshness == Freshness::Copy {
             return Some(Answer::unavailable());
         }
         self.starts_in_flight.reported(&id);
-        if let Freshness::NewReport { new_session } = freshness {
-            self.take_report(io, view, &report, new_session, true);
+        if let Freshness::NewReport { new_epoch } = freshness {
+            self.take_heartbeat(outbox, store, &heartbeat, new_epoch, true);
         }
         self.heard = now;
         let machine = self.machines.get_mut(&id)?;
@@ -78,42 +78,42 @@
         machine.empty = false;
         // Until the machine has shown its token it gets that and no commands but stops of what is over:
         // an answer keeps its tasks alive, and with one owner after the other it might never get them.
-        let orders = if machine.trusted {
-            let orders = machine.orders(&self.starts_in_flight, Carrier::ReportAnswer);
+        let commands = if machine.trusted {
+            let commands = machine.commands(&self.starts_in_flight, Carrier::HeartbeatResponse);
             self.starts_in_flight
-                .answered(&id, report.session, orders.starts);
-            orders.list
+                .answered(&id, heartbeat.agent_epoch, commands.starts);
+            commands.list
         } else {
-            stops_of_ended(&report, view)
+            stops_of_ended(&heartbeat, store)
         };
-        let answer = ReportAnswer {
+        let answer = HeartbeatResponse {
             token: machine.token,
-            orders,
+            commands,
         };
         Some(Answer {
             status: 200,
-            body: Body::Orders(answer),
+            body: Body::HeartbeatResponse(answer),
             retry_after: None,
         })
     }
 
     /// Takes up what a newer message of a machine says.
-    pub(super) fn take_report(
+    pub(super) fn take_heartbeat(
         &mut self,
-        io: &mut Io,
-        view: &View,
-        report: &Report,
-        new_session: bool,
-        checkin: bool,
+        outbox: &mut Outbox,
+        store: &StoreReplica,
+        heartbeat: &Heartbeat,
+        new_epoch: bool,
+        handle_heartbeat: bool,
     ) {
-        let now = io.now;
-        let id = report.machine.clone();
+        let now = outbox.now;
+        let id = heartbeat.machine.clone();
         self.starts_in_flight
-            .shown(&id, report.token, report.session);
+            .shown(&id, heartbeat.token, heartbeat.agent_epoch);
         let Some(machine) = self.machines.get_mut(&id) else {
             return;
         };
-        if new_session {
+        if new_epoch {
             // The earlier session's tasks are gone, and nothing sent in it will be executed. If
             // its lease ran out, answers may not reach it: it has to show a fresh token.
             let gone: Vec<_> = machine.attempts.keys().cloned().collect();
@@ -129,9 +129,9 @@
         let Some(machine) = self.machines.get_mut(&id) else {
             return;
         };
-        machine.leaves = report.notice_s.map(|left| now + left);
+        machine.leaves = heartbeat.notice_s.map(|left| now + left);
         self.changed |= machine.leaves.is_some();
-        if report.token != machine.token {
+        if heartbeat.token != machine.token {
             return;
         }
         let newly_trusted = !std::mem::replace(&mut machine.trusted, true);
@@ -143,13 +143,13 @@
         machine.suspect = false;
         machine.former = None;
         let mut shown = BTreeSet::new();
-        for reported in &report.tasks {
+        for reported in &heartbeat.tasks {
             if let Some(task) = TaskId::parse(&reported.task) {
                 shown.insert((task.clone(), reported.attempt));
-                self.take_task(io, view, &id, task, reported);
+                self.take_task(outbox, store, &id, task, reported);
             }
         }
-        self.take_missing(&id, &shown, checkin, now);
+        self.take_missing(&id, &shown, handle_heartbeat, now);
     }
 
     /// What the machine does not show (any more).
@@ -157,7 +157,7 @@
         &mut self,
         id: &MachineId,
         shown: &BTreeSet<(TaskId, Attempt)>,
-        checkin: bool,
+        handle_heartbeat: bool,
         now: Time,
     ) {
         let Some(machine) = self.machines.get_mut(id) else {
@@ -171,7 +171,9 @@
         {
             match tracked.phase {
                 Phase::Seen(_) | Phase::Exited(_) => gone.push(key.clone()),
-                Phase::Issued if checkin && !self.starts_in_flight.awaits_answer(id, key) => {
+                Phase::Issued
+                    if handle_heartbeat && !self.starts_in_flight.awaits_answer(id, key) =>
+                {
                     tracked.misses += 1;
                     let patience = if tracked.stop.is_some() {
                         1
@@ -196,18 +198,18 @@
     /// One task as its machine shows it.
     pub(super) fn take_task(
         &mut self,
-        io: &mut Io,
-        view: &View,
+        outbox: &mut Outbox,
+        store: &StoreReplica,
         id: &MachineId,
         task: TaskId,
         reported: &ReportedTask,
     ) {
-        let now = io.now;
+        let now = outbox.now;
         let attempt = reported.attempt;
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
-        let stored = view.job(&task.job).map(|stored| &stored.record);
+        let stored = store.job(&task.job).map(|stored| &stored.record);
         let phase = match reported.state {
             TaskState::Exited => Phase::Exited(reported.why.unwrap_or(Exit::Other)),
             state => Phase::Seen(state),
@@ -222,12 +224,12 @@
         if tracked.team.is_none()
             && let Some(record) = stored
         {
-            match (&record.spec, &record.leaving) {
+            match (&record.spec, &record.terminating) {
                 (Some(spec), _) => {
                     describe(tracked, &self.config, spec);
-                    tracked.opportunistic &= view.inherited(&task.job).is_none();
+                    tracked.opportunistic &= store.inherited(&task.job).is_none();
                 }
-                (None, Some(leaving)) => describe_leaving(tracked, leaving),
+                (None, Some(terminating)) => describe_terminating(tracked, terminating),
                 (None, None) => {}
             }
         }
@@ -246,16 +248,16 @@
         let Some(tracked) = machine.attempts.get_mut(&(task.clone(), attempt)) else {
             return;
         };
-        let over = stored.is_some_and(|record| record.is_final());
+        let ended_epoch = stored.is_some_and(|record| record.is_final());
         let Some(job) = self.jobs.get_mut(&task.job) else {
             // An accepted job that is over is stopped and forgotten. One of another owner's team
             // is that owner's; one that is not known yet will be.
-            tracked.forget |= over;
-            if over && !tracked.exited() && tracked.stop != Some(0.0) {
+            tracked.forget |= ended_epoch;
+            if ended_epoch && !tracked.exited() && tracked.stop != Some(0.0) {
                 tracked.stop = Some(0.0);
-                self.unsent_orders.insert(id.clone());
+                self.unsent_commands.insert(id.clone());
             }
-            self.sync_soon |= news && !over;
+            self.sync_soon |= news && !ended_epoch;
             return;
         };
         let here = Task::Placed(id.clone(), attempt);
@@ -268,7 +270,7 @@
             Some(meant) if *meant != here && !tracked.exited() && tracked.stop != Some(0.0) => {
                 tracing::info!("{task}: attempt {} on {id} is one too many", attempt.0);
                 tracked.stop = Some(0.0);
-                self.unsent_orders.insert(id.clone());
+                self.unsent_commands.insert(id.clone());
             }
             _ => {}
         }
@@ -370,7 +372,7 @@
                 return;
             };
             tracing::info!("{id} is set aside: tasks of several jobs fail on it alone");
-            machine.aside_until = now + self.config.deployment.workers.lease_s * ASIDE_LEASES;
+            machine.cordoned_until = now + self.config.deployment.workers.lease_s * CORDON_LEASES;
         }
     }
 
@@ -388,13 +390,16 @@
     /// A job has failed on another machine too: those that were set aside for its sake are used again.
     fn clear_machines(&mut self, failed_on: &BTreeSet<MachineId>, now: Time) {
         for id in failed_on {
-            let aside = self.machines.get(id).is_some_and(|m| now < m.aside_until);
+            let aside = self
+                .machines
+                .get(id)
+                .is_some_and(|m| now < m.cordoned_until);
             if aside
                 && !self.seems_faulty(id)
                 && let Some(machine) = self.machines.get_mut(id)
             {
                 tracing::info!("{id} is used again: what failed on it fails elsewhere too");
-                machine.aside_until = now;
+                machine.cordoned_until = now;
                 self.changed = true;
             }
         }
--- a/src/core/tracking/tests.rs
+++ b/src/core/tracking/tests.rs
@@ -1,86 +1,86 @@
 use super::super::machine_orders::GIVEN_UP_MESSAGES;
-use super::super::part_map::Owner as MapOwner;
-use super::super::part_map::Share;
-use super::super::test_support::{map, owner, record, share};
+use super::super::part_map::ShardEntry;
+use super::super::part_map::ShardOwner;
+use super::super::store::{job_key, put};
+use super::super::test_support::{map, owner, record, shard};
 use super::super::unresponsive::UnresponsiveMachines;
-use super::super::view::{job_key, put};
 use super::super::{CallId, Effect, Pending, WorkerReply};
 use super::*;
-use crate::ids::Term;
+use crate::ids::FencingToken;
 use std::rc::Rc;
 
 const JOB: &str = "req-000001";
 
 /// A share that owns the team and two machines, which have shown its token.
 struct Fixture {
-    share: Owner,
-    io: Io,
-    view: View,
-    token: Term,
+    shard: Shard,
+    outbox: Outbox,
+    store: StoreReplica,
+    token: FencingToken,
     sequence: u64,
 }
 
 impl Fixture {
     fn new() -> Self {
-        let (share, io, view) = share();
+        let (shard, outbox, store) = shard();
         let mut fixture = Self {
-            share,
-            io,
-            view,
-            token: Term(9),
+            shard,
+            outbox,
+            store,
+            token: FencingToken(9),
             sequence: 0,
         };
         fixture.give(5, owner("n0"), owner("n0"));
         let job = record(false);
         fixture
-            .view
+            .store
             .apply_write(&put(&job_key(&JOB.into()), &job, None), 7);
-        let (share, view) = (&mut fixture.share, &fixture.view);
-        share.take_job(view, &JOB.into(), &Rc::new(job), 7, (0.0, 0));
-        fixture.report("m-1", &[]);
-        fixture.report("m-2", &[]);
+        let (shard, store) = (&mut fixture.shard, &fixture.store);
+        shard.take_job(store, &JOB.into(), &Rc::new(job), 7, (0.0, 0));
+        fixture.heartbeat("m-1", &[]);
+        fixture.heartbeat("m-2", &[]);
         fixture
     }
 
     /// The map gives the first machine to one owner, and the second and the team to another.
-    fn give(&mut self, version: u64, first: MapOwner, rest: MapOwner) {
-        let first = Share {
+    fn give(&mut self, version: u64, first: ShardOwner, rest: ShardOwner) {
+        let first = ShardEntry {
             owner: first,
             teams: vec![],
             machines: vec!["m-1".into()],
         };
-        let rest = Share {
+        let rest = ShardEntry {
             owner: rest,
             teams: vec!["red".into()],
             machines: vec!["m-2".into()],
         };
-        map(&mut self.view, version, vec![first, rest]);
+        map(&mut self.store, version, vec![first, rest]);
         let quiet = UnresponsiveMachines::default();
-        self.share.follow_map(&mut self.io, &self.view, &quiet);
+        self.shard.follow_map(&mut self.outbox, &self.store, &quiet);
     }
 
     /// The leader takes the first machine off the map, for it is deleted.
     fn delete_first(&mut self) {
-        let rest = Share {
+        let rest = ShardEntry {
             owner: owner("n0"),
             teams: vec!["red".into()],
             machines: vec!["m-2".into()],
         };
-        map(&mut self.view, 8, vec![rest]);
+        map(&mut self.store, 8, vec![rest]);
         let quiet = UnresponsiveMachines::default();
-        self.share.follow_map(&mut self.io, &self.view, &quiet);
+        self.shard.follow_map(&mut self.outbox, &self.store, &quiet);
     }
 
-    fn shown(&mut self, machine: &str, tasks: &[ReportedTask]) -> Report {
+    fn shown(&mut self, machine: &str, tasks: &[ReportedTask]) -> Heartbeat {
         self.sequence += 1;
-        Report {
+        Heartbeat {
             machine: machine.into(),
             address: "a".into(),
             type_name: "g".into(),
             zone: "z".into(),
             spot: false,
-            session: 1,
-            seq: self.sequence,
+            agent_epoch: 1,
+            sequence: self.sequence,
             token: self.token,
             notice_s: None,
             tasks: tasks.to_vec(),
@@ -88,35 +88,35 @@
     }
 
     /// A worker reports; what it is told.
-    fn report(&mut self, machine: &str, tasks: &[ReportedTask]) -> Vec<Order> {
-        let report = self.shown(machine, tasks);
-        self.checkin(report)
+    fn heartbeat(&mut self, machine: &str, tasks: &[ReportedTask]) -> Vec<Command> {
+        let heartbeat = self.shown(machine, tasks);
+        self.handle_heartbeat(heartbeat)
     }
 
-    fn checkin(&mut self, report: Report) -> Vec<Order> {
+    fn handle_heartbeat(&mut self, heartbeat: Heartbeat) -> Vec<Command> {
         let catalog = Catalog::default();
-        let answer = self
-            .share
-            .checkin(&mut self.io, &self.view, &catalog, report);
+        let answer =
+            self.shard
+                .handle_heartbeat(&mut self.outbox, &self.store, &catalog, heartbeat);
         match answer.unwrap().body {
-            Body::Orders(answer) => answer.orders,
+            Body::HeartbeatResponse(answer) => answer.commands,
             _ => Vec::new(),
         }
     }
 
     /// The newest report once more.
-    fn clone_of_last(&mut self, machine: &str) -> Report {
+    fn clone_of_last(&mut self, machine: &str) -> Heartbeat {
         self.sequence -= 1;
         self.shown(machine, &[])
     }
 
     /// A sibling says that the first machine is settled under a term, without any task.
-    fn observe(&mut self, term: Term) {
+    fn observe(&mut self, token: FencingToken) {
         let update = super::super::peer_sync::PeerUpdate {
             revision: 100,
             teams: ["red".into()].into(),
             listening: false,
-            settled: vec![("m-1".into(), term)],
+            reconciled: vec![("m-1".into(), token)],
             observations: vec![],
             commands: vec![],
             need: Default::default(),
@@ -124,48 +124,53 @@
             images: Default::default(),
             contacts: Default::default(),
         };
-        self.share
-            .take_update(&mut self.io, &self.view, &"n1".into(), 1, update);
+        self.shard
+            .take_update(&mut self.outbox, &self.store, &"n1".into(), 1, update);
     }
 
     /// Starts a task on the first machine; the direct message that tells it so.
     fn start(&mut self, index: u32) -> CallId {
-        self.share
-            .start(&JOB.into(), index, &"m-1".into(), Attempt(1), self.io.now);
+        self.shard.start(
+            &JOB.into(),
+            index,
+            &"m-1".into(),
+            Attempt(1),
+            self.outbox.now,
+        );
         self.push().unwrap().0
     }
 
     /// The next direct message.
-    fn push(&mut self) -> Option<(CallId, Vec<Order>)> {
-        self.share.push_orders(&mut self.io);
-        self.io
+    fn push(&mut self) -> Option<(CallId, Vec<Command>)> {
+        self.shard.send_direct_commands(&mut self.outbox);
+        self.outbox
             .take_effects()
             .into_iter()
             .find_map(|effect| match effect {
-                Effect::Worker(call, _, message) => Some((call, message.orders)),
+                Effect::Worker(call, _, message) => Some((call, message.commands)),
                 _ => None,
             })
     }
 
     fn reply(&mut self, call: CallId, reply: WorkerReply) {
-        let Some(Pending::Orders { machine }) = self.io.finish(call) else {
+        let Some(Pending::DirectCommands { machine }) = self.outbox.finish(call) else {
             panic!("not a direct message")
         };
-        let view = &self.view;
-        self.share
-            .orders_answered(&mut self.io, view, &machine, call, reply);
+        let store = &self.store;
+        self.shard
+            .commands_answered(&mut self.outbox, store, &machine, call, reply);
     }
 
     fn tracks(&self, index: u32) -> bool {
-        let machine = self.share.machines.get(&MachineId::from("m-1"));
+        let machine = self.shard.machines.get(&MachineId::from("m-1"));
         machine.is_some_and(|m| m.attempts.contains_key(&(task(index), Attempt(1))))
     }
 
     /// Starts that are issued in a round of placement.
     fn started_in_a_round(&mut self) -> usize {
         let catalog = Catalog::default();
-        let before: usize = self.share.machines.values().map(|m| m.attempts.len()).sum();
-        for machine in self.share.machines.values_mut() {
+        let before: usize = self.shard.machines.values().map(|m| m.attempts.len()).sum();
+        for machine in self.shard.machines.values_mut() {
             machine.total = Resources {
                 cpus: 9.0,
                 gpus: 9.0,
@@ -173,9 +178,9 @@
             };
             machine.fetch_rate = 1.0;
         }
-        let mut usage = self.share.usage(&self.view, self.io.wall_ms);
-        self.share.schedule(self.io.now, &mut usage, &catalog);
-        self.share
+        let mut usage = self.shard.usage(&self.store, self.outbox.wall_ms);
+        self.shard.schedule(self.outbox.now, &mut usage, &catalog);
+        self.shard
             .machines
             .values()
             .map(|m| m.attempts.len())
@@ -198,7 +203,7 @@
         attempt,
         state,
         why,
-        saved: None,
+        checkpointed: None,
     }
 }
 
@@ -206,10 +211,10 @@
     shows(index, 1, TaskState::Exited, Some(Exit::NoRoom))
 }
 
-fn forgets(orders: &[Order]) -> bool {
-    orders
+fn forgets(commands: &[Command]) -> bool {
+    commands
         .iter()
-        .any(|order| matches!(order, Order::Forget { .. }))
+        .any(|order| matches!(order, Command::Forget { .. }))
 }
 
 /// Two messages with one start are under way; the later is refused, the earlier comes late.
@@ -226,10 +231,10 @@
     );
     fixture.reply(held_up, WorkerReply::Unknown);
     for _ in 0..5 {
-        fixture.report("m-1", &[]);
+        fixture.heartbeat("m-1", &[]);
     }
     assert!(fixture.tracks(0));
-    let machine = &fixture.share.machines[&MachineId::from("m-1")];
+    let machine = &fixture.shard.machines[&MachineId::from("m-1")];
     assert!(machine.raise, "a fresh token makes it void");
 }
 
@@ -238,28 +243,28 @@
 fn reports_without_a_task_say_nothing_while_its_start_is_under_way() {
     let mut fixture = Fixture::new();
     let held_up = fixture.start(0);
-    fixture.report("m-1", &[]);
+    fixture.heartbeat("m-1", &[]);
     let refused = fixture.start(1);
     fixture.reply(refused, WorkerReply::NotSent);
-    fixture.share.stop(&"m-1".into(), &task(0), Attempt(1), 0.0);
+    fixture.shard.stop(&"m-1".into(), &task(0), Attempt(1), 0.0);
     for _ in 0..5 {
-        fixture.report("m-1", &[]);
+        fixture.heartbeat("m-1", &[]);
     }
     assert!(fixture.tracks(0));
     fixture.reply(held_up, WorkerReply::Unknown);
-    fixture.report("m-1", &[]);
+    fixture.heartbeat("m-1", &[]);
     assert!(fixture.tracks(0));
-    fixture.token = Term(11);
+    fixture.token = FencingToken(11);
     fixture.give(
         8,
-        MapOwner {
-            term: Term(11),
+        ShardOwner {
+            token: FencingToken(11),
             ..owner("n0")
         },
         owner("n0"),
     );
-    fixture.report("m-1", &[]);
-    fixture.report("m-1", &[]);
+    fixture.heartbeat("m-1", &[]);
+    fixture.heartbeat("m-1", &[]);
     assert!(
         !fixture.tracks(0),
         "void under the fresh token, and not there"
@@ -271,12 +276,12 @@
 fn an_exit_is_not_forgotten_while_a_start_is_under_way() {
     let mut fixture = Fixture::new();
     let held_up = fixture.start(0);
-    fixture.report("m-1", &[]);
-    let orders = fixture.report("m-1", &[refused_start(0)]);
-    assert!(!forgets(&orders), "the direct message may still come");
+    fixture.heartbeat("m-1", &[]);
+    let commands = fixture.heartbeat("m-1", &[refused_start(0)]);
+    assert!(!forgets(&commands), "the direct message may still come");
     let answer = fixture.shown("m-1", &[refused_start(0)]);
     fixture.reply(held_up, WorkerReply::Executed(answer));
-    assert!(forgets(&fixture.report("m-1", &[refused_start(0)])));
+    assert!(forgets(&fixture.heartbeat("m-1", &[refused_start(0)])));
 }
 
 /// A start in the answer to a report may arrive until the worker reports again.
@@ -284,14 +289,17 @@
 fn an_exit_is_not_forgotten_while_the_answer_to_a_report_is_under_way() {
     let mut fixture = Fixture::new();
     let first = fixture.start(0);
-    let orders = fixture.report("m-1", &[]);
-    assert!(matches!(orders[..], [Order::Start { .. }]));
+    let commands = fixture.heartbeat("m-1", &[]);
+    assert!(matches!(commands[..], [Command::Start { .. }]));
     let answer = fixture.shown("m-1", &[refused_start(0)]);
     fixture.reply(first, WorkerReply::Executed(answer));
-    fixture.share.unsent_orders.insert("m-1".into());
-    let direct = fixture.push().map(|(_, orders)| orders).unwrap_or_default();
+    fixture.shard.unsent_commands.insert("m-1".into());
+    let direct = fixture
+        .push()
+        .map(|(_, commands)| commands)
+        .unwrap_or_default();
     assert!(!forgets(&direct), "overtakes the answer");
-    assert!(forgets(&fixture.report("m-1", &[refused_start(0)])));
+    assert!(forgets(&fixture.heartbeat("m-1", &[refused_start(0)])));
 }
 
 /// A message of a former stay of the machine says nothing under a later token, and needs no other.
@@ -301,25 +309,25 @@
     let held_up = fixture.start(0);
     fixture.give(
         8,
-        MapOwner {
-            term: Term(10),
+        ShardOwner {
+            token: FencingToken(10),
             ..owner("n1")
         },
         owner("n0"),
     );
     fixture.give(
         9,
-        MapOwner {
-            term: Term(11),
+        ShardOwner {
+            token: FencingToken(11),
             ..owner("n0")
         },
         owner("n0"),
     );
     fixture.reply(held_up, WorkerReply::Unknown);
     assert!(fixture.tracks(0));
-    fixture.token = Term(11);
+    fixture.token = FencingToken(11);
     assert!(
-        forgets(&fixture.report("m-1", &[refused_start(0)])),
+        forgets(&fixture.heartbeat("m-1", &[refused_start(0)])),
         "shown under the present token"
     );
 }
@@ -332,16 +340,16 @@
     let refused = fixture.start(1);
     fixture.give(
         8,
-        MapOwner {
-            term: Term(10),
+        ShardOwner {
+            token: FencingToken(10),
             ..owner("n1")
         },
         owner("n0"),
     );
     fixture.give(
         9,
-        MapOwner {
-            term: Term(11),
+        ShardOwner {
+            token: FencingToken(11),
             ..owner("n0")
         },
         owner("n0"),
@@ -356,26 +364,26 @@
     let mut fixture = Fixture::new();
     let first = fixture.start(0);
     fixture
-        .share
+        .shard
         .start(&JOB.into(), 1, &"m-1".into(), Attempt(1), 0.0);
     let running = |index| shows(index, 1, TaskState::Running, None);
     let answer = fixture.shown("m-1", &[running(0), running(1)]);
     fixture.reply(first, WorkerReply::Executed(answer));
-    fixture.report("m-2", &[shows(0, 2, TaskState::Running, None)]);
+    fixture.heartbeat("m-2", &[shows(0, 2, TaskState::Running, None)]);
     let failed = shows(0, 1, TaskState::Exited, Some(Exit::Stopped));
-    fixture.report("m-1", &[failed.clone(), running(1)]);
+    fixture.heartbeat("m-1", &[failed.clone(), running(1)]);
     assert_eq!(
         fixture.started_in_a_round(),
         0,
         "it is on the second machine"
     );
-    fixture.report(
+    fixture.heartbeat(
         "m-2",
         &[shows(0, 2, TaskState::Exited, Some(Exit::Stopped))],
     );
     assert_eq!(fixture.started_in_a_round(), 1);
     assert_eq!(
-        fixture.share.starts_held_back, 0,
+        fixture.shard.starts_held_back, 0,
         "known, so the last guard was not needed"
     );
 }
@@ -386,10 +394,10 @@
 fn a_refused_message_costs_no_token_while_an_answer_brings_the_start() {
     let mut fixture = Fixture::new();
     let refused = fixture.start(0);
-    fixture.report("m-1", &[]);
+    fixture.heartbeat("m-1", &[]);
     fixture.reply(refused, WorkerReply::NotSent);
     assert!(fixture.tracks(0));
-    assert!(!fixture.share.machines[&MachineId::from("m-1")].raise);
+    assert!(!fixture.shard.machines[&MachineId::from("m-1")].raise);
 }
 
 /// What voids a start under way: then a task that is not shown is not there, and may start elsewhere.
@@ -404,27 +412,27 @@
     };
     assert!(tracked_after(|_| {}));
     assert!(!tracked_after(|fixture| {
-        let later = Report {
-            session: 2,
+        let later = Heartbeat {
+            agent_epoch: 2,
             ..fixture.shown("m-1", &[])
         };
-        fixture.checkin(later);
+        fixture.handle_heartbeat(later);
     }));
     assert!(!tracked_after(|fixture| {
-        fixture.view.current_as_of = 1000.0;
-        fixture.share.expire_machines(&fixture.view, 1000.0);
+        fixture.store.current_as_of = 1000.0;
+        fixture.shard.expire_machines(&fixture.store, 1000.0);
     }));
     assert!(!tracked_after(Fixture::delete_first));
     assert!(!tracked_after(|fixture| {
         fixture.give(
             8,
-            MapOwner {
-                term: Term(10),
+            ShardOwner {
+                token: FencingToken(10),
                 ..owner("n1")
             },
             owner("n0"),
         );
-        fixture.observe(Term(10));
+        fixture.observe(FencingToken(10));
     }));
 }
 
@@ -439,32 +447,32 @@
         fixture.tracks(0),
         "the answer is older than what was taken up"
     );
-    fixture.share.stop(&"m-1".into(), &task(0), Attempt(1), 0.0);
+    fixture.shard.stop(&"m-1".into(), &task(0), Attempt(1), 0.0);
     fixture.give(
         8,
-        MapOwner {
-            term: Term(11),
+        ShardOwner {
+            token: FencingToken(11),
             ..owner("n0")
         },
         owner("n0"),
     );
     for _ in 0..5 {
-        fixture.report("m-1", &[]);
+        fixture.heartbeat("m-1", &[]);
     }
     assert!(fixture.tracks(0), "shown under a lower token");
-    fixture.observe(Term(9));
+    fixture.observe(FencingToken(9));
     assert!(fixture.tracks(0), "not the owner of the machine");
     fixture.give(
         9,
-        MapOwner {
-            term: Term(12),
+        ShardOwner {
+            token: FencingToken(12),
             ..owner("n1")
         },
         owner("n0"),
     );
-    fixture.observe(Term(9));
+    fixture.observe(FencingToken(9));
     assert!(fixture.tracks(0), "an earlier term");
-    fixture.observe(Term(12));
+    fixture.observe(FencingToken(12));
     assert!(!fixture.tracks(0));
 }
 
@@ -473,14 +481,14 @@
 fn a_second_attempt_is_held_back_and_counted() {
     let mut fixture = Fixture::new();
     fixture.start(0);
-    let job = fixture.share.jobs.get_mut(&JOB.into()).unwrap();
+    let job = fixture.shard.jobs.get_mut(&JOB.into()).unwrap();
     job.set(0, Task::Waiting, None);
     assert_eq!(
         fixture.started_in_a_round(),
         1,
         "the other task of the job only"
     );
-    assert_eq!(fixture.share.starts_held_back, 1);
+    assert_eq!(fixture.shard.starts_held_back, 1);
 }
 
 /// A worker that answers no direct message is told everything in the answers to its reports, and gets
@@ -488,23 +496,23 @@
 #[test]
 fn a_worker_that_never_answers_gets_a_fresh_token() {
     let mut fixture = Fixture::new();
-    let raised = |fixture: &Fixture| fixture.share.machines[&MachineId::from("m-1")].raise;
+    let raised = |fixture: &Fixture| fixture.shard.machines[&MachineId::from("m-1")].raise;
     for attempt in 1..=GIVEN_UP_MESSAGES {
         assert!(!raised(&fixture));
         let number = Attempt(attempt as u64);
         fixture
-            .share
+            .shard
             .start(&JOB.into(), 0, &"m-1".into(), number, 0.0);
-        let (call, orders) = fixture.push().unwrap();
-        let starts = orders
+        let (call, commands) = fixture.push().unwrap();
+        let starts = commands
             .iter()
-            .filter(|order| matches!(order, Order::Start { .. }));
+            .filter(|order| matches!(order, Command::Start { .. }));
         assert_eq!(starts.count(), 1, "what was seen needs no other start");
         fixture.reply(call, WorkerReply::Unknown);
         let running: Vec<ReportedTask> = (1..=attempt as u64)
             .map(|number| shows(0, number, TaskState::Running, None))
             .collect();
-        fixture.report("m-1", &running);
+        fixture.heartbeat("m-1", &running);
     }
     assert!(raised(&fixture));
 }
--- a/src/core/unresponsive.rs
+++ b/src/core/unresponsive.rs
@@ -7,9 +7,9 @@
 //! before (`prior`), if its owner was known to have said this under it; only then does it count.
 
 use super::Time;
-use super::authority::DRIFT;
-use super::part_map::Owners;
-use crate::ids::{MachineId, Term};
+use super::ownership::DRIFT;
+use super::part_map::ShardMap;
+use crate::ids::{FencingToken, MachineId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -17,50 +17,56 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Unresponsive {
     pub machine: MachineId,
-    pub term: Term,
+    #[serde(rename = "term")]
+    pub token: FencingToken,
     /// Seconds since its last answer, when this was sent.
     pub age: Time,
 }
 
 #[derive(Default)]
-pub struct UnresponsiveMachines(BTreeMap<MachineId, (Term, Time)>);
+pub struct UnresponsiveMachines(BTreeMap<MachineId, (FencingToken, Time)>);
 
 impl UnresponsiveMachines {
     /// Takes up what was said, here or elsewhere. Messages take time, so of several words on one
     /// term the one that puts the last answer earliest is nearest to the truth.
     pub fn note(&mut self, said: impl IntoIterator<Item = Unresponsive>, now: Time) {
-        for Unresponsive { machine, term, age } in said {
+        for Unresponsive {
+            machine,
+            token,
+            age,
+        } in said
+        {
             let answered = now - age * (1.0 - DRIFT);
-            let known = self.0.entry(machine).or_insert((term, answered));
-            if term > known.0 || (term == known.0 && answered < known.1) {
-                *known = (term, answered);
+            let known = self.0.entry(machine).or_insert((token, answered));
+            if token > known.0 || (token == known.0 && answered < known.1) {
+                *known = (token, answered);
             }
         }
     }
 
     /// Drops what the map has overtaken.
-    pub fn prune(&mut self, owners: &Owners) {
-        self.0.retain(|machine, (term, _)| {
+    pub fn prune(&mut self, owners: &ShardMap) {
+        self.0.retain(|machine, (token, _)| {
             let owner = owners.machines.get(machine);
-            owner.is_some_and(|owner| owner.term <= *term || owner.prior == Some(*term))
+            owner.is_some_and(|owner| owner.token <= *token || owner.prior == Some(*token))
         });
     }
 
     pub fn all(&self, now: Time) -> Vec<Unresponsive> {
         let said = self.0.iter();
-        said.map(|(id, (term, answered))| Unresponsive {
+        said.map(|(id, (token, answered))| Unresponsive {
             machine: id.clone(),
-            term: *term,
+            token: *token,
             age: now - answered,
         })
         .collect()
     }
 
     /// When the machine was last answered, if it is not answered under this term any more.
-    pub fn answered(&self, machine: &MachineId, term: Term) -> Option<Time> {
+    pub fn answered(&self, machine: &MachineId, token: FencingToken) -> Option<Time> {
         self.0
             .get(machine)
-            .filter(|(of, _)| *of == term)
+            .filter(|(of, _)| *of == token)
             .map(|(_, answered)| *answered)
     }
 }
--- a/src/core/upcoming.rs
+++ b/src/core/upcoming.rs
@@ -6,12 +6,12 @@
 use super::Time;
 use super::forecast::longest_boot;
 use super::jobs::Job;
-use super::owner::Owner;
+use super::owner::Shard;
 use super::placement::Resources;
-use super::plan::Wanted;
+use super::plan::TaskDemand;
 use super::quota::Usage;
-use super::schedule::limits;
-use super::view::{JobRecord, View};
+use super::schedule::team_limits;
+use super::store::{JobRecord, StoreReplica};
 use crate::ids::{JobId, MachineId};
 use crate::wire::{JobSpec, JobStatus, Kind, MachineType};
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,35 +19,35 @@
 
 /// What will soon be wanted, and the room that will be free by then.
 #[derive(Default)]
-pub struct Upcoming {
-    pub wanted: Vec<Wanted>,
+pub struct SoonReadyJobs {
+    pub wanted: Vec<TaskDemand>,
     pub released: Vec<(MachineId, Resources)>,
 }
 
-impl Owner {
+impl Shard {
     /// What becomes ready while a machine boots.
     pub(super) fn upcoming(
         &self,
-        view: &View,
+        store: &StoreReplica,
         mut usage: Usage,
         types: &[MachineType],
         now: Time,
-    ) -> Upcoming {
+    ) -> SoonReadyJobs {
         let ending = self.ending_jobs(now + longest_boot(types));
         let mut wanted = Vec::new();
-        for spec in self.ready_after(view, &ending) {
-            let Some(limits) = limits(&self.config, &spec) else {
+        for spec in self.ready_after(store, &ending) {
+            let Some(team_limits) = team_limits(&self.config, &spec) else {
                 continue;
             };
             let need = Resources::of(&spec);
-            let count = usage.room_in_limit(limits, &need, spec.tasks as usize);
-            usage.add_tasks(&limits.name, &need, count);
-            wanted.push(Wanted::expected(types, spec, count as u32));
+            let count = usage.room_in_limit(team_limits, &need, spec.tasks as usize);
+            usage.add_tasks(&team_limits.name, &need, count);
+            wanted.push(TaskDemand::expected(types, spec, count as u32));
         }
         if wanted.is_empty() {
-            return Upcoming::default();
+            return SoonReadyJobs::default();
         }
-        Upcoming {
+        SoonReadyJobs {
             wanted,
             released: self.room_of(&ending),
         }
@@ -69,7 +69,7 @@
         let ends = |id: &JobId, job: &Job| {
             job.spec.kind != Kind::Service
                 && job.waiting().is_empty()
-                && job.unsettled() == 0
+                && job.unreconciled() == 0
                 && last_end.get(id).is_none_or(|end| *end <= by)
         };
         self.jobs
@@ -80,16 +80,17 @@
     }
 
     /// Jobs of our teams that need nothing but what is done or in `ending`.
-    fn ready_after(&self, view: &View, ending: &BTreeSet<&JobId>) -> Vec<Rc<JobSpec>> {
+    fn ready_after(&self, store: &StoreReplica, ending: &BTreeSet<&JobId>) -> Vec<Rc<JobSpec>> {
         let done = |id: &JobId| {
-            view.job(id)
-                .is_some_and(|job| job.record.stance == JobStatus::Done)
+            store
+                .job(id)
+                .is_some_and(|job| job.record.status == JobStatus::Done)
         };
         let dependents: BTreeSet<&JobId> =
-            ending.iter().flat_map(|id| view.dependents(id)).collect();
+            ending.iter().flat_map(|id| store.dependents(id)).collect();
         let mut specs = Vec::new();
         for id in dependents {
-            let Some(job) = view.job(id).filter(|_| !view.dependency_cancelled(id)) else {
+            let Some(job) = store.job(id).filter(|_| !store.dependency_cancelled(id)) else {
                 continue;
             };
             let record: &JobRecord = &job.record;
--- a/src/core/upcoming/tests.rs
+++ b/src/core/upcoming/tests.rs
@@ -1,10 +1,10 @@
-use super::super::io::Io;
 use super::super::machines::{Phase, TrackedAttempt};
+use super::super::outbox::Outbox;
 use super::super::owned_jobs::describe;
-use super::super::part_map::Share as MapShare;
-use super::super::test_support::{map, owner as map_owner, share, types};
+use super::super::part_map::ShardEntry as MapShare;
+use super::super::store::{job_key, put};
+use super::super::test_support::{map, owner as map_owner, shard, types};
 use super::super::unresponsive::UnresponsiveMachines;
-use super::super::view::{job_key, put};
 use super::*;
 use crate::ids::{Attempt, TaskId, Version};
 use crate::wire::TaskState;
@@ -24,28 +24,32 @@
     )
 }
 
-struct Share {
-    owner: Owner,
-    io: Io,
-    view: View,
+struct Fixture {
+    owner: Shard,
+    outbox: Outbox,
+    store: StoreReplica,
 }
 
-impl Share {
+impl Fixture {
     fn new() -> Self {
-        let (mut owner, mut io, mut view) = share();
+        let (mut owner, mut outbox, mut store) = shard();
         let machines = vec!["m-1".into()];
         let mine = MapShare {
             owner: map_owner("n0"),
             teams: vec!["red".into()],
             machines,
         };
-        map(&mut view, 1, vec![mine]);
-        owner.follow_map(&mut io, &view, &UnresponsiveMachines::default());
-        Self { owner, io, view }
+        map(&mut store, 1, vec![mine]);
+        owner.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+        Self {
+            owner,
+            outbox,
+            store,
+        }
     }
 
     fn accept(&mut self, (id, record): (JobId, JobRecord), version: Version) {
-        self.view
+        self.store
             .apply_write(&put(&job_key(&id), &record, None), version);
         if record
             .spec
@@ -81,8 +85,8 @@
             .insert((TaskId { job: id, index }, Attempt(1)), tracked);
     }
 
-    fn upcoming(&mut self, now: Time) -> Upcoming {
-        self.io.begin(now, 0);
+    fn upcoming(&mut self, now: Time) -> SoonReadyJobs {
+        self.outbox.begin(now, 0);
         let types: Vec<_> = types()
             .into_iter()
             .map(|t| MachineType {
@@ -91,32 +95,32 @@
             })
             .collect();
         self.owner
-            .upcoming(&self.view, Usage::default(), &types, now)
+            .upcoming(&self.store, Usage::default(), &types, now)
     }
 }
 
 /// One boot time ahead of the expected end of all that a job needs, and not earlier.
 #[test]
 fn what_comes_next_is_planned_one_boot_ahead() {
-    let mut share = Share::new();
-    share.accept(record(1, 2, &[]), 1);
-    share.accept(record(2, 1, &[]), 2);
-    share.accept(record(3, 5, &[1, 2]), 3);
-    share.accept(record(4, 7, &[3]), 4);
-    share.run(1, 0, Some(0.0));
-    assert!(share.upcoming(20.0).wanted.is_empty(), "a task of it waits");
-    share.run(1, 1, None);
-    share.run(2, 0, Some(0.0));
+    let mut shard = Fixture::new();
+    shard.accept(record(1, 2, &[]), 1);
+    shard.accept(record(2, 1, &[]), 2);
+    shard.accept(record(3, 5, &[1, 2]), 3);
+    shard.accept(record(4, 7, &[3]), 4);
+    shard.run(1, 0, Some(0.0));
+    assert!(shard.upcoming(20.0).wanted.is_empty(), "a task of it waits");
+    shard.run(1, 1, None);
+    shard.run(2, 0, Some(0.0));
     assert!(
-        share.upcoming(20.0).wanted.is_empty(),
+        shard.upcoming(20.0).wanted.is_empty(),
         "a task of it fetches its image"
     );
-    share.run(1, 1, Some(8.0));
+    shard.run(1, 1, Some(8.0));
     assert!(
-        share.upcoming(17.0).wanted.is_empty(),
+        shard.upcoming(17.0).wanted.is_empty(),
         "more than a boot away"
     );
-    let upcoming = share.upcoming(18.0);
+    let upcoming = shard.upcoming(18.0);
     assert_eq!(upcoming.wanted.len(), 1, "not what comes after that");
     assert_eq!(upcoming.wanted[0].count, 5);
     assert_eq!(
@@ -128,26 +132,26 @@
 /// Nothing is planned for what will not come, or is another share's to wait for.
 #[test]
 fn what_may_not_come_is_not_planned() {
-    let mut share = Share::new();
-    share.accept(record(1, 1, &[]), 1);
-    share.accept(record(2, 1, &[]), 2);
-    share.accept(record(3, 5, &[1, 2]), 3);
-    share.run(1, 0, Some(0.0));
-    share.run(2, 0, Some(0.0));
-    assert_eq!(share.upcoming(20.0).wanted.len(), 1);
-    let elsewhere = share.owner.jobs.remove(&JobId::from("req-000002"));
+    let mut shard = Fixture::new();
+    shard.accept(record(1, 1, &[]), 1);
+    shard.accept(record(2, 1, &[]), 2);
+    shard.accept(record(3, 5, &[1, 2]), 3);
+    shard.run(1, 0, Some(0.0));
+    shard.run(2, 0, Some(0.0));
+    assert_eq!(shard.upcoming(20.0).wanted.len(), 1);
+    let elsewhere = shard.owner.jobs.remove(&JobId::from("req-000002"));
     assert!(
-        share.upcoming(20.0).wanted.is_empty(),
+        shard.upcoming(20.0).wanted.is_empty(),
         "runs in another share"
     );
-    share
+    shard
         .owner
         .jobs
         .insert("req-000002".into(), elsewhere.unwrap());
     let (id, cancelled) = record(2, 1, &[]);
-    share.accept((id, cancelled.cancelled(1)), 5);
+    shard.accept((id, cancelled.cancelled(1)), 5);
     assert!(
-        share.upcoming(20.0).wanted.is_empty(),
+        shard.upcoming(20.0).wanted.is_empty(),
         "cancelled with what it needs"
     );
 }
--- a/src/core/user_requests.rs
+++ b/src/core/user_requests.rs
@@ -2,10 +2,10 @@
 //! the state service itself, guarded by versions, so an answer never depends on who gives it.
 //! Nothing is held back: what cannot be done soon is answered with when to come back.
 
-use super::io::Pending;
+use super::outbox::Pending;
 use super::peers::{MeshMessage, MeshReply};
-use super::view::{JobRecord, Versioned, guard, job_key, put};
-use super::{Answer, Body, Core, RequestId, StateCall, StateReply, Time, UserRequest};
+use super::store::{JobRecord, Versioned, job_key, precondition, put};
+use super::{Answer, Body, Core, RequestId, StoreCall, StoreReply, Time, UserRequest};
 use crate::ids::{JobId, Team, Version};
 use crate::wire::{JobSpec, JobStatus, Kind, Transaction, Write, state_answer, status_answer};
 use std::rc::Rc;
@@ -64,7 +64,7 @@
     }
 
     fn ask(&mut self, reply_to: ReplyTo, what: UserRequest) {
-        let now = self.io.now;
+        let now = self.outbox.now;
         let (needs, not_before) = (now, now);
         let asked = WaitingRequest {
             reply_to,
@@ -75,10 +75,10 @@
             created: false,
         };
         let limit = self.config.deployment.limits.mem_mb * WAITING_PER_MB;
-        if !self.view.complete() || self.user_requests.waiting.len() as f64 > limit {
+        if !self.store.complete() || self.user_requests.waiting.len() as f64 > limit {
             return self.give_up(asked);
         }
-        let silent = self.view.state_silence(now) > SILENCE;
+        let silent = self.store.state_silence(now) > SILENCE;
         if silent && matches!(reply_to, ReplyTo::User(_)) && self.peers.with_state(now).is_some() {
             // Cut from the state service alone: a sibling answers at once what would be late here.
             return self.pass_on(asked);
@@ -89,8 +89,8 @@
     /// A submission that is new here is created; all else is read.
     fn consider(&mut self, asked: WaitingRequest) {
         match &asked.what {
-            UserRequest::Submit(id, _) if self.view.job(id).is_none() => self.create(asked),
-            _ => self.settle(asked),
+            UserRequest::Submit(id, _) if self.store.job(id).is_none() => self.create(asked),
+            _ => self.resolve(asked),
         }
     }
 
@@ -99,13 +99,13 @@
             return;
         };
         let record = JobRecord {
-            stance: JobStatus::Pending,
-            accepted_ms: self.io.wall_ms,
+            status: JobStatus::Pending,
+            accepted_ms: self.outbox.wall_ms,
             tasks: spec.tasks,
             done: Default::default(),
             spec: Some(Rc::new((**spec).clone())),
             ended_ms: None,
-            leaving: None,
+            terminating: None,
         };
         let key = job_key(id);
         let write = put(&key, &record, None);
@@ -115,7 +115,7 @@
         let unknown = spec
             .dependencies
             .iter()
-            .any(|needed| self.view.job(needed).is_none());
+            .any(|needed| self.store.job(needed).is_none());
         let refusal = match write.bytes() as f64 > self.config.deployment.state.value_kb * 1024.0 {
             _ if never => Some("can never run"),
             _ if unknown => Some("awaits: a job that was never accepted"),
@@ -124,10 +124,10 @@
         };
         // Only a read since the question tells that nobody has accepted this job or one that it needs. And
         // a controller that stood still may have missed a cancellation long ago (meeting day 97).
-        let age = self.io.now - self.view.current_as_of;
+        let age = self.outbox.now - self.store.current_as_of;
         let behind = age > self.config.deployment.workers.report_s && !spec.dependencies.is_empty();
-        if (refusal.is_some() || behind) && self.view.current_as_of < asked.needs {
-            self.view.want_sync();
+        if (refusal.is_some() || behind) && self.store.current_as_of < asked.needs {
+            self.store.want_sync();
             return self.user_requests.waiting.push(asked);
         }
         if let Some(problem) = refusal {
@@ -138,9 +138,9 @@
         let cancelled = spec
             .dependencies
             .iter()
-            .any(|needed| self.view.cancelled(needed));
+            .any(|needed| self.store.cancelled(needed));
         let write = match cancelled {
-            true => put(&key, &record.cancelled_unstarted(self.io.wall_ms), None),
+            true => put(&key, &record.cancelled_unstarted(self.outbox.wall_ms), None),
             false => write,
         };
         asked.created = true;
@@ -148,35 +148,35 @@
     }
 
     fn commit(&mut self, mut asked: WaitingRequest, key: String, version: Version, write: Write) {
-        if !self.io.may_write() {
-            asked.not_before = self.io.write_resumes();
+        if !self.outbox.may_write() {
+            asked.not_before = self.outbox.write_resumes();
             return self.user_requests.waiting.push(asked);
         }
         let transaction = Transaction {
-            guards: vec![guard(&key, version)],
+            preconditions: vec![precondition(&key, version)],
             writes: vec![write.clone()],
         };
         let call = UserWrite { asked, write };
-        self.io
-            .state(Pending::UserWrite(call), StateCall::Commit(transaction));
+        self.outbox
+            .state(Pending::UserWrite(call), StoreCall::Commit(transaction));
     }
 
-    pub(super) fn user_write_answered(&mut self, call: UserWrite, reply: StateReply) {
-        let now = self.io.now;
+    pub(super) fn user_write_answered(&mut self, call: UserWrite, reply: StoreReply) {
+        let now = self.outbox.now;
         let UserWrite { mut asked, write } = call;
         match reply {
-            StateReply::Committed(version) => {
-                let before = self.view.job(asked.what.job());
+            StoreReply::Committed(version) => {
+                let before = self.store.job(asked.what.job());
                 let team = before
                     .and_then(|job| job.record.spec.as_ref())
                     .map(|s| s.team.clone());
-                self.view.apply_write(&write, version);
-                self.view.want_sync();
+                self.store.apply_write(&write, version);
+                self.store.want_sync();
                 match &asked.what {
                     UserRequest::Submit(id, _) if asked.created => {
-                        let recorded = self.view.job(id).map(|job| job.record.stance);
-                        let stance = recorded.unwrap_or(JobStatus::Pending);
-                        let answer = Answer::value(201, status_answer(id, stance));
+                        let recorded = self.store.job(id).map(|job| job.record.status);
+                        let status = recorded.unwrap_or(JobStatus::Pending);
+                        let answer = Answer::value(201, status_answer(id, status));
                         self.reply(asked.reply_to, answer);
                     }
                     UserRequest::Cancel(id) => {
@@ -186,32 +186,32 @@
                         self.reply(asked.reply_to, answer);
                     }
                     // Its cancellation with what it needs is recorded now.
-                    UserRequest::Submit(..) | UserRequest::Poll(_) => self.settle(asked),
+                    UserRequest::Submit(..) | UserRequest::Poll(_) => self.resolve(asked),
                 }
             }
-            StateReply::Busy if now < asked.asked + BUSY_WAIT => {
-                asked.not_before = now + self.io.jitter(BUSY_WAIT / 6.0);
+            StoreReply::Busy if now < asked.asked + BUSY_WAIT => {
+                asked.not_before = now + self.outbox.jitter(BUSY_WAIT / 6.0);
                 self.user_requests.waiting.push(asked);
             }
             // Changed meanwhile, or perhaps written: what is there now decides.
-            StateReply::Conflict | StateReply::Unknown => {
+            StoreReply::Conflict | StoreReply::Unknown => {
                 asked.needs = now;
-                self.settle(asked);
+                self.resolve(asked);
             }
             _ => self.give_up(asked),
         }
     }
 
     /// Answers if the view is current enough, else waits for it.
-    fn settle(&mut self, mut asked: WaitingRequest) {
+    fn resolve(&mut self, mut asked: WaitingRequest) {
         let id = asked.what.job().clone();
-        let known = self.view.job(&id).cloned();
+        let known = self.store.job(&id).cloned();
         let ended = known.as_ref().is_some_and(|job| job.record.is_final());
-        if let (false, true, Some(job)) = (ended, self.view.dependency_cancelled(&id), &known) {
+        if let (false, true, Some(job)) = (ended, self.store.dependency_cancelled(&id), &known) {
             return self.record_cancellation(asked, job);
         }
-        if !ended && self.view.current_as_of < asked.needs {
-            self.view.want_sync();
+        if !ended && self.store.current_as_of < asked.needs {
+            self.store.want_sync();
             self.user_requests.waiting.push(asked);
             return;
         }
@@ -219,7 +219,7 @@
             (UserRequest::Submit(..), None) => {
                 // Created or not, a repeat of the guarded create decides.
                 if asked.created {
-                    asked.not_before = self.io.now + self.io.jitter(BUSY_WAIT / 6.0);
+                    asked.not_before = self.outbox.now + self.outbox.jitter(BUSY_WAIT / 6.0);
                     self.user_requests.waiting.push(asked);
                 } else {
                     self.create(asked);
@@ -227,20 +227,20 @@
             }
             (_, None) => self.reply(asked.reply_to, Answer::empty(404)),
             (UserRequest::Submit(..), Some(job)) => {
-                let stance = self.display(&id, &job.record).0;
+                let status = self.display(&id, &job.record).0;
                 self.reply(
                     asked.reply_to,
-                    Answer::value(200, status_answer(&id, stance)),
+                    Answer::value(200, status_answer(&id, status)),
                 );
             }
             (UserRequest::Poll(_), Some(job)) => {
-                let (stance, done, running) = self.display(&id, &job.record);
-                let answer = Answer::value(200, state_answer(&id, stance, done, running));
+                let (status, done, running) = self.display(&id, &job.record);
+                let answer = Answer::value(200, state_answer(&id, status, done, running));
                 self.reply(asked.reply_to, answer);
             }
             (UserRequest::Cancel(_), Some(job)) if ended => {
-                let stance = self.display(&id, &job.record).0;
-                let answer = Answer::value(200, status_answer(&id, stance));
+                let status = self.display(&id, &job.record).0;
+                let answer = Answer::value(200, status_answer(&id, status));
                 self.reply(asked.reply_to, answer);
             }
             (UserRequest::Cancel(_), Some(job)) => self.record_cancellation(asked, &job),
@@ -251,8 +251,8 @@
     /// recorded: a version that doesn't know of dependencies could tell users otherwise (upgrade
     /// days 2 and 34: a controller went back to such a version).
     fn record_cancellation(&mut self, asked: WaitingRequest, job: &Versioned<Rc<JobRecord>>) {
-        let (key, wall_ms) = (job_key(asked.what.job()), self.io.wall_ms);
-        let record = match self.view.dependency_cancelled(asked.what.job()) {
+        let (key, wall_ms) = (job_key(asked.what.job()), self.outbox.wall_ms);
+        let record = match self.store.dependency_cancelled(asked.what.job()) {
             true => job.record.cancelled_unstarted(wall_ms),
             false => job.record.cancelled(wall_ms),
         };
@@ -262,30 +262,30 @@
 
     /// JobStatus and counts as shown to users; only final stances are promises.
     fn display(&self, id: &JobId, record: &JobRecord) -> (JobStatus, u32, u32) {
-        match record.stance {
+        match record.status {
             JobStatus::Done => (JobStatus::Done, record.tasks, 0),
             JobStatus::Cancelled => (JobStatus::Cancelled, 0, 0),
             _ => {
-                let counts = self.owner.as_ref().and_then(|owner| owner.counts(id));
+                let counts = self.shard.as_ref().and_then(|owner| owner.counts(id));
                 let (done, running) = counts
                     .or_else(|| self.peers.running(id))
                     .unwrap_or((record.done.len(), 0));
-                let stance = if running > 0 {
+                let status = if running > 0 {
                     JobStatus::Running
                 } else {
                     JobStatus::Pending
                 };
-                (stance, done, running)
+                (status, done, running)
             }
         }
     }
 
     /// The team's owner learns of a cancellation by its next sync anyway; this is only sooner.
     fn tell_owner(&mut self, id: &JobId, team: Option<&Team>) {
-        let owner = team.and_then(|team| self.view.owners().teams.get(team));
+        let owner = team.and_then(|team| self.store.owners().teams.get(team));
         let node = owner.map(|owner| owner.node.clone());
         if let Some(node) = node.filter(|node| *node != self.config.node) {
-            self.io
+            self.outbox
                 .mesh(Pending::Notice, &node, MeshMessage::Cancelled(id.clone()));
         }
     }
@@ -300,7 +300,7 @@
     }
 
     fn pass_on(&mut self, asked: WaitingRequest) {
-        let sibling = self.peers.with_state(self.io.now).cloned();
+        let sibling = self.peers.with_state(self.outbox.now).cloned();
         let (ReplyTo::User(request), Some(node)) = (asked.reply_to, sibling) else {
             return self.reply(asked.reply_to, Answer::unavailable());
         };
@@ -312,23 +312,23 @@
             UserRequest::Poll(id) => MeshMessage::Poll(id.clone()),
             UserRequest::Cancel(id) => MeshMessage::Cancel(id.clone()),
         };
-        self.io.mesh(Pending::Relay { request }, &node, message);
+        self.outbox.mesh(Pending::Relay { request }, &node, message);
     }
 
     fn reply(&mut self, to: ReplyTo, answer: Answer) {
         match to {
-            ReplyTo::User(request) => self.io.answer(request, answer),
+            ReplyTo::User(request) => self.outbox.answer(request, answer),
             ReplyTo::Sibling(request) => {
                 let body = match answer.body {
                     Body::Value(body) => Some(body),
-                    Body::Empty | Body::Orders(_) | Body::Status(_) => None,
+                    Body::Empty | Body::HeartbeatResponse(_) | Body::Status(_) => None,
                 };
                 let Answer {
                     status,
                     retry_after,
                     ..
                 } = answer;
-                self.io.mesh_answer(
+                self.outbox.mesh_answer(
                     request,
                     MeshReply::Answer {
                         status,
@@ -342,8 +342,8 @@
 
     /// The view has moved on: those that waited for that get their answers.
     pub(super) fn resume_user_requests(&mut self) {
-        let current = self.view.current_as_of;
-        let now = self.io.now;
+        let current = self.store.current_as_of;
+        let now = self.outbox.now;
         let (ready, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.user_requests.waiting)
             .into_iter()
             .partition(|asked| asked.needs <= current && asked.not_before <= now);
@@ -359,9 +359,9 @@
     }
 
     pub(super) fn time_out_user_requests(&mut self) {
-        let now = self.io.now;
+        let now = self.outbox.now;
         let has_state = self.has_state();
-        let silence = self.view.state_silence(now);
+        let silence = self.store.state_silence(now);
         let mut index = 0;
         while index < self.user_requests.waiting.len() {
             let asked = &self.user_requests.waiting[index];
@@ -374,7 +374,7 @@
             if late {
                 let asked = self.user_requests.waiting.swap_remove(index);
                 self.give_up(asked);
-            } else if put_off && self.view.current_as_of >= asked.needs {
+            } else if put_off && self.store.current_as_of >= asked.needs {
                 let asked = self.user_requests.waiting.swap_remove(index);
                 self.resume(asked);
             } else {
@@ -382,7 +382,7 @@
             }
         }
         if !self.user_requests.waiting.is_empty() {
-            self.view.want_sync();
+            self.store.want_sync();
         }
     }
 }
--- a/src/front.rs
+++ b/src/front.rs
@@ -4,7 +4,7 @@
 use crate::http::{self, BodyError, Reply};
 use crate::ids::JobId;
 use crate::inbox::{Inbox, Question};
-use crate::wire::{BODY_LIMIT, Report, decode, encode, parse_submission, valid_job_id};
+use crate::wire::{BODY_LIMIT, Heartbeat, decode, encode, parse_submission, valid_job_id};
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, HeaderValue, RETRY_AFTER};
@@ -19,7 +19,7 @@
     Submit,
     Poll(&'a str),
     Cancel(&'a str),
-    Report,
+    Heartbeat,
     Health,
     WrongMethod,
     Unknown,
@@ -28,7 +28,7 @@
 fn route<'a>(method: &Method, path: &'a str) -> Route<'a> {
     let (wanted, route) = match path {
         "/v1/jobs" => (Method::POST, Route::Submit),
-        "/checkin" => (Method::POST, Route::Report),
+        "/checkin" => (Method::POST, Route::Heartbeat),
         "/healthz" => (Method::GET, Route::Health),
         _ => {
             let Some(rest) = path.strip_prefix("/v1/jobs/") else {
@@ -67,9 +67,9 @@
             },
             Err(e) => return refuse_body(e),
         },
-        Route::Report => match http::read_body(request.into_body(), BODY_LIMIT, read).await {
+        Route::Heartbeat => match http::read_body(request.into_body(), BODY_LIMIT, read).await {
             Ok(body) => match parse_report(&body) {
-                Some(report) => Question::Report(Box::new(report)),
+                Some(heartbeat) => Question::Heartbeat(Box::new(heartbeat)),
                 None => return refuse("not a report"),
             },
             Err(e) => return refuse_body(e),
@@ -78,7 +78,7 @@
     to_reply(inbox.ask(question).await)
 }
 
-fn parse_report(body: &Bytes) -> Option<Report> {
+fn parse_report(body: &Bytes) -> Option<Heartbeat> {
     decode(body)
 }
 
@@ -103,7 +103,7 @@
     let body = match &answer.body {
         Body::Empty => encode(&serde_json::json!({})),
         Body::Value(value) => encode(value),
-        Body::Orders(orders) => encode(orders),
+        Body::HeartbeatResponse(commands) => encode(commands),
         Body::Status(status) => encode(status),
     };
     let mut reply = http::reply(answer.status, body, MESSAGE_PACK);
--- a/src/front/tests.rs
+++ b/src/front/tests.rs
@@ -20,6 +20,6 @@
     );
     assert_eq!(route(&get, "/v1/jobs/"), Route::Unknown);
     assert_eq!(route(&get, "/v1/jobs/a/b"), Route::Unknown);
-    assert_eq!(route(&post, "/checkin"), Route::Report);
+    assert_eq!(route(&post, "/checkin"), Route::Heartbeat);
     assert_eq!(route(&get, "/other"), Route::Unknown);
 }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -78,7 +78,7 @@
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default, Serialize, Deserialize,
 )]
 #[serde(transparent)]
-pub struct Term(pub u64);
+pub struct FencingToken(pub u64);
 
 /// One start of a task; gangs start together under one.
 #[derive(
--- a/src/inbox.rs
+++ b/src/inbox.rs
@@ -7,7 +7,7 @@
 
 use crate::core::peers::{MeshMessage, MeshReply};
 use crate::core::{Answer, Input, RequestId, UserRequest};
-use crate::wire::Report;
+use crate::wire::Heartbeat;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::time::Duration;
@@ -30,7 +30,7 @@
     /// A user's request.
     User(UserRequest),
     /// A worker's report.
-    Report(Box<Report>),
+    Heartbeat(Box<Heartbeat>),
     /// A health check.
     Health,
     /// An operator's question.
@@ -42,7 +42,7 @@
     fn admitted_up_to(&self) -> f64 {
         match self {
             Self::User(_) => USERS_UP_TO,
-            Self::Report(_) | Self::Health | Self::Status => REPORTS_UP_TO,
+            Self::Heartbeat(_) | Self::Health | Self::Status => REPORTS_UP_TO,
         }
     }
 }
@@ -87,7 +87,7 @@
         let request = self.next();
         let input = match question {
             Question::User(what) => Input::User(request, what),
-            Question::Report(report) => Input::Report(request, *report),
+            Question::Heartbeat(heartbeat) => Input::Heartbeat(request, *heartbeat),
             Question::Health => Input::Health(request),
             Question::Status => Input::Status(request),
         };
--- a/src/service.rs
+++ b/src/service.rs
@@ -163,9 +163,9 @@
                 let client = self.cloud.clone();
                 self.spawn(call, async move { client.call(what).await }, Input::Cloud);
             }
-            Effect::Worker(call, address, orders) => {
+            Effect::Worker(call, address, commands) => {
                 let deadline = self.worker_deadline;
-                let send = async move { worker_client::send(&address, &orders, deadline).await };
+                let send = async move { worker_client::send(&address, &commands, deadline).await };
                 self.spawn(call, send, Input::Worker);
             }
             Effect::Mesh(call, node, message) => {
--- a/src/state_client.rs
+++ b/src/state_client.rs
@@ -1,6 +1,6 @@
 //! Requests to the state service: one try each, with a deadline; the core decides on repeats.
 
-use crate::core::{StateCall, StateReply};
+use crate::core::{StoreCall, StoreReply};
 use crate::http::{Client, Failure};
 use crate::wire::{Changes, LeaseId, LeaseLife, Listing, Revision, decode, encode};
 use hyper::Method;
@@ -18,19 +18,19 @@
         Self { client, deadline }
     }
 
-    pub async fn call(&self, call: StateCall) -> StateReply {
+    pub async fn call(&self, call: StoreCall) -> StoreReply {
         let (method, path, body) = request(&call);
         match self.client.send(method, &path, body, self.deadline).await {
             Ok((status, body)) => reply(&call, status, &body),
-            Err(Failure::NotSent) => StateReply::Refused,
-            Err(Failure::Unknown) => StateReply::Unknown,
+            Err(Failure::NotSent) => StoreReply::Refused,
+            Err(Failure::Unknown) => StoreReply::Unknown,
         }
     }
 }
 
-fn request(call: &StateCall) -> (Method, String, Vec<u8>) {
+fn request(call: &StoreCall) -> (Method, String, Vec<u8>) {
     match call {
-        StateCall::List { prefix, from } => {
+        StoreCall::List { prefix, from } => {
             let from = from
                 .as_ref()
                 .map(|key| format!("&from={key}"))
@@ -41,52 +41,52 @@
                 Vec::new(),
             )
         }
-        StateCall::Changes { prefix, from } => (
+        StoreCall::Changes { prefix, from } => (
             Method::GET,
             format!("/watch?prefix={prefix}&from={from}&waitMs=0"),
             Vec::new(),
         ),
-        StateCall::Commit(transaction) => (Method::POST, "/multi".into(), encode(transaction)),
-        StateCall::LeaseCreate { ttl_ms } => (
+        StoreCall::Commit(transaction) => (Method::POST, "/multi".into(), encode(transaction)),
+        StoreCall::LeaseCreate { ttl_ms } => (
             Method::POST,
             "/leases".into(),
             encode(&LeaseLife { ttl_ms: *ttl_ms }),
         ),
-        StateCall::LeaseRenew { lease } => {
+        StoreCall::LeaseRenew { lease } => {
             (Method::POST, format!("/leases/{lease}/renew"), Vec::new())
         }
-        StateCall::LeaseEnd { lease } => (Method::DELETE, format!("/leases/{lease}"), Vec::new()),
+        StoreCall::LeaseEnd { lease } => (Method::DELETE, format!("/leases/{lease}"), Vec::new()),
     }
 }
 
-fn reply(call: &StateCall, status: u16, body: &[u8]) -> StateReply {
+fn reply(call: &StoreCall, status: u16, body: &[u8]) -> StoreReply {
     match (status, call) {
-        (429, _) => StateReply::Busy,
-        (503, _) => StateReply::Refused,
-        (200, StateCall::List { .. }) => {
-            decode::<Listing>(body).map_or(StateReply::Unknown, StateReply::Listing)
+        (429, _) => StoreReply::Busy,
+        (503, _) => StoreReply::Refused,
+        (200, StoreCall::List { .. }) => {
+            decode::<Listing>(body).map_or(StoreReply::Unknown, StoreReply::Listing)
         }
-        (200, StateCall::Changes { .. }) => {
-            decode::<Changes>(body).map_or(StateReply::Unknown, StateReply::Changes)
+        (200, StoreCall::Changes { .. }) => {
+            decode::<Changes>(body).map_or(StoreReply::Unknown, StoreReply::Changes)
         }
-        (410, StateCall::Changes { .. }) => StateReply::TooOld,
-        (200, StateCall::Commit(_)) => decode::<Revision>(body)
-            .map_or(StateReply::Unknown, |answer| {
-                StateReply::Committed(answer.revision)
+        (410, StoreCall::Changes { .. }) => StoreReply::TooOld,
+        (200, StoreCall::Commit(_)) => decode::<Revision>(body)
+            .map_or(StoreReply::Unknown, |answer| {
+                StoreReply::Committed(answer.revision)
             }),
-        (409, StateCall::Commit(_)) => StateReply::Conflict,
+        (409, StoreCall::Commit(_)) => StoreReply::Conflict,
         // The service names a lease that has ended and a broken limit alike.
-        (400, StateCall::Commit(transaction)) if transaction.has_lease() => StateReply::LeaseGone,
-        (400, StateCall::Commit(_)) => StateReply::Rejected,
-        (200, StateCall::LeaseCreate { .. }) => decode::<LeaseId>(body)
-            .map_or(StateReply::Unknown, |answer| {
-                StateReply::Lease(answer.lease)
+        (400, StoreCall::Commit(transaction)) if transaction.has_lease() => StoreReply::LeaseGone,
+        (400, StoreCall::Commit(_)) => StoreReply::Rejected,
+        (200, StoreCall::LeaseCreate { .. }) => decode::<LeaseId>(body)
+            .map_or(StoreReply::Unknown, |answer| {
+                StoreReply::Lease(answer.lease)
             }),
-        (200 | 204, StateCall::LeaseRenew { .. } | StateCall::LeaseEnd { .. }) => StateReply::Done,
-        (404, StateCall::LeaseRenew { .. } | StateCall::LeaseEnd { .. }) => StateReply::LeaseGone,
+        (200 | 204, StoreCall::LeaseRenew { .. } | StoreCall::LeaseEnd { .. }) => StoreReply::Done,
+        (404, StoreCall::LeaseRenew { .. } | StoreCall::LeaseEnd { .. }) => StoreReply::LeaseGone,
         _ => {
             tracing::debug!("state service: unexpected status {status} for {call:?}");
-            StateReply::Unknown
+            StoreReply::Unknown
         }
     }
 }
--- a/src/state_client/tests.rs
+++ b/src/state_client/tests.rs
@@ -10,12 +10,12 @@
             value: serde_json::Value::Null,
             lease,
         };
-        StateCall::Commit(Transaction {
-            guards: Vec::new(),
+        StoreCall::Commit(Transaction {
+            preconditions: Vec::new(),
             writes: vec![write],
         })
     };
-    assert_eq!(reply(&commit(Some(7)), 400, b""), StateReply::LeaseGone);
-    assert_eq!(reply(&commit(None), 400, b""), StateReply::Rejected);
-    assert_eq!(reply(&commit(None), 429, b""), StateReply::Busy);
+    assert_eq!(reply(&commit(Some(7)), 400, b""), StoreReply::LeaseGone);
+    assert_eq!(reply(&commit(None), 400, b""), StoreReply::Rejected);
+    assert_eq!(reply(&commit(None), 429, b""), StoreReply::Busy);
 }
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Guard {
+pub struct Precondition {
     pub key: String,
     #[serde(rename = "stamp")]
     pub version: Version,
@@ -40,7 +40,8 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
-    pub guards: Vec<Guard>,
+    #[serde(rename = "guards")]
+    pub preconditions: Vec<Precondition>,
     pub writes: Vec<Write>,
 }
 
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -66,14 +66,14 @@
     pub one_zone: bool,
     #[serde(rename = "sp", default, skip_serializing_if = "is_false")]
     pub spread: bool,
-    #[serde(rename = "spot", default, skip_serializing_if = "is_false")]
+    #[serde(default, skip_serializing_if = "is_false")]
     pub spot: bool,
     #[serde(rename = "est")]
     pub estimate_s: f64,
     #[serde(rename = "ck")]
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
     #[serde(rename = "sv")]
-    pub save_s: f64,
+    pub checkpoint_write_s: f64,
     #[serde(rename = "dl", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
     /// Jobs that have to be done before any task of this one starts.
@@ -185,8 +185,8 @@
         spread: fields.flag("apart")?,
         spot: fields.flag("loaners")?,
         estimate_s: fields.amount("expectS")?,
-        checkpoint_s: fields.amount("markEveryS")?,
-        save_s: fields.amount("markS")?,
+        checkpoint_interval_s: fields.amount("markEveryS")?,
+        checkpoint_write_s: fields.amount("markS")?,
         deadline_s,
         dependencies,
     };
@@ -234,10 +234,10 @@
     Cancelled,
 }
 
-pub fn status_answer(id: &JobId, stance: JobStatus) -> Value {
-    json!({"nameId": id, "stance": stance})
+pub fn status_answer(id: &JobId, status: JobStatus) -> Value {
+    json!({"nameId": id, "stance": status})
 }
 
-pub fn state_answer(id: &JobId, stance: JobStatus, done: u32, running: u32) -> Value {
-    json!({"nameId": id, "stance": stance, "done": done, "running": running})
+pub fn state_answer(id: &JobId, status: JobStatus, done: u32, running: u32) -> Value {
+    json!({"nameId": id, "stance": status, "done": done, "running": running})
 }
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -1,11 +1,11 @@
 //! Workers' reports, and what they are told.
 
-use crate::ids::{Attempt, MachineId, Node, Term, TypeName, Zone};
+use crate::ids::{Attempt, FencingToken, MachineId, Node, TypeName, Zone};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     #[serde(rename = "drumhead")]
     pub machine: MachineId,
     pub address: String,
@@ -16,11 +16,11 @@
     #[serde(rename = "loaners", default)]
     pub spot: bool,
     #[serde(rename = "stint")]
-    pub session: u64,
+    pub agent_epoch: u64,
     #[serde(rename = "tally")]
-    pub seq: u64,
+    pub sequence: u64,
     #[serde(rename = "baton")]
-    pub token: Term,
+    pub token: FencingToken,
     #[serde(rename = "recallS", default)]
     pub notice_s: Option<f64>,
     #[serde(rename = "beats", default)]
@@ -38,7 +38,7 @@
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub why: Option<Exit>,
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
-    pub saved: Option<bool>,
+    pub checkpointed: Option<bool>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
@@ -50,7 +50,7 @@
     #[serde(rename = "running")]
     Running,
     #[serde(rename = "flushing")]
-    Saving,
+    Checkpointing,
     #[serde(rename = "ended")]
     Exited,
 }
@@ -80,7 +80,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "call")]
-pub enum Order {
+pub enum Command {
     #[serde(rename = "start")]
     Start {
         #[serde(rename = "beat")]
@@ -107,25 +107,25 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ReportAnswer {
+pub struct HeartbeatResponse {
     #[serde(rename = "baton")]
-    pub token: Term,
+    pub token: FencingToken,
     #[serde(rename = "calls")]
-    pub orders: Vec<Order>,
+    pub commands: Vec<Command>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct DirectOrders {
+pub struct DirectCommands {
     #[serde(rename = "baton")]
-    pub token: Term,
+    pub token: FencingToken,
     #[serde(rename = "stint")]
-    pub session: u64,
+    pub agent_epoch: u64,
     #[serde(rename = "calls")]
-    pub orders: Vec<Order>,
+    pub commands: Vec<Command>,
 }
 
 /// Tells a worker which controller to report to.
-pub fn report_to(node: Option<&Node>) -> Value {
+pub fn redirect_to(node: Option<&Node>) -> Value {
     match node {
         Some(node) => json!({"conductor": node}),
         None => json!({}),
--- a/src/worker_client.rs
+++ b/src/worker_client.rs
@@ -2,18 +2,18 @@
 
 use crate::core::WorkerReply;
 use crate::http::{Client, Failure};
-use crate::wire::{DirectOrders, decode, encode};
+use crate::wire::{DirectCommands, decode, encode};
 use hyper::Method;
 use std::time::Duration;
 
 /// One try on a connection of its own: there are many machines and few sockets.
-pub async fn send(address: &str, orders: &DirectOrders, deadline: Duration) -> WorkerReply {
+pub async fn send(address: &str, commands: &DirectCommands, deadline: Duration) -> WorkerReply {
     let Ok(address) = address.parse() else {
         return WorkerReply::NotSent;
     };
     let client = Client::new(address, crate::front::MESSAGE_PACK, 0);
     match client
-        .send(Method::POST, "/do", encode(orders), deadline)
+        .send(Method::POST, "/do", encode(commands), deadline)
         .await
     {
         Ok((200, body)) => decode(&body).map_or(WorkerReply::Unknown, WorkerReply::Executed),
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -8,9 +8,9 @@
 //!
 //! What is read and written again to the letter can be read by the version that wrote it first.
 
-use ochredrum::core::part_map::MapChunk;
+use ochredrum::core::part_map::ShardMapChunk;
 use ochredrum::core::peers::{MeshMessage, MeshReply};
-use ochredrum::core::view::{JobRecord, ProcessRecord};
+use ochredrum::core::store::{JobRecord, ProcessRecord};
 use ochredrum::wire::{JobStatus, MachineTypes};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -49,7 +49,7 @@
         rewritten::<ProcessRecord>(&stored["process"]),
         stored["process"]
     );
-    assert_eq!(rewritten::<MapChunk>(&stored["map"]), stored["map"]);
+    assert_eq!(rewritten::<ShardMapChunk>(&stored["map"]), stored["map"]);
     let types: MachineTypes = serde_json::from_value(stored["types"].clone()).unwrap();
     assert_eq!(types.types[0].gpus, 8.0);
 }
@@ -91,13 +91,13 @@
         rewritten::<ProcessRecord>(&stored["process"]),
         stored["process"]
     );
-    assert_eq!(rewritten::<MapChunk>(&stored["map"]), stored["map"]);
+    assert_eq!(rewritten::<ShardMapChunk>(&stored["map"]), stored["map"]);
     assert_eq!(rewritten::<MachineTypes>(&stored["types"]), stored["types"]);
     let waiting: JobRecord = serde_json::from_value(stored["job_waiting"].clone()).unwrap();
     let needed = &waiting.spec.as_ref().unwrap().dependencies;
     assert_eq!(*needed, ["req-000007".into(), "req-0000000012".into()]);
     let cancelled: JobRecord = serde_json::from_value(stored["job_cancelled"].clone()).unwrap();
-    assert!(cancelled.ended_ms.is_some() && cancelled.leaving.is_some());
+    assert!(cancelled.ended_ms.is_some() && cancelled.terminating.is_some());
 }
 
 #[test]
--- a/tests/loopback/fleet.rs
+++ b/tests/loopback/fleet.rs
@@ -7,10 +7,10 @@
 use hyper::{Method, Request};
 use ochredrum::front::MESSAGE_PACK;
 use ochredrum::http::{Client, Reply, read_body, reply, serve};
-use ochredrum::ids::{Attempt, MachineId, Term};
+use ochredrum::ids::{Attempt, FencingToken, MachineId};
 use ochredrum::wire::{
-    BODY_LIMIT, DirectOrders, Exit, Order, Report, ReportAnswer, ReportedTask, TaskState, decode,
-    encode,
+    BODY_LIMIT, Command, DirectCommands, Exit, Heartbeat, HeartbeatResponse, ReportedTask,
+    TaskState, decode, encode,
 };
 use serde_json::Value;
 use std::cell::RefCell;
@@ -74,9 +74,9 @@
 struct Machine {
     id: MachineId,
     address: SocketAddr,
-    session: u64,
+    agent_epoch: u64,
     sequence: u64,
-    token: Term,
+    token: FencingToken,
     answered: Instant,
     lease: Duration,
     tasks: BTreeMap<(String, Attempt), Task>,
@@ -84,7 +84,7 @@
 }
 
 impl Machine {
-    fn report(&mut self) -> Report {
+    fn report(&mut self) -> Heartbeat {
         self.sequence += 1;
         let tasks = self
             .tasks
@@ -94,24 +94,24 @@
                 attempt: *attempt,
                 state: running.state,
                 why: running.why,
-                saved: None,
+                checkpointed: None,
             });
-        let (session, seq, token) = (self.session, self.sequence, self.token);
-        Report {
-            session,
-            seq,
+        let (agent_epoch, sequence, token) = (self.agent_epoch, self.sequence, self.token);
+        Heartbeat {
+            agent_epoch,
+            sequence,
             token,
             tasks: tasks.collect(),
             ..empty_report(&self.id, self.address)
         }
     }
 
-    fn execute(&mut self, orders: Vec<Order>) {
-        for order in orders {
+    fn execute(&mut self, commands: Vec<Command>) {
+        for order in commands {
             match order {
-                Order::Start { task, attempt } => self.start(task, attempt),
-                Order::Stop { task, attempt, .. } => self.exit(&(task, attempt), Exit::Stopped),
-                Order::Forget { task, attempt } => {
+                Command::Start { task, attempt } => self.start(task, attempt),
+                Command::Stop { task, attempt, .. } => self.exit(&(task, attempt), Exit::Stopped),
+                Command::Forget { task, attempt } => {
                     self.tasks.remove(&(task, attempt));
                 }
             }
@@ -161,7 +161,7 @@
             let all: Vec<(String, Attempt)> = self.tasks.keys().cloned().collect();
             all.iter().for_each(|key| self.exit(key, Exit::Stopped));
             self.tasks.clear();
-            self.session += 1;
+            self.agent_epoch += 1;
             self.answered = now;
         }
     }
@@ -185,9 +185,9 @@
         let machine = Rc::new(RefCell::new(Machine {
             id: id.clone(),
             address,
-            session: 1,
+            agent_epoch: 1,
             sequence: 0,
-            token: Term(0),
+            token: FencingToken(0),
             answered: Instant::now(),
             lease,
             tasks: BTreeMap::new(),
@@ -218,12 +218,16 @@
         return reply(400, Vec::new(), MESSAGE_PACK);
     };
     let mut machine = machine.borrow_mut();
-    let status = match decode::<DirectOrders>(&body) {
+    let status = match decode::<DirectCommands>(&body) {
         None => 400,
-        Some(message) if message.token < machine.token || message.session != machine.session => 409,
+        Some(message)
+            if message.token < machine.token || message.agent_epoch != machine.agent_epoch =>
+        {
+            409
+        }
         Some(message) => {
             machine.token = message.token;
-            machine.execute(message.orders);
+            machine.execute(message.commands);
             200
         }
     };
@@ -238,7 +242,7 @@
     let mut at = first % fronts.len();
     loop {
         let client = Client::new(fronts[at].1, MESSAGE_PACK, 1);
-        let next = report_to(&machine, &client).await;
+        let next = redirect_to(&machine, &client).await;
         let named = next.and_then(|name| fronts.iter().position(|(node, _)| *node == name));
         at = named
             .filter(|named| *named != at)
@@ -250,12 +254,12 @@
 }
 
 /// Reports to one controller until that sends the worker away; whom it names.
-async fn report_to(machine: &Rc<RefCell<Machine>>, client: &Client) -> Option<String> {
+async fn redirect_to(machine: &Rc<RefCell<Machine>>, client: &Client) -> Option<String> {
     loop {
         let sent = Instant::now();
-        let (body, session) = {
+        let (body, agent_epoch) = {
             let mut machine = machine.borrow_mut();
-            (encode(&machine.report()), machine.session)
+            (encode(&machine.report()), machine.agent_epoch)
         };
         let answer = client
             .send(Method::POST, "/checkin", body, Duration::from_secs(4))
@@ -265,13 +269,13 @@
             let named = decode::<Value>(&body)?;
             return named["conductor"].as_str().map(str::to_owned);
         }
-        let answer = decode::<ReportAnswer>(&body).filter(|_| status == 200)?;
+        let answer = decode::<HeartbeatResponse>(&body).filter(|_| status == 200)?;
         {
             let mut machine = machine.borrow_mut();
-            if answer.token >= machine.token && session == machine.session {
+            if answer.token >= machine.token && agent_epoch == machine.agent_epoch {
                 machine.token = answer.token;
                 machine.answered = machine.answered.max(sent);
-                machine.execute(answer.orders);
+                machine.execute(answer.commands);
             }
         }
         tokio::time::sleep(REPORT_EVERY).await;
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -9,7 +9,7 @@
 
 use hyper::body::Incoming;
 use hyper::{Method, Request};
-use ochredrum::core::{StateCall, StateReply};
+use ochredrum::core::{StoreCall, StoreReply};
 use ochredrum::front::MESSAGE_PACK;
 use ochredrum::http::{Bounds, Client, Failure, Reply, read_body, reply, serve};
 use ochredrum::wire::{Transaction, decode, encode};
@@ -54,43 +54,43 @@
     };
     let parts: Vec<&str> = uri.path().trim_matches('/').split('/').collect();
     let call = match (&method, parts.as_slice()) {
-        (&Method::GET, ["kv"]) => StateCall::List {
+        (&Method::GET, ["kv"]) => StoreCall::List {
             prefix: "ochredrum/",
             from: value("from").map(|(_, v)| v.into()),
         },
         (&Method::GET, ["watch"]) => {
             let from = value("from").and_then(|(_, v)| v.parse().ok()).unwrap_or(0);
-            StateCall::Changes {
+            StoreCall::Changes {
                 prefix: "ochredrum/",
                 from,
             }
         }
         (&Method::POST, ["multi"]) => match decode::<Transaction>(&body) {
-            Some(transaction) => StateCall::Commit(transaction),
+            Some(transaction) => StoreCall::Commit(transaction),
             None => return reply(400, Vec::new(), MESSAGE_PACK),
         },
         (&Method::POST, ["leases"]) => {
             let ttl = decode::<Value>(&body)
                 .and_then(|v| v["lifeMs"].as_u64())
                 .unwrap_or(0);
-            StateCall::LeaseCreate { ttl_ms: ttl }
+            StoreCall::LeaseCreate { ttl_ms: ttl }
         }
-        (&Method::POST, ["leases", id, "renew"]) => StateCall::LeaseRenew {
+        (&Method::POST, ["leases", id, "renew"]) => StoreCall::LeaseRenew {
             lease: id.parse().unwrap_or(0),
         },
-        (&Method::DELETE, ["leases", id]) => StateCall::LeaseEnd {
+        (&Method::DELETE, ["leases", id]) => StoreCall::LeaseEnd {
             lease: id.parse().unwrap_or(0),
         },
         _ => return reply(400, Vec::new(), MESSAGE_PACK),
     };
     let now = began.elapsed().as_secs_f64();
     let (status, body) = match state.borrow_mut().call(now, call, None) {
-        StateReply::Listing(listing) => (200, encode(&listing)),
-        StateReply::Changes(changes) => (200, encode(&changes)),
-        StateReply::Committed(revision) => (200, encode(&json!({"ledger": revision}))),
-        StateReply::Conflict => (409, encode(&json!({"failed": [], "ledger": 0}))),
-        StateReply::Lease(lease) => (200, encode(&json!({"tenure": lease}))),
-        StateReply::Done => (200, encode(&json!({}))),
+        StoreReply::Listing(listing) => (200, encode(&listing)),
+        StoreReply::Changes(changes) => (200, encode(&changes)),
+        StoreReply::Committed(revision) => (200, encode(&json!({"ledger": revision}))),
+        StoreReply::Conflict => (409, encode(&json!({"failed": [], "ledger": 0}))),
+        StoreReply::Lease(lease) => (200, encode(&json!({"tenure": lease}))),
+        StoreReply::Done => (200, encode(&json!({}))),
         _ => (404, encode(&json!({}))),
     };
     reply(status, body, MESSAGE_PACK)
--- a/tests/loopback/worker.rs
+++ b/tests/loopback/worker.rs
@@ -5,10 +5,10 @@
 use hyper::{Method, Request};
 use ochredrum::front::MESSAGE_PACK;
 use ochredrum::http::{Client, Reply, read_body, reply, serve};
-use ochredrum::ids::{Attempt, MachineId, Term};
+use ochredrum::ids::{Attempt, FencingToken, MachineId};
 use ochredrum::wire::{
-    BODY_LIMIT, DirectOrders, Exit, Order, Report, ReportAnswer, ReportedTask, TaskState, decode,
-    encode,
+    BODY_LIMIT, Command, DirectCommands, Exit, Heartbeat, HeartbeatResponse, ReportedTask,
+    TaskState, decode, encode,
 };
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,14 +24,14 @@
 enum Messages {
     Serve,
     HoldNext,
-    Held(DirectOrders),
+    Held(DirectCommands),
 }
 
 struct Machine {
     id: MachineId,
     address: SocketAddr,
     sequence: u64,
-    token: Term,
+    token: FencingToken,
     tasks: BTreeMap<(String, Attempt), TaskState>,
     /// Every task that ever ran here.
     ran: BTreeSet<String>,
@@ -45,23 +45,23 @@
 }
 
 /// The first report of a machine that holds nothing.
-pub fn empty_report(machine: &MachineId, address: SocketAddr) -> Report {
-    Report {
+pub fn empty_report(machine: &MachineId, address: SocketAddr) -> Heartbeat {
+    Heartbeat {
         machine: machine.clone(),
         address: address.to_string(),
         type_name: "g8".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
-        seq: 1,
-        token: Term(0),
+        agent_epoch: 1,
+        sequence: 1,
+        token: FencingToken(0),
         notice_s: None,
         tasks: Vec::new(),
     }
 }
 
 impl Machine {
-    fn report(&mut self) -> Report {
+    fn report(&mut self) -> Heartbeat {
         self.sequence += 1;
         let tasks = self
             .tasks
@@ -71,33 +71,33 @@
                 attempt: *attempt,
                 state: *state,
                 why: (*state == TaskState::Exited).then_some(Exit::Stopped),
-                saved: None,
+                checkpointed: None,
             });
-        let (session, seq, token) = (1, self.sequence, self.token);
-        Report {
-            session,
-            seq,
+        let (agent_epoch, sequence, token) = (1, self.sequence, self.token);
+        Heartbeat {
+            agent_epoch,
+            sequence,
             token,
             tasks: tasks.collect(),
             ..empty_report(&self.id, self.address)
         }
     }
 
-    fn execute(&mut self, orders: Vec<Order>) {
-        for order in orders {
+    fn execute(&mut self, commands: Vec<Command>) {
+        for order in commands {
             match order {
-                Order::Start { task, attempt } => {
+                Command::Start { task, attempt } => {
                     self.ran.insert(task.clone());
                     self.tasks
                         .entry((task, attempt))
                         .or_insert(TaskState::Running);
                 }
-                Order::Stop { task, attempt, .. } => {
+                Command::Stop { task, attempt, .. } => {
                     if let Some(state) = self.tasks.get_mut(&(task, attempt)) {
                         *state = TaskState::Exited;
                     }
                 }
-                Order::Forget { task, attempt } => {
+                Command::Forget { task, attempt } => {
                     self.tasks.remove(&(task, attempt));
                 }
             }
@@ -105,12 +105,12 @@
     }
 
     /// Executes a direct message if its token and session match.
-    fn take_message(&mut self, message: DirectOrders) -> u16 {
-        if message.token < self.token || message.session != 1 {
+    fn take_message(&mut self, message: DirectCommands) -> u16 {
+        if message.token < self.token || message.agent_epoch != 1 {
             return 409;
         }
         self.token = message.token;
-        self.execute(message.orders);
+        self.execute(message.commands);
         200
     }
 }
@@ -123,7 +123,7 @@
             id: id.into(),
             address,
             sequence: 0,
-            token: Term(0),
+            token: FencingToken(0),
             tasks: BTreeMap::new(),
             ran: BTreeSet::new(),
             messages: Messages::Serve,
@@ -176,7 +176,7 @@
 
     /// Waits until it has shown a token.
     pub async fn trusted(&self) {
-        wait_for(|| self.machine.borrow().token > Term(0)).await;
+        wait_for(|| self.machine.borrow().token > FencingToken(0)).await;
         tokio::time::sleep(REPORT_EVERY * 2).await;
     }
 
@@ -198,7 +198,7 @@
     let body = read_body(request.into_body(), BODY_LIMIT, WAIT)
         .await
         .unwrap();
-    let Some(message) = decode::<DirectOrders>(&body) else {
+    let Some(message) = decode::<DirectCommands>(&body) else {
         return reply(400, Vec::new(), MESSAGE_PACK);
     };
     if machine.borrow().messages == Messages::HoldNext {
@@ -223,13 +223,13 @@
             .send(Method::POST, "/checkin", body, Duration::from_secs(4))
             .await;
         let Ok((200, body)) = sent else { continue };
-        let Some(answer) = decode::<ReportAnswer>(&body) else {
+        let Some(answer) = decode::<HeartbeatResponse>(&body) else {
             continue;
         };
         let mut machine = machine.borrow_mut();
         if answer.token >= machine.token {
             machine.token = answer.token;
-            machine.execute(answer.orders);
+            machine.execute(answer.commands);
         }
     }
 }
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -125,11 +125,11 @@
             post(encode(&job("req-000002"))).await.unwrap().1["stance"],
             "withdrawn"
         );
-        for (id, stance) in [("3", "pending"), ("4", "withdrawn"), ("5", "withdrawn")] {
+        for (id, status) in [("3", "pending"), ("4", "withdrawn"), ("5", "withdrawn")] {
             let path = format!("/v1/jobs/req-00000{id}");
             assert_eq!(
                 until(&client, Method::GET, &path, &[], 200).await["stance"],
-                stance
+                status
             );
         }
     });
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -181,7 +181,7 @@
         state_requests: world.work.state_requests - before.state_requests,
         state_bytes: world.work.state_bytes - before.state_bytes,
         mesh_bytes: world.work.mesh_bytes - before.mesh_bytes,
-        orders: world.work.orders - before.orders,
+        commands: world.work.commands - before.commands,
         state_busy: world.work.state_busy - before.state_busy,
         ..Default::default()
     }
@@ -193,12 +193,12 @@
 fn work_grows_with_what_changes() {
     let (small, large) = (cost_of_ten_tasks(275), cost_of_ten_tasks(1100));
     println!("{small:?}\n{large:?}");
-    assert!(small.state_requests > 0 && small.orders > 0 && small.mesh_bytes > 0);
+    assert!(small.state_requests > 0 && small.commands > 0 && small.mesh_bytes > 0);
     let grew = |what: fn(&world::Work) -> usize| what(&large) as f64 / what(&small) as f64;
     assert!(grew(|w| w.state_requests) <= 1.2, "{small:?} {large:?}");
     assert!(grew(|w| w.state_bytes) <= 1.5, "{small:?} {large:?}");
     assert!(grew(|w| w.mesh_bytes) <= 4.0, "{small:?} {large:?}");
-    assert!(grew(|w| w.orders) <= 1.5, "{small:?} {large:?}");
+    assert!(grew(|w| w.commands) <= 1.5, "{small:?} {large:?}");
 }
 
 /// What a fan of three hundred jobs, two chains of a hundred and their ends cost on a fleet of this
--- a/tests/script/mod.rs
+++ b/tests/script/mod.rs
@@ -51,8 +51,8 @@
         spread: false,
         spot: false,
         estimate_s: 20.0,
-        checkpoint_s: if kind == Kind::Service { 0.0 } else { 5.0 },
-        save_s: if kind == Kind::Service { 0.0 } else { 2.0 },
+        checkpoint_interval_s: if kind == Kind::Service { 0.0 } else { 5.0 },
+        checkpoint_write_s: if kind == Kind::Service { 0.0 } else { 2.0 },
         deadline_s: None,
         dependencies: Vec::new(),
     }
--- a/tests/world/allowance.rs
+++ b/tests/world/allowance.rs
@@ -1,7 +1,7 @@
 //! The state service's rates of requests and of changes, each with one second's worth of burst.
 
 use super::Limits;
-use ochredrum::core::StateCall;
+use ochredrum::core::StoreCall;
 
 #[derive(Default)]
 pub struct Allowance {
@@ -13,12 +13,12 @@
 
 impl Allowance {
     /// Whether a request is still within the rates; then it is counted.
-    pub fn take(&mut self, now: f64, limits: &Limits, call: &StateCall) -> bool {
+    pub fn take(&mut self, now: f64, limits: &Limits, call: &StoreCall) -> bool {
         let passed = self.filled.replace(now).map_or(1.0, |filled| now - filled);
         self.requests = (self.requests + passed * limits.rps).min(limits.rps);
         self.writes = (self.writes + passed * limits.write_rps).min(limits.write_rps);
         let writes = match call {
-            StateCall::Commit(transaction) => transaction.writes.len() as f64,
+            StoreCall::Commit(transaction) => transaction.writes.len() as f64,
             _ => 0.0,
         };
         if self.requests < 1.0 || self.writes < writes {
--- a/tests/world/orders.rs
+++ b/tests/world/commands.rs
@@ -4,7 +4,7 @@
 use super::{Event, LEASE_S, World};
 use ochredrum::core::{CallId, Input, WorkerReply};
 use ochredrum::ids::MachineId;
-use ochredrum::wire::DirectOrders;
+use ochredrum::wire::DirectCommands;
 use rand::Rng;
 
 /// How long a controller waits for the answer to direct orders.
@@ -28,14 +28,14 @@
 
 impl World {
     /// A controller sends direct orders, each message on a connection of its own.
-    pub(super) fn send_orders(
+    pub(super) fn send_direct_commands(
         &mut self,
         node: usize,
         call: CallId,
         address: String,
-        orders: DirectOrders,
+        commands: DirectCommands,
     ) {
-        self.work.orders += 1;
+        self.work.commands += 1;
         let epoch = self.nodes[node].epoch;
         let machine = MachineId::from(address.as_str());
         let reply = |reply| Box::new(Input::Worker(call, reply));
@@ -46,12 +46,12 @@
         } else {
             NOBODY
         };
-        let event = Event::Orders {
+        let event = Event::DirectCommands {
             node,
             epoch: answer_to,
             call,
             address,
-            orders,
+            commands,
         };
         match fate {
             OrderFate::Refused => {
--- a/tests/world/controllers.rs
+++ b/tests/world/controllers.rs
@@ -7,7 +7,7 @@
 use ochredrum::config::Config;
 use ochredrum::core::peers::MeshReply;
 use ochredrum::core::{
-    Answer, CallId, CloudReply, Core, Effect, Input, RequestId, StateCall, StateReply,
+    Answer, CallId, CloudReply, Core, Effect, Input, RequestId, StoreCall, StoreReply,
 };
 use ochredrum::ids::{MachineId, Node};
 use rand::Rng;
@@ -104,15 +104,15 @@
             return;
         }
         self.led = leader;
-        for (machine, report) in std::mem::take(&mut self.kept) {
+        for (machine, heartbeat) in std::mem::take(&mut self.kept) {
             for node in 0..self.nodes.len() {
-                let (machine, report) = (machine.clone(), report.clone());
+                let (machine, heartbeat) = (machine.clone(), heartbeat.clone());
                 self.after(
                     0.01,
-                    Event::Report {
+                    Event::Heartbeat {
                         machine,
                         node,
-                        report,
+                        heartbeat,
                         live: false,
                     },
                 );
@@ -165,7 +165,7 @@
         controller.asked.insert(request, asker);
         let input = match input {
             Input::User(_, what) => Input::User(request, what),
-            Input::Report(_, report) => Input::Report(request, report),
+            Input::Heartbeat(_, heartbeat) => Input::Heartbeat(request, heartbeat),
             Input::Mesh(_, message) => Input::Mesh(request, message),
             other => other,
         };
@@ -207,7 +207,7 @@
                 if live && passes && !self.net.deaf(&machine) {
                     self.after(
                         delay,
-                        Event::ReportAnswer {
+                        Event::HeartbeatResponse {
                             machine,
                             number,
                             answer,
@@ -304,13 +304,13 @@
             Effect::State(call, what) => {
                 let what = if old { old::writes(what) } else { what };
                 self.work.state_requests += 1;
-                if let StateCall::Commit(transaction) = &what {
+                if let StoreCall::Commit(transaction) = &what {
                     let text = serde_json::to_string(transaction);
                     self.work.state_bytes += text.map_or(0, |text| text.len());
                 }
-                let lost = Box::new(Input::State(call, StateReply::Unknown));
-                let unsent = Box::new(Input::State(call, StateReply::Refused));
-                let commit = matches!(what, StateCall::Commit(_));
+                let lost = Box::new(Input::State(call, StoreReply::Unknown));
+                let unsent = Box::new(Input::State(call, StoreReply::Refused));
+                let commit = matches!(what, StoreCall::Commit(_));
                 let late = commit && self.late_commit(&what);
                 if commit && self.net.lost_answers() && self.rng.random_bool(0.3) {
                     // Nobody is of this epoch, so the answer reaches nobody.
@@ -363,7 +363,9 @@
                 };
                 self.send(me, Who::Cloud, LEASE_S / 3.0, event, node, lost, unsent);
             }
-            Effect::Worker(call, address, orders) => self.send_orders(node, call, address, orders),
+            Effect::Worker(call, address, commands) => {
+                self.send_direct_commands(node, call, address, commands)
+            }
             Effect::Mesh(call, to, mut message) => {
                 if old {
                     old::plain_message(&mut message);
--- a/tests/world/effect_digest.rs
+++ b/tests/world/effect_digest.rs
@@ -1,7 +1,7 @@
 //! A digest of everything that the controllers of a world ask and answer: order, moment and content, in
 //! serialized form, so that it does not depend on how anything is named in the code.
 
-use ochredrum::core::{Answer, Body, CloudCall, Effect, StateCall};
+use ochredrum::core::{Answer, Body, CloudCall, Effect, StoreCall};
 use serde::Serialize;
 use serde_json::json;
 
@@ -45,8 +45,8 @@
                 self.add_json(&json!(["cloud", call.0]));
                 self.add_cloud_call(what);
             }
-            Effect::Worker(call, address, orders) => {
-                self.add_json(&json!(["worker", call.0, address, orders]));
+            Effect::Worker(call, address, commands) => {
+                self.add_json(&json!(["worker", call.0, address, commands]));
             }
             Effect::Mesh(call, to, message) => {
                 self.add_json(&json!(["mesh", call.0, to, message]));
@@ -59,19 +59,19 @@
         match &answer.body {
             Body::Empty => self.add_json(&json!("empty")),
             Body::Value(value) => self.add_json(value),
-            Body::Orders(orders) => self.add_json(orders),
+            Body::HeartbeatResponse(commands) => self.add_json(commands),
             Body::Status(status) => self.add_json(status),
         }
     }
 
-    fn add_state_call(&mut self, call: &StateCall) {
+    fn add_state_call(&mut self, call: &StoreCall) {
         match call {
-            StateCall::List { prefix, from } => self.add_json(&json!(["list", prefix, from])),
-            StateCall::Changes { prefix, from } => self.add_json(&json!(["changes", prefix, from])),
-            StateCall::Commit(transaction) => self.add_json(transaction),
-            StateCall::LeaseCreate { ttl_ms } => self.add_json(&json!(["create", ttl_ms])),
-            StateCall::LeaseRenew { lease } => self.add_json(&json!(["renew", lease])),
-            StateCall::LeaseEnd { lease } => self.add_json(&json!(["end", lease])),
+            StoreCall::List { prefix, from } => self.add_json(&json!(["list", prefix, from])),
+            StoreCall::Changes { prefix, from } => self.add_json(&json!(["changes", prefix, from])),
+            StoreCall::Commit(transaction) => self.add_json(transaction),
+            StoreCall::LeaseCreate { ttl_ms } => self.add_json(&json!(["create", ttl_ms])),
+            StoreCall::LeaseRenew { lease } => self.add_json(&json!(["renew", lease])),
+            StoreCall::LeaseEnd { lease } => self.add_json(&json!(["end", lease])),
         }
     }
 
--- a/tests/world/event.rs
+++ b/tests/world/event.rs
@@ -2,9 +2,9 @@
 
 use super::faults::Fault;
 use super::users;
-use ochredrum::core::{Answer, CallId, CloudCall, Input, StateCall};
+use ochredrum::core::{Answer, CallId, CloudCall, Input, StoreCall};
 use ochredrum::ids::MachineId;
-use ochredrum::wire::{DirectOrders, Report};
+use ochredrum::wire::{DirectCommands, Heartbeat};
 
 /// What happens at a moment.
 pub enum Event {
@@ -21,7 +21,7 @@
         node: usize,
         epoch: u64,
         call: CallId,
-        what: StateCall,
+        what: StoreCall,
     },
     Cloud {
         node: usize,
@@ -29,12 +29,12 @@
         call: CallId,
         what: CloudCall,
     },
-    Orders {
+    DirectCommands {
         node: usize,
         epoch: u64,
         call: CallId,
         address: String,
-        orders: DirectOrders,
+        commands: DirectCommands,
     },
     Mesh {
         from: usize,
@@ -43,13 +43,13 @@
         to: usize,
         message: Box<Input>,
     },
-    Report {
+    Heartbeat {
         machine: MachineId,
         node: usize,
-        report: Report,
+        heartbeat: Heartbeat,
         live: bool,
     },
-    ReportAnswer {
+    HeartbeatResponse {
         machine: MachineId,
         number: u64,
         answer: Option<Answer>,
--- a/tests/world/faults.rs
+++ b/tests/world/faults.rs
@@ -1,6 +1,6 @@
 //! What goes wrong, and between whom.
 
-use super::orders::OrderFate;
+use super::commands::OrderFate;
 use super::{Event, LEASE_S, RESTART_S, World};
 use ochredrum::ids::MachineId;
 use rand::Rng;
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -3,13 +3,13 @@
 
 mod allowance;
 mod cloud;
+mod commands;
 mod controllers;
 mod effect_digest;
 mod event;
 mod faults;
 mod odd;
 mod old;
-mod orders;
 mod services;
 mod settings;
 mod state;
@@ -25,7 +25,7 @@
 use ochredrum::core::{Core, Input, RequestId};
 use ochredrum::features::Features;
 use ochredrum::ids::{JobId, MachineId};
-use ochredrum::wire::{JobSpec, Report};
+use ochredrum::wire::{Heartbeat, JobSpec};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use state::State;
@@ -34,9 +34,9 @@
 use users::Users;
 use worker::Worker;
 
+pub use commands::OrderFate;
 pub use event::Event;
 pub use faults::{CutManner, Direction, Fault, MapFault, UpgradeOrder, Who};
-pub use orders::OrderFate;
 use settings::features_in_run;
 pub use settings::{Limits, grants_on};
 
@@ -81,7 +81,7 @@
     /// When a controller last ended.
     crashed: f64,
     /// Reports kept for the next leader, and who led last.
-    kept: Vec<(MachineId, Report)>,
+    kept: Vec<(MachineId, Heartbeat)>,
     led: Option<usize>,
     /// What happens at the map write that comes after so many more.
     map_fault: Option<(usize, MapFault)>,
@@ -100,7 +100,7 @@
     pub starts_after_cancel: usize,
     pub mesh_bytes: usize,
     pub largest_message: usize,
-    pub orders: usize,
+    pub commands: usize,
     /// Tasks that ended since the leases of their workers ran out, hung ones left out.
     pub lost_with_leases: usize,
 }
@@ -246,14 +246,14 @@
                 call,
                 what,
             } => self.cloud_request(node, epoch, call, what),
-            Event::Orders {
+            Event::DirectCommands {
                 node,
                 epoch,
                 call,
                 address,
-                orders,
+                commands,
             } => {
-                self.direct_orders(node, epoch, call, &address, orders);
+                self.direct_orders(node, epoch, call, &address, commands);
             }
             Event::Mesh {
                 from,
@@ -264,21 +264,21 @@
             } => {
                 self.ask_node(to, Asker::Sibling { from, epoch, call }, *message);
             }
-            Event::Report {
+            Event::Heartbeat {
                 machine,
                 node,
-                report,
+                heartbeat,
                 live,
             } => {
-                let number = report.seq;
+                let number = heartbeat.sequence;
                 let asker = Asker::Worker {
                     machine,
                     number,
                     live,
                 };
-                self.ask_node(node, asker, Input::Report(RequestId(0), report));
+                self.ask_node(node, asker, Input::Heartbeat(RequestId(0), heartbeat));
             }
-            Event::ReportAnswer {
+            Event::HeartbeatResponse {
                 machine,
                 number,
                 answer,
