--- a/tests/world/old.rs
+++ b/tests/world/old.rs
@@ -3,7 +3,7 @@
 //! controller's faults that have been mended since don't show; see also `tests/compatibility.rs`.
 
 use ochredrum::core::peers::{MeshMessage, MeshReply};
-use ochredrum::core::{Input, StateCall, StateReply};
+use ochredrum::core::{Input, StoreCall, StoreReply};
 use ochredrum::wire::Write;
 use serde_json::Value;
 
@@ -30,13 +30,13 @@
 /// What an old controller sees of an input.
 pub fn sees(mut input: Input) -> Input {
     match &mut input {
-        Input::State(_, StateReply::Listing(listing)) => {
+        Input::State(_, StoreReply::Listing(listing)) => {
             listing
                 .entries
                 .iter_mut()
                 .for_each(|entry| strip(&entry.key, &mut entry.value));
         }
-        Input::State(_, StateReply::Changes(changes)) => {
+        Input::State(_, StoreReply::Changes(changes)) => {
             for change in &mut changes.events {
                 let key = change.put.clone().unwrap_or_default();
                 strip(&key, &mut change.value);
@@ -55,14 +55,14 @@
         input,
         Input::Mesh(
             _,
-            MeshMessage::SubmitDependent(..) | MeshMessage::Report(..)
+            MeshMessage::SubmitDependent(..) | MeshMessage::Heartbeat(..)
         )
     )
 }
 
 /// What an old controller writes to the state service.
-pub fn writes(mut call: StateCall) -> StateCall {
-    if let StateCall::Commit(transaction) = &mut call {
+pub fn writes(mut call: StoreCall) -> StoreCall {
+    if let StoreCall::Commit(transaction) = &mut call {
         for write in &mut transaction.writes {
             if let Write::Put { key, value, .. } = write {
                 strip(key, value);
@@ -74,7 +74,7 @@
 
 pub fn plain_message(message: &mut MeshMessage) {
     if let MeshMessage::Hello(hello) = message {
-        hello.finals_after = None;
+        hello.final_states_after = None;
         hello.authority_ends = false;
         hello.detection = None;
         if let Some(update) = hello.update.as_mut() {
@@ -85,7 +85,7 @@
 
 pub fn plain_reply(reply: &mut MeshReply) {
     if let MeshReply::Hello(reply) = reply {
-        reply.finals = None;
+        reply.final_states = None;
         reply.detection = None;
     }
 }
--- a/tests/world/services.rs
+++ b/tests/world/services.rs
@@ -2,14 +2,14 @@
 
 use super::faults::{MapFault, Who};
 use super::{Event, RESTART_S, World};
-use ochredrum::core::{CallId, CloudCall, CloudReply, Input, StateCall, StateReply};
+use ochredrum::core::{CallId, CloudCall, CloudReply, Input, StoreCall, StoreReply};
 use ochredrum::wire::{Transaction, Write};
 use rand::Rng;
 
 impl World {
-    pub(super) fn state_request(&mut self, node: usize, epoch: u64, call: CallId, what: StateCall) {
+    pub(super) fn state_request(&mut self, node: usize, epoch: u64, call: CallId, what: StoreCall) {
         let reply = if self.net.state_refuses(node) {
-            StateReply::Refused
+            StoreReply::Refused
         } else {
             if !self.allowance.take(self.now, &self.limits, &what) {
                 self.work.state_busy += 1;
@@ -17,20 +17,20 @@
                     node,
                     epoch,
                     Who::State,
-                    Input::State(call, StateReply::Busy),
+                    Input::State(call, StoreReply::Busy),
                 );
             }
-            if let StateCall::Commit(transaction) = &what
+            if let StoreCall::Commit(transaction) = &what
                 && self.over_limits(transaction)
             {
-                let rejected = Input::State(call, StateReply::Rejected);
+                let rejected = Input::State(call, StoreReply::Rejected);
                 return self.reply(node, epoch, Who::State, rejected);
             }
             let down_for = self.net.take_outage_end(self.now);
             let map = writes_map(&what);
             let reply = self.state.call(self.now, what, down_for);
             if map
-                && matches!(reply, StateReply::Committed(_))
+                && matches!(reply, StoreReply::Committed(_))
                 && self.map_fault_due(MapFault::Crash)
             {
                 return self.crash(node, RESTART_S);
@@ -52,11 +52,12 @@
         let ops = self.limits.txn_ops;
         let over = largest as f64 > self.limits.value_kb * 1024.0
             || transaction.writes.len() > ops
-            || transaction.guards.len() > ops * 4
+            || transaction.preconditions.len() > ops * 4
             || text.len() > ochredrum::wire::BODY_LIMIT;
         if over {
-            let (writes, guards) = (transaction.writes.len(), transaction.guards.len());
-            let what = format!("{writes} writes, {guards} guards, value of {largest} bytes");
+            let (writes, preconditions) =
+                (transaction.writes.len(), transaction.preconditions.len());
+            let what = format!("{writes} writes, {preconditions} guards, value of {largest} bytes");
             self.breaks("over_limit", what);
         }
         over
@@ -76,7 +77,7 @@
     }
 
     /// Whether a transaction is to be carried out late, without an answer.
-    pub(super) fn late_commit(&mut self, what: &StateCall) -> bool {
+    pub(super) fn late_commit(&mut self, what: &StoreCall) -> bool {
         (writes_map(what) && self.map_fault_due(MapFault::Late))
             || (self.net.late_writes() && self.rng.random_bool(0.3))
     }
@@ -106,9 +107,9 @@
     }
 }
 
-fn writes_map(what: &StateCall) -> bool {
+fn writes_map(what: &StoreCall) -> bool {
     let of_map = |write: &Write| match write {
         Write::Put { key, .. } | Write::Delete { key } => key.starts_with("ochredrum/map/"),
     };
-    matches!(what, StateCall::Commit(transaction) if transaction.writes.iter().any(of_map))
+    matches!(what, StoreCall::Commit(transaction) if transaction.writes.iter().any(of_map))
 }
--- a/tests/world/state.rs
+++ b/tests/world/state.rs
@@ -1,6 +1,6 @@
 //! The state service's stand-in.
 
-use ochredrum::core::{StateCall, StateReply};
+use ochredrum::core::{StoreCall, StoreReply};
 use ochredrum::wire::{Change, Changes, Entry, Listing, Write};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -44,7 +44,7 @@
 
 impl State {
     /// `outage_ended`: leases have their full time again from then on.
-    pub fn call(&mut self, now: f64, call: StateCall, outage_ended: Option<f64>) -> StateReply {
+    pub fn call(&mut self, now: f64, call: StoreCall, outage_ended: Option<f64>) -> StoreReply {
         if let Some(end) = outage_ended {
             for lease in self.leases.values_mut() {
                 lease.ends = end + lease.ttl;
@@ -52,7 +52,7 @@
         }
         self.expire(now);
         match call {
-            StateCall::List { prefix, from } => {
+            StoreCall::List { prefix, from } => {
                 let after = |key: &String| from.as_ref().is_none_or(|from| key > from);
                 let all = self
                     .keys
@@ -67,13 +67,13 @@
                     .collect();
                 let more = entries.len() > self.page;
                 let entries = entries.into_iter().take(self.page).collect();
-                StateReply::Listing(Listing {
+                StoreReply::Listing(Listing {
                     entries,
                     more,
                     revision: self.revision,
                 })
             }
-            StateCall::Changes { prefix, from } => {
+            StoreCall::Changes { prefix, from } => {
                 let hit = |c: &&Change| {
                     let key = c.put.as_ref().or(c.deleted.as_ref());
                     c.version > from && key.is_some_and(|key| key.starts_with(prefix))
@@ -81,31 +81,31 @@
                 // In the order of their versions; a long log is not read from its beginning.
                 let newer = self.log.partition_point(|change| change.version <= from);
                 let events = self.log[newer..].iter().filter(hit).cloned().collect();
-                StateReply::Changes(Changes {
+                StoreReply::Changes(Changes {
                     revision: self.revision,
                     events,
                 })
             }
-            StateCall::Commit(transaction) => {
+            StoreCall::Commit(transaction) => {
                 let version = |key: &String| self.keys.get(key).map_or(0, |k| k.version);
                 if transaction
-                    .guards
+                    .preconditions
                     .iter()
                     .any(|g| version(&g.key) != g.version)
                 {
-                    return StateReply::Conflict;
+                    return StoreReply::Conflict;
                 }
                 let dead = |write: &Write| matches!(write, Write::Put { lease: Some(lease), .. } if !self.leases.contains_key(lease));
                 if transaction.writes.iter().any(dead) {
-                    return StateReply::LeaseGone;
+                    return StoreReply::LeaseGone;
                 }
                 self.revision += 1;
                 for write in transaction.writes {
                     self.write(write);
                 }
-                StateReply::Committed(self.revision)
+                StoreReply::Committed(self.revision)
             }
-            StateCall::LeaseCreate { ttl_ms } => {
+            StoreCall::LeaseCreate { ttl_ms } => {
                 self.next_lease += 1;
                 let ttl = ttl_ms as f64 / 1e3;
                 self.leases.insert(
@@ -115,22 +115,22 @@
                         ends: now + ttl,
                     },
                 );
-                StateReply::Lease(self.next_lease)
+                StoreReply::Lease(self.next_lease)
             }
-            StateCall::LeaseRenew { lease } => match self.leases.get_mut(&lease) {
+            StoreCall::LeaseRenew { lease } => match self.leases.get_mut(&lease) {
                 Some(lease) => {
                     lease.ends = now + lease.ttl;
-                    StateReply::Done
+                    StoreReply::Done
                 }
-                None => StateReply::LeaseGone,
+                None => StoreReply::LeaseGone,
             },
-            StateCall::LeaseEnd { lease } => {
+            StoreCall::LeaseEnd { lease } => {
                 if let Some(lease) = self.leases.get_mut(&lease) {
                     lease.ends = now;
                     self.expire(now + 1e-9);
-                    return StateReply::Done;
+                    return StoreReply::Done;
                 }
-                StateReply::LeaseGone
+                StoreReply::LeaseGone
             }
         }
     }
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -257,7 +257,7 @@
             }
             return;
         };
-        let stance = match answer.map(|answer| answer.body) {
+        let job_status = match answer.map(|answer| answer.body) {
             Some(Body::Value(body)) => body["stance"].as_str().unwrap_or("").to_owned(),
             _ => String::new(),
         };
@@ -271,7 +271,7 @@
                     self.after(1.0, Event::Poll { job });
                     self.look_closely(job);
                 }
-                return self.check_told(job, ask, asked, &stance);
+                return self.check_told(job, ask, asked, &job_status);
             }
             (Ask::Poll | Ask::Look, Some(404)) if user.accepted => {
                 self.breaks("forgotten", format!("{id} is answered 404"));
@@ -291,7 +291,7 @@
 
     /// What was asked before something was told may still be answered without it: answers to
     /// questions that overlap come in any order (found by random day 1026).
-    fn check_told(&mut self, job: usize, ask: Ask, asked: f64, stance: &str) {
+    fn check_told(&mut self, job: usize, ask: Ask, asked: f64, job_status: &str) {
         let now = self.now;
         let id = self.users.jobs[job].id.clone();
         let called_off = self.users.called_off(&id);
@@ -303,7 +303,7 @@
         let mut broken: Vec<(&str, String)> = Vec::new();
         let mut cancelled = false;
         let ended_before = user.told_done.is_some() || user.told_cancelled.is_some();
-        match stance {
+        match job_status {
             "done" => {
                 if (user.finished.len() as u32) < user.spec.tasks {
                     broken.push(("not_done", format!("{id} is called done")));
@@ -326,10 +326,10 @@
             _ => {
                 let told = user.told_done.or(user.told_cancelled);
                 if told.is_some_and(|told| told < asked) {
-                    broken.push(("went_back", format!("{id} is called {stance}")));
+                    broken.push(("went_back", format!("{id} is called {job_status}")));
                 }
                 if orphan {
-                    broken.push(("orphaned", format!("{id} is called {stance}")));
+                    broken.push(("orphaned", format!("{id} is called {job_status}")));
                 }
             }
         }
--- a/tests/world/worker.rs
+++ b/tests/world/worker.rs
@@ -3,8 +3,10 @@
 use super::faults::{CutManner, Who};
 use super::{Event, FAILS_AT_ONCE, GANG_PEER_S, GANG_WAIT_S, GPUS_MAX, LEASE_S, REPORT_S, World};
 use ochredrum::core::{Answer, Body, CallId, Input, WorkerReply};
-use ochredrum::ids::{Attempt, JobId, MachineId, TaskId, Term};
-use ochredrum::wire::{DirectOrders, Exit, JobSpec, Kind, Order, Report, ReportedTask, TaskState};
+use ochredrum::ids::{Attempt, FencingToken, JobId, MachineId, TaskId};
+use ochredrum::wire::{
+    Command, DirectCommands, Exit, Heartbeat, JobSpec, Kind, ReportedTask, TaskState,
+};
 use rand::Rng;
 use std::collections::BTreeMap;
 
@@ -18,7 +20,7 @@
 pub struct Running {
     pub state: TaskState,
     pub why: Option<Exit>,
-    pub saved: bool,
+    pub checkpointed: bool,
     /// When the present state ends by itself.
     until: f64,
 }
@@ -28,16 +30,16 @@
     pub fn on_machine(&self) -> bool {
         matches!(
             self.state,
-            TaskState::Waiting | TaskState::Running | TaskState::Saving
+            TaskState::Waiting | TaskState::Running | TaskState::Checkpointing
         )
     }
 }
 
 pub struct Worker {
     pub id: MachineId,
-    session: u64,
-    seq: u64,
-    token: Term,
+    agent_epoch: u64,
+    sequence: u64,
+    token: FencingToken,
     /// When the last answered report was sent, or the session began.
     renewed: f64,
     node: usize,
@@ -54,8 +56,8 @@
 }
 
 impl Worker {
-    fn report(&mut self, now: f64, cloud: &super::cloud::Cloud) -> Report {
-        self.seq += 1;
+    fn heartbeat(&mut self, now: f64, cloud: &super::cloud::Cloud) -> Heartbeat {
+        self.sequence += 1;
         let owned = cloud.get(&self.id);
         let tasks = self
             .tasks
@@ -65,16 +67,16 @@
                 attempt: *attempt,
                 state: running.state,
                 why: running.why,
-                saved: running.saved.then_some(true),
+                checkpointed: running.checkpointed.then_some(true),
             });
-        Report {
+        Heartbeat {
             machine: self.id.clone(),
             address: self.id.to_string(),
             type_name: owned.map_or("g8".into(), |o| o.type_name.clone()),
             zone: owned.map_or("a".into(), |o| o.zone.clone()),
             spot: owned.is_some_and(|o| o.spot),
-            session: self.session,
-            seq: self.seq,
+            agent_epoch: self.agent_epoch,
+            sequence: self.sequence,
             token: self.token,
             notice_s: self.leaves.map(|at| at - now),
             tasks: tasks.collect(),
@@ -90,9 +92,9 @@
         self.cloud.up(machine, self.now);
         let worker = Worker {
             id: machine.clone(),
-            session: 1,
-            seq: 0,
-            token: Term(0),
+            agent_epoch: 1,
+            sequence: 0,
+            token: FencingToken(0),
             renewed: self.now,
             node: self.rng.random_range(0..self.nodes.len()),
             out: None,
@@ -141,7 +143,7 @@
                 self.work.lost_with_leases += lost.count();
             }
             worker.tasks.clear();
-            worker.session += 1;
+            worker.agent_epoch += 1;
             worker.renewed = now;
             worker.changed = true;
         }
@@ -168,10 +170,10 @@
             worker.changed = false;
             worker.last_report = now;
             worker.next_report = now + REPORT_S * self.rng.random_range(0.75..1.25);
-            let report = worker.report(now, &self.cloud);
+            let heartbeat = worker.heartbeat(now, &self.cloud);
             let node = worker.node;
-            worker.out = Some((report.seq, now));
-            self.send_report(id, node, report);
+            worker.out = Some((heartbeat.sequence, now));
+            self.send_report(id, node, heartbeat);
         }
         self.after(
             TURN,
@@ -181,37 +183,37 @@
         );
     }
 
-    fn send_report(&mut self, id: &MachineId, node: usize, report: Report) {
+    fn send_report(&mut self, id: &MachineId, node: usize, heartbeat: Heartbeat) {
         let (me, to) = (Who::Machine(id.clone()), Who::Node(node));
-        let event = |report: &Report, live| Event::Report {
+        let event = |heartbeat: &Heartbeat, live| Event::Heartbeat {
             machine: id.clone(),
             node,
-            report: report.clone(),
+            heartbeat: heartbeat.clone(),
             live,
         };
         if self.net.copies_for_next() && self.rng.random_bool(0.3) {
-            self.kept.push((id.clone(), report.clone()));
+            self.kept.push((id.clone(), heartbeat.clone()));
         }
         if self.net.mute(id) {
             return;
         }
         if let Some(delay) = self.copy_delay() {
-            self.after(delay, event(&report, false));
+            self.after(delay, event(&heartbeat, false));
         }
         if self.net.passes(me.clone(), to.clone()) {
             let delay = self.latency();
-            self.after(delay, event(&report, true));
+            self.after(delay, event(&heartbeat, true));
             return;
         }
         if let Some(end) = self.net.held_until(&me, &to) {
-            self.at(end + 0.01, event(&report, false));
+            self.at(end + 0.01, event(&heartbeat, false));
         }
         if let Some(CutManner::Refused | CutManner::Reset) = self.net.kept_from(&me, &to) {
-            let (machine, number) = (id.clone(), report.seq);
+            let (machine, number) = (id.clone(), heartbeat.sequence);
             let delay = self.latency();
             self.after(
                 delay,
-                Event::ReportAnswer {
+                Event::HeartbeatResponse {
                     machine,
                     number,
                     answer: None,
@@ -236,7 +238,7 @@
         match answer {
             Some(Answer {
                 status: 200,
-                body: Body::Orders(answer),
+                body: Body::HeartbeatResponse(answer),
                 ..
             }) => {
                 // Answers to reports of an earlier session are dropped.
@@ -251,7 +253,7 @@
                     }
                 }
                 worker.renewed = sent;
-                for order in answer.orders {
+                for order in answer.commands {
                     self.execute(id, order);
                 }
             }
@@ -288,7 +290,7 @@
         epoch: u64,
         call: CallId,
         address: &str,
-        orders: DirectOrders,
+        commands: DirectCommands,
     ) {
         let id = MachineId::from(address);
         if self.net.deaf(&id) {
@@ -303,44 +305,44 @@
             let (until, address) = (worker.hung_until + TURN * 1.5, address.to_owned());
             return self.at(
                 until,
-                Event::Orders {
+                Event::DirectCommands {
                     node,
                     epoch,
                     call,
                     address,
-                    orders,
+                    commands,
                 },
             );
         }
-        let fenced = orders.token < worker.token || orders.session != worker.session;
+        let fenced = commands.token < worker.token || commands.agent_epoch != worker.agent_epoch;
         if !fenced {
-            worker.token = orders.token;
-            for order in orders.orders {
+            worker.token = commands.token;
+            for order in commands.commands {
                 self.execute(&id, order);
             }
         }
         let Some(worker) = self.workers.get_mut(&id) else {
             return;
         };
-        let report = worker.report(now, &self.cloud);
+        let heartbeat = worker.heartbeat(now, &self.cloud);
         let reply = if fenced {
-            WorkerReply::Fenced(report)
+            WorkerReply::Fenced(heartbeat)
         } else {
-            WorkerReply::Executed(report)
+            WorkerReply::Executed(heartbeat)
         };
         self.reply(node, epoch, Who::Machine(id), Input::Worker(call, reply));
     }
 
-    fn execute(&mut self, id: &MachineId, order: Order) {
+    fn execute(&mut self, id: &MachineId, order: Command) {
         let now = self.now;
         match order {
-            Order::Start { task, attempt } => {
+            Command::Start { task, attempt } => {
                 let Some(task) = TaskId::parse(&task) else {
                     return self.breaks("bad_order", format!("start of {task:?}"));
                 };
                 self.execute_start(id, task, attempt);
             }
-            Order::Stop {
+            Command::Stop {
                 task,
                 attempt,
                 grace_s,
@@ -351,7 +353,7 @@
                 let save = self
                     .users
                     .spec(&task.job)
-                    .map(|s| (s.checkpoint_s, s.save_s));
+                    .map(|s| (s.checkpoint_interval_s, s.checkpoint_write_s));
                 let Some(worker) = self.workers.get_mut(id) else {
                     return;
                 };
@@ -364,14 +366,14 @@
                 let (checkpoint, save) = save.unwrap_or((0.0, 0.0));
                 let saves = checkpoint > 0.0 && grace_s >= save;
                 if saves && running.state == TaskState::Running {
-                    running.state = TaskState::Saving;
+                    running.state = TaskState::Checkpointing;
                     running.until = now + save;
-                } else if running.state != TaskState::Saving || grace_s == 0.0 {
+                } else if running.state != TaskState::Checkpointing || grace_s == 0.0 {
                     exit(running, Exit::Stopped);
                 }
                 worker.changed = true;
             }
-            Order::Forget { task, attempt } => {
+            Command::Forget { task, attempt } => {
                 let Some(task) = TaskId::parse(&task) else {
                     return;
                 };
@@ -427,7 +429,7 @@
         let mut running = Running {
             state: TaskState::Fetching,
             why: None,
-            saved: false,
+            checkpointed: false,
             until: now + fetch,
         };
         let full = room.0 < spec.gpus - 1e-6
@@ -511,8 +513,8 @@
                     }
                     self.called_off_at_end(&task.job);
                 }
-                TaskState::Saving => {
-                    running.saved = true;
+                TaskState::Checkpointing => {
+                    running.checkpointed = true;
                     exit(running, Exit::Stopped);
                 }
                 TaskState::Exited => {}
