--- a/src/cloud_client.rs
+++ b/src/cloud_client.rs
@@ -1,6 +1,6 @@
 //! Requests to the cloud: one try each, with a deadline.
 
-use crate::core::{CloudCall, CloudReply};
+use crate::core::effects::{CloudCall, CloudReply};
 use crate::http::{Client, Failure};
 use crate::wire::{MachineList, MachineNames, MachineTypes, decode, encode};
 use hyper::Method;
--- a/src/core/gained_machines/tests.rs
+++ b/src/core/controller/acquired_machines/tests.rs
@@ -1,7 +1,9 @@
-use super::super::machines::Machine;
-use super::super::test_support::{heartbeat, running_core};
-use super::super::{Effect, Time};
 use super::*;
+use crate::core::effects::{Effect, Time};
+use crate::core::machines::machine::Machine;
+use crate::core::messages::shard_update::{MachineContact, MachineContacts};
+use crate::core::shard::Shard;
+use crate::core::test_support::{heartbeat, running_core};
 use crate::ids::FencingToken;
 
 const NOW: Time = 100.0;
@@ -16,7 +18,7 @@
         agent_epoch: 1,
     };
     core.contacts
-        .extend(MachineContacts(BTreeMap::from([(id.clone(), contact)])));
+        .extend(MachineContacts::from_iter([(id.clone(), contact)]));
     let owner = core.shard.as_mut().unwrap();
     let mut machine = Machine::named(id.clone(), TERM, answered);
     machine.mine = true;
--- a/src/core/deferred_heartbeats.rs
+++ b/src/core/controller/deferred_heartbeats.rs
@@ -2,9 +2,10 @@
 //! an owner that does not answer waits there for seconds of its lease; so it is kept here for a moment instead,
 //! and then sent to another controller that answers.
 
-use super::part_map::ShardOwner;
-use super::{Core, RequestId, Time};
 use crate::config::Config;
+use crate::core::Core;
+use crate::core::effects::{Answer, RequestId, Time};
+use crate::core::records::shard_map::ShardOwner;
 use crate::ids::Node;
 use crate::wire::Heartbeat;
 use failure_detector::Stage;
@@ -12,8 +13,10 @@
 /// Part of the time between two reports for which a claimed machine's report waits for the map. If the
 /// machine is not here by then, its worker tries another controller.
 const CLAIM_WAIT_REPORTS: f64 = 0.4;
+
 /// Time between reports for which the report of a machine whose owner has failed waits for the hand-over.
 const HAND_OVER_WAIT_REPORTS: f64 = 0.7;
+
 /// Reports that wait for the map at most, as a part of the limit on sockets.
 const WAITING_PER_SOCKET: f64 = 0.25;
 
@@ -84,7 +87,7 @@
 
 impl Core {
     /// Keeps a report until the map has changed.
-    pub(super) fn wait_for_map(
+    pub(crate) fn wait_for_map(
         &mut self,
         request: RequestId,
         heartbeat: Heartbeat,
@@ -105,7 +108,7 @@
     }
 
     /// Answers the reports of machines that have come here, and sends those away that have not.
-    pub(super) fn answer_waiting_reports(&mut self) {
+    pub(crate) fn answer_waiting_reports(&mut self) {
         for waiting in std::mem::take(&mut self.deferred_heartbeats.heartbeats) {
             match self.turn(&waiting) {
                 Turn::Wait => self.deferred_heartbeats.heartbeats.push(waiting),
@@ -170,7 +173,7 @@
     }
 
     /// The worker is to go on with the next controller that answers, not with one that keeps it waiting.
-    pub(super) fn send_to_reachable(&mut self, request: RequestId) {
+    pub(crate) fn send_to_reachable(&mut self, request: RequestId) {
         let now = self.outbox.now;
         let usable = |node: &&Node| self.can_serve(node);
         let after = self
@@ -183,7 +186,7 @@
             .cloned();
         match next {
             Some(node) => self.redirect(request, Some(node)),
-            None => self.outbox.answer(request, super::Answer::unavailable()),
+            None => self.outbox.answer(request, Answer::unavailable()),
         }
     }
 }
--- a/src/core/deferred_heartbeats/tests.rs
+++ b/src/core/controller/deferred_heartbeats/tests.rs
@@ -1,7 +1,7 @@
-use super::super::Effect;
-use super::super::test_support::{answered_until, heartbeat, map, owner, running_core};
 use super::*;
-use crate::core::part_map::ShardEntry;
+use crate::core::effects::Effect;
+use crate::core::records::shard_map::ShardEntry;
+use crate::core::test_support::{answered_until, heartbeat, map, owner, running_core};
 use crate::ids::FencingToken;
 
 const START: Time = 100.0;
@@ -33,7 +33,9 @@
     let answers = effects.into_iter().filter_map(|effect| match effect {
         Effect::Answer(_, answer) => {
             let to = match answer.body {
-                super::super::Body::Value(body) => body["conductor"].as_str().map(str::to_owned),
+                crate::core::effects::Body::Value(body) => {
+                    body["conductor"].as_str().map(str::to_owned)
+                }
                 _ => None,
             };
             Some((answer.status, to))
--- a/src/core/failure_detection.rs
+++ b/src/core/controller/failure_detection.rs
@@ -1,95 +1,48 @@
 //! What this controller makes of its siblings' failures and of its own. The judging is done by
 //! [`failure_detector`]; here it gets its evidence, and what follows is decided:
 //!
-//! - Suspicion moves nothing. Workers are not sent to a suspected sibling ([`super::report_routing`]).
+//! - Suspicion moves nothing. Workers are not sent to a suspected sibling ([`crate::core::controller::heartbeat_routing`]).
 //! - A leader whose failure is confirmed by a quorum loses the leader's key to another controller. That is safe at any
 //!   time: each write of the map is guarded by that key (link 2 of the safety argument).
 //! - A share is handed on only as link 1 allows. A controller that has failed in part ends its own
 //!   authority, so that nobody has to wait for its lease: it begins anew, and its key is removed, by itself or, if the
 //!   state service refuses it, by a sibling.
 
-use super::outbox::Pending;
-use super::ownership::OwnershipCall;
-use super::{Core, StoreCall, Time};
+use crate::core::Core;
+use crate::core::effects::StoreCall;
+use crate::core::effects::pending::{OwnershipCall, Pending};
+use crate::core::messages::detection::{Detection, Resignation};
 use crate::ids::Node;
-use failure_detector::{Opinion, OwnContact, PartialFailure, Stage, StageChange};
-use serde::{Deserialize, Serialize};
+use failure_detector::{OwnContact, PartialFailure, Stage, StageChange};
 
 /// Part of the lifetime of a key by which a sibling's contact with the state service has to be younger than
 /// this controller's own, to show that others are served.
-const SERVED_LATER_LIFETIMES: f64 = 0.1;
+pub(crate) const SERVED_LATER_LIFETIMES: f64 = 0.1;
+
 /// Part of a lease after which a controller judges itself again; that may look at its whole share.
-const SELF_CHECK_LEASES: f64 = 0.005;
+pub(crate) const SELF_CHECK_LEASES: f64 = 0.005;
+
 /// Report times within which a machine's worker has been with a sibling lately.
-const ELSEWHERE_REPORT_TIMES: f64 = 2.0;
+pub(crate) const ELSEWHERE_REPORT_TIMES: f64 = 2.0;
+
 /// Lifetimes of its key after which a process that has ended has lost it: one since the last renewal, and some
 /// for that it was answered before it renewed for the last time.
-const LEASE_EXPIRY_LIFETIMES: f64 = 1.2;
-/// Leases for which a process that has begun anew tells that its predecessor has ended.
-const TELL_RESIGNED_LEASES: f64 = 2.0;
-/// Leases for which a controller that workers do not reach takes no share.
-const CUT_OFF_PAUSE_LEASES: f64 = 2.0;
-
-/// What a process that takes part in the detection of failures tells with every hello.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Detection {
-    /// What it thinks of its siblings.
-    #[serde(rename = "o")]
-    pub opinions: Vec<Opinion<Node>>,
-    /// How long ago the state service served it.
-    #[serde(rename = "s")]
-    pub state_age: Time,
-    /// Its predecessor, which has ended by itself though its key may still be there.
-    #[serde(rename = "r", default, skip_serializing_if = "Option::is_none")]
-    pub resignation: Option<Resignation>,
-}
-
-/// A process that acts no more, and the lease on which its keys hang.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Resignation {
-    /// The process.
-    #[serde(rename = "i")]
-    pub incarnation: u64,
-    /// Its lease in the state service.
-    #[serde(rename = "l")]
-    pub lease: u64,
-}
-
-/// What this controller keeps for the detection of failures.
-#[derive(Debug, Default)]
-pub struct FailureDetection {
-    /// Calls that the state service refused since it last answered in another way.
-    refusals: u32,
-    /// Its own predecessor that has resigned, and when.
-    resignation: Option<(Resignation, Time)>,
-    /// The lease of a resigned sibling that was ended last.
-    ended: Option<u64>,
-    /// The map of which it was looked up last who owns nothing.
-    map_seen: Option<u64>,
-    /// When it judges itself next.
-    next_self_check: Time,
-}
+pub(crate) const LEASE_EXPIRY_LIFETIMES: f64 = 1.2;
 
-impl FailureDetection {
-    /// The state service refused a call.
-    pub fn refused(&mut self) {
-        self.refusals += 1;
-    }
+/// Leases for which a process that has begun anew tells that its predecessor has ended.
+pub(crate) const TELL_RESIGNED_LEASES: f64 = 2.0;
 
-    /// The state service answered in another way, or not at all: that is no refusal.
-    pub fn not_refused(&mut self) {
-        self.refusals = 0;
-    }
-}
+/// Leases for which a controller that workers do not reach takes no share.
+pub(crate) const CUT_OFF_PAUSE_LEASES: f64 = 2.0;
 
 impl Core {
     /// Whether this controller acts on failures that are detected.
-    pub(super) fn acts_on_failures(&self) -> bool {
+    pub(crate) fn acts_on_failures(&self) -> bool {
         self.config.features.acts_on_failures()
     }
 
     /// Judges the siblings anew by what is known now.
-    pub(super) fn judge_siblings(&mut self) {
+    pub(crate) fn judge_siblings(&mut self) {
         let now = self.outbox.now;
         self.take_stored_evidence();
         for change in self.peers.detector_mut().judge(now) {
@@ -101,7 +54,7 @@
     }
 
     /// Whether nobody needs to be told any more that this controller's last process has ended.
-    fn resignation_is_known(&self) -> bool {
+    pub(crate) fn resignation_is_known(&self) -> bool {
         let Some((resignation, since)) = &self.detection.resignation else {
             return false;
         };
@@ -113,7 +66,7 @@
     }
 
     /// What the state service shows of the siblings: their keys, and whether the map names them.
-    fn take_stored_evidence(&mut self) {
+    pub(crate) fn take_stored_evidence(&mut self) {
         if !self.store.complete() {
             return;
         }
@@ -132,7 +85,7 @@
     }
 
     /// What siblings are told.
-    pub(super) fn own_detection(&self) -> Option<Detection> {
+    pub(crate) fn own_detection(&self) -> Option<Detection> {
         let now = self.outbox.now;
         self.acts_on_failures().then(|| Detection {
             opinions: self.peers.detector().opinions_to_tell(now),
@@ -146,7 +99,7 @@
     }
 
     /// A sibling tells what it has found.
-    pub(super) fn take_detection(&mut self, from: &Node, incarnation: u64, detection: Detection) {
+    pub(crate) fn take_detection(&mut self, from: &Node, incarnation: u64, detection: Detection) {
         if !self.acts_on_failures() {
             return;
         }
@@ -162,7 +115,7 @@
     }
 
     /// A sibling's process has ended by itself, but could not remove its key.
-    fn end_resigned(&mut self, of: &Node, resignation: &Resignation) {
+    pub(crate) fn end_resigned(&mut self, of: &Node, resignation: &Resignation) {
         let stored = self.store.node(of).map(|stored| &stored.record);
         let still_there = stored.is_some_and(|record| {
             record.incarnation == resignation.incarnation && record.lease == resignation.lease
@@ -181,7 +134,7 @@
     }
 
     /// Ends this process's authority if it has lost what others have: they can do better.
-    pub(super) fn resign_if_failed_in_part(&mut self, lease: u64) {
+    pub(crate) fn resign_if_failed_in_part(&mut self, lease: u64) {
         let now = self.outbox.now;
         if self.shard.is_none() || now < self.detection.next_self_check {
             return;
@@ -209,7 +162,7 @@
         }
     }
 
-    fn own_contact(&self) -> OwnContact {
+    pub(crate) fn own_contact(&self) -> OwnContact {
         let now = self.outbox.now;
         let workers = &self.config.deployment.workers;
         let workers_silent_s = now - self.peers.workers_heard();
@@ -247,7 +200,7 @@
     /// Whether renewing the lease would keep a key alive under which nobody acts: this process's authority has
     /// run out, and neither the state service nor any sibling is heard. What it sends may arrive all the
     /// same, and so its share would never be handed on. Once it hears the state service it goes on.
-    pub(super) fn renews_for_nobody(&self) -> bool {
+    pub(crate) fn renews_for_nobody(&self) -> bool {
         let now = self.outbox.now;
         self.acts_on_failures()
             && !self.ownership.holds_lease(now)
@@ -257,7 +210,7 @@
 
     /// The version of the leader's key, if its process has failed and this controller is to take it over: of
     /// those that may the first by name, so that they do not race.
-    pub(super) fn failed_leader(&self) -> Option<u64> {
+    pub(crate) fn failed_leader(&self) -> Option<u64> {
         let leader = self.store.leader()?;
         let node = &leader.record.node;
         let may_lead = self.has_state() && self.ownership.holds_lease(self.outbox.now);
@@ -270,7 +223,7 @@
     }
 
     /// Whether a sibling with a name before this controller's could lead as well.
-    fn has_rival(&self) -> bool {
+    pub(crate) fn has_rival(&self) -> bool {
         let mut heard = self
             .peers
             .heard(self.outbox.now)
@@ -280,12 +233,12 @@
 
     /// Whether a sibling is heard, reads the state service and has a key there. One without a key has given up:
     /// the workers may not reach it.
-    pub(super) fn can_serve(&self, sibling: &Node) -> bool {
+    pub(crate) fn can_serve(&self, sibling: &Node) -> bool {
         self.peers.reads_state(sibling, self.outbox.now) && self.store.node(sibling).is_some()
     }
 
     /// Whether a worker is not to be sent to this process, since nobody would answer it there.
-    pub(super) fn is_unreachable_owner(&self, node: &Node, incarnation: u64) -> bool {
+    pub(crate) fn is_unreachable_owner(&self, node: &Node, incarnation: u64) -> bool {
         *node == self.config.node
             || !self.store.is_registered(node, incarnation)
             || self.peers.detector().has_failed(node)
@@ -293,7 +246,7 @@
 
     /// Whether this process has failed and its key is about to go, so that its share is handed on soon.
     /// One that keeps its key for longer lives, out of reach for a quorum: its machines are claimed.
-    pub(super) fn lease_expires_soon(&self, node: &Node) -> bool {
+    pub(crate) fn lease_expires_soon(&self, node: &Node) -> bool {
         let detector = self.peers.detector();
         let lapses_after = self.ownership.ttl() * LEASE_EXPIRY_LIFETIMES;
         detector.has_failed(node) && detector.silence(node, self.outbox.now) < lapses_after
@@ -301,7 +254,7 @@
 }
 
 /// One line for each change of stage.
-fn log_change(change: &StageChange<Node>) {
+pub(crate) fn log_change(change: &StageChange<Node>) {
     let StageChange {
         of,
         from,
--- a/src/core/failure_detection/tests.rs
+++ b/src/core/controller/failure_detection/tests.rs
@@ -1,9 +1,10 @@
-use super::super::store::{LEADER_KEY, precondition};
-use super::super::test_support::{OWN_LEASE, answered_until, running_core};
-use super::super::{Effect, StoreReply};
 use super::*;
+use crate::core::effects::{Effect, StoreReply, Time};
+use crate::core::records::keys::LEADER_KEY;
+use crate::core::records::versioned::precondition;
+use crate::core::test_support::{OWN_LEASE, answered_until, running_core};
 use crate::wire::Transaction;
-use failure_detector::Incarnation;
+use failure_detector::{Incarnation, Opinion};
 
 const START: Time = 100.0;
 
--- a/src/core/report_routing.rs
+++ b/src/core/controller/heartbeat_routing.rs
@@ -2,15 +2,16 @@
 //! that is not its machine's owner sends it there. A worker that has shown the owner's present token
 //! was there already and has left again, so it can't reach the owner: then its report is relayed,
 //! once, so that its lease does not run out meanwhile. While a term is young its machine may have been told the
-//! token by a direct message ([`super::gained_machines`]), so that its worker was not there yet.
+//! token by a direct message ([`crate::core::controller::acquired_machines`]), so that its worker was not there yet.
 
-use super::deferred_heartbeats::DeferralReason;
-use super::outbox::Pending;
-use super::part_map::ShardOwner;
-use super::peers::{MeshMessage, MeshReply};
-use super::store::StoreReplica;
-use super::{Answer, Body, Core, RequestId, Time};
 use crate::config::Config;
+use crate::core::Core;
+use crate::core::controller::deferred_heartbeats::DeferralReason;
+use crate::core::effects::pending::Pending;
+use crate::core::effects::{Answer, Body, RequestId, Time};
+use crate::core::messages::mesh::{MeshMessage, MeshReply};
+use crate::core::records::shard_map::ShardOwner;
+use crate::core::store::replica::StoreReplica;
 use crate::ids::{FencingToken, MachineId, Node};
 use crate::wire::{Heartbeat, HeartbeatResponse, redirect_to};
 use failure_detector::Stage;
@@ -18,10 +19,13 @@
 
 /// Leases of relaying after which a worker is sent to its owner once more.
 const RELAY_LEASES: f64 = 10.0;
+
 /// Leases after which a worker that was not here again has found its owner.
 const FORGET_LEASES: f64 = 1.0;
+
 /// Leases for which a term is young.
 const YOUNG_LEASES: f64 = 0.5;
+
 /// Relays under way at once at most, as a part of the limit on sockets.
 const RELAYS_PER_SOCKET: f64 = 0.05;
 
@@ -92,7 +96,7 @@
     }
 
     /// Takes up which terms there are.
-    pub(super) fn follow(&mut self, store: &StoreReplica, now: Time) {
+    pub(crate) fn follow(&mut self, store: &StoreReplica, now: Time) {
         let first = self.map_seen.is_none();
         if self.map_seen.replace(store.map_changes()) == Some(store.map_changes()) {
             return;
@@ -154,7 +158,7 @@
 
 impl Core {
     /// Answers a worker, or sends it to its machine's owner.
-    pub(super) fn heartbeat(&mut self, request: RequestId, heartbeat: Heartbeat) {
+    pub(crate) fn heartbeat(&mut self, request: RequestId, heartbeat: Heartbeat) {
         let now = self.outbox.now;
         if let Some(answer) = self.handle_heartbeat(heartbeat.clone()) {
             self.peers.heard_workers(now);
@@ -227,7 +231,7 @@
 
     /// Whether a machine's owner answers nobody, so that its worker is not to be sent there. Of one that is only
     /// suspected here that is certain if the worker comes from it.
-    pub(super) fn awaits_hand_over(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
+    pub(crate) fn awaits_hand_over(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
         if !self.acts_on_failures() {
             return false;
         }
@@ -259,13 +263,13 @@
     }
 
     /// The owner's answer, if this controller owns the machine and may act.
-    pub(super) fn handle_heartbeat(&mut self, heartbeat: Heartbeat) -> Option<Answer> {
+    pub(crate) fn handle_heartbeat(&mut self, heartbeat: Heartbeat) -> Option<Answer> {
         let holds_lease = self.ownership.holds_lease(self.outbox.now);
         let shard = self.shard.as_mut().filter(|_| holds_lease)?;
         shard.handle_heartbeat(&mut self.outbox, &self.store, &self.catalog, heartbeat)
     }
 
-    pub(super) fn redirect(&mut self, request: RequestId, to: Option<Node>) {
+    pub(crate) fn redirect(&mut self, request: RequestId, to: Option<Node>) {
         if let Some(node) = &to {
             self.peers.sent_worker(node, self.outbox.now);
         }
@@ -275,7 +279,7 @@
 
     /// The worker is to try the next controller. Sent to an owner that it can't reach it would wait for
     /// that in vain for 4 s of its lease, which then ended before its machine had a new owner.
-    pub(super) fn send_elsewhere(&mut self, request: RequestId, owner: &Node) {
+    pub(crate) fn send_elsewhere(&mut self, request: RequestId, owner: &Node) {
         self.peers.sent_worker(owner, self.outbox.now);
         self.outbox.answer(request, Answer::unavailable());
     }
@@ -301,7 +305,7 @@
 
     /// A sibling relays a report of one of our machines. It is never passed on from here, and it is
     /// no sign that workers reach this controller.
-    pub(super) fn relayed_heartbeat(&mut self, request: RequestId, heartbeat: Heartbeat) {
+    pub(crate) fn relayed_heartbeat(&mut self, request: RequestId, heartbeat: Heartbeat) {
         let now = self.outbox.now;
         if let Some(owner) = self.shard.as_mut() {
             owner.note_relayed(&heartbeat.machine, now);
@@ -318,7 +322,7 @@
             .mesh_answer(request, MeshReply::HeartbeatResponse(answer));
     }
 
-    pub(super) fn heartbeat_relayed(
+    pub(crate) fn heartbeat_relayed(
         &mut self,
         request: RequestId,
         owner: &ShardOwner,
--- a/src/core/report_routing/tests.rs
+++ b/src/core/controller/heartbeat_routing/tests.rs
@@ -1,7 +1,7 @@
-use super::super::Effect;
-use super::super::part_map::ShardEntry;
-use super::super::test_support::{config, heartbeat, owner};
 use super::*;
+use crate::core::effects::Effect;
+use crate::core::records::shard_map::ShardEntry;
+use crate::core::test_support::{config, heartbeat, owner};
 
 /// A worker that can't reach its owner is relayed, and sent there again now and then.
 #[test]
--- /dev/null
+++ b/src/core/controller/mod.rs
@@ -0,0 +1,13 @@
+//! TODO.
+
+pub mod acquired_machines;
+pub mod catalog;
+pub mod deferred_heartbeats;
+pub mod failure_detection;
+pub mod heartbeat_routing;
+pub mod hello;
+pub mod machine_claims;
+pub mod ownership;
+pub mod status;
+pub mod store_sync;
+pub mod user_requests;
--- a/src/core/status.rs
+++ b/src/core/controller/status.rs
@@ -1,10 +1,12 @@
 //! What this controller tells operators ([`crate::status`]).
 
-use super::ownership::Process;
-use super::store::StoredLedger;
-use super::team_grants::{Basis, TeamGrant, are_on};
-use super::{Answer, Body, Core, RequestId};
 use crate::config::TeamLimits;
+use crate::core::Core;
+use crate::core::effects::{Answer, Body, RequestId};
+use crate::core::model::process::Process;
+use crate::core::records::versioned::StoredLedger;
+use crate::core::scheduling::usage::{Basis, are_on};
+use crate::core::shard::grants::TeamGrant;
 use crate::ids::{FencingToken, Node};
 use crate::status::{
     BasisStatus, Capacity, GrantStatus, HandOverStatus, HandOverWait, OpinionStatus,
@@ -16,7 +18,7 @@
 
 impl Core {
     /// An operator asks.
-    pub(super) fn answer_status(&mut self, request: RequestId) {
+    pub(crate) fn answer_status(&mut self, request: RequestId) {
         let body = Body::Status(Box::new(self.status()));
         self.outbox.answer(
             request,
--- a/src/core/user_requests.rs
+++ b/src/core/controller/user_requests.rs
@@ -2,68 +2,47 @@
 //! the state service itself, guarded by versions, so an answer never depends on who gives it.
 //! Nothing is held back: what cannot be done soon is answered with when to come back.
 
-use super::outbox::Pending;
-use super::peers::{MeshMessage, MeshReply};
-use super::store::{JobRecord, Versioned, job_key, precondition, put};
-use super::{Answer, Body, Core, RequestId, StoreCall, StoreReply, Time, UserRequest};
+use crate::core::Core;
+use crate::core::effects::pending::{Pending, ReplyTo, UserWrite, WaitingRequest};
+use crate::core::effects::{Answer, Body, RequestId, StoreCall, StoreReply, Time, UserRequest};
+use crate::core::messages::mesh::{MeshMessage, MeshReply};
+use crate::core::records::job_record::JobRecord;
+use crate::core::records::keys::job_key;
+use crate::core::records::versioned::{Versioned, precondition, put};
 use crate::ids::{JobId, Team, Version};
-use crate::wire::{JobSpec, JobStatus, Kind, Transaction, Write, state_answer, status_answer};
+use crate::wire::{JobStatus, Transaction, Write, state_answer, status_answer};
 use std::rc::Rc;
 
 /// Users wait 2 s for an answer to a poll; this leaves room for a relay.
-const POLL_WAIT: Time = 0.9;
-/// Users wait 5 s for an answer to a submission or cancellation.
-const WRITE_WAIT: Time = 1.5;
-/// The state service answers within a few hundred ms; asked all the time, it is silent when cut off.
-const SILENCE: Time = POLL_WAIT / 3.0;
-/// How long a write that the state service put off for its rate is tried again.
-const BUSY_WAIT: Time = 0.6;
+pub(crate) const POLL_WAIT: Time = 0.9;
 
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum ReplyTo {
-    User(RequestId),
-    /// A sibling passed it on; it is not passed on again.
-    Sibling(RequestId),
-}
+/// Users wait 5 s for an answer to a submission or cancellation.
+pub(crate) const WRITE_WAIT: Time = 1.5;
 
-#[derive(Debug)]
-pub struct UserWrite {
-    asked: WaitingRequest,
-    write: Write,
-}
+/// The state service answers within a few hundred ms; asked all the time, it is silent when cut off.
+pub(crate) const SILENCE: Time = POLL_WAIT / 3.0;
 
-/// A request on its way.
-#[derive(Debug)]
-struct WaitingRequest {
-    reply_to: ReplyTo,
-    what: UserRequest,
-    asked: Time,
-    /// Answered once the view is this current.
-    needs: Time,
-    /// Not before this time (a write that was put off).
-    not_before: Time,
-    /// A submission whose create was sent: an existing record may be its own.
-    created: bool,
-}
+/// How long a write that the state service put off for its rate is tried again.
+pub(crate) const BUSY_WAIT: Time = 0.6;
 
 #[derive(Default)]
 pub struct UserRequests {
-    waiting: Vec<WaitingRequest>,
+    pub(crate) waiting: Vec<WaitingRequest>,
 }
 
 /// Requests a controller keeps waiting at most, per MB of its memory limit.
-const WAITING_PER_MB: f64 = 20.0;
+pub(crate) const WAITING_PER_MB: f64 = 20.0;
 
 impl Core {
-    pub(super) fn user_request(&mut self, request: RequestId, what: UserRequest) {
+    pub(crate) fn user_request(&mut self, request: RequestId, what: UserRequest) {
         self.ask(ReplyTo::User(request), what);
     }
 
-    pub(super) fn relayed_request(&mut self, request: RequestId, what: UserRequest) {
+    pub(crate) fn relayed_request(&mut self, request: RequestId, what: UserRequest) {
         self.ask(ReplyTo::Sibling(request), what);
     }
 
-    fn ask(&mut self, reply_to: ReplyTo, what: UserRequest) {
+    pub(crate) fn ask(&mut self, reply_to: ReplyTo, what: UserRequest) {
         let now = self.outbox.now;
         let (needs, not_before) = (now, now);
         let asked = WaitingRequest {
@@ -87,14 +66,14 @@
     }
 
     /// A submission that is new here is created; all else is read.
-    fn consider(&mut self, asked: WaitingRequest) {
+    pub(crate) fn consider(&mut self, asked: WaitingRequest) {
         match &asked.what {
             UserRequest::Submit(id, _) if self.store.job(id).is_none() => self.create(asked),
             _ => self.resolve(asked),
         }
     }
 
-    fn create(&mut self, mut asked: WaitingRequest) {
+    pub(crate) fn create(&mut self, mut asked: WaitingRequest) {
         let UserRequest::Submit(id, spec) = &asked.what else {
             return;
         };
@@ -147,7 +126,13 @@
         self.commit(asked, key, 0, write);
     }
 
-    fn commit(&mut self, mut asked: WaitingRequest, key: String, version: Version, write: Write) {
+    pub(crate) fn commit(
+        &mut self,
+        mut asked: WaitingRequest,
+        key: String,
+        version: Version,
+        write: Write,
+    ) {
         if !self.outbox.may_write() {
             asked.not_before = self.outbox.write_resumes();
             return self.user_requests.waiting.push(asked);
@@ -161,7 +146,7 @@
             .state(Pending::UserWrite(call), StoreCall::Commit(transaction));
     }
 
-    pub(super) fn user_write_answered(&mut self, call: UserWrite, reply: StoreReply) {
+    pub(crate) fn user_write_answered(&mut self, call: UserWrite, reply: StoreReply) {
         let now = self.outbox.now;
         let UserWrite { mut asked, write } = call;
         match reply {
@@ -203,7 +188,7 @@
     }
 
     /// Answers if the view is current enough, else waits for it.
-    fn resolve(&mut self, mut asked: WaitingRequest) {
+    pub(crate) fn resolve(&mut self, mut asked: WaitingRequest) {
         let id = asked.what.job().clone();
         let known = self.store.job(&id).cloned();
         let ended = known.as_ref().is_some_and(|job| job.record.is_final());
@@ -250,7 +235,11 @@
     /// A job is cancelled by its user, or with one that it needs. Nobody is told before that is
     /// recorded: a version that doesn't know of dependencies could tell users otherwise (upgrade
     /// days 2 and 34: a controller went back to such a version).
-    fn record_cancellation(&mut self, asked: WaitingRequest, job: &Versioned<Rc<JobRecord>>) {
+    pub(crate) fn record_cancellation(
+        &mut self,
+        asked: WaitingRequest,
+        job: &Versioned<Rc<JobRecord>>,
+    ) {
         let (key, wall_ms) = (job_key(asked.what.job()), self.outbox.wall_ms);
         let record = match self.store.dependency_cancelled(asked.what.job()) {
             true => job.record.cancelled_unstarted(wall_ms),
@@ -261,7 +250,7 @@
     }
 
     /// JobStatus and counts as shown to users; only final stances are promises.
-    fn display(&self, id: &JobId, record: &JobRecord) -> (JobStatus, u32, u32) {
+    pub(crate) fn display(&self, id: &JobId, record: &JobRecord) -> (JobStatus, u32, u32) {
         match record.status {
             JobStatus::Done => (JobStatus::Done, record.tasks, 0),
             JobStatus::Cancelled => (JobStatus::Cancelled, 0, 0),
@@ -281,7 +270,7 @@
     }
 
     /// The team's owner learns of a cancellation by its next sync anyway; this is only sooner.
-    fn tell_owner(&mut self, id: &JobId, team: Option<&Team>) {
+    pub(crate) fn tell_owner(&mut self, id: &JobId, team: Option<&Team>) {
         let owner = team.and_then(|team| self.store.owners().teams.get(team));
         let node = owner.map(|owner| owner.node.clone());
         if let Some(node) = node.filter(|node| *node != self.config.node) {
@@ -292,14 +281,14 @@
 
     /// This controller cannot answer: a sibling that has the state service may; else the user
     /// is told at once when to come back.
-    fn give_up(&mut self, asked: WaitingRequest) {
+    pub(crate) fn give_up(&mut self, asked: WaitingRequest) {
         if self.has_state() {
             return self.reply(asked.reply_to, Answer::unavailable());
         }
         self.pass_on(asked);
     }
 
-    fn pass_on(&mut self, asked: WaitingRequest) {
+    pub(crate) fn pass_on(&mut self, asked: WaitingRequest) {
         let sibling = self.peers.with_state(self.outbox.now).cloned();
         let (ReplyTo::User(request), Some(node)) = (asked.reply_to, sibling) else {
             return self.reply(asked.reply_to, Answer::unavailable());
@@ -315,7 +304,7 @@
         self.outbox.mesh(Pending::Relay { request }, &node, message);
     }
 
-    fn reply(&mut self, to: ReplyTo, answer: Answer) {
+    pub(crate) fn reply(&mut self, to: ReplyTo, answer: Answer) {
         match to {
             ReplyTo::User(request) => self.outbox.answer(request, answer),
             ReplyTo::Sibling(request) => {
@@ -341,7 +330,7 @@
     }
 
     /// The view has moved on: those that waited for that get their answers.
-    pub(super) fn resume_user_requests(&mut self) {
+    pub(crate) fn resume_user_requests(&mut self) {
         let current = self.store.current_as_of;
         let now = self.outbox.now;
         let (ready, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.user_requests.waiting)
@@ -353,12 +342,12 @@
         }
     }
 
-    fn resume(&mut self, mut asked: WaitingRequest) {
+    pub(crate) fn resume(&mut self, mut asked: WaitingRequest) {
         asked.created = false;
         self.consider(asked);
     }
 
-    pub(super) fn time_out_user_requests(&mut self) {
+    pub(crate) fn time_out_user_requests(&mut self) {
         let now = self.outbox.now;
         let has_state = self.has_state();
         let silence = self.store.state_silence(now);
@@ -386,12 +375,3 @@
         }
     }
 }
-
-/// What a job needs at once at the least, against its team's limit.
-pub fn least_need(spec: &JobSpec) -> (f64, f64) {
-    let tasks = match spec.kind {
-        Kind::Array => 1.0,
-        Kind::Gang | Kind::Service => f64::from(spec.tasks),
-    };
-    (spec.cpus * tasks, spec.gpus * tasks)
-}
--- a/src/core/outbox.rs
+++ b/src/core/effects/outbox.rs
@@ -1,86 +1,29 @@
 //! The effects of a step, and what is to be done with each call's reply.
 
-use super::job_records::RecordWrite;
-use super::leader::MapWrite;
-use super::ownership::OwnershipCall;
-use super::pacing::Pacing;
-use super::part_map::ShardOwner;
-use super::peers::{MeshMessage, MeshReply};
-use super::renting::CloudOperation;
-use super::team_grants::GrantWrite;
-use super::user_requests::UserWrite;
-use super::{Answer, CallId, CloudCall, Effect, RequestId, StoreCall, StoreReply, Time};
 use crate::config::Config;
+use crate::core::effects::pacing::Pacing;
+use crate::core::effects::pending::{CloudOperation, Pending};
+use crate::core::effects::{
+    Answer, CallId, CloudCall, Effect, RequestId, StoreCall, StoreReply, Time,
+};
+use crate::core::messages::mesh::{MeshMessage, MeshReply};
 use crate::ids::{MachineId, Node};
-use crate::wire::{DirectCommands, Heartbeat, Write};
+use crate::wire::DirectCommands;
 use rand::Rng;
 use rand::rngs::StdRng;
 use std::collections::HashMap;
 
-/// What a reply belongs to.
-#[derive(Debug)]
-pub enum Pending {
-    Sync {
-        sent: Time,
-    },
-    UserWrite(UserWrite),
-    OwnershipLease(OwnershipCall),
-    Records(Vec<RecordWrite>),
-    Map(MapWrite),
-    /// A team's record of grants.
-    Grant(GrantWrite),
-    /// The machine types are written.
-    Types(Write),
-    DirectCommands {
-        machine: MachineId,
-    },
-    /// What a machine holds that has come to this share.
-    Inspection {
-        machine: MachineId,
-    },
-    Hello {
-        node: Node,
-        sent: Time,
-    },
-    Relay {
-        request: RequestId,
-    },
-    /// A report that its machine's owner answers.
-    RelayedHeartbeat {
-        request: RequestId,
-        owner: ShardOwner,
-        heartbeat: Box<Heartbeat>,
-    },
-    Notice,
-    Cloud(Option<CloudOperation>),
-}
-
-impl Pending {
-    /// Whether it is the reply to a change in the state service.
-    pub fn is_change(&self) -> bool {
-        match self {
-            Self::UserWrite(_)
-            | Self::Records(_)
-            | Self::Map(_)
-            | Self::Types(_)
-            | Self::Grant(_) => true,
-            Self::OwnershipLease(call) => call.is_change(),
-            _ => false,
-        }
-    }
-}
-
 pub struct Outbox {
     pub now: Time,
     pub wall_ms: u64,
     /// Of changes in the state service, and of all requests to it.
-    changes: Pacing,
-    requests: Pacing,
-    rng: StdRng,
-    next_call: u64,
-    calls: HashMap<CallId, Pending>,
-    direct_commands: usize,
-    effects: Vec<Effect>,
+    pub(crate) changes: Pacing,
+    pub(crate) requests: Pacing,
+    pub(crate) rng: StdRng,
+    pub(crate) next_call: u64,
+    pub(crate) calls: HashMap<CallId, Pending>,
+    pub(crate) direct_commands: usize,
+    pub(crate) effects: Vec<Effect>,
 }
 
 impl Outbox {
@@ -122,7 +65,7 @@
         self.direct_commands
     }
 
-    fn call(&mut self, pending: Pending) -> CallId {
+    pub(crate) fn call(&mut self, pending: Pending) -> CallId {
         self.next_call += 1;
         let call = CallId(self.next_call);
         self.calls.insert(call, pending);
@@ -174,7 +117,12 @@
         );
     }
 
-    fn direct(&mut self, pending: Pending, address: &str, commands: DirectCommands) -> CallId {
+    pub(crate) fn direct(
+        &mut self,
+        pending: Pending,
+        address: &str,
+        commands: DirectCommands,
+    ) -> CallId {
         self.direct_commands += 1;
         let call = self.call(pending);
         self.effects
--- a/src/core/pacing.rs
+++ b/src/core/effects/pacing.rs
@@ -4,11 +4,12 @@
 //! back everything that can wait, for longer with each further refusal. Lease renewals and the keys
 //! that hang on the lease are never held back: they come first when there is room again.
 
-use super::Time;
 use crate::config::Config;
+use crate::core::effects::Time;
 
 /// The shortest pause, in writes that the state service takes meanwhile.
 const PAUSE_WRITES: f64 = 2.0;
+
 /// The pause is doubled this often at most.
 const MAX_DOUBLINGS: u32 = 3;
 
--- a/src/core/job_failures.rs
+++ b/src/core/jobs/failures.rs
@@ -5,12 +5,13 @@
 //! cancels it. Until it proves otherwise it is only probed: one task (of a gang all) at growing intervals,
 //! in room that is free, where its image is; it neither rents nor takes anything for that.
 
-use super::Time;
+use crate::core::effects::Time;
 use crate::ids::MachineId;
 use std::collections::BTreeSet;
 
 /// Machines on which a job has failed when that says nothing of them any more.
 const FAILURES_OF_ITS_OWN: usize = 3;
+
 /// The first probe comes after this part of the longest interval.
 const FIRST_PROBE: f64 = 1.0 / 16.0;
 
--- a/src/core/jobs.rs
+++ b/src/core/jobs/job.rs
@@ -1,10 +1,10 @@
 //! An unfinished job as the leader runs it.
 
-use super::Time;
-use super::job_failures::JobFailures;
-use super::placement::Resources;
-use super::ranges::Ranges;
-use super::store::JobRecord;
+use crate::core::effects::Time;
+use crate::core::jobs::failures::JobFailures;
+use crate::core::model::ranges::Ranges;
+use crate::core::model::resources::Resources;
+use crate::core::records::job_record::JobRecord;
 use crate::ids::{Attempt, MachineId, Version, Zone};
 use crate::wire::{JobSpec, Kind, Priority};
 use std::collections::{BTreeMap, BTreeSet};
--- /dev/null
+++ b/src/core/jobs/mod.rs
@@ -0,0 +1,4 @@
+//! TODO.
+
+pub mod failures;
+pub mod job;
--- a/src/core/leader.rs
+++ b/src/core/leader/mod.rs
@@ -1,18 +1,31 @@
 //! The leader's map: it gives teams and machines to living processes, hands the shares of lapsed
 //! ones on, and numbers every change with a fresh term. What moves between the shares of the
-//! living, and what is rented and returned, is decided in [`super::rebalance`].
+//! living, and what is rented and returned, is decided in [`crate::core::leader::rebalance`].
+
+pub mod claims;
+pub mod grants;
+pub mod rebalance;
+pub mod scaling;
+pub mod shard_map_editor;
+pub mod spare_machines;
+pub mod zone_contact;
 
-use super::catalog::Catalog;
-use super::outbox::{Outbox, Pending};
-use super::ownership::{OwnershipLease, Process};
-use super::part_map::{ShardMapEditor, ShardOwner};
-use super::peers::Peers;
-use super::renting::CloudRequests;
-use super::store::{LEADER_KEY, StoreReplica, node_key, precondition, put};
-use super::supply::{CapacityDemand, Offer};
-use super::unresponsive::UnresponsiveMachines;
-use super::{StoreCall, StoreReply, Time};
 use crate::config::Config;
+use crate::core::effects::outbox::Outbox;
+use crate::core::effects::pending::{MapWrite, Pending};
+use crate::core::effects::{StoreCall, StoreReply, Time};
+use crate::core::leader::scaling::CloudRequests;
+use crate::core::leader::shard_map_editor::ShardMapEditor;
+use crate::core::machines::unresponsive::UnresponsiveMachines;
+use crate::core::membership::ownership::OwnershipLease;
+use crate::core::membership::peers::Peers;
+use crate::core::messages::capacity_demand::{CapacityDemand, Offer};
+use crate::core::model::process::Process;
+use crate::core::records::keys::{LEADER_KEY, node_key};
+use crate::core::records::shard_map::ShardOwner;
+use crate::core::records::versioned::{precondition, put};
+use crate::core::scheduling::catalog::Catalog;
+use crate::core::store::replica::StoreReplica;
 use crate::ids::{FencingToken, MachineId, Node, Team, Version};
 use crate::wire::{BODY_LIMIT, Heartbeat, Precondition, Transaction, Write};
 use failure_detector::Stage;
@@ -21,47 +34,41 @@
 
 /// Bytes of values that one transaction carries, once reached: with the last value and the guards
 /// it stays within the limit on bodies, past which it would be refused for ever.
-const VALUE_BYTES: usize = BODY_LIMIT / 2;
+pub(crate) const VALUE_BYTES: usize = BODY_LIMIT / 2;
 
 /// Resources for one machine and its owner, below which splitting values further helps nothing.
-const LEAST_VALUE_KB: f64 = 0.25;
-
-#[derive(Debug)]
-pub struct MapWrite {
-    term: Version,
-    writes: Vec<Write>,
-}
+pub(crate) const LEAST_VALUE_KB: f64 = 0.25;
 
 pub struct Leader {
-    pub(super) config: Rc<Config>,
-    pub(super) term: Version,
-    started: Time,
-    pub(super) map: ShardMapEditor,
+    pub(crate) config: Rc<Config>,
+    pub(crate) term: Version,
+    pub(crate) started: Time,
+    pub(crate) map: ShardMapEditor,
     /// The stored versions that `map` continues. Guarding by the view's would be wrong: a write
     /// with unknown outcome may turn up there late, and the next would undo it.
-    base: BTreeMap<String, Version>,
+    pub(crate) base: BTreeMap<String, Version>,
     /// Terms of this turn's changes.
-    terms: BTreeMap<Process, FencingToken>,
+    pub(crate) terms: BTreeMap<Process, FencingToken>,
     /// Limits of values and transactions: the settings', less where the state service refused more.
-    value_kb: f64,
-    values_per_write: usize,
-    writing: bool,
-    next_write: Time,
+    pub(crate) value_kb: f64,
+    pub(crate) values_per_write: usize,
+    pub(crate) writing: bool,
+    pub(crate) next_write: Time,
     /// The map as stored may differ from ours: a write failed or its outcome is unknown.
-    reread: bool,
-    pub(super) needs: BTreeMap<Node, CapacityDemand>,
+    pub(crate) reread: bool,
+    pub(crate) needs: BTreeMap<Node, CapacityDemand>,
     /// Machines that reported and are not on the map.
-    unassigned_machines: BTreeMap<MachineId, Offer>,
+    pub(crate) unassigned_machines: BTreeMap<MachineId, Offer>,
     /// Living processes that keep to grants of team limits, if all of them do.
-    pub(super) grant_keepers: BTreeSet<Process>,
-    pub(super) next_round: Time,
+    pub(crate) grant_keepers: BTreeSet<Process>,
+    pub(crate) next_round: Time,
     /// Machines that were claimed, and when: they can't reach those who had them.
-    pub(super) claimed: BTreeMap<MachineId, Time>,
+    pub(crate) claimed: BTreeMap<MachineId, Time>,
     /// When a machine in use may next move for what waits.
-    pub(super) next_urgent: Time,
-    pub(super) cloud: CloudRequests,
+    pub(crate) next_urgent: Time,
+    pub(crate) cloud: CloudRequests,
     /// This process stood still and does not know yet what came meanwhile.
-    pub(super) catching_up: bool,
+    pub(crate) catching_up: bool,
 }
 
 impl Leader {
@@ -160,7 +167,7 @@
     }
 
     /// What a process gains in one turn it gains under one term, which keeps the map small.
-    fn owner(&mut self, node: &Node, incarnation: u64) -> Option<ShardOwner> {
+    pub(crate) fn owner(&mut self, node: &Node, incarnation: u64) -> Option<ShardOwner> {
         let process = (node.clone(), incarnation);
         let term = match self.terms.get(&process) {
             Some(term) => *term,
@@ -176,7 +183,7 @@
         })
     }
 
-    pub(super) fn assign_team(&mut self, team: &Team, to: &Node, incarnation: u64) {
+    pub(crate) fn assign_team(&mut self, team: &Team, to: &Node, incarnation: u64) {
         if let Some(owner) = self.owner(to, incarnation) {
             let keeps_grants = self.keeps_grants(&owner);
             self.map.carry_grants(team, &owner, keeps_grants);
@@ -185,7 +192,7 @@
     }
 
     /// `former`: the process it is taken from, if that lives.
-    pub(super) fn assign_machine(
+    pub(crate) fn assign_machine(
         &mut self,
         id: &MachineId,
         to: &Node,
@@ -199,7 +206,7 @@
 
     /// Shares of processes that have ended go to the restarted controller, or to a successor as a
     /// whole, so that teams stay with the machines their tasks are on.
-    fn fail_over_shards(
+    pub(crate) fn fail_over_shards(
         &mut self,
         store: &StoreReplica,
         ownership: &mut OwnershipLease,
@@ -289,7 +296,7 @@
         preconditions
     }
 
-    pub(super) fn teams_of(&self, node: &Node) -> usize {
+    pub(crate) fn teams_of(&self, node: &Node) -> usize {
         self.map
             .owners
             .teams
@@ -299,7 +306,11 @@
     }
 
     /// The controller with the fewest teams, of those that answer if any does.
-    fn fewest_teams(&self, living: &BTreeMap<Node, u64>, peers: &Peers) -> Option<Process> {
+    pub(crate) fn fewest_teams(
+        &self,
+        living: &BTreeMap<Node, u64>,
+        peers: &Peers,
+    ) -> Option<Process> {
         let acts_on_failures = self.config.features.acts_on_failures();
         let silent = |node: &Node| acts_on_failures && peers.detector().stage(node) != Stage::Alive;
         let node = living
@@ -310,7 +321,7 @@
 
     /// Newcomers go to whoever they were rented for, or where machines of their kind are fewest;
     /// a controller without a team needs none.
-    fn assign_new_machines(&mut self, living: &BTreeMap<Node, u64>) {
+    pub(crate) fn assign_new_machines(&mut self, living: &BTreeMap<Node, u64>) {
         if self.unassigned_machines.is_empty() {
             return;
         }
@@ -330,7 +341,10 @@
     }
 
     /// The machines of living controllers that have teams.
-    fn machine_counts(&self, living: &BTreeMap<Node, u64>) -> BTreeMap<Node, MachineCount> {
+    pub(crate) fn machine_counts(
+        &self,
+        living: &BTreeMap<Node, u64>,
+    ) -> BTreeMap<Node, MachineCount> {
         let with_teams = living.keys().filter(|node| self.teams_of(node) > 0);
         let mut counts: BTreeMap<Node, MachineCount> = with_teams
             .map(|node| (node.clone(), MachineCount::default()))
@@ -347,7 +361,7 @@
     }
 
     /// Fresh terms for machines that may have lost commands, and for teams short of attempts.
-    fn renumber(&mut self, living: &BTreeMap<Node, u64>) {
+    pub(crate) fn renumber(&mut self, living: &BTreeMap<Node, u64>) {
         let mut needs = std::mem::take(&mut self.needs);
         for (node, need) in &mut needs {
             let incarnation = living.get(node).copied().unwrap_or_default();
@@ -372,7 +386,7 @@
         self.needs = needs;
     }
 
-    fn write(&mut self, outbox: &mut Outbox, mut preconditions: Vec<Precondition>) {
+    pub(crate) fn write(&mut self, outbox: &mut Outbox, mut preconditions: Vec<Precondition>) {
         let values = self.map.take_dirty(self.values_per_write, VALUE_BYTES);
         if values.is_empty() {
             return;
@@ -439,7 +453,7 @@
 
 impl Leader {
     /// The same would be refused again.
-    fn write_less(&mut self) {
+    pub(crate) fn write_less(&mut self) {
         self.value_kb = (self.value_kb * 0.5).max(LEAST_VALUE_KB);
         self.values_per_write = (self.values_per_write / 2).max(1);
         tracing::error!(
@@ -452,23 +466,23 @@
 
 /// How many machines a controller has.
 #[derive(Default)]
-struct MachineCount {
-    by_kind: BTreeMap<Offer, usize>,
-    all: usize,
+pub(crate) struct MachineCount {
+    pub(crate) by_kind: BTreeMap<Offer, usize>,
+    pub(crate) all: usize,
 }
 
 impl MachineCount {
-    fn add(&mut self, kind: &Offer) {
+    pub(crate) fn add(&mut self, kind: &Offer) {
         *self.by_kind.entry(kind.clone()).or_default() += 1;
         self.all += 1;
     }
 
-    fn of_kind(&self, kind: &Offer) -> usize {
+    pub(crate) fn of_kind(&self, kind: &Offer) -> usize {
         self.by_kind.get(kind).copied().unwrap_or(0)
     }
 }
 
-fn versions(store: &StoreReplica) -> BTreeMap<String, Version> {
+pub(crate) fn versions(store: &StoreReplica) -> BTreeMap<String, Version> {
     store
         .map()
         .iter()
--- a/src/core/rebalance.rs
+++ b/src/core/leader/rebalance.rs
@@ -1,12 +1,12 @@
 //! Moving machines between shares. Every 30 s (the default) the leader moves a machine from the share with
 //! the least queued work to the one with the most: an idle one first, else the one with most free room.
 //! What a share wants at once and another can spare does not wait for that. What nobody can spare is
-//! rented ([`super::renting`]).
+//! rented ([`crate::core::leader::scaling`]).
 
-use super::Time;
-use super::leader::Leader;
-use super::spare_machines::SpareMachines;
-use super::supply::{CapacityDemand, MachineDemand, Offer};
+use crate::core::effects::Time;
+use crate::core::leader::Leader;
+use crate::core::leader::spare_machines::SpareMachines;
+use crate::core::messages::capacity_demand::{CapacityDemand, MachineDemand, Offer};
 use crate::ids::{MachineId, Node, Team};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,7 +14,7 @@
 const ROUND_S: Time = 30.0;
 
 impl Leader {
-    pub(super) fn rebalance(&mut self, living: &BTreeMap<Node, u64>, now: Time) {
+    pub(crate) fn rebalance(&mut self, living: &BTreeMap<Node, u64>, now: Time) {
         for id in std::mem::take(&mut self.cloud.deleted) {
             self.map.remove_machine(&id);
             self.cloud.offers.remove(&id);
--- a/src/core/renting.rs
+++ b/src/core/leader/scaling.rs
@@ -1,87 +1,72 @@
 //! Renting machines that nobody can spare, and returning those that nobody uses. Requests to the cloud go out
 //! one at a time and within its rate; one whose outcome is unknown is repeated under its name.
 
-use super::catalog::Catalog;
-use super::leader::Leader;
-use super::outbox::Outbox;
-use super::supply::Offer;
-use super::token_bucket::TokenBucket;
-use super::unresponsive::UnresponsiveMachines;
-use super::zone_contact::{ZoneContact, ZoneMachines};
-use super::{CloudCall, CloudReply, Time};
 use crate::config::Config;
-use crate::ids::{MachineId, Node, Version, Zone};
+use crate::core::effects::outbox::Outbox;
+use crate::core::effects::pending::{CloudOperation, RentalRequest};
+use crate::core::effects::{CloudCall, CloudReply, Time};
+use crate::core::leader::Leader;
+use crate::core::leader::zone_contact::{ZoneContact, ZoneMachines};
+use crate::core::machines::unresponsive::UnresponsiveMachines;
+use crate::core::messages::capacity_demand::Offer;
+use crate::core::model::token_bucket::TokenBucket;
+use crate::core::scheduling::catalog::Catalog;
+use crate::ids::{MachineId, Node, Zone};
 use crate::wire::{ListedMachine, MachineNames, MachineState, Rental};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Seconds between looks at what is to be rented and returned.
-const PLAN_S: Time = 1.0;
+pub(crate) const PLAN_S: Time = 1.0;
+
 /// Names in one release request at most.
-const RELEASE_LIMIT: usize = 100;
+pub(crate) const RELEASE_LIMIT: usize = 100;
+
 /// Machines in one rental request at most.
-pub(super) const RENT_LIMIT: usize = 50;
+pub(crate) const RENT_LIMIT: usize = 50;
+
 /// Machines listed at most.
-const LIST_LIMIT: usize = 10_000;
+pub(crate) const LIST_LIMIT: usize = 10_000;
+
 /// Machines that take this many times their boot time are given up.
-const LATE_BOOTS: f64 = 3.5;
+pub(crate) const LATE_BOOTS: f64 = 3.5;
+
 /// Machines that take this many times their boot time are late; the usual ones are up before that.
-const USUAL_BOOTS: f64 = 1.6;
+pub(crate) const USUAL_BOOTS: f64 = 1.6;
+
 /// Late machines in whose place others are rented: so many, or this part of them if that is more.
 /// Where most are late, others would be so as well.
-const REPLACED_LATE: usize = 2;
-const REPLACED_LATE_PART: f64 = 0.25;
-
-#[derive(Debug)]
-pub enum CloudOperation {
-    List {
-        term: Version,
-        seen: Vec<ListedMachine>,
-    },
-    Rent {
-        term: Version,
-        order: RentalRequest,
-    },
-    Release {
-        term: Version,
-        machines: Vec<MachineId>,
-    },
-}
+pub(crate) const REPLACED_LATE: usize = 2;
 
-/// A rental, and whom each of its machines is for.
-#[derive(Clone, Debug)]
-pub struct RentalRequest {
-    rental: Rental,
-    nodes: Vec<Node>,
-}
+pub(crate) const REPLACED_LATE_PART: f64 = 0.25;
 
-struct PendingMachine {
-    offer: Offer,
-    rented: Time,
-    node: Option<Node>,
+pub(crate) struct PendingMachine {
+    pub(crate) offer: Offer,
+    pub(crate) rented: Time,
+    pub(crate) node: Option<Node>,
 }
 
 /// The leader's dealings with the cloud.
 pub struct CloudRequests {
     /// Until then what an earlier leader rented may not be listed yet.
-    rent_after: Time,
-    next_list: Time,
-    listing: bool,
-    pending: BTreeMap<MachineId, PendingMachine>,
+    pub(crate) rent_after: Time,
+    pub(crate) next_list: Time,
+    pub(crate) listing: bool,
+    pub(crate) pending: BTreeMap<MachineId, PendingMachine>,
     /// Rentals without an outcome; repeated under the same name until they have one.
-    open: Vec<RentalRequest>,
-    renting: bool,
-    pub(super) refused: BTreeMap<Offer, Time>,
+    pub(crate) open: Vec<RentalRequest>,
+    pub(crate) renting: bool,
+    pub(crate) refused: BTreeMap<Offer, Time>,
     /// Where nothing is rented since no machine there could report.
-    zone_contact: ZoneContact,
-    pub(super) offers: BTreeMap<MachineId, Offer>,
-    pub(super) releases: BTreeSet<MachineId>,
-    releasing: bool,
+    pub(crate) zone_contact: ZoneContact,
+    pub(crate) offers: BTreeMap<MachineId, Offer>,
+    pub(crate) releases: BTreeSet<MachineId>,
+    pub(crate) releasing: bool,
     /// Their deletion was answered: the map is to lose them.
-    pub(super) deleted: Vec<MachineId>,
-    counter: u64,
-    next_plan: Time,
-    call_rate: TokenBucket,
-    pause_until: Time,
+    pub(crate) deleted: Vec<MachineId>,
+    pub(crate) counter: u64,
+    pub(crate) next_plan: Time,
+    pub(crate) call_rate: TokenBucket,
+    pub(crate) pause_until: Time,
 }
 
 impl CloudRequests {
@@ -130,7 +115,7 @@
     /// Machines that are late and count as on their way no longer, so that others are rented in their
     /// place: some never come up, and what waited for them waited for several boots. Should
     /// they come up all the same they are used or returned as every other.
-    fn replaced(&self, catalog: &Catalog, now: Time) -> BTreeSet<MachineId> {
+    pub(crate) fn replaced(&self, catalog: &Catalog, now: Time) -> BTreeSet<MachineId> {
         let usual = |pending: &PendingMachine| catalog.boot_s(&pending.offer.0) * USUAL_BOOTS;
         let late = self
             .pending
@@ -144,13 +129,13 @@
         replaced.map(|(id, _)| id.clone()).collect()
     }
 
-    fn may_call(&mut self, now: Time) -> bool {
+    pub(crate) fn may_call(&mut self, now: Time) -> bool {
         now >= self.pause_until && self.call_rate.take(now)
     }
 }
 
 impl Leader {
-    pub(super) fn cloud_when_due(
+    pub(crate) fn cloud_when_due(
         &mut self,
         outbox: &mut Outbox,
         catalog: &Catalog,
@@ -245,7 +230,7 @@
         }
     }
 
-    fn rented(&mut self, order: RentalRequest, reply: CloudReply, now: Time) {
+    pub(crate) fn rented(&mut self, order: RentalRequest, reply: CloudReply, now: Time) {
         let rental = &order.rental;
         let offer = (rental.type_name.clone(), rental.zone.clone(), rental.spot);
         // Capacity comes back as others return machines: asked again after a while.
@@ -279,7 +264,7 @@
         }
     }
 
-    fn take_list(&mut self, list: Vec<ListedMachine>, now: Time) {
+    pub(crate) fn take_list(&mut self, list: Vec<ListedMachine>, now: Time) {
         for listed in list {
             let id = listed.machine;
             let offer = (listed.type_name, listed.zone, listed.spot);
@@ -302,7 +287,7 @@
     }
 
     /// Machines of zones that are cut off are not to be had, as if the cloud refused them.
-    fn note_zones_cut_off(
+    pub(crate) fn note_zones_cut_off(
         &mut self,
         catalog: &Catalog,
         unresponsive: &UnresponsiveMachines,
@@ -333,7 +318,7 @@
         }
     }
 
-    fn plan(&mut self, catalog: &Catalog, now: Time, living: &BTreeMap<Node, u64>) {
+    pub(crate) fn plan(&mut self, catalog: &Catalog, now: Time, living: &BTreeMap<Node, u64>) {
         for (id, pending) in &self.cloud.pending {
             let late = now - pending.rented > catalog.boot_s(&pending.offer.0) * LATE_BOOTS;
             if late && self.cloud.releases.insert(id.clone()) {
--- a/src/core/renting/tests.rs
+++ b/src/core/leader/scaling/tests.rs
@@ -1,5 +1,5 @@
-use super::super::test_support::{config, types};
 use super::*;
+use crate::core::test_support::{config, types};
 
 /// `count` machines that boot in 10 s, rented at these moments one after the other.
 fn on_their_way(rented: &[Time]) -> CloudRequests {
--- a/src/core/part_map.rs
+++ b/src/core/leader/shard_map_editor.rs
@@ -4,115 +4,34 @@
 //! that may hold tasks. A term is the leader key's revision with a counter of the leader's changes
 //! below it: never used twice, and higher with every change and every leader.
 
-use super::ownership::Process;
-use super::store::{MAP_PREFIX, Versioned};
-use crate::ids::{FencingToken, MachineId, Node, Team, Version};
-use serde::{Deserialize, Serialize};
+use crate::core::records::keys::{MAP_PREFIX, teams_key};
+use crate::core::records::shard_map::{ShardEntry, ShardMap, ShardMapChunk, ShardOwner};
+use crate::core::records::versioned::Versioned;
+use crate::ids::{FencingToken, MachineId, Team, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Changes that one leadership can number.
-const CHANGE_BITS: u32 = 16;
-/// Part of them after which leadership is claimed anew, long before they run out.
-const EXHAUSTED_PART: f64 = 0.5;
-
-/// One stored value of the map.
-#[derive(Clone, Debug, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct ShardMapChunk {
-    #[serde(rename = "shares")]
-    pub shards: Vec<ShardEntry>,
-    /// Beside teams: since which term every owner has kept to its grants ([`super::team_grants`]).
-    /// A leader that does not know this field leaves it out, and so nobody relies on it.
-    #[serde(rename = "q", default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub grants_kept_since: BTreeMap<Team, FencingToken>,
-}
+pub(crate) const CHANGE_BITS: u32 = 16;
 
-/// What one process owns under one term, as far as one chunk tells.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ShardEntry {
-    #[serde(rename = "o")]
-    pub owner: ShardOwner,
-    #[serde(rename = "t", default, skip_serializing_if = "Vec::is_empty")]
-    pub teams: Vec<Team>,
-    #[serde(rename = "m", default, skip_serializing_if = "Vec::is_empty")]
-    pub machines: Vec<MachineId>,
-}
-
-/// A process of a controller, and the term under which it owns something.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct ShardOwner {
-    #[serde(rename = "n")]
-    pub node: Node,
-    #[serde(rename = "i")]
-    pub incarnation: u64,
-    #[serde(rename = "t")]
-    pub token: FencingToken,
-    /// The process it was taken from, if that was alive.
-    #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
-    pub former: Option<Process>,
-    /// The term directly before, if its owner had said that it answers the machine no more.
-    #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
-    pub prior: Option<FencingToken>,
-}
-
-impl ShardOwner {
-    pub fn is(&self, node: &Node, incarnation: u64) -> bool {
-        self.node == *node && self.incarnation == incarnation
-    }
-}
-
-/// The whole map, by what is owned.
-#[derive(Clone, Debug, Default)]
-pub struct ShardMap {
-    pub teams: BTreeMap<Team, ShardOwner>,
-    pub machines: BTreeMap<MachineId, ShardOwner>,
-    pub grants_kept_since: BTreeMap<Team, FencingToken>,
-}
-
-impl ShardMap {
-    pub fn read<'a>(chunks: impl Iterator<Item = &'a ShardMapChunk>) -> Self {
-        let mut owners = Self::default();
-        for chunk in chunks {
-            owners
-                .grants_kept_since
-                .extend(chunk.grants_kept_since.clone());
-            for shard in &chunk.shards {
-                let teams = shard
-                    .teams
-                    .iter()
-                    .map(|team| (team.clone(), shard.owner.clone()));
-                owners.teams.extend(teams);
-                let machines = shard
-                    .machines
-                    .iter()
-                    .map(|id| (id.clone(), shard.owner.clone()));
-                owners.machines.extend(machines);
-            }
-        }
-        owners
-    }
-}
+/// Part of them after which leadership is claimed anew, long before they run out.
+pub(crate) const EXHAUSTED_PART: f64 = 0.5;
 
 /// The map as its leader wants it to be.
 pub struct ShardMapEditor {
     pub owners: ShardMap,
-    leader: Version,
-    changes: u64,
-    chunk_of: BTreeMap<MachineId, usize>,
-    members: Vec<BTreeSet<MachineId>>,
-    teams_dirty: bool,
-    dirty: BTreeSet<usize>,
-    capacity: usize,
+    pub(crate) leader: Version,
+    pub(crate) changes: u64,
+    pub(crate) chunk_of: BTreeMap<MachineId, usize>,
+    pub(crate) members: Vec<BTreeSet<MachineId>>,
+    pub(crate) teams_dirty: bool,
+    pub(crate) dirty: BTreeSet<usize>,
+    pub(crate) capacity: usize,
 }
 
-fn chunk_key(chunk: usize) -> String {
+pub(crate) fn chunk_key(chunk: usize) -> String {
     format!("{MAP_PREFIX}m{chunk:04}")
 }
 
-/// Where the owners of teams are stored.
-pub fn teams_key() -> String {
-    format!("{MAP_PREFIX}teams")
-}
-
 impl ShardMapEditor {
     /// Continues the stored map under a new leadership.
     pub fn new(
@@ -270,7 +189,11 @@
         values
     }
 
-    fn value(&self, chunk: usize, members: &BTreeSet<MachineId>) -> (String, ShardMapChunk) {
+    pub(crate) fn value(
+        &self,
+        chunk: usize,
+        members: &BTreeSet<MachineId>,
+    ) -> (String, ShardMapChunk) {
         let mut shards: BTreeMap<&ShardOwner, ShardEntry> = BTreeMap::new();
         for id in members {
             if let Some(owner) = self.owners.machines.get(id) {
@@ -288,7 +211,7 @@
     }
 }
 
-fn shard<'a, 'b>(
+pub(crate) fn shard<'a, 'b>(
     shards: &'b mut BTreeMap<&'a ShardOwner, ShardEntry>,
     owner: &'a ShardOwner,
 ) -> &'b mut ShardEntry {
--- a/src/core/spare_machines.rs
+++ b/src/core/leader/spare_machines.rs
@@ -1,7 +1,7 @@
 //! Machines that shares can spare, by kind: looked up once for all that is wanted in one turn, so
 //! that moving many machines costs in proportion to them and not to the fleet.
 
-use super::supply::Offer;
+use crate::core::messages::capacity_demand::Offer;
 use crate::ids::{MachineId, Node};
 use std::collections::{BTreeMap, VecDeque};
 
--- a/src/core/zone_contact.rs
+++ b/src/core/leader/zone_contact.rs
@@ -2,17 +2,19 @@
 //! there could not report, so what waits for it would wait until the zone is back. The leader rents in
 //! other zones meanwhile, and counts on nothing that is on its way there.
 
-use super::Time;
 use crate::config::Workers;
+use crate::core::effects::Time;
 use crate::ids::Zone;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Machines of a zone that must be silent together before the zone is taken for cut off: fewer may have
 /// ended each by itself.
 const SILENT_TOGETHER: usize = 3;
+
 /// Part of a zone's machines that must be silent. The rest may be with owners that have had them for too
 /// short a time to tell.
 const SILENT_PART: f64 = 0.5;
+
 /// Leases for which a zone counts as cut off after that was last seen. Silent machines are returned after
 /// about as many, and then nothing tells of the zone any more.
 const REMEMBERED_LEASES: f64 = 3.0;
--- a/src/core/machine_claims/tests.rs
+++ b/src/core/machines/claims/tests.rs
@@ -1,5 +1,6 @@
-use super::super::test_support::{config, owner};
 use super::*;
+use crate::core::records::shard_map::ShardOwner;
+use crate::core::test_support::{config, owner};
 
 /// Claims that were served took up the value for three leases, so that a zone of more machines than
 /// it holds was claimed in part only.
--- a/src/core/machines.rs
+++ b/src/core/machines/machine.rs
@@ -1,9 +1,9 @@
 //! A machine as its owner knows it, and what may be on it.
 
-use super::Time;
-use super::ownership::Process;
-use super::placement::Resources;
-use super::starts_in_flight::{AttemptKey, StartsInFlight};
+use crate::core::effects::Time;
+use crate::core::machines::starts_in_flight::{AttemptKey, StartsInFlight};
+use crate::core::model::process::Process;
+use crate::core::model::resources::Resources;
 use crate::ids::{FencingToken, Image, JobId, MachineId, Team, TypeName, Version, Zone};
 use crate::wire::{Command, Exit, Heartbeat, MachineType, Priority, TaskState};
 use std::collections::{BTreeMap, BTreeSet};
@@ -27,7 +27,7 @@
     pub team: Option<Team>,
     pub image: Option<(Image, f64)>,
     pub priority: Priority,
-    /// It makes way for everything else ([`super::opportunistic`]).
+    /// It makes way for everything else ([`crate::core::scheduling::opportunistic`]).
     pub opportunistic: bool,
     /// What it needs to save when it is stopped; 0 if it never saves.
     pub checkpoint_write_s: f64,
--- a/src/core/machines/tests.rs
+++ b/src/core/machines/machine/tests.rs
@@ -1,5 +1,5 @@
-use super::super::test_support;
 use super::*;
+use crate::core::test_support;
 
 fn heartbeat(agent_epoch: u64, sequence: u64) -> Heartbeat {
     test_support::heartbeat("m-1", agent_epoch, sequence, FencingToken(1))
--- a/src/core/starts_in_flight.rs
+++ b/src/core/machines/starts_in_flight.rs
@@ -11,7 +11,7 @@
 //! an earlier one, so that settles a message too. What is known here outlives the attempts and the
 //! moves of a machine to other controllers and back.
 
-use super::CallId;
+use crate::core::effects::CallId;
 use crate::ids::{Attempt, FencingToken, MachineId, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/core/unresponsive.rs
+++ b/src/core/machines/unresponsive.rs
@@ -6,23 +6,13 @@
 //! lease from there instead of from the hand-over. The map names the term that came directly
 //! before (`prior`), if its owner was known to have said this under it; only then does it count.
 
-use super::Time;
-use super::ownership::DRIFT;
-use super::part_map::ShardMap;
+use crate::core::effects::Time;
+use crate::core::membership::ownership::DRIFT;
+use crate::core::messages::shard_update::Unresponsive;
+use crate::core::records::shard_map::ShardMap;
 use crate::ids::{FencingToken, MachineId};
-use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A machine that is not answered under this term any more.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Unresponsive {
-    pub machine: MachineId,
-    #[serde(rename = "term")]
-    pub token: FencingToken,
-    /// Seconds since its last answer, when this was sent.
-    pub age: Time,
-}
-
 #[derive(Default)]
 pub struct UnresponsiveMachines(BTreeMap<MachineId, (FencingToken, Time)>);
 
--- a/src/core/ownership.rs
+++ b/src/core/membership/ownership.rs
@@ -24,89 +24,69 @@
 //! `max_staleness` after that. (Every sibling has to tell, so one is enough. One that has restarted has read the
 //! store since.) A process says in its hellos that it keeps to this; of others the leader waits for consents.
 
-use super::outbox::Pending;
-use super::peers::Peers;
-use super::store::{LEADER_KEY, ProcessRecord, StoreReplica, node_key, precondition, put};
-use super::{Core, StoreCall, StoreReply, Time};
 use crate::config::{Config, Workers};
+use crate::core::effects::Time;
+use crate::core::membership::peers::Peers;
+use crate::core::model::process::Process;
+use crate::core::store::replica::StoreReplica;
 use crate::ids::{Node, Version};
-use crate::wire::Transaction;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Clocks run fast or slow by 0.05%; two of them differ by at most twice that, doubled again.
 pub const DRIFT: f64 = 0.002;
 
 /// Part of the lease's life between looks at whether consents are to be told unasked.
-const CONSENT_TTLS: f64 = 0.1;
-
-/// A process that some controller runs or ran.
-pub type Process = (Node, u64);
-
-#[derive(Debug)]
-pub enum OwnershipCall {
-    Create { sent: Time },
-    Register { lease: u64 },
-    Claim { lease: u64 },
-    Renew { lease: u64, sent: Time },
-    End,
-}
-
-impl OwnershipCall {
-    /// Whether it writes a key; leases count as requests only.
-    pub fn is_change(&self) -> bool {
-        matches!(self, Self::Register { .. } | Self::Claim { .. })
-    }
-}
+pub(crate) const CONSENT_TTLS: f64 = 0.1;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Lease {
+pub(crate) enum Lease {
     None,
     Creating,
     Held(u64),
 }
 
 pub struct OwnershipLease {
-    node: Node,
+    pub(crate) node: Node,
     /// Changes whenever the process has to begin anew, as after a restart.
-    incarnation: u64,
-    majority: usize,
+    pub(crate) incarnation: u64,
+    pub(crate) majority: usize,
     /// Life of the lease: short enough that a hand-over ends before the workers' leases do.
-    ttl: Time,
-    margin: Time,
-    extension_time: Time,
+    pub(crate) ttl: Time,
+    pub(crate) margin: Time,
+    pub(crate) extension_time: Time,
     /// How long authority may last beyond `known_as_of`.
-    max_staleness: Time,
+    pub(crate) max_staleness: Time,
     /// Every cancellation or end that any user was told before then is known here.
-    known_as_of: Time,
+    pub(crate) known_as_of: Time,
     /// When each sibling was last asked for all it knows, and told that.
-    siblings_known_as_of: BTreeMap<Node, Time>,
-    siblings: usize,
-    lease: Lease,
-    renewed: Time,
-    next_renewal: Time,
-    renewing: bool,
+    pub(crate) siblings_known_as_of: BTreeMap<Node, Time>,
+    pub(crate) siblings: usize,
+    pub(crate) lease: Lease,
+    pub(crate) renewed: Time,
+    pub(crate) next_renewal: Time,
+    pub(crate) renewing: bool,
     /// Not to ask for a lease before this.
-    next_attempt: Time,
-    writing: bool,
-    next_write: Time,
-    extensions: BTreeMap<Node, Time>,
+    pub(crate) next_attempt: Time,
+    pub(crate) writing: bool,
+    pub(crate) next_write: Time,
+    pub(crate) extensions: BTreeMap<Node, Time>,
     /// Until when this controller's vouchers for others run.
-    extensions_granted: BTreeMap<Node, Time>,
+    pub(crate) extensions_granted: BTreeMap<Node, Time>,
     /// Processes whose share may be handed on: no voucher for them from here.
-    revoked: BTreeSet<Process>,
+    pub(crate) revoked: BTreeSet<Process>,
     /// Lapsed processes the leader wants to replace, and who has consented.
-    consents: BTreeMap<Process, BTreeSet<Node>>,
-    asked_since: BTreeMap<Process, Time>,
+    pub(crate) consents: BTreeMap<Process, BTreeSet<Node>>,
+    pub(crate) asked_since: BTreeMap<Process, Time>,
     /// A question about a lapsed process has come up that siblings have not been asked yet.
-    has_new_question: bool,
-    ended_predecessor: Option<u64>,
+    pub(crate) has_new_question: bool,
+    pub(crate) ended_predecessor: Option<u64>,
     /// Consents that are told in this process's key.
-    stored_consents: Vec<Process>,
-    next_stored_consents: Time,
+    pub(crate) stored_consents: Vec<Process>,
+    pub(crate) next_stored_consents: Time,
 }
 
 /// See the argument above.
-fn max_staleness(workers: &Workers) -> Time {
+pub(crate) fn max_staleness(workers: &Workers) -> Time {
     let tasks_end = workers.lease_s * (1.0 + DRIFT) + workers.report_s * 0.5;
     (workers.cancel_s * 0.5)
         .min((workers.cancel_s - tasks_end) * 0.9)
@@ -164,7 +144,7 @@
         self.ttl
     }
 
-    fn myself(&self) -> Process {
+    pub(crate) fn myself(&self) -> Process {
         (self.node.clone(), self.incarnation)
     }
 
@@ -194,12 +174,12 @@
         }
     }
 
-    fn store_until(&self) -> Time {
+    pub(crate) fn store_until(&self) -> Time {
         self.renewed + self.ttl * (1.0 - DRIFT) - self.margin
     }
 
     /// Until when a majority's vouchers run, this controller's own word included.
-    fn extended_until(&self) -> Time {
+    pub(crate) fn extended_until(&self) -> Time {
         if self.revoked.contains(&self.myself()) {
             return Time::NEG_INFINITY;
         }
@@ -332,7 +312,7 @@
 
     /// Consents to the hand-over of processes that own something though their keys have gone, while the
     /// leader, who would ask for that, is not heard. What was told once stays told, for it holds for good.
-    fn consent_unasked(&mut self, store: &StoreReplica, peers: &Peers, now: Time) {
+    pub(crate) fn consent_unasked(&mut self, store: &StoreReplica, peers: &Peers, now: Time) {
         if now < self.next_stored_consents {
             return;
         }
@@ -365,7 +345,7 @@
         self.asked_since.retain(|process, _| open.contains(process));
     }
 
-    fn lost(&mut self, next_attempt: Time) {
+    pub(crate) fn lost(&mut self, next_attempt: Time) {
         self.lease = Lease::None;
         self.incarnation += 1;
         self.renewing = false;
@@ -378,179 +358,5 @@
     }
 }
 
-impl Core {
-    pub(super) fn ownership_reply(&mut self, call: OwnershipCall, reply: StoreReply) {
-        let now = self.outbox.now;
-        match call {
-            OwnershipCall::Create { sent } => {
-                if self.ownership.lease != Lease::Creating {
-                    return;
-                }
-                if let StoreReply::Lease(lease) = reply {
-                    self.ownership.lease = Lease::Held(lease);
-                    self.ownership.renewed = sent;
-                    self.ownership.next_renewal = sent + self.ownership.ttl / 3.0;
-                } else {
-                    self.ownership.lease = Lease::None;
-                    self.ownership.next_attempt =
-                        now + self.outbox.jitter(self.ownership.ttl * 0.1);
-                }
-            }
-            OwnershipCall::Register { lease } | OwnershipCall::Claim { lease } => {
-                if self.ownership.lease != Lease::Held(lease) {
-                    return;
-                }
-                // Written, or perhaps, or not: the view tells, once it is that far.
-                self.ownership.writing = false;
-                self.ownership.next_write = now + self.outbox.jitter(self.ownership.ttl * 0.1);
-                self.store.want_sync();
-                if reply == StoreReply::LeaseGone {
-                    self.begin_anew("the lease has ended", 0.0);
-                }
-            }
-            OwnershipCall::Renew { lease, sent } => {
-                if self.ownership.lease != Lease::Held(lease) {
-                    return;
-                }
-                self.ownership.renewing = false;
-                match reply {
-                    StoreReply::Done => {
-                        self.ownership.renewed = self.ownership.renewed.max(sent);
-                        self.ownership.next_renewal = now + self.ownership.ttl / 3.0;
-                        self.ownership.extensions.clear();
-                    }
-                    StoreReply::LeaseGone => self.begin_anew("the lease has ended", 0.0),
-                    // Everything else waits for longer than this, so that renewals come first.
-                    StoreReply::Busy => {
-                        self.ownership.next_renewal =
-                            now + self.outbox.jitter(self.ownership.ttl / 100.0);
-                    }
-                    _ => {
-                        self.ownership.next_renewal =
-                            now + self.outbox.jitter(self.ownership.ttl / 12.0);
-                    }
-                }
-            }
-            OwnershipCall::End => {}
-        }
-    }
-
-    /// Drops everything this process owned, as a restart would.
-    pub(super) fn begin_anew(&mut self, why: &str, pause: Time) {
-        tracing::info!("share lost: {why}");
-        self.ownership.lost(self.outbox.now + pause);
-        if let Some(owner) = self.shard.take() {
-            self.hints = owner.known_images();
-            self.unresponsive
-                .note(owner.unresponsive(self.outbox.now), self.outbox.now);
-        }
-        self.leader = None;
-    }
-
-    /// Keeps the lease, the process's key and, if nobody leads, the leader's key.
-    pub(super) fn keep_ownership(&mut self) {
-        let now = self.outbox.now;
-        if !self.store.complete() {
-            return;
-        }
-        match self.ownership.lease {
-            Lease::None if now >= self.ownership.next_attempt => {
-                self.end_predecessor();
-                self.ownership.lease = Lease::Creating;
-                let ttl_ms = (self.ownership.ttl * 1000.0) as u64;
-                let pending = Pending::OwnershipLease(OwnershipCall::Create { sent: now });
-                self.outbox
-                    .state(pending, StoreCall::LeaseCreate { ttl_ms });
-            }
-            Lease::None | Lease::Creating => {}
-            Lease::Held(lease) => {
-                let due = !self.ownership.renewing && now >= self.ownership.next_renewal;
-                if due && !self.renews_for_nobody() {
-                    self.ownership.renewing = true;
-                    let pending =
-                        Pending::OwnershipLease(OwnershipCall::Renew { lease, sent: now });
-                    self.outbox.state(pending, StoreCall::LeaseRenew { lease });
-                }
-                self.write_keys(lease);
-                self.resign_if_failed_in_part(lease);
-            }
-        }
-    }
-
-    /// An earlier process of this controller has ended for certain: what hangs on its lease need
-    /// not wait for the lease to end.
-    fn end_predecessor(&mut self) {
-        let keys = [self.store.node(&self.config.node), self.store.leader()];
-        let mine = keys.into_iter().flatten().map(|key| &key.record);
-        let earlier = mine
-            .filter(|record| record.node == self.config.node)
-            .map(|r| r.lease);
-        for lease in earlier.collect::<BTreeSet<u64>>() {
-            if self.ownership.ended_predecessor.replace(lease) != Some(lease) {
-                let pending = Pending::OwnershipLease(OwnershipCall::End);
-                self.outbox.state(pending, StoreCall::LeaseEnd { lease });
-            }
-        }
-    }
-
-    fn write_keys(&mut self, lease: u64) {
-        let now = self.outbox.now;
-        if self.ownership.writing || now < self.ownership.next_write {
-            return;
-        }
-        self.ownership
-            .consent_unasked(&self.store, &self.peers, now);
-        let record = ProcessRecord {
-            node: self.ownership.node.clone(),
-            incarnation: self.ownership.incarnation,
-            lease,
-            keeps_grants: super::team_grants::are_on(&self.config),
-            consents: self.ownership.stored_consents.clone(),
-            claims: self.claims.told(),
-        };
-        let known = self.store.node(&record.node);
-        let (key, version, call) = if known.is_none_or(|known| known.record != record) {
-            // Guarded, so that a late write of an earlier process cannot replace it.
-            let version = known.map_or(0, |known| known.version);
-            (
-                node_key(&record.node),
-                version,
-                OwnershipCall::Register { lease },
-            )
-        } else if self.store.leader().is_none() && self.ownership.holds_lease(now) {
-            (LEADER_KEY.to_owned(), 0, OwnershipCall::Claim { lease })
-        } else if let Some(exhausted) = self
-            .leader
-            .as_ref()
-            .filter(|leader| leader.terms_exhausted())
-        {
-            // Under the key's new revision there are fresh terms. It stays this process's key.
-            (
-                LEADER_KEY.to_owned(),
-                exhausted.term,
-                OwnershipCall::Claim { lease },
-            )
-        } else if let Some(version) = self.failed_leader() {
-            tracing::info!("takes over from the leader, which has failed");
-            (
-                LEADER_KEY.to_owned(),
-                version,
-                OwnershipCall::Claim { lease },
-            )
-        } else {
-            return;
-        };
-        self.ownership.writing = true;
-        let transaction = Transaction {
-            preconditions: vec![precondition(&key, version)],
-            writes: vec![put(&key, &record, Some(lease))],
-        };
-        self.outbox.state(
-            Pending::OwnershipLease(call),
-            StoreCall::Commit(transaction),
-        );
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/src/core/ownership/tests.rs
+++ b/src/core/membership/ownership/tests.rs
@@ -1,6 +1,10 @@
-use super::super::Effect;
-use super::super::leader::Leader;
 use super::*;
+use crate::core::Core;
+use crate::core::effects::{Effect, StoreCall};
+use crate::core::leader::Leader;
+use crate::core::records::keys::{LEADER_KEY, node_key};
+use crate::core::records::process_record::ProcessRecord;
+use crate::core::records::versioned::{precondition, put};
 
 fn workers(report_s: f64, lease_s: f64, cancel_s: f64) -> Workers {
     Workers {
--- a/src/core/process_pause.rs
+++ b/src/core/membership/process_pause.rs
@@ -4,11 +4,12 @@
 //! until it has read the state service again, and workers have had the time to report, it draws no
 //! conclusion from silence, returns no machine and plans none.
 
-use super::Time;
 use crate::config::Config;
+use crate::core::effects::Time;
 
 /// Steps come many times a lease; a pause of this part of one between two steps is a standstill.
 const STANDSTILL_LEASES: f64 = 0.1;
+
 /// Workers report within this many report times.
 const REPORT_TIMES: f64 = 1.5;
 
--- a/src/core/process_pause/tests.rs
+++ b/src/core/membership/process_pause/tests.rs
@@ -1,10 +1,11 @@
-use super::super::catalog::Catalog;
-use super::super::machines::Machine;
-use super::super::owner::Shard;
-use super::super::peers::Peers;
-use super::super::test_support::{config, shard, types};
-use super::super::{Core, Effect, Input, StoreCall, StoreReply};
 use super::*;
+use crate::core::Core;
+use crate::core::effects::{Effect, Input, StoreCall, StoreReply};
+use crate::core::machines::machine::Machine;
+use crate::core::membership::peers::Peers;
+use crate::core::scheduling::catalog::Catalog;
+use crate::core::shard::Shard;
+use crate::core::test_support::{config, shard, types};
 use crate::ids::{FencingToken, MachineId};
 
 fn process_pause() -> ProcessPause {
--- a/src/core/mesh_messages.rs
+++ b/src/core/messages/mesh.rs
@@ -1,10 +1,9 @@
 //! The messages between controllers. What they hold stays readable by earlier versions: new fields are optional.
 
-use super::failure_detection::Detection;
-use super::ownership::Process;
-use super::peer_sync::PeerUpdate;
-use super::store::FinalStates;
-use super::unresponsive::Unresponsive;
+use crate::core::messages::detection::Detection;
+use crate::core::messages::final_states::FinalStates;
+use crate::core::messages::shard_update::{PeerUpdate, Unresponsive};
+use crate::core::model::process::Process;
 use crate::ids::{JobId, Node, Version};
 use crate::wire::{Heartbeat, HeartbeatResponse, JobSpec};
 use serde::{Deserialize, Serialize};
@@ -54,7 +53,7 @@
         skip_serializing_if = "Option::is_none"
     )]
     pub final_states_after: Option<Version>,
-    /// The sender's authority ends a bounded time after its key has gone ([`super::ownership`]). A
+    /// The sender's authority ends a bounded time after its key has gone ([`crate::core::membership::ownership`]). A
     /// version without this says nothing, and its share waits for consents.
     #[serde(
         rename = "authority_ends",
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,259 +1,35 @@
 //! The state machine that decides everything. It does no I/O: batches of [`Input`]s and the time
 //! go in, [`Effect`]s come out. Same inputs, same times and same seed give the same effects.
 
-pub mod cancelled;
-pub mod catalog;
-pub mod consolidation;
-pub mod deferred_heartbeats;
-pub mod dependencies;
-pub mod failure_detection;
-pub mod forecast;
-pub mod gained_machines;
-pub mod job_failures;
-pub mod job_records;
+pub mod controller;
+pub mod effects;
 pub mod jobs;
 pub mod leader;
-pub mod lease_expiry;
-pub mod machine_claims;
-pub mod machine_orders;
 pub mod machines;
-pub mod mesh_messages;
-pub mod opportunistic;
-pub mod outbox;
-pub mod owned_jobs;
-pub mod owner;
-pub mod ownership;
-pub mod pacing;
-pub mod part_map;
-pub mod peer_sync;
-pub mod peers;
-pub mod placement;
-pub mod plan;
-pub mod preemption;
-pub mod process_pause;
-pub mod quota;
-pub mod ranges;
-pub mod rebalance;
-pub mod renting;
-pub mod report_routing;
-pub mod schedule;
-pub mod share_log;
-pub mod spare_machines;
-pub mod starts_in_flight;
-pub mod status;
+pub mod membership;
+pub mod messages;
+pub mod model;
+pub mod records;
+pub mod scheduling;
+pub mod shard;
 pub mod store;
-pub mod supply;
-pub mod task_index;
-pub mod team_grants;
 #[cfg(test)]
 mod test_support;
-pub mod token_bucket;
-pub mod tracking;
-pub mod unresponsive;
-pub mod upcoming;
-pub mod user_requests;
-pub mod zone_contact;
 
 use crate::config::Config;
-use crate::ids::{JobId, Node, Team, Version};
-use crate::status::Status;
-use crate::wire::{
-    Changes, DirectCommands, Heartbeat, HeartbeatResponse, JobSpec, Listing, MachineList,
-    MachineNames, MachineTypes, Rental, Transaction,
-};
-use leader::Leader;
-use outbox::{Outbox, Pending};
-use owner::Shard;
-use ownership::OwnershipLease;
-use peers::{MeshMessage, MeshReply, Peers};
+use crate::core::controller::user_requests::UserRequests;
+use crate::core::effects::outbox::Outbox;
+use crate::core::effects::pending::Pending;
+use crate::core::effects::{Effect, Input, StoreReply, Time};
+use crate::core::leader::Leader;
+use crate::core::membership::ownership::OwnershipLease;
+use crate::core::membership::peers::Peers;
+use crate::core::shard::Shard;
+use crate::core::store::replica::StoreReplica;
+use crate::ids::{Node, Team};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
-use serde_json::Value;
 use std::rc::Rc;
-use store::StoreReplica;
-use user_requests::UserRequests;
-
-/// Seconds on the process's steady clock.
-pub type Time = f64;
-
-/// A request that somebody waits on.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
-pub struct RequestId(pub u64);
-
-/// A call this process has out.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
-pub struct CallId(pub u64);
-
-/// What users ask for.
-#[derive(Clone, Debug)]
-pub enum UserRequest {
-    Submit(JobId, Box<JobSpec>),
-    Poll(JobId),
-    Cancel(JobId),
-}
-
-impl UserRequest {
-    pub fn job(&self) -> &JobId {
-        match self {
-            Self::Submit(id, _) | Self::Poll(id) | Self::Cancel(id) => id,
-        }
-    }
-}
-
-#[derive(Debug)]
-pub enum Input {
-    User(RequestId, UserRequest),
-    Heartbeat(RequestId, Heartbeat),
-    Health(RequestId),
-    /// An operator asks.
-    Status(RequestId),
-    Mesh(RequestId, MeshMessage),
-    State(CallId, StoreReply),
-    Cloud(CallId, CloudReply),
-    Worker(CallId, WorkerReply),
-    MeshReply(CallId, Option<MeshReply>),
-}
-
-impl Input {
-    /// Whether somebody else asks; all else is the reply to a call of this process.
-    pub fn is_question(&self) -> bool {
-        match self {
-            Self::User(..)
-            | Self::Heartbeat(..)
-            | Self::Health(_)
-            | Self::Status(_)
-            | Self::Mesh(..) => true,
-            Self::State(..) | Self::Cloud(..) | Self::Worker(..) | Self::MeshReply(..) => false,
-        }
-    }
-}
-
-#[derive(Debug)]
-pub enum Effect {
-    Answer(RequestId, Answer),
-    MeshAnswer(RequestId, MeshReply),
-    State(CallId, StoreCall),
-    Cloud(CallId, CloudCall),
-    Worker(CallId, String, DirectCommands),
-    Mesh(CallId, Node, MeshMessage),
-}
-
-#[derive(Clone, Debug, PartialEq)]
-pub struct Answer {
-    pub status: u16,
-    pub body: Body,
-    /// Seconds after which to ask again.
-    pub retry_after: Option<u32>,
-}
-
-#[derive(Clone, Debug, PartialEq)]
-pub enum Body {
-    Empty,
-    Value(Value),
-    HeartbeatResponse(HeartbeatResponse),
-    Status(Box<Status>),
-}
-
-impl Answer {
-    pub fn value(status: u16, body: Value) -> Self {
-        Self {
-            status,
-            body: Body::Value(body),
-            retry_after: None,
-        }
-    }
-    pub fn empty(status: u16) -> Self {
-        Self {
-            status,
-            body: Body::Empty,
-            retry_after: None,
-        }
-    }
-    /// Cannot be taken now; says at once when to come back.
-    pub fn unavailable() -> Self {
-        Self {
-            status: 503,
-            body: Body::Empty,
-            retry_after: Some(1),
-        }
-    }
-}
-
-#[derive(Clone, Debug, PartialEq)]
-pub enum StoreCall {
-    List {
-        prefix: &'static str,
-        from: Option<String>,
-    },
-    Changes {
-        prefix: &'static str,
-        from: Version,
-    },
-    Commit(Transaction),
-    LeaseCreate {
-        ttl_ms: u64,
-    },
-    LeaseRenew {
-        lease: u64,
-    },
-    LeaseEnd {
-        lease: u64,
-    },
-}
-
-#[derive(Clone, Debug, PartialEq)]
-pub enum StoreReply {
-    Listing(Listing),
-    Changes(Changes),
-    /// Changes since then are no longer kept.
-    TooOld,
-    Committed(Version),
-    Conflict,
-    Lease(u64),
-    Done,
-    /// The lease has ended.
-    LeaseGone,
-    /// The transaction breaks a limit of the service and would be refused again.
-    Rejected,
-    /// Over the service's rate; not executed.
-    Busy,
-    /// Not executed: an outage, or this controller is refused.
-    Refused,
-    /// No answer, or one that makes no sense: executed, or not, or later.
-    Unknown,
-}
-
-#[derive(Clone, Debug, PartialEq)]
-pub enum CloudCall {
-    Types,
-    List { after: Option<String> },
-    Rent(Rental),
-    Release(MachineNames),
-}
-
-#[derive(Clone, Debug, PartialEq)]
-pub enum CloudReply {
-    Types(MachineTypes),
-    List(MachineList),
-    Rented(MachineNames),
-    NoCapacity,
-    Released,
-    /// Refused or over the rate; not executed.
-    Refused,
-    /// No answer: executed, or not, or later.
-    Unknown,
-}
-
-#[derive(Clone, Debug, PartialEq)]
-pub enum WorkerReply {
-    Executed(Heartbeat),
-    /// Nothing executed: token or session did not match.
-    Fenced(Heartbeat),
-    /// The connection could not be made, so nothing was sent.
-    NotSent,
-    /// No answer: executed, or not, or later.
-    Unknown,
-}
 
 /// One controller.
 pub struct Core {
@@ -267,16 +43,16 @@
     shard: Option<Shard>,
     /// The map and the cloud, while this process leads.
     leader: Option<Leader>,
-    catalog: catalog::Catalog,
+    catalog: crate::core::scheduling::catalog::Catalog,
     /// What siblings told of machines' images before there was a share.
-    hints: owner::Hints,
-    unresponsive: unresponsive::UnresponsiveMachines,
-    relays: report_routing::HeartbeatRelays,
-    claims: machine_claims::MachineClaims,
-    process_pause: process_pause::ProcessPause,
-    detection: failure_detection::FailureDetection,
-    deferred_heartbeats: deferred_heartbeats::DeferredHeartbeats,
-    contacts: gained_machines::MachineContacts,
+    hints: crate::core::messages::shard_update::Hints,
+    unresponsive: crate::core::machines::unresponsive::UnresponsiveMachines,
+    relays: crate::core::controller::heartbeat_routing::HeartbeatRelays,
+    claims: crate::core::machines::claims::MachineClaims,
+    process_pause: crate::core::membership::process_pause::ProcessPause,
+    detection: crate::core::membership::failure_detection::FailureDetection,
+    deferred_heartbeats: crate::core::controller::deferred_heartbeats::DeferredHeartbeats,
+    contacts: crate::core::messages::shard_update::MachineContacts,
 }
 
 impl Core {
@@ -292,15 +68,16 @@
             ownership: OwnershipLease::new(&config, incarnation),
             shard: None,
             leader: None,
-            catalog: catalog::Catalog::default(),
-            hints: owner::Hints::new(),
-            unresponsive: unresponsive::UnresponsiveMachines::default(),
-            relays: report_routing::HeartbeatRelays::new(&config),
-            claims: machine_claims::MachineClaims::new(&config),
-            process_pause: process_pause::ProcessPause::new(&config),
-            detection: failure_detection::FailureDetection::default(),
-            deferred_heartbeats: deferred_heartbeats::DeferredHeartbeats::new(&config),
-            contacts: gained_machines::MachineContacts::default(),
+            catalog: crate::core::scheduling::catalog::Catalog::default(),
+            hints: crate::core::messages::shard_update::Hints::new(),
+            unresponsive: crate::core::machines::unresponsive::UnresponsiveMachines::default(),
+            relays: crate::core::controller::heartbeat_routing::HeartbeatRelays::new(&config),
+            claims: crate::core::machines::claims::MachineClaims::new(&config),
+            process_pause: crate::core::membership::process_pause::ProcessPause::new(&config),
+            detection: crate::core::membership::failure_detection::FailureDetection::default(),
+            deferred_heartbeats:
+                crate::core::controller::deferred_heartbeats::DeferredHeartbeats::new(&config),
+            contacts: crate::core::messages::shard_update::MachineContacts::default(),
             config,
         }
     }
--- /dev/null
+++ b/src/core/model/mod.rs
@@ -0,0 +1,6 @@
+//! TODO.
+
+pub mod process;
+pub mod ranges;
+pub mod resources;
+pub mod token_bucket;
--- /dev/null
+++ b/src/core/records/mod.rs
@@ -0,0 +1,7 @@
+//! TODO.
+
+pub mod job_record;
+pub mod keys;
+pub mod process_record;
+pub mod shard_map;
+pub mod versioned;
--- a/src/core/catalog/tests.rs
+++ b/src/core/scheduling/catalog/tests.rs
@@ -1,5 +1,5 @@
-use super::super::test_support::{config, service, types};
 use super::*;
+use crate::core::test_support::{config, service, types};
 
 /// Two kinds that have nothing in common: one without GPUs, one with little memory.
 fn unlike_kinds() -> Vec<MachineType> {
--- a/src/core/forecast.rs
+++ b/src/core/scheduling/forecast.rs
@@ -1,7 +1,7 @@
 //! What is likely to arrive, judged by what arrived lately.
 
-use super::Time;
 use crate::config::Config;
+use crate::core::effects::Time;
 use crate::ids::Image;
 use crate::wire::{JobSpec, Kind, MachineType};
 use std::collections::{BTreeMap, VecDeque};
@@ -16,6 +16,7 @@
 
 /// Arrivals are averaged over this many boot times.
 const HISTORY_BOOTS: f64 = 3.0;
+
 /// Arrivals are kept for as many times `cancel_s` at most; each takes a change in the state service.
 const HISTORY_CANCELS: f64 = 4.0;
 
--- a/src/core/forecast/tests.rs
+++ b/src/core/scheduling/forecast/tests.rs
@@ -1,5 +1,5 @@
-use super::super::test_support::{service, types};
 use super::*;
+use crate::core::test_support::{service, types};
 
 /// Only images that cannot be fetched in time make room worth holding back.
 #[test]
--- a/src/core/opportunistic.rs
+++ b/src/core/scheduling/opportunistic.rs
@@ -2,23 +2,21 @@
 //! room that is free anyway and make way at once for everything else, so room that they take counts as
 //! free for other work. Machines are rented for them only where that pays off.
 
-use super::Time;
-use super::catalog::{tasks_per_machine, total_room};
-use super::forecast::longest_boot;
-use super::jobs::Job;
-use super::machines::Machine;
-use super::owner::Shard;
-use super::placement::Resources;
-use super::supply::Offer;
 use crate::config::Config;
-use crate::ids::MachineId;
+use crate::core::effects::Time;
+use crate::core::jobs::job::Job;
+use crate::core::machines::machine::Machine;
+use crate::core::messages::capacity_demand::Offer;
+use crate::core::model::resources::Resources;
+use crate::core::scheduling::catalog::{tasks_per_machine, total_room};
+use crate::core::scheduling::forecast::longest_boot;
 use crate::wire::{JobSpec, MachineType, Priority};
-use std::collections::BTreeSet;
 
 /// A rental pays off up to this many times the lowest price that the task could run for.
-const PRICE_MARGIN: f64 = 1.5;
+pub(crate) const PRICE_MARGIN: f64 = 1.5;
+
 /// A rented machine has to have work for this many times as long as it takes to boot.
-const WORK_BOOTS: f64 = 2.0;
+pub(crate) const WORK_BOOTS: f64 = 2.0;
 
 /// Whether a job of this kind is opportunistic if no other needs it: of the lowest priority, without a
 /// deadline, and of a class whose starts nobody waits for.
@@ -89,45 +87,3 @@
     let of_type = types.iter().find(|t| t.name == *type_name);
     *spot && of_type.is_some_and(|t| price(t) <= least * PRICE_MARGIN)
 }
-
-impl Shard {
-    /// Ordinary machines that are kept for starved jobs: one for each that runs nowhere else. Returned
-    /// under such a job, it would be rented again only once the job had starved again, so that a job of
-    /// long tasks would never end.
-    pub(super) fn machines_of_starved_jobs(&self) -> BTreeSet<MachineId> {
-        let is_spot = |id: &MachineId| self.machines.get(id).is_some_and(|machine| machine.spot);
-        let mut kept = BTreeSet::new();
-        let starved = self
-            .jobs
-            .iter()
-            .filter(|(_, job)| job.starved && job.placed() > 0);
-        for (id, _) in starved {
-            let machines = self.task_index.machines_of(id);
-            let provided = |id: &MachineId| is_spot(id) || kept.contains(id);
-            if !machines.iter().any(provided) {
-                kept.extend(machines.into_iter().next());
-            }
-        }
-        kept
-    }
-
-    /// Stops the opportunistic work of a machine that is to be returned; what can't save its progress
-    /// runs to its end.
-    pub(super) fn return_from_opportunistic(&mut self, id: &MachineId) {
-        let Some(machine) = self.machines.get(id) else {
-            return;
-        };
-        let saves = machine.attempts.iter().filter(|(_, tracked)| {
-            !tracked.exited() && tracked.stop.is_none() && tracked.checkpoint_write_s > 0.0
-        });
-        let stops: Vec<_> = saves
-            .map(|(key, tracked)| (key.clone(), tracked.checkpoint_write_s))
-            .collect();
-        for ((task, attempt), grace) in stops {
-            self.stop(id, &task, attempt, grace);
-        }
-    }
-}
-
-#[cfg(test)]
-mod tests;
--- a/src/core/plan.rs
+++ b/src/core/scheduling/packing.rs
@@ -1,13 +1,13 @@
 //! A plan of which tasks fit on the machines there are, and which machines the rest would need.
 //! It is a first-fit estimate for renting and returning machines; what really starts where is
-//! decided in [`super::schedule`].
+//! decided in [`crate::core::shard::round`].
 
-use super::catalog::{fits_without_gpus, tasks_per_machine, total_room};
-use super::jobs::zone_allows;
-use super::opportunistic::is_cheap;
-use super::placement::Resources;
-use super::schedule::allowed;
-use super::supply::{CapacityDemand, MachineDemand, Offer};
+use crate::core::jobs::job::zone_allows;
+use crate::core::messages::capacity_demand::{CapacityDemand, MachineDemand, Offer};
+use crate::core::model::resources::Resources;
+use crate::core::scheduling::catalog::{fits_without_gpus, tasks_per_machine, total_room};
+use crate::core::scheduling::constraints::allowed;
+use crate::core::scheduling::opportunistic::is_cheap;
 use crate::ids::{MachineId, Zone};
 use crate::wire::{JobSpec, MachineType, Priority};
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,6 +16,7 @@
 /// Tasks of one job that a plan finds room for on machines that are there. Each of them is compared
 /// with every machine; what is left over is seen by the next plan.
 const PLACED_ON_MACHINES: u32 = 1000;
+
 /// Tasks that a plan has to find room for.
 pub struct TaskDemand {
     pub spec: Rc<JobSpec>,
--- a/src/core/plan/tests.rs
+++ b/src/core/scheduling/packing/tests.rs
@@ -1,5 +1,5 @@
-use super::super::test_support::{service, types};
 use super::*;
+use crate::core::test_support::{service, types};
 use crate::ids::TypeName;
 
 /// The lowest price per task decides, then the zone with fewer machines; what the cloud has
--- a/src/core/quota.rs
+++ b/src/core/scheduling/usage.rs
@@ -1,71 +1,65 @@
 //! Teams' guarantees and limits, against everything that may be on a machine.
 
-use super::cancelled::CancelledSince;
-use super::owner::Shard;
-use super::placement::Resources;
-use super::store::StoreReplica;
-use super::team_grants::{Basis, limit_of};
-use crate::config::TeamLimits;
-use crate::ids::{JobId, Team};
-use quota_ledger::Amount;
+use crate::config::{Config, TeamLimits};
+use crate::core::model::resources::Resources;
+use crate::ids::Team;
+use crate::wire::{JobSpec, Kind};
+use quota_ledger::{Amount, Limit};
 use std::collections::{BTreeMap, BTreeSet};
 
-const EPSILON: f64 = 1e-6;
-/// Times `cancel_s` after which nothing can be left of a cancelled job: once for its tasks to go, and
-/// once more for clocks that differ and for transactions that are carried out late.
-const CANCELLED_COUNTS: f64 = 2.0;
+pub(crate) const EPSILON: f64 = 1e-6;
 
 /// CPUs and GPUs together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct QuotaUnits {
-    cpus: f64,
-    gpus: f64,
+pub(crate) struct QuotaUnits {
+    pub(crate) cpus: f64,
+    pub(crate) gpus: f64,
 }
 
 impl QuotaUnits {
-    fn of(need: &Resources) -> Self {
+    pub(crate) fn of(need: &Resources) -> Self {
         Self {
             cpus: need.cpus,
             gpus: need.gpus,
         }
     }
 
-    fn add(&mut self, other: Self) {
+    pub(crate) fn add(&mut self, other: Self) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
     }
 
-    fn times(self, count: usize) -> Self {
+    pub(crate) fn times(self, count: usize) -> Self {
         Self {
             cpus: self.cpus * count as f64,
             gpus: self.gpus * count as f64,
         }
     }
 
-    fn amount(self) -> Amount {
+    pub(crate) fn amount(self) -> Amount {
         Amount::covering(self.cpus, self.gpus)
     }
 }
 
 /// What one team may be using.
 #[derive(Clone, Debug, Default)]
-struct TeamUsage {
+pub(crate) struct TeamUsage {
     /// All of it.
-    all: QuotaUnits,
+    pub(crate) all: QuotaUnits,
     /// The part that was started here since the team was gained.
-    own: QuotaUnits,
+    pub(crate) own: QuotaUnits,
     /// What was started here may not pass our grant.
-    ceiling: Option<Amount>,
+    pub(crate) ceiling: Option<Amount>,
     /// Nor can our grant pass this, as long as others hold what they hold.
-    reachable: Option<Amount>,
+    pub(crate) reachable: Option<Amount>,
     /// What waits beyond the ceiling though the limit allows it, and the first of that.
-    lacking: QuotaUnits,
-    first_lacking: QuotaUnits,
+    pub(crate) lacking: QuotaUnits,
+    pub(crate) first_lacking: QuotaUnits,
 }
 
 impl TeamUsage {
     /// How many of `most` tasks more what was started here may grow by within `bound`.
-    fn own_within(
+    pub(crate) fn own_within(
         &self,
         bound: Option<Amount>,
         team_limits: &TeamLimits,
@@ -85,11 +79,11 @@
 /// What each team may be using at this moment.
 #[derive(Debug, Default)]
 pub struct Usage {
-    teams: BTreeMap<Team, TeamUsage>,
+    pub(crate) teams: BTreeMap<Team, TeamUsage>,
     /// Of these it is not known what they use: those with limits start nothing.
-    closed: BTreeSet<Team>,
+    pub(crate) closed: BTreeSet<Team>,
     /// Of these it is not known whether there is a record of grants: they start nothing.
-    undecided: BTreeSet<Team>,
+    pub(crate) undecided: BTreeSet<Team>,
 }
 
 impl Usage {
@@ -107,7 +101,7 @@
     }
 
     /// More that a former owner of the team may have started.
-    fn add_inherited(&mut self, team: &Team, cpus: f64, gpus: f64) {
+    pub(crate) fn add_inherited(&mut self, team: &Team, cpus: f64, gpus: f64) {
         self.teams
             .entry(team.clone())
             .or_default()
@@ -124,7 +118,7 @@
         self.of(team).gpus
     }
 
-    fn of(&self, team: &Team) -> QuotaUnits {
+    pub(crate) fn of(&self, team: &Team) -> QuotaUnits {
         self.teams
             .get(team)
             .map(|used| used.all)
@@ -152,12 +146,17 @@
             && self.covered_by_grant(team_limits, &need, 1) == 1
     }
 
-    fn is_closed(&self, team_limits: &TeamLimits) -> bool {
+    pub(crate) fn is_closed(&self, team_limits: &TeamLimits) -> bool {
         let closed = limit_of(team_limits).is_limited() && self.closed.contains(&team_limits.name);
         closed || self.undecided.contains(&team_limits.name)
     }
 
-    fn covered_by_grant(&self, team_limits: &TeamLimits, need: &Resources, most: usize) -> usize {
+    pub(crate) fn covered_by_grant(
+        &self,
+        team_limits: &TeamLimits,
+        need: &Resources,
+        most: usize,
+    ) -> usize {
         let used = self.teams.get(&team_limits.name);
         used.map_or(most, |used| {
             used.own_within(used.ceiling, team_limits, need, most)
@@ -228,7 +227,7 @@
 
     /// Counts a team by its grants: what former owners started is at most what was granted to them,
     /// and once nothing is granted to them any more, all that runs is ours.
-    fn count_by_grants(&mut self, team_limits: &TeamLimits, basis: Basis) {
+    pub(crate) fn count_by_grants(&mut self, team_limits: &TeamLimits, basis: Basis) {
         let limit = limit_of(team_limits);
         let closed = self.closed.contains(&team_limits.name);
         let used = self.teams.entry(team_limits.name.clone()).or_default();
@@ -284,103 +283,8 @@
     }
 }
 
-impl Shard {
-    /// Everything of our teams that may be on a machine, and what may be on machines not heard.
-    pub(super) fn usage(&self, store: &StoreReplica, wall_ms: u64) -> Usage {
-        let mut usage = Usage::default();
-        self.add_held(&mut usage);
-        self.add_unreconciled(&mut usage);
-        self.add_cancelled(store, wall_ms, &mut usage);
-        for team_limits in &self.config.deployment.teams {
-            let grant = self
-                .teams
-                .get(&team_limits.name)
-                .and_then(|team| team.grant.as_ref());
-            if let Some(grant) = grant {
-                usage.count_by_grants(team_limits, grant.basis());
-            }
-        }
-        usage
-    }
-
-    fn add_held(&self, usage: &mut Usage) {
-        // Whether there is a task that is over, of a record that doesn't say whose it was.
-        let mut stray = false;
-        let attempts = self.machines.values().flat_map(|machine| &machine.attempts);
-        for ((_, attempt), tracked) in attempts.filter(|(_, tracked)| !tracked.exited()) {
-            match (&tracked.room, &tracked.team) {
-                (Some(room), Some(team)) if self.started_here(team, *attempt) => {
-                    usage.add(team, room.cpus, room.gpus);
-                }
-                (Some(room), Some(team)) => usage.add_inherited(team, room.cpus, room.gpus),
-                (_, None) => stray |= tracked.forget,
-                (None, Some(_)) => {}
-            }
-        }
-        if stray {
-            self.teams.keys().for_each(|name| usage.close(name));
-        }
-    }
-
-    fn add_unreconciled(&self, usage: &mut Usage) {
-        for job in self.jobs.values().filter(|job| job.unreconciled() > 0) {
-            let tasks = f64::from(job.unreconciled());
-            usage.add_inherited(&job.spec.team, job.spec.cpus * tasks, job.spec.gpus * tasks);
-        }
-    }
-
-    /// Cancelled jobs' tasks run on where a stop has not arrived, and a team's new owner has to
-    /// count them too until every machine has told what it holds.
-    fn add_cancelled(&self, store: &StoreReplica, wall_ms: u64, usage: &mut Usage) {
-        let unreconciled: Vec<_> = self
-            .teams
-            .iter()
-            .filter(|(_, team)| !team.unreconciled.is_empty())
-            .collect();
-        if unreconciled.is_empty() {
-            return;
-        }
-        let tracked = self.tracked_of_cancelled();
-        let recent_ms = self.config.deployment.workers.cancel_s * CANCELLED_COUNTS * 1e3;
-        let recent = wall_ms.saturating_sub(recent_ms as u64);
-        for (name, team) in unreconciled {
-            let since = CancelledSince {
-                wall_ms: recent,
-                version: team.gained,
-            };
-            if store.undescribed_cancellation_since(since) {
-                usage.close(name);
-            }
-            for (id, terminating) in store
-                .cancelled_since(since)
-                .filter(|(_, l)| l.team == *name)
-            {
-                let known = tracked.get(id).map_or(0, BTreeSet::len) as u32;
-                let tasks = f64::from(terminating.tasks.saturating_sub(known));
-                usage.add_inherited(
-                    name,
-                    terminating.need.cpus * tasks,
-                    terminating.need.gpus * tasks,
-                );
-            }
-        }
-    }
-
-    /// The tasks of cancelled jobs that are counted where they are.
-    fn tracked_of_cancelled(&self) -> BTreeMap<&JobId, BTreeSet<u32>> {
-        let mut tasks: BTreeMap<&JobId, BTreeSet<u32>> = BTreeMap::new();
-        let on_machines = self.machines.values().flat_map(|machine| &machine.attempts);
-        for ((task, _), tracked) in on_machines {
-            if tracked.forget && !tracked.exited() && tracked.room.is_some() {
-                tasks.entry(&task.job).or_default().insert(task.index);
-            }
-        }
-        tasks
-    }
-}
-
 /// The largest count up to `most` that is allowed, as are all below it.
-fn fitting(most: usize, allowed: impl Fn(usize) -> bool) -> usize {
+pub(crate) fn fitting(most: usize, allowed: impl Fn(usize) -> bool) -> usize {
     (1..=most).take_while(|count| allowed(*count)).count()
 }
 
@@ -389,5 +293,39 @@
     limit == 0.0 || used <= limit + EPSILON
 }
 
+/// Whether grants of team limits are switched on here.
+pub fn are_on(config: &Config) -> bool {
+    config
+        .features
+        .headroom(config.deployment.workers.lease_s)
+        .is_some()
+}
+
+/// A team's limit as the ledger counts it.
+pub fn limit_of(team_limits: &TeamLimits) -> Limit {
+    Limit::new(team_limits.cpus_max, team_limits.gpus_max)
+}
+
+/// What an owner goes by when it starts tasks of a team.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Basis {
+    /// It has not read yet what there is: it starts nothing.
+    Undecided,
+    /// Everything that anybody may have started counts. If a record is being begun, no more may run
+    /// than it covers.
+    Counting { beginning: Option<Amount> },
+    /// Its own starts count against its grant, those of others up to what is granted to them.
+    Granted { own: Amount, outstanding: Amount },
+}
+
+/// What a job needs at once at the least, against its team's limit.
+pub fn least_need(spec: &JobSpec) -> (f64, f64) {
+    let tasks = match spec.kind {
+        Kind::Array => 1.0,
+        Kind::Gang | Kind::Service => f64::from(spec.tasks),
+    };
+    (spec.cpus * tasks, spec.gpus * tasks)
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/core/supply.rs
+++ b/src/core/shard/capacity_planning.rs
@@ -3,119 +3,36 @@
 //! lowest price per task. Machines that neither queue nor forecast would use can be spared, and
 //! those that stay so for long are closed, so that the leader may return them.
 
-use super::Time;
-use super::catalog::Catalog;
-use super::forecast::longest_boot;
-use super::jobs::Job;
-use super::opportunistic::{machine_time, rentals_worth};
-use super::outbox::Outbox;
-use super::owner::Shard;
-use super::plan::{PackingCandidate, Plan, TaskDemand};
-use super::quota::Usage;
-use super::renting::RENT_LIMIT;
-use super::schedule::team_limits;
-use super::store::StoreReplica;
 use crate::config::Config;
-use crate::ids::{FencingToken, JobId, MachineId, Team, TypeName, Zone};
-use crate::wire::{MachineType, Priority};
-use serde::{Deserialize, Serialize};
-
-/// A kind of machine that can be rented: type, zone, and whether spot.
-pub type Offer = (TypeName, Zone, bool);
-
-/// Machines that a share lacks, all for the same reason.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct MachineDemand {
-    pub count: u32,
-    /// The cheapest for what waits.
-    pub offer: Offer,
-    /// Everything that would do, if somebody can spare it.
-    pub any_of: Vec<Offer>,
-    /// Of the task that asks first: what it takes, and how urgent it is; None for a forecast.
-    pub urgency: Option<Priority>,
-    pub gpus: f64,
-    /// For opportunistic work, which comes after everything else.
-    #[serde(
-        rename = "opportunistic",
-        default,
-        skip_serializing_if = "std::ops::Not::not"
-    )]
-    pub opportunistic: bool,
-}
-
-/// What a share tells the leader.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct CapacityDemand {
-    /// Machines that would serve what finds no room.
-    pub wants: Vec<MachineDemand>,
-    /// GPUs (of tasks without: CPUs) that wait for room, a waiting gang counting whole.
-    pub queued: f64,
-    /// Idle machines that no plan uses.
-    pub spare: Vec<MachineId>,
-    /// Idle machines that are kept for what is expected only.
-    pub kept: Vec<MachineId>,
-    /// Machines that only opportunistic work is on, and that no plan uses for anything else.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub yielding: Vec<MachineId>,
-    /// Idle machines closed because they were idle for long.
-    pub closed: Vec<MachineId>,
-    /// Machines with room beside work that matters, most first: GPUs free or taken by work of
-    /// normal and low priority.
-    pub roomy: Vec<(MachineId, f64)>,
-    /// Teams of which nothing waits.
-    pub quiet: Vec<Team>,
-    /// Machines that have not been heard of for long.
-    pub silent: Vec<MachineId>,
-    /// Machines that are to get a fresh token in place of this one.
-    pub raise: Vec<(MachineId, FencingToken)>,
-    /// Teams that are to get a fresh term.
-    #[serde(rename = "worn")]
-    pub exhausted: Vec<Team>,
-}
-
-impl CapacityDemand {
-    /// Asks for a fresh token; whether that is news.
-    pub fn raise(&mut self, id: &MachineId, token: FencingToken) -> bool {
-        let news = !self
-            .raise
-            .iter()
-            .any(|(other, of)| other == id && *of == token);
-        if news {
-            self.raise.push((id.clone(), token));
-        }
-        news
-    }
-
-    pub fn wanted(&self) -> u32 {
-        self.wants.iter().map(|want| want.count).sum()
-    }
-
-    pub fn want(&mut self, want: MachineDemand) {
-        match self.wants.last_mut() {
-            Some(last)
-                if (MachineDemand {
-                    count: last.count,
-                    ..want.clone()
-                }) == *last =>
-            {
-                last.count += want.count;
-            }
-            _ => self.wants.push(want),
-        }
-    }
-}
+use crate::core::effects::Time;
+use crate::core::effects::outbox::Outbox;
+use crate::core::jobs::job::Job;
+use crate::core::leader::scaling::RENT_LIMIT;
+use crate::core::messages::capacity_demand::CapacityDemand;
+use crate::core::scheduling::catalog::Catalog;
+use crate::core::scheduling::constraints::team_limits;
+use crate::core::scheduling::forecast::longest_boot;
+use crate::core::scheduling::opportunistic::{machine_time, rentals_worth};
+use crate::core::scheduling::packing::{PackingCandidate, Plan, TaskDemand};
+use crate::core::scheduling::usage::Usage;
+use crate::core::shard::Shard;
+use crate::core::store::replica::StoreReplica;
+use crate::ids::{JobId, Team};
+use crate::wire::MachineType;
 
 /// Machines with room told to the leader at most.
-const ROOMY: usize = 6;
+pub(crate) const ROOMY: usize = 6;
+
 /// Opportunistic work that has not begun after this many times `cancel_s` may rent any machine.
-const STARVED_CANCEL_TIMES: f64 = 3.0;
+pub(crate) const STARVED_CANCEL_TIMES: f64 = 3.0;
+
 /// Leases after which a silent machine is given up.
-const SILENT_LEASES: f64 = 3.0;
+pub(crate) const SILENT_LEASES: f64 = 3.0;
 
 /// Machines that a share wants at once at most: as many as the cloud can be asked for within the time
 /// that a cancellation has. A share that is to grow several times over must be able to ask for that
 /// at once, for each further asking costs its users a boot.
-fn most_wanted(config: &Config) -> u32 {
+pub(crate) fn most_wanted(config: &Config) -> u32 {
     let deployment = &config.deployment;
     let calls = deployment.cloud.rps * deployment.workers.cancel_s;
     (calls * RENT_LIMIT as f64) as u32
@@ -123,14 +40,14 @@
 
 /// What a share needs room for.
 #[derive(Default)]
-struct Demand {
-    pressing: Vec<TaskDemand>,
-    opportunistic: Vec<OpportunisticDemand>,
+pub(crate) struct Demand {
+    pub(crate) pressing: Vec<TaskDemand>,
+    pub(crate) opportunistic: Vec<OpportunisticDemand>,
 }
 
 /// How long a job has waited with nothing of it on a machine. What is left of one that has begun must not
 /// wait for ever either, if it is too little to be worth a machine.
-fn unserved(job: &Job, now: Time) -> Time {
+pub(crate) fn unserved(job: &Job, now: Time) -> Time {
     if !job.began {
         return now - job.submitted;
     }
@@ -139,16 +56,16 @@
 }
 
 /// Waiting tasks of an opportunistic job.
-struct OpportunisticDemand {
-    job: JobId,
-    wanted: TaskDemand,
+pub(crate) struct OpportunisticDemand {
+    pub(crate) job: JobId,
+    pub(crate) wanted: TaskDemand,
     /// See [`unserved`].
-    unserved_s: Time,
+    pub(crate) unserved_s: Time,
 }
 
 impl Shard {
     /// Tells what this share lacks and can spare, once a second.
-    pub(super) fn plan_when_due(
+    pub(crate) fn plan_when_due(
         &mut self,
         outbox: &Outbox,
         store: &StoreReplica,
@@ -175,7 +92,7 @@
         self.need = need;
     }
 
-    fn plan(
+    pub(crate) fn plan(
         &mut self,
         outbox: &Outbox,
         store: &StoreReplica,
@@ -215,7 +132,7 @@
         self.spare(&plan.into_bins(), catalog, now, need);
     }
 
-    fn candidates(&self, now: Time) -> Vec<PackingCandidate> {
+    pub(crate) fn candidates(&self, now: Time) -> Vec<PackingCandidate> {
         let lease = self.config.deployment.workers.lease_s;
         let usable = self.machines.values().filter(|machine| {
             let terminating = machine.leaves.is_some() || now < machine.cordoned_until;
@@ -246,7 +163,7 @@
     }
 
     /// What opportunistic work finds no room for, as far as machines are worth renting for it.
-    fn plan_opportunistic(
+    pub(crate) fn plan_opportunistic(
         &mut self,
         plan: &mut Plan,
         demand: Vec<OpportunisticDemand>,
@@ -280,7 +197,7 @@
 
     /// What waits, and what is likely to arrive before a machine rented now could serve it; and the
     /// opportunistic work that waits.
-    fn demand(&self, catalog: &Catalog, usage: &mut Usage, now: Time) -> Demand {
+    pub(crate) fn demand(&self, catalog: &Catalog, usage: &mut Usage, now: Time) -> Demand {
         let types = catalog.types();
         let mut demand = Demand::default();
         for id in self.queue(usage, now) {
@@ -331,7 +248,7 @@
 
     /// Idle machines that the plan does not use; after long they are closed to placement, and
     /// opened again if they are needed before the leader has taken them.
-    fn spare(
+    pub(crate) fn spare(
         &mut self,
         candidates: &[PackingCandidate],
         catalog: &Catalog,
--- a/src/core/machine_orders.rs
+++ b/src/core/shard/commands.rs
@@ -1,13 +1,13 @@
 //! What machines are told: starts and stops, in direct messages and in the answers to reports.
 
-use super::jobs::Task;
-use super::machines::{Carrier, CommandBatch, Freshness, Phase, TrackedAttempt};
-use super::outbox::Outbox;
-use super::owned_jobs::describe;
-use super::owner::Shard;
-use super::starts_in_flight::AttemptKey;
-use super::store::StoreReplica;
-use super::{CallId, Time, WorkerReply};
+use crate::core::effects::outbox::Outbox;
+use crate::core::effects::{CallId, Time, WorkerReply};
+use crate::core::jobs::job::Task;
+use crate::core::machines::machine::{Carrier, CommandBatch, Freshness, Phase, TrackedAttempt};
+use crate::core::machines::starts_in_flight::AttemptKey;
+use crate::core::shard::Shard;
+use crate::core::shard::owned_jobs::describe;
+use crate::core::store::replica::StoreReplica;
 use crate::ids::{Attempt, JobId, MachineId, TaskId};
 use crate::wire::{DirectCommands, Heartbeat};
 use std::collections::BTreeSet;
@@ -15,12 +15,13 @@
 /// Direct orders under way at once at most, as a part of the limit on sockets. What is over goes in
 /// the answers to the next reports, or as soon as others have been answered.
 const COMMANDS_PER_SOCKET: f64 = 0.15;
+
 /// Direct messages to a machine that may arrive late, at which it gets a fresh token.
-pub(super) const GIVEN_UP_MESSAGES: usize = 8;
+pub(crate) const GIVEN_UP_MESSAGES: usize = 8;
 
 impl Shard {
     /// Issues the start of a task.
-    pub(super) fn start(
+    pub(crate) fn start(
         &mut self,
         id: &JobId,
         index: u32,
@@ -59,7 +60,7 @@
     }
 
     /// Tells an attempt to stop; gangs are stopped whole.
-    pub(super) fn stop(
+    pub(crate) fn stop(
         &mut self,
         machine: &MachineId,
         task: &TaskId,
@@ -96,12 +97,12 @@
     }
 
     /// Direct messages to machines that may be under way at once.
-    pub(super) fn max_direct_commands(&self) -> usize {
+    pub(crate) fn max_direct_commands(&self) -> usize {
         (self.config.deployment.limits.fd_limit as f64 * COMMANDS_PER_SOCKET).ceil() as usize
     }
 
     /// Sends the orders that machines have not been told yet, as many messages at once as there may be.
-    pub(super) fn send_direct_commands(&mut self, outbox: &mut Outbox) {
+    pub(crate) fn send_direct_commands(&mut self, outbox: &mut Outbox) {
         let most = self.max_direct_commands();
         while outbox.direct_commands() < most
             && let Some(id) = self.unsent_commands.pop_first()
@@ -162,7 +163,7 @@
     }
 
     /// Takes up the report in the answer to a direct message.
-    pub(super) fn take_direct_heartbeat(
+    pub(crate) fn take_direct_heartbeat(
         &mut self,
         outbox: &mut Outbox,
         store: &StoreReplica,
--- a/src/core/consolidation.rs
+++ b/src/core/shard/consolidation.rs
@@ -3,14 +3,14 @@
 //! at a time move to others that hold their images already, where they are up again at once;
 //! the empty machine serves what needs it whole, or is returned in time. Moving replicas is a drain, which the protocol allows.
 
-use super::Time;
-use super::catalog::Catalog;
-use super::forecast::is_tight;
-use super::jobs::zone_allows;
-use super::machines::{Machine, Phase, TrackedAttempt};
-use super::owner::Shard;
-use super::plan::PackingCandidate;
-use super::schedule::allowed;
+use crate::core::effects::Time;
+use crate::core::jobs::job::zone_allows;
+use crate::core::machines::machine::{Machine, Phase, TrackedAttempt};
+use crate::core::scheduling::catalog::Catalog;
+use crate::core::scheduling::constraints::allowed;
+use crate::core::scheduling::forecast::is_tight;
+use crate::core::scheduling::packing::PackingCandidate;
+use crate::core::shard::Shard;
 use crate::ids::{Attempt, JobId, MachineId, TaskId, Zone};
 use crate::wire::{Kind, MachineType, TaskState};
 use std::collections::BTreeMap;
@@ -25,7 +25,7 @@
 
 impl Shard {
     /// Empties the machine that costs most for each replica on it, if all of them fit elsewhere.
-    pub(super) fn consolidate(
+    pub(crate) fn consolidate(
         &mut self,
         candidates: &[PackingCandidate],
         catalog: &Catalog,
--- a/src/core/team_grants.rs
+++ b/src/core/shard/grants.rs
@@ -6,74 +6,37 @@
 //! its grants; the map says since when that is so. Every write of an owner is guarded by the version
 //! of the map's teams as well, so who has lost a team can't enlarge its grant any more.
 
-use super::Time;
-use super::leader::Leader;
-use super::outbox::{Outbox, Pending};
-use super::owner::Shard;
-use super::part_map::{ShardOwner, teams_key};
-use super::quota::Usage;
-use super::store::{StoreReplica, precondition, put, quota_key};
-use super::{StoreCall, StoreReply};
 use crate::config::{Config, TeamLimits};
-use crate::ids::{FencingToken, Node, Team, Version};
+use crate::core::effects::outbox::Outbox;
+use crate::core::effects::pending::{GrantWrite, Pending};
+use crate::core::effects::{StoreCall, StoreReply, Time};
+use crate::core::records::keys::{quota_key, teams_key};
+use crate::core::records::versioned::{precondition, put};
+use crate::core::scheduling::usage::{Basis, Usage, limit_of};
+use crate::core::shard::Shard;
+use crate::core::store::replica::StoreReplica;
+use crate::ids::{FencingToken, Team, Version};
 use crate::wire::{Precondition, Transaction, Write};
-use quota_ledger::{Amount, Demand, Ended, Holder, HolderId, Limit, Outcome, Proposal};
-use std::collections::BTreeSet;
+use quota_ledger::{Demand, Ended, Holder, HolderId, Outcome, Proposal};
 
 /// Seconds before another try, when a write failed.
-const FAILURE_PAUSE: Time = 0.1;
-
-/// Whether grants of team limits are switched on here.
-pub fn are_on(config: &Config) -> bool {
-    config
-        .features
-        .headroom(config.deployment.workers.lease_s)
-        .is_some()
-}
-
-/// A team's limit as the ledger counts it.
-pub fn limit_of(team_limits: &TeamLimits) -> Limit {
-    Limit::new(team_limits.cpus_max, team_limits.gpus_max)
-}
-
-/// A write of a team's record of grants.
-#[derive(Debug)]
-pub struct GrantWrite {
-    team: Team,
-    term: FencingToken,
-    /// Whether the holder waits for the outcome; it does not if the record is removed, or the grant
-    /// given back as the team goes.
-    proposed: bool,
-    write: Write,
-}
-
-/// What an owner goes by when it starts tasks of a team.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Basis {
-    /// It has not read yet what there is: it starts nothing.
-    Undecided,
-    /// Everything that anybody may have started counts. If a record is being begun, no more may run
-    /// than it covers.
-    Counting { beginning: Option<Amount> },
-    /// Its own starts count against its grant, those of others up to what is granted to them.
-    Granted { own: Amount, outstanding: Amount },
-}
+pub(crate) const FAILURE_PAUSE: Time = 0.1;
 
 /// An owner's part in the record of one of its teams.
 pub struct TeamGrant {
-    holder: Holder,
+    pub(crate) holder: Holder,
     /// Since when owners have kept to their grants, as far as was ever known here: once under a
     /// grant, a process stays under it for as long as it owns the team.
-    since: Option<FencingToken>,
+    pub(crate) since: Option<FencingToken>,
     /// The team does without a record: it has no limit, or the state service refuses the record.
-    refused: bool,
-    seen: Option<Version>,
-    write_after: Time,
-    basis: Basis,
+    pub(crate) refused: bool,
+    pub(crate) seen: Option<Version>,
+    pub(crate) write_after: Time,
+    pub(crate) basis: Basis,
 }
 
 impl TeamGrant {
-    fn new(
+    pub(crate) fn new(
         config: &Config,
         team_limits: &TeamLimits,
         incarnation: u64,
@@ -107,7 +70,7 @@
 
     /// Takes up what the view shows of the record. `gained`: the revision at which the team was
     /// gained; before the view is that far, a record may be there that it does not show.
-    fn follow(&mut self, store: &StoreReplica, team: &Team, gained: Version) {
+    pub(crate) fn follow(&mut self, store: &StoreReplica, team: &Team, gained: Version) {
         let since = store.grants_kept_since(team).or(self.since);
         let stored = store.ledger(team);
         let version = stored.map_or(0, |stored| stored.version);
@@ -133,7 +96,7 @@
     }
 
     /// What is to be written next.
-    fn next_write(&mut self, now: Time, demand: &Demand) -> Option<Proposal> {
+    pub(crate) fn next_write(&mut self, now: Time, demand: &Demand) -> Option<Proposal> {
         let may_begin = self.since.is_some() || self.holder.ledger().is_some();
         if self.basis == Basis::Undecided || self.refused || !may_begin || now < self.write_after {
             return None;
@@ -144,7 +107,7 @@
 
 impl Shard {
     /// A team is ours: its grant, if it has a limit and grants are on.
-    pub(super) fn new_team_grant(&self, team: &Team, term: FencingToken) -> Option<TeamGrant> {
+    pub(crate) fn new_team_grant(&self, team: &Team, term: FencingToken) -> Option<TeamGrant> {
         TeamGrant::new(
             &self.config,
             self.config.team_limits(team)?,
@@ -154,7 +117,7 @@
     }
 
     /// Takes up what the view shows of the records of all our teams.
-    pub(super) fn follow_grants(&mut self, store: &StoreReplica) {
+    pub(crate) fn follow_grants(&mut self, store: &StoreReplica) {
         for (name, team) in &mut self.teams {
             let gained = team.gained;
             if let Some(grant) = &mut team.grant {
@@ -166,7 +129,7 @@
     }
 
     /// Asks for what the teams need beyond their grants, or gives back what they don't.
-    pub(super) fn write_grants(
+    pub(crate) fn write_grants(
         &mut self,
         outbox: &mut Outbox,
         store: &StoreReplica,
@@ -213,7 +176,7 @@
     }
 
     /// Teams go to other controllers: what may still run of our tasks stays granted.
-    pub(super) fn release_grants(
+    pub(crate) fn release_grants(
         &mut self,
         outbox: &mut Outbox,
         store: &StoreReplica,
@@ -239,7 +202,7 @@
     }
 
     /// `proposed`: as the owner, and so only while the map names this process.
-    fn write_record(
+    pub(crate) fn write_record(
         &mut self,
         outbox: &mut Outbox,
         store: &StoreReplica,
@@ -264,7 +227,7 @@
         self.commit_grant(outbox, preconditions, pending);
     }
 
-    fn commit_grant(
+    pub(crate) fn commit_grant(
         &mut self,
         outbox: &mut Outbox,
         preconditions: Vec<Precondition>,
@@ -279,7 +242,7 @@
     }
 
     /// Without a record nobody relies on it.
-    fn remove_record(
+    pub(crate) fn remove_record(
         &mut self,
         outbox: &mut Outbox,
         store: &StoreReplica,
@@ -313,7 +276,7 @@
     }
 
     /// The answer to a write of a record.
-    pub(super) fn grant_written(
+    pub(crate) fn grant_written(
         &mut self,
         outbox: &mut Outbox,
         store: &mut StoreReplica,
@@ -354,43 +317,12 @@
     }
 }
 
-fn teams_version(store: &StoreReplica) -> Version {
+pub(crate) fn teams_version(store: &StoreReplica) -> Version {
     store
         .map()
         .get(&teams_key())
         .map_or(0, |chunk| chunk.version)
 }
 
-impl Leader {
-    /// Which living processes keep to grants: all of them, or it does not count.
-    pub(super) fn note_grant_keepers(&mut self, store: &StoreReplica) {
-        let records = store.nodes().values().map(|node| &node.record);
-        let all = records.clone().all(|record| record.keeps_grants);
-        let keepers = records
-            .filter(|_| all)
-            .map(|record| (record.node.clone(), record.incarnation));
-        self.grant_keepers = keepers.collect::<BTreeSet<(Node, u64)>>();
-    }
-
-    /// Teams whose owners keep to grants, of which that is not noted: from the owner's own term on.
-    pub(super) fn note_grants(&mut self) {
-        let unnoted = self.map.owners.teams.iter().filter(|(team, owner)| {
-            !self.map.owners.grants_kept_since.contains_key(*team) && self.keeps_grants(owner)
-        });
-        let unnoted: Vec<(Team, FencingToken)> = unnoted
-            .map(|(team, owner)| (team.clone(), owner.token))
-            .collect();
-        for (team, term) in unnoted {
-            self.map.set_grants_kept_since(&team, Some(term));
-        }
-    }
-
-    /// Whether the process that owns something keeps to grants, as all others do.
-    pub(super) fn keeps_grants(&self, owner: &ShardOwner) -> bool {
-        let process = (owner.node.clone(), owner.incarnation);
-        are_on(&self.config) && self.grant_keepers.contains(&process)
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/src/core/lease_expiry.rs
+++ b/src/core/shard/lease_expiry.rs
@@ -1,11 +1,11 @@
 //! When a machine that is not heard must have lost its tasks: its worker's lease runs out a bounded time
 //! after its last report was answered.
 
-use super::Time;
-use super::owner::Shard;
-use super::ownership::DRIFT;
-use super::store::StoreReplica;
-use super::unresponsive::Unresponsive;
+use crate::core::effects::Time;
+use crate::core::membership::ownership::DRIFT;
+use crate::core::messages::shard_update::Unresponsive;
+use crate::core::shard::Shard;
+use crate::core::store::replica::StoreReplica;
 use crate::ids::MachineId;
 
 /// Part of a lease after which a machine that is not heard is said to be silent. A worker that does
@@ -24,7 +24,7 @@
     /// terms, so that their next owners need not wait as long as if they had been until the end.
     /// Not while this process hears nobody or stood still, for then the trouble is its own, nor while
     /// it could not get them fresh tokens.
-    pub(super) fn declare_unresponsive(&mut self, store: &StoreReplica, now: Time) {
+    pub(crate) fn declare_unresponsive(&mut self, store: &StoreReplica, now: Time) {
         let workers = &self.config.deployment.workers;
         if self.catching_up
             || now > self.heard + workers.report_s
@@ -41,7 +41,7 @@
     }
 
     /// What siblings are to know of machines that are not answered any more.
-    pub(super) fn unresponsive(&self, now: Time) -> Vec<Unresponsive> {
+    pub(crate) fn unresponsive(&self, now: Time) -> Vec<Unresponsive> {
         let unresponsive = self
             .machines
             .values()
@@ -58,7 +58,7 @@
     /// Machines whose lease must have run out are empty: nobody else was entitled to answer them
     /// until then, which only a map read after that can tell. A process that lives on vouchers, or
     /// whose reads are slow, may otherwise take a machine for silent that has moved to a sibling.
-    pub(super) fn expire_machines(&mut self, store: &StoreReplica, now: Time) {
+    pub(crate) fn expire_machines(&mut self, store: &StoreReplica, now: Time) {
         let (lease, current) = (self.lease(), store.current_as_of);
         let ours = self
             .machines
@@ -84,7 +84,7 @@
     }
 
     /// The cloud has deleted the machine.
-    pub(super) fn remove_machine(&mut self, id: &MachineId, now: Time) {
+    pub(crate) fn remove_machine(&mut self, id: &MachineId, now: Time) {
         let Some(machine) = self.machines.get(id) else {
             return;
         };
--- a/src/core/owner.rs
+++ b/src/core/shard/mod.rs
@@ -1,112 +1,130 @@
 //! A controller's work for its share: it runs its teams' jobs on its machines. Created when the
 //! process has registered, dropped when its authority is lost. What the machines tell is followed
-//! in [`super::tracking`], where they are commanded too.
+//! in [`crate::core::shard::tracking`], where they are commanded too.
+
+pub mod acquired_machines;
+pub mod capacity_planning;
+pub mod commands;
+pub mod consolidation;
+pub mod grants;
+pub mod lease_expiry;
+pub mod opportunistic;
+pub mod owned_jobs;
+pub mod preemption;
+pub mod progress_records;
+pub mod round;
+pub mod shard_log;
+pub mod sibling_updates;
+pub mod soon_ready;
+pub mod tracking;
+pub mod usage;
 
-use super::Time;
-use super::catalog::Catalog;
-use super::forecast::Forecast;
-use super::job_records::{Unrecorded, write_rate};
-use super::jobs::Job;
-use super::machines::{Machine, TrackedAttempt};
-use super::outbox::Outbox;
-use super::ownership::Process;
-use super::part_map;
-use super::placement::{Resources, Weights};
-use super::starts_in_flight::StartsInFlight;
-use super::store::{JobRecord, StoreReplica};
-use super::supply::{CapacityDemand, Offer};
-use super::task_index::TaskIndex;
-use super::team_grants::TeamGrant;
-use super::token_bucket::TokenBucket;
-use super::unresponsive::UnresponsiveMachines;
 use crate::config::Config;
-use crate::ids::{Attempt, FencingToken, Image, JobId, MachineId, Node, Team, Version};
+use crate::core::effects::Time;
+use crate::core::effects::outbox::Outbox;
+use crate::core::jobs::job::Job;
+use crate::core::machines::machine::{Machine, TrackedAttempt};
+use crate::core::machines::starts_in_flight::StartsInFlight;
+use crate::core::machines::task_index::TaskIndex;
+use crate::core::machines::unresponsive::UnresponsiveMachines;
+use crate::core::messages::capacity_demand::{CapacityDemand, Offer};
+use crate::core::messages::shard_update::Hints;
+use crate::core::model::process::Process;
+use crate::core::model::resources::Resources;
+use crate::core::model::token_bucket::TokenBucket;
+use crate::core::records::job_record::JobRecord;
+use crate::core::records::shard_map::ShardOwner;
+use crate::core::scheduling::catalog::Catalog;
+use crate::core::scheduling::forecast::Forecast;
+use crate::core::scheduling::placement::Weights;
+use crate::core::shard::grants::TeamGrant;
+use crate::core::shard::progress_records::{Unrecorded, write_rate};
+use crate::core::store::replica::StoreReplica;
+use crate::ids::{Attempt, FencingToken, JobId, MachineId, Node, Team, Version};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 /// A team this share owns.
 pub struct OwnedTeam {
-    token: FencingToken,
+    pub(crate) token: FencingToken,
     /// The view's revision when it was gained.
     pub gained: Version,
     /// Machines that may still hold tasks of it which nobody has told of.
     pub unreconciled: BTreeSet<MachineId>,
-    attempts: u64,
+    pub(crate) attempts: u64,
     /// Its part in the team's record of grants.
-    pub(super) grant: Option<TeamGrant>,
+    pub(crate) grant: Option<TeamGrant>,
 }
 
 impl OwnedTeam {
     /// The term under which it is owned.
-    pub(super) fn token(&self) -> FencingToken {
+    pub(crate) fn token(&self) -> FencingToken {
         self.token
     }
 }
 
 pub struct Shard {
-    pub(super) config: Rc<Config>,
-    pub(super) incarnation: u64,
-    pub(super) jobs: BTreeMap<JobId, Job>,
+    pub(crate) config: Rc<Config>,
+    pub(crate) incarnation: u64,
+    pub(crate) jobs: BTreeMap<JobId, Job>,
     /// Jobs that need a cancelled one, and when to write that down.
-    pub(super) dependency_cancelled: BTreeMap<JobId, Time>,
+    pub(crate) dependency_cancelled: BTreeMap<JobId, Time>,
     /// Our machines, and others' as far as tasks of our teams may be on them.
-    pub(super) machines: BTreeMap<MachineId, Machine>,
-    pub(super) teams: BTreeMap<Team, OwnedTeam>,
-    map_seen: Option<u64>,
+    pub(crate) machines: BTreeMap<MachineId, Machine>,
+    pub(crate) teams: BTreeMap<Team, OwnedTeam>,
+    pub(crate) map_seen: Option<u64>,
     /// Machines that have orders to be sent at once.
-    pub(super) unsent_commands: BTreeSet<MachineId>,
+    pub(crate) unsent_commands: BTreeSet<MachineId>,
     /// Machines that have come here and were not asked yet what they hold.
-    pub(super) gained: BTreeSet<MachineId>,
+    pub(crate) gained: BTreeSet<MachineId>,
     /// Something changed that placement may profit from.
-    pub(super) changed: bool,
+    pub(crate) changed: bool,
     /// On which machines tasks of each job may be.
-    pub(super) task_index: TaskIndex,
+    pub(crate) task_index: TaskIndex,
     /// Starts that may still reach machines.
-    pub(super) starts_in_flight: StartsInFlight,
+    pub(crate) starts_in_flight: StartsInFlight,
     /// Starts that were held back because another attempt of the task may be on a machine.
-    pub(super) starts_held_back: u64,
+    pub(crate) starts_held_back: u64,
     /// Jobs with progress or an end that is not recorded.
-    pub(super) unrecorded: Unrecorded,
+    pub(crate) unrecorded: Unrecorded,
     /// Jobs with tasks that may be on machines that have not told.
-    pub(super) unreconciled_jobs: BTreeSet<JobId>,
-    next_check: Time,
-    pub(super) next_shard_log: Time,
+    pub(crate) unreconciled_jobs: BTreeSet<JobId>,
+    pub(crate) next_check: Time,
+    pub(crate) next_shard_log: Time,
     /// Attempts and jobs looked at so far because something happened, and rounds of placement.
-    pub(super) visits: u64,
-    pub(super) rounds: u64,
-    scheduled: Time,
+    pub(crate) visits: u64,
+    pub(crate) rounds: u64,
+    pub(crate) scheduled: Time,
     /// Of changes in the state service that record jobs.
-    pub(super) record_rate: TokenBucket,
-    pub(super) running: BTreeMap<JobId, (u32, u32)>,
-    pub(super) running_at: Time,
-    pub(super) weights: Weights,
-    pub(super) forecast: Forecast,
-    pub(super) need: CapacityDemand,
-    pub(super) next_plan: Time,
+    pub(crate) record_rate: TokenBucket,
+    pub(crate) running: BTreeMap<JobId, (u32, u32)>,
+    pub(crate) running_at: Time,
+    pub(crate) weights: Weights,
+    pub(crate) forecast: Forecast,
+    pub(crate) need: CapacityDemand,
+    pub(crate) next_plan: Time,
     /// What the cloud has none of at present, as the leader knows.
-    pub(super) refused: BTreeSet<Offer>,
+    pub(crate) refused: BTreeSet<Offer>,
     /// Images that machines are said to hold.
-    pub(super) hints: Hints,
+    pub(crate) hints: Hints,
     /// Siblings that want to hear of our machines.
-    pub(super) listeners: BTreeSet<Node>,
+    pub(crate) listeners: BTreeSet<Node>,
     /// Something has come up that a sibling should hear of soon.
-    pub(super) sync_soon: bool,
+    pub(crate) sync_soon: bool,
     /// When a worker was last heard.
-    pub(super) heard: Time,
+    pub(crate) heard: Time,
     /// This process stood still and does not know yet what came meanwhile.
-    pub(super) catching_up: bool,
+    pub(crate) catching_up: bool,
 }
 
-/// Images that each machine holds, as far as anybody knows. Only a hint: it decides what is quick,
-/// not what is allowed.
-pub type Hints = BTreeMap<MachineId, Vec<(Image, f64)>>;
-
 /// Part of a lease after which machines are looked at again for what time alone changes.
-const CHECK_LEASES: f64 = 0.005;
+pub(crate) const CHECK_LEASES: f64 = 0.005;
+
 /// Part of a lease between rounds of placement at the least.
-const ROUND_LEASES: f64 = 0.0025;
+pub(crate) const ROUND_LEASES: f64 = 0.0025;
+
 /// Attempt numbers to a term of a team.
-const ATTEMPTS: u64 = 1 << 16;
+pub(crate) const ATTEMPTS: u64 = 1 << 16;
 
 impl Shard {
     pub fn new(config: &Rc<Config>, incarnation: u64, hints: Hints, now: Time) -> Self {
@@ -176,7 +194,7 @@
 
     /// What time alone changes of machines: looked at a fixed number of times a lease, however much
     /// happens.
-    fn check_machines(&mut self, store: &StoreReplica, catalog: &Catalog, now: Time) {
+    pub(crate) fn check_machines(&mut self, store: &StoreReplica, catalog: &Catalog, now: Time) {
         if now < self.next_check {
             return;
         }
@@ -200,7 +218,12 @@
     }
 
     /// A round of placement looks at the whole share, so changes that come close together share one.
-    fn place_when_due(&mut self, outbox: &mut Outbox, store: &StoreReplica, catalog: &Catalog) {
+    pub(crate) fn place_when_due(
+        &mut self,
+        outbox: &mut Outbox,
+        store: &StoreReplica,
+        catalog: &Catalog,
+    ) {
         let workers = &self.config.deployment.workers;
         let since = outbox.now - self.scheduled;
         let due = self.changed && since >= workers.lease_s * ROUND_LEASES;
@@ -224,7 +247,7 @@
     // ---- the share ----
 
     /// Takes up what the map gives this process, and lets go of what it gives to others.
-    pub(super) fn follow_map(
+    pub(crate) fn follow_map(
         &mut self,
         outbox: &mut Outbox,
         store: &StoreReplica,
@@ -241,7 +264,7 @@
         let with_teams: BTreeSet<&Node> = owners.teams.values().map(|owner| &owner.node).collect();
         self.record_rate
             .set_rate(write_rate(&self.config, with_teams.len().max(1)));
-        let mine = |o: &part_map::ShardOwner| o.is(&self.config.node, self.incarnation);
+        let mine = |o: &ShardOwner| o.is(&self.config.node, self.incarnation);
         let sibling = |(node, _): &Process| *node != self.config.node;
         for (id, owner) in &owners.machines {
             let mine = mine(owner);
@@ -327,7 +350,7 @@
     }
 
     /// The teams that the map gives to this process, and under which terms.
-    fn teams_on_map(&self, store: &StoreReplica) -> BTreeMap<Team, FencingToken> {
+    pub(crate) fn teams_on_map(&self, store: &StoreReplica) -> BTreeMap<Team, FencingToken> {
         let teams = store.owners().teams.iter();
         let mine = teams.filter(|(_, owner)| owner.is(&self.config.node, self.incarnation));
         mine.map(|(team, owner)| (team.clone(), owner.token))
@@ -336,7 +359,7 @@
 
     /// Teams that are no longer ours. Under another term a team may have been elsewhere since this
     /// process last read the map, so it is lost and gained anew.
-    fn lost_teams(&self, wanted: &BTreeMap<Team, FencingToken>) -> Vec<Team> {
+    pub(crate) fn lost_teams(&self, wanted: &BTreeMap<Team, FencingToken>) -> Vec<Team> {
         let kept = |team: &Team, owned: &OwnedTeam| wanted.get(team) == Some(&owned.token);
         let lost = self.teams.iter().filter(|(team, owned)| !kept(team, owned));
         lost.map(|(team, _)| team.clone()).collect()
@@ -344,7 +367,7 @@
 
     /// Nothing of a team that is new here is started until every machine in the map has shown
     /// what it holds, or is known empty. Jobs that appear later were started by nobody else.
-    fn gain_team(
+    pub(crate) fn gain_team(
         &mut self,
         outbox: &mut Outbox,
         store: &StoreReplica,
@@ -381,7 +404,7 @@
     }
 
     /// A team's tasks that nobody showed are nowhere once every machine is settled.
-    fn reconcile_when_known(&mut self, store: &StoreReplica) {
+    pub(crate) fn reconcile_when_known(&mut self, store: &StoreReplica) {
         let machines = &self.machines;
         let on_map = &store.owners().machines;
         let reconciled =
@@ -443,7 +466,7 @@
     }
 
     /// A sibling relays a report of this machine, which so does not reach this controller by itself.
-    pub(super) fn note_relayed(&mut self, id: &MachineId, now: Time) {
+    pub(crate) fn note_relayed(&mut self, id: &MachineId, now: Time) {
         if let Some(machine) = self.machines.get_mut(id) {
             machine.relayed = now;
         }
@@ -459,21 +482,21 @@
 
     /// A fresh attempt number for a team's tasks: higher than any before, whoever owned it. None
     /// when the term has no more; the leader gives the team a new one before that.
-    pub(super) fn next_attempt(&mut self, team: &Team) -> Option<Attempt> {
+    pub(crate) fn next_attempt(&mut self, team: &Team) -> Option<Attempt> {
         let team = self.teams.get_mut(team)?;
         team.attempts += 1;
         (team.attempts < ATTEMPTS).then_some(Attempt(team.token.0 * ATTEMPTS + team.attempts))
     }
 
     /// Whether an attempt of a team's task was started here since the team was gained.
-    pub(super) fn started_here(&self, team: &Team, attempt: Attempt) -> bool {
+    pub(crate) fn started_here(&self, team: &Team, attempt: Attempt) -> bool {
         self.teams
             .get(team)
             .is_some_and(|owned| attempt.0 / ATTEMPTS == owned.token.0)
     }
 
     /// Teams whose term is running out of attempt numbers.
-    pub(super) fn teams_short_of_attempts(&self) -> Vec<Team> {
+    pub(crate) fn teams_short_of_attempts(&self) -> Vec<Team> {
         let exhausted = self
             .teams
             .iter()
--- a/src/core/opportunistic/tests.rs
+++ b/src/core/shard/opportunistic/tests.rs
@@ -1,14 +1,17 @@
-use super::super::catalog::Catalog;
-use super::super::machines::TrackedAttempt;
-use super::super::outbox::Outbox;
-use super::super::owned_jobs::describe;
-use super::super::plan::{PackingCandidate, Plan, TaskDemand};
-use super::super::store::StoreReplica;
-use super::super::supply::CapacityDemand;
-use super::super::test_support::{config, record, service, shard, types};
 use super::*;
+use crate::core::effects::outbox::Outbox;
+use crate::core::jobs::job::Job;
+use crate::core::machines::machine::{Machine, TrackedAttempt};
+use crate::core::messages::capacity_demand::{CapacityDemand, Offer};
+use crate::core::model::resources::Resources;
+use crate::core::scheduling::catalog::{Catalog, total_room};
+use crate::core::scheduling::opportunistic::*;
+use crate::core::scheduling::packing::{PackingCandidate, Plan, TaskDemand};
+use crate::core::shard::owned_jobs::describe;
+use crate::core::store::replica::StoreReplica;
+use crate::core::test_support::{config, record, service, shard, types};
 use crate::ids::{Attempt, FencingToken, TaskId, TypeName, Zone};
-use crate::wire::Kind;
+use crate::wire::{JobSpec, Kind, Priority};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
--- a/src/core/owned_jobs.rs
+++ b/src/core/shard/owned_jobs.rs
@@ -1,14 +1,15 @@
 //! The jobs of a share: taking them up from their records, what those that need them ask of them,
 //! and their ends.
 
-use super::Time;
-use super::jobs::{Job, Task};
-use super::machines::{Machine, Phase, TrackedAttempt};
-use super::opportunistic::is_opportunistic;
-use super::owner::Shard;
-use super::placement::Resources;
-use super::store::{JobRecord, StoreReplica, TerminatingTasks};
 use crate::config::Config;
+use crate::core::effects::Time;
+use crate::core::jobs::job::{Job, Task};
+use crate::core::machines::machine::{Machine, Phase, TrackedAttempt};
+use crate::core::model::resources::Resources;
+use crate::core::records::job_record::{JobRecord, TerminatingTasks};
+use crate::core::scheduling::opportunistic::is_opportunistic;
+use crate::core::shard::Shard;
+use crate::core::store::replica::StoreReplica;
 use crate::ids::{Attempt, JobId, MachineId, TaskId, Version, Zone};
 use crate::wire::{JobSpec, TaskState};
 use std::collections::BTreeSet;
@@ -24,7 +25,7 @@
 
 impl Shard {
     /// A job's record is new or has changed.
-    pub(super) fn take_job(
+    pub(crate) fn take_job(
         &mut self,
         store: &StoreReplica,
         id: &JobId,
@@ -150,7 +151,7 @@
     }
 
     /// Where an attempt of a task may be, if anywhere.
-    pub(super) fn other_attempt(&self, task: &TaskId) -> Option<(MachineId, Attempt)> {
+    pub(crate) fn other_attempt(&self, task: &TaskId) -> Option<(MachineId, Attempt)> {
         let first = (task.clone(), Attempt(0));
         let last = (task.clone(), Attempt(u64::MAX));
         self.task_index
@@ -165,7 +166,7 @@
     }
 
     /// Tasks of a job of which an attempt may be on some machine.
-    pub(super) fn tasks_on_machines(&mut self, id: &JobId) -> BTreeSet<u32> {
+    pub(crate) fn tasks_on_machines(&mut self, id: &JobId) -> BTreeSet<u32> {
         let mut tasks = BTreeSet::new();
         self.each_attempt(id, |at, tracked| {
             if !tracked.exited() {
@@ -216,7 +217,7 @@
     }
 
     /// What is recorded as done may be forgotten by its machines.
-    pub(super) fn forget_recorded(&mut self, id: &JobId, record: &JobRecord) {
+    pub(crate) fn forget_recorded(&mut self, id: &JobId, record: &JobRecord) {
         self.each_attempt(id, |at, tracked| {
             let done = tracked.phase == Phase::Exited(crate::wire::Exit::Done);
             tracked.forget |= done && record.done.contains(at.task.index);
@@ -236,7 +237,7 @@
             .collect()
     }
 
-    pub(super) fn count_running(&mut self, now: Time) {
+    pub(crate) fn count_running(&mut self, now: Time) {
         if now < self.running_at + self.config.deployment.workers.lease_s / 20.0 {
             return;
         }
@@ -259,7 +260,7 @@
 
     /// A gang's tasks complete together: if one is done, they all are. The others' machines may
     /// be lost before they can say so.
-    pub(super) fn gang_done(&mut self, id: &JobId) {
+    pub(crate) fn gang_done(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -275,7 +276,7 @@
     }
 
     /// One task of a gang is gone: the others cannot go on, so they make room at once.
-    pub(super) fn gang_lost_one(&mut self, id: &JobId, attempt: Attempt) {
+    pub(crate) fn gang_lost_one(&mut self, id: &JobId, attempt: Attempt) {
         let Some(job) = self
             .jobs
             .get(id)
@@ -307,7 +308,7 @@
     }
 }
 
-pub(super) fn describe(tracked: &mut TrackedAttempt, config: &Config, spec: &JobSpec) {
+pub(crate) fn describe(tracked: &mut TrackedAttempt, config: &Config, spec: &JobSpec) {
     tracked.room = Some(Resources::of(spec));
     tracked.team = Some(spec.team.clone());
     tracked.image = Some((spec.image.clone(), spec.image_gb));
@@ -321,7 +322,7 @@
 }
 
 /// What is left of a cancelled job, as its record tells.
-pub(super) fn describe_terminating(tracked: &mut TrackedAttempt, terminating: &TerminatingTasks) {
+pub(crate) fn describe_terminating(tracked: &mut TrackedAttempt, terminating: &TerminatingTasks) {
     tracked.room = Some(terminating.need);
     tracked.team = Some(terminating.team.clone());
 }
--- a/src/core/preemption.rs
+++ b/src/core/shard/preemption.rs
@@ -2,12 +2,13 @@
 //! team is guaranteed, can run. The cheapest loss goes first, and every task that can save its
 //! progress gets the time to.
 
-use super::Time;
-use super::machines::{Machine, TrackedAttempt};
-use super::owner::Shard;
-use super::placement::Resources;
-use super::quota::Usage;
-use super::schedule::{MachineSnapshot, allowed, team_limits};
+use crate::core::effects::Time;
+use crate::core::machines::machine::{Machine, TrackedAttempt};
+use crate::core::model::resources::Resources;
+use crate::core::scheduling::constraints::{allowed, team_limits};
+use crate::core::scheduling::usage::Usage;
+use crate::core::shard::Shard;
+use crate::core::shard::round::MachineSnapshot;
 use crate::ids::{Attempt, JobId, MachineId, TaskId, Team, Zone};
 use crate::wire::{Kind, Priority};
 use std::collections::BTreeMap;
--- a/src/core/job_records.rs
+++ b/src/core/shard/progress_records.rs
@@ -2,47 +2,47 @@
 //! them, so a record's version is guard enough. Jobs that are due together go into one transaction;
 //! if that fails, each is tried again by itself, so that none waits for another's conflict.
 
-use super::jobs::Job;
-use super::outbox::{Outbox, Pending};
-use super::owner::Shard;
-use super::store::{JobRecord, StoreReplica, job_key, precondition, put};
-use super::{StoreCall, StoreReply, Time};
 use crate::config::Config;
-use crate::ids::{JobId, Version};
-use crate::wire::{BODY_LIMIT, Transaction, Write};
+use crate::core::effects::outbox::Outbox;
+use crate::core::effects::pending::{Pending, RecordWrite};
+use crate::core::effects::{StoreCall, StoreReply, Time};
+use crate::core::jobs::job::Job;
+use crate::core::records::job_record::JobRecord;
+use crate::core::records::keys::job_key;
+use crate::core::records::versioned::{precondition, put};
+use crate::core::shard::Shard;
+use crate::core::store::replica::StoreReplica;
+use crate::ids::JobId;
+use crate::wire::{BODY_LIMIT, Transaction};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Part of the state service's changes a second that progress and ends of jobs may take.
-const SHARE_OF_WRITES: f64 = 0.75;
+pub(crate) const SHARE_OF_WRITES: f64 = 0.75;
+
 /// Bytes that a range of done tasks takes in a record at most.
-const RANGE_BYTES: f64 = 15.0;
+pub(crate) const RANGE_BYTES: f64 = 15.0;
+
 /// Bytes of values that a transaction carries, once reached: with its last value and the guards it
 /// keeps within the limit on bodies.
-const TRANSACTION_BYTES: usize = BODY_LIMIT / 2;
+pub(crate) const TRANSACTION_BYTES: usize = BODY_LIMIT / 2;
+
 /// Seconds before another try, when the record has changed meanwhile.
-const CONFLICT_PAUSE: Time = 0.1;
-/// Seconds before another try, when the outcome is unknown or the service refuses.
-const FAILURE_PAUSE: Time = 0.3;
+pub(crate) const CONFLICT_PAUSE: Time = 0.1;
 
-/// A new record of one job.
-#[derive(Debug)]
-pub struct RecordWrite {
-    job: JobId,
-    version: Version,
-    write: Write,
-}
+/// Seconds before another try, when the outcome is unknown or the service refuses.
+pub(crate) const FAILURE_PAUSE: Time = 0.3;
 
 /// Jobs with something to record, in the order in which they are served. A job may stand in it more
 /// than once; what has been recorded meanwhile is passed over.
 #[derive(Default)]
 pub struct Unrecorded {
-    completed: VecDeque<JobId>,
+    pub(crate) completed: VecDeque<JobId>,
     /// With the time since when each has progress.
-    progressed: VecDeque<(Time, JobId)>,
+    pub(crate) progressed: VecDeque<(Time, JobId)>,
 }
 
 impl Unrecorded {
-    fn add(&mut self, id: &JobId, job: &Job, now: Time) {
+    pub(crate) fn add(&mut self, id: &JobId, job: &Job, now: Time) {
         if job.all_done() {
             self.completed.push_back(id.clone());
         } else {
@@ -51,7 +51,7 @@
     }
 
     /// The next one: a completed job, or one whose progress has waited for `leisure`.
-    fn next(
+    pub(crate) fn next(
         &mut self,
         jobs: &BTreeMap<JobId, Job>,
         leisure: Time,
@@ -98,7 +98,7 @@
 
 impl Shard {
     /// A job has progress, or its end, to be recorded.
-    pub(super) fn note_progress(&mut self, id: &JobId, now: Time) {
+    pub(crate) fn note_progress(&mut self, id: &JobId, now: Time) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -110,7 +110,7 @@
     }
 
     /// Records completed jobs at once, progress at leisure.
-    pub(super) fn record_progress(&mut self, outbox: &mut Outbox) {
+    pub(crate) fn record_progress(&mut self, outbox: &mut Outbox) {
         let mut batch = Vec::new();
         while outbox.may_write() && self.record_rate.has_token(outbox.now) {
             let leisure = self.config.deployment.workers.report_s;
@@ -137,7 +137,7 @@
     }
 
     /// What is to be recorded of a job; nothing if the state service would refuse it.
-    fn next_record(&mut self, id: &JobId, wall_ms: u64) -> Option<RecordWrite> {
+    pub(crate) fn next_record(&mut self, id: &JobId, wall_ms: u64) -> Option<RecordWrite> {
         let value_limit = self.config.deployment.state.value_kb * 1024.0;
         let job = self.jobs.get_mut(id)?;
         let record = if job.all_done() {
@@ -162,7 +162,7 @@
 
     /// Writes down that jobs are cancelled with one that they need. Everybody derives it anyway, so
     /// it comes after all other writes.
-    pub(super) fn record_dependent_cancellations(
+    pub(crate) fn record_dependent_cancellations(
         &mut self,
         outbox: &mut Outbox,
         store: &StoreReplica,
@@ -198,7 +198,7 @@
         self.commit_batches(outbox, batch);
     }
 
-    fn commit_batches(&self, outbox: &mut Outbox, writes: Vec<RecordWrite>) {
+    pub(crate) fn commit_batches(&self, outbox: &mut Outbox, writes: Vec<RecordWrite>) {
         let most = self.config.deployment.state.txn_ops;
         let mut batch = Vec::new();
         let mut bytes = 0;
@@ -216,7 +216,7 @@
     }
 
     /// The answer to a transaction of records.
-    pub(super) fn records_written(
+    pub(crate) fn records_written(
         &mut self,
         outbox: &mut Outbox,
         store: &mut StoreReplica,
@@ -266,7 +266,7 @@
     }
 
     /// What is recorded as done may be forgotten by its machines.
-    fn recorded(&mut self, outbox: &Outbox, store: &StoreReplica, id: &JobId) {
+    pub(crate) fn recorded(&mut self, outbox: &Outbox, store: &StoreReplica, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -279,7 +279,7 @@
 }
 
 /// The record with as much of the progress as a value holds.
-fn progress(job: &Job, value_limit: f64) -> JobRecord {
+pub(crate) fn progress(job: &Job, value_limit: f64) -> JobRecord {
     // The rest of a record keeps within half of the value.
     let ranges = (value_limit / 2.0 / RANGE_BYTES) as usize;
     let mut done = job.done.clone();
@@ -290,7 +290,7 @@
     }
 }
 
-fn commit(outbox: &mut Outbox, records: Vec<RecordWrite>) {
+pub(crate) fn commit(outbox: &mut Outbox, records: Vec<RecordWrite>) {
     let preconditions = records
         .iter()
         .map(|record| precondition(&job_key(&record.job), record.version));
--- a/src/core/job_records/tests.rs
+++ b/src/core/shard/progress_records/tests.rs
@@ -1,9 +1,9 @@
-use super::super::Effect;
-use super::super::jobs::Task;
-use super::super::part_map::ShardEntry;
-use super::super::test_support::{map, owner, record, shard};
-use super::super::unresponsive::UnresponsiveMachines;
 use super::*;
+use crate::core::effects::Effect;
+use crate::core::jobs::job::Task;
+use crate::core::machines::unresponsive::UnresponsiveMachines;
+use crate::core::records::shard_map::ShardEntry;
+use crate::core::test_support::{map, owner, record, shard};
 use std::rc::Rc;
 
 /// A transaction of records, and what it was sent as.
--- a/src/core/schedule.rs
+++ b/src/core/shard/round.rs
@@ -1,14 +1,14 @@
 //! A round of placement: which waiting tasks start where, in what order.
 
-use super::Time;
-use super::catalog::{Catalog, fits_without_gpus};
-use super::jobs::Job;
-use super::machines::Machine;
-use super::owner::Shard;
-use super::placement::{Candidate, Late, Resources, best_fit};
-use super::preemption;
-use super::quota::Usage;
-use crate::config::{Config, TeamLimits};
+use crate::core::effects::Time;
+use crate::core::jobs::job::Job;
+use crate::core::machines::machine::Machine;
+use crate::core::model::resources::Resources;
+use crate::core::scheduling::catalog::{Catalog, fits_without_gpus};
+use crate::core::scheduling::constraints::{ESTIMATE_MARGIN, allowed, due, due_with, team_limits};
+use crate::core::scheduling::placement::{Candidate, Late, best_fit};
+use crate::core::scheduling::usage::Usage;
+use crate::core::shard::{Shard, preemption};
 use crate::ids::{Image, JobId, MachineId, TypeName, Zone};
 use crate::wire::{JobSpec, Kind, Priority};
 use std::collections::{BTreeMap, BTreeSet};
@@ -33,14 +33,14 @@
 
 impl MachineSnapshot {
     /// Free room less what is held back for other images.
-    fn open_to(&self, image: Option<&Image>) -> Resources {
+    pub(crate) fn open_to(&self, image: Option<&Image>) -> Resources {
         let others = self.warm.iter().filter(|(other, _)| Some(other) != image);
         others.fold(self.free, |free, (_, room)| free.less(room))
     }
 
     /// What a task may take of the free room; of a machine with GPUs one that `spares_gpus` takes only
     /// what its free GPUs do without.
-    fn room_for(&self, free: Resources, spares_gpus: bool) -> Resources {
+    pub(crate) fn room_for(&self, free: Resources, spares_gpus: bool) -> Resources {
         if spares_gpus {
             free.beside_free_gpus(&self.total)
         } else {
@@ -49,7 +49,7 @@
     }
 
     /// A task takes room, and what was held back for its image.
-    fn take(&mut self, need: &Resources, image: &Image) {
+    pub(crate) fn take(&mut self, need: &Resources, image: &Image) {
         self.free = self.free.less(need);
         self.later = self.later.less(need);
         if let Some(warm) = self.warm.iter().position(|(held_for, _)| held_for == image) {
@@ -60,82 +60,42 @@
 
 /// What a round of placement knows of the job it looks at.
 #[derive(Clone, Copy)]
-struct Round {
+pub(crate) struct Round {
     /// Machines are about to report for the first time.
-    expecting: bool,
+    pub(crate) expecting: bool,
     /// See [`Shard::spares_gpus`].
-    spares_gpus: bool,
-    now: Time,
+    pub(crate) spares_gpus: bool,
+    pub(crate) now: Time,
 }
 
 /// How machines are looked for.
 #[derive(Clone, Copy)]
-struct PlacementRequest {
+pub(crate) struct PlacementRequest {
     /// Tasks that need one.
-    count: usize,
+    pub(crate) count: usize,
     /// All of them or none.
-    whole: bool,
+    pub(crate) whole: bool,
     /// Room that is held for other images is left alone.
-    spare_warm: bool,
+    pub(crate) spare_warm: bool,
     /// CPUs and memory that belong to free GPUs are left alone.
-    spares_gpus: bool,
+    pub(crate) spares_gpus: bool,
 }
 
 /// Starts issued in one round at most; the next follows at once.
-const STARTS_PER_ROUND: usize = 200;
-
-/// Whether a machine of this type, zone and kind may run the job at all.
-pub fn allowed(spec: &JobSpec, type_name: &TypeName, zone: &Zone, spot: bool) -> bool {
-    (spec.spot || !spot)
-        && spec
-            .types
-            .as_ref()
-            .is_none_or(|types| types.contains(type_name))
-        && spec.zone.as_ref().is_none_or(|only| only == zone)
-}
+pub(crate) const STARTS_PER_ROUND: usize = 200;
 
 /// Where a job stands in the queue: smaller is sooner.
 #[derive(PartialEq)]
-struct QueueRank {
-    priority: std::cmp::Reverse<Priority>,
-    beyond_guarantee: bool,
+pub(crate) struct QueueRank {
+    pub(crate) priority: std::cmp::Reverse<Priority>,
+    pub(crate) beyond_guarantee: bool,
     /// Of its kind it comes last.
-    last: bool,
-    due: Time,
-}
-
-/// What a machine has to be ready for takes the owner's estimate this many times: estimates are
-/// often wrong by half, sometimes by more, and who is late by a fetch is late all the same.
-const ESTIMATE_MARGIN: f64 = 2.0;
-
-/// When a job's start becomes late, if it runs for as long as its owner thinks.
-pub fn due(config: &Config, job: &Job) -> Time {
-    due_with(config, job, 1.0)
-}
-
-fn due_with(config: &Config, job: &Job, margin: f64) -> Time {
-    let spec = &job.spec;
-    let wait = config.wait_objective(&spec.class);
-    let finish = config
-        .finish_objective(&spec.class)
-        .map(|within| job.submitted + within);
-    let finish = [finish, job.deadline]
-        .into_iter()
-        .flatten()
-        .min_by(Time::total_cmp);
-    let finish = finish.map(|at| at - spec.estimate_s * margin);
-    let wait = wait.map(|within| job.submitted + within);
-    let due = [wait, finish].into_iter().flatten().min_by(Time::total_cmp);
-    // Without an objective, work is due one cancellation time after it came.
-    due.unwrap_or(job.submitted + config.deployment.workers.cancel_s)
-}
-
-pub fn team_limits<'a>(config: &'a Config, spec: &JobSpec) -> Option<&'a TeamLimits> {
-    config.team_limits(&spec.team)
+    pub(crate) last: bool,
+    pub(crate) due: Time,
 }
 
 impl Shard {
-    pub(super) fn snapshots(&self, now: Time) -> Vec<MachineSnapshot> {
+    pub(crate) fn snapshots(&self, now: Time) -> Vec<MachineSnapshot> {
         let usable = self.machines.values().filter(|m| m.usable(now));
         usable
             .map(|m| MachineSnapshot {
@@ -154,7 +114,7 @@
     }
 
     /// Jobs with tasks that wait, in the order in which they are served.
-    pub(super) fn queue(&self, usage: &Usage, now: Time) -> Vec<JobId> {
+    pub(crate) fn queue(&self, usage: &Usage, now: Time) -> Vec<JobId> {
         let mut queue: Vec<(QueueRank, Time, &JobId)> = Vec::new();
         for (id, job) in &self.jobs {
             let zoned = job.spec.spread || job.spec.one_zone || job.is_gang();
@@ -184,13 +144,13 @@
 
     /// Opportunistic work of which some has run comes after such that has had nothing yet, and what
     /// fails everywhere after what may run.
-    fn comes_last(&self, job: &Job) -> bool {
+    pub(crate) fn comes_last(&self, job: &Job) -> bool {
         let had_its_turn = job.began && job.is_opportunistic(&self.config);
         had_its_turn || job.failures.fails_everywhere()
     }
 
     /// The waiting tasks of a job that may be started now.
-    fn startable(&self, job: &Job, now: Time) -> Vec<u32> {
+    pub(crate) fn startable(&self, job: &Job, now: Time) -> Vec<u32> {
         let probed = job.failures.fails_everywhere();
         if probed && (job.placed() > 0 || !job.failures.may_probe(now)) {
             return Vec::new();
@@ -210,7 +170,7 @@
     }
 
     /// Starts what waits and finds room; `usage` goes on counting.
-    pub(super) fn schedule(&mut self, now: Time, usage: &mut Usage, catalog: &Catalog) {
+    pub(crate) fn schedule(&mut self, now: Time, usage: &mut Usage, catalog: &Catalog) {
         let mut snapshots = self.snapshots(now);
         self.hold_warm(&mut snapshots, catalog, now);
         let expecting = self.expects_machines(now);
@@ -233,7 +193,7 @@
     /// Whether a job's tasks are to leave CPUs and memory to free GPUs: they need none, and may run on
     /// machines without any. Not if they have waited for such machines in vain, nor if they make way for
     /// everything else anyway.
-    pub(super) fn spares_gpus(&self, id: &JobId, catalog: &Catalog, now: Time) -> bool {
+    pub(crate) fn spares_gpus(&self, id: &JobId, catalog: &Catalog, now: Time) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
@@ -245,7 +205,7 @@
     }
 
     /// Starts what it can of one job, and makes room for the rest; how many tasks it started.
-    fn schedule_job(
+    pub(crate) fn schedule_job(
         &mut self,
         id: &JobId,
         snapshots: &mut [MachineSnapshot],
@@ -350,7 +310,11 @@
 
     /// The last guard against a task that runs twice: a task is not started while an attempt of it may
     /// be on some machine. Such a task should not be waiting at all, so this is logged and counted.
-    fn hold_back_second_attempts(&mut self, id: &JobId, starting: &mut Vec<(u32, usize)>) {
+    pub(crate) fn hold_back_second_attempts(
+        &mut self,
+        id: &JobId,
+        starting: &mut Vec<(u32, usize)>,
+    ) {
         if starting.is_empty() {
             return;
         }
@@ -367,7 +331,12 @@
     /// Holds room back, on machines that have an image whose fetch takes longer than starts may,
     /// for as many of its tasks as came lately: an extension of the design, in which other work
     /// would best-fit itself into just that room.
-    fn hold_warm(&self, snapshots: &mut [MachineSnapshot], catalog: &Catalog, now: Time) {
+    pub(crate) fn hold_warm(
+        &self,
+        snapshots: &mut [MachineSnapshot],
+        catalog: &Catalog,
+        now: Time,
+    ) {
         let tight = self
             .forecast
             .tight_images(&self.config, catalog.types(), now);
@@ -402,7 +371,7 @@
     }
 
     /// Slots for tasks of a job.
-    fn choose(
+    pub(crate) fn choose(
         &self,
         job: &Job,
         search: PlacementRequest,
@@ -434,7 +403,7 @@
         }
     }
 
-    fn choose_in(
+    pub(crate) fn choose_in(
         &self,
         job: &Job,
         search: PlacementRequest,
@@ -529,7 +498,7 @@
 
     /// A job that fails everywhere is tried where its image is, if that is anywhere, and there first
     /// where it has not failed yet.
-    fn without_new_fetches(
+    pub(crate) fn without_new_fetches(
         &self,
         job: &Job,
         eligible: Vec<usize>,
@@ -552,20 +521,20 @@
     }
 
     /// Whether machines of this share are likely to report for the first time before long.
-    fn expects_machines(&self, now: Time) -> bool {
+    pub(crate) fn expects_machines(&self, now: Time) -> bool {
         let patience = self.config.deployment.workers.report_s * 2.0;
         let about_to = |m: &Machine| m.mine && !m.reconciled() && now < m.awaited + patience;
         self.machines.values().any(about_to)
     }
 
     /// Whether the image would have to share the machine's fetch rate.
-    fn queues_up(&self, id: &MachineId, spec: &JobSpec, now: Time) -> bool {
+    pub(crate) fn queues_up(&self, id: &MachineId, spec: &JobSpec, now: Time) -> bool {
         self.machines.get(id).is_some_and(|machine| {
             machine.ready_in(&spec.image, spec.image_gb, now) > machine.fetch_s(spec.image_gb) * 1.1
         })
     }
 
-    pub(super) fn ready_in(&self, id: &MachineId, image: &Image, gb: f64, now: Time) -> Time {
+    pub(crate) fn ready_in(&self, id: &MachineId, image: &Image, gb: f64, now: Time) -> Time {
         self.machines
             .get(id)
             .map_or(Time::INFINITY, |m| m.ready_in(image, gb, now))
@@ -573,7 +542,7 @@
 
     /// Keeps the machines that will soonest hold what a gang still lacks from work that comes
     /// after it, so that small tasks do not starve large ones.
-    fn reserve(&self, id: &JobId, count: usize, snapshots: &mut [MachineSnapshot]) {
+    pub(crate) fn reserve(&self, id: &JobId, count: usize, snapshots: &mut [MachineSnapshot]) {
         let Some(job) = self.jobs.get(id).filter(|job| job.is_gang()) else {
             return;
         };
@@ -591,7 +560,7 @@
 
     /// Machines that the cloud takes away: tasks work on as long as they can still save, and end
     /// before the machine does, so that nobody has to wait for its lease.
-    pub(super) fn drain(&mut self, now: Time) {
+    pub(crate) fn drain(&mut self, now: Time) {
         let margin = self.config.deployment.workers.report_s * 0.5 + 1.0;
         let mut stops = Vec::new();
         for machine in self.machines.values() {
--- a/src/core/share_log.rs
+++ b/src/core/shard/shard_log.rs
@@ -1,10 +1,10 @@
 //! A share's state in the log: what waits, by class, and what is free, by kind of machine. Once a lease, for
 //! whoever looks into an incident later.
 
-use super::Time;
-use super::owner::Shard;
-use super::placement::Resources;
-use super::supply::{MachineDemand, Offer};
+use crate::core::effects::Time;
+use crate::core::messages::capacity_demand::{MachineDemand, Offer};
+use crate::core::model::resources::Resources;
+use crate::core::shard::Shard;
 use std::collections::BTreeMap;
 
 /// The unfinished tasks of one class.
@@ -25,7 +25,7 @@
 }
 
 impl Shard {
-    pub(super) fn log_shard_when_due(&mut self, now: Time) {
+    pub(crate) fn log_shard_when_due(&mut self, now: Time) {
         if now < self.next_shard_log {
             return;
         }
--- a/src/core/peer_sync.rs
+++ b/src/core/shard/sibling_updates.rs
@@ -3,74 +3,21 @@
 //! their team changes hands. All of it is level-triggered: every message holds the whole present
 //! state, so that a lost or late one does no harm.
 
-use super::gained_machines::MachineContacts;
-use super::leader::Leader;
-use super::machines::{Machine, Phase};
-use super::outbox::Outbox;
-use super::owner::{Hints, Shard};
-use super::store::StoreReplica;
-use super::supply::{CapacityDemand, Offer};
-use crate::ids::{Attempt, FencingToken, MachineId, Node, TaskId, Team, Version, Zone};
+use crate::core::effects::outbox::Outbox;
+use crate::core::leader::Leader;
+use crate::core::machines::machine::{Machine, Phase};
+use crate::core::messages::shard_update::{
+    Hints, MachineContacts, PeerUpdate, TaskCommand, TaskObservation,
+};
+use crate::core::shard::Shard;
+use crate::core::store::replica::StoreReplica;
+use crate::ids::{FencingToken, MachineId, Node, TaskId, Team, Version};
 use crate::wire::{ReportedTask, TaskState};
-use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct PeerUpdate {
-    /// The sender's view of the state service was this far: it has seen every change of the map
-    /// up to here, and starts nothing that those took from it.
-    pub revision: Version,
-    /// Whose tasks the observations tell of: the receiver's teams as the sender knows the map. If that
-    /// has seen a team go elsewhere before the receiver did, its silence about that team says nothing.
-    pub teams: BTreeSet<Team>,
-    /// The sender wants to know of all the receiver's machines.
-    pub listening: bool,
-    /// The sender's machines that have shown this term's token, or are known empty.
-    #[serde(rename = "settled")]
-    pub reconciled: Vec<(MachineId, FencingToken)>,
-    /// Of those, the ones with tasks of the receiver's teams.
-    #[serde(rename = "facts")]
-    pub observations: Vec<TaskObservation>,
-    /// What the receiver is to do with the sender's teams' tasks on its machines.
-    #[serde(rename = "wishes")]
-    pub commands: Vec<TaskCommand>,
-    /// To the leader: what the sender's share lacks and has to spare.
-    pub need: CapacityDemand,
-    /// From the leader: what the cloud has none of at present.
-    pub refused: Option<BTreeSet<Offer>>,
-    /// Now and then: the images on the sender's machines; to a process that has just begun, all
-    /// that the sender knows. A new owner starts without them where it would have to fetch.
-    pub images: Hints,
-    /// With the images: where those machines are reached, so that whoever has them next can ask them at once.
-    #[serde(
-        rename = "contacts",
-        default,
-        skip_serializing_if = "MachineContacts::is_empty"
-    )]
-    pub contacts: MachineContacts,
-}
-
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct TaskObservation {
-    pub machine: MachineId,
-    #[serde(rename = "term")]
-    pub token: FencingToken,
-    pub zone: Zone,
-    pub tasks: Vec<ReportedTask>,
-}
-
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct TaskCommand {
-    pub machine: MachineId,
-    pub task: String,
-    pub attempt: Attempt,
-    pub stop: Option<f64>,
-    pub forget: bool,
-}
-
 impl Shard {
     /// Something that a sibling should hear of soon.
-    pub(super) fn take_sync_soon(&mut self) -> bool {
+    pub(crate) fn take_sync_soon(&mut self) -> bool {
         std::mem::take(&mut self.sync_soon)
     }
 
@@ -151,7 +98,7 @@
     }
 
     /// Whether this share waits for observations, or follows tasks on others' machines.
-    fn listening(&self) -> bool {
+    pub(crate) fn listening(&self) -> bool {
         self.teams
             .values()
             .any(|team| !team.unreconciled.is_empty())
@@ -194,8 +141,9 @@
             .map(|observation| (observation.machine.clone(), observation))
             .collect();
         for (id, token) in update.reconciled {
-            let current =
-                |o: &super::part_map::ShardOwner| o.is(from, incarnation) && o.token == token;
+            let current = |o: &crate::core::records::shard_map::ShardOwner| {
+                o.is(from, incarnation) && o.token == token
+            };
             // What a former owner says, or says of an earlier term, does not count.
             if store.owners().machines.get(&id).is_some_and(current) {
                 let observation = observations.remove(&id);
@@ -212,7 +160,7 @@
     }
 
     /// A sibling's machine is settled: these tasks of our teams are on it, and no others.
-    fn take_observation(
+    pub(crate) fn take_observation(
         &mut self,
         outbox: &mut Outbox,
         store: &StoreReplica,
@@ -279,7 +227,12 @@
         self.reconciled_elsewhere(id, revision, covers);
     }
 
-    fn reconciled_elsewhere(&mut self, id: &MachineId, revision: Version, covers: &BTreeSet<Team>) {
+    pub(crate) fn reconciled_elsewhere(
+        &mut self,
+        id: &MachineId,
+        revision: Version,
+        covers: &BTreeSet<Team>,
+    ) {
         for (name, team) in &mut self.teams {
             if revision >= team.gained && covers.contains(name) {
                 team.unreconciled.remove(id);
@@ -288,7 +241,7 @@
     }
 
     /// Carries out what a team's owner wants of a task on one of our machines.
-    fn carry_out(&mut self, store: &StoreReplica, from: &Node, command: TaskCommand) {
+    pub(crate) fn carry_out(&mut self, store: &StoreReplica, from: &Node, command: TaskCommand) {
         let Some(task) = TaskId::parse(&command.task) else {
             return;
         };
@@ -318,7 +271,7 @@
 /// Whether it is known of every task there whose it is. A leader has a machine by its own write
 /// before it has read the jobs that came before that; what it does not know of it cannot pass on,
 /// and its owner would take the machine to be without it.
-fn all_known(machine: &Machine, store: &StoreReplica) -> bool {
+pub(crate) fn all_known(machine: &Machine, store: &StoreReplica) -> bool {
     machine.attempts.iter().all(|((task, _), tracked)| {
         tracked.team.is_some()
             || store
@@ -327,7 +280,7 @@
     })
 }
 
-fn tasks_of(machine: &Machine, teams: &BTreeSet<&Team>) -> Vec<ReportedTask> {
+pub(crate) fn tasks_of(machine: &Machine, teams: &BTreeSet<&Team>) -> Vec<ReportedTask> {
     let of_teams = |team: &Option<Team>| team.as_ref().is_some_and(|team| teams.contains(team));
     let tracked = machine
         .attempts
--- a/src/core/upcoming.rs
+++ b/src/core/shard/soon_ready.rs
@@ -3,15 +3,16 @@
 //! the room that those before them leave behind. A job whose dependencies wait, or run elsewhere,
 //! may be far off, so nothing is rented for it.
 
-use super::Time;
-use super::forecast::longest_boot;
-use super::jobs::Job;
-use super::owner::Shard;
-use super::placement::Resources;
-use super::plan::TaskDemand;
-use super::quota::Usage;
-use super::schedule::team_limits;
-use super::store::{JobRecord, StoreReplica};
+use crate::core::effects::Time;
+use crate::core::jobs::job::Job;
+use crate::core::model::resources::Resources;
+use crate::core::records::job_record::JobRecord;
+use crate::core::scheduling::constraints::team_limits;
+use crate::core::scheduling::forecast::longest_boot;
+use crate::core::scheduling::packing::TaskDemand;
+use crate::core::scheduling::usage::Usage;
+use crate::core::shard::Shard;
+use crate::core::store::replica::StoreReplica;
 use crate::ids::{JobId, MachineId};
 use crate::wire::{JobSpec, JobStatus, Kind, MachineType};
 use std::collections::{BTreeMap, BTreeSet};
@@ -26,7 +27,7 @@
 
 impl Shard {
     /// What becomes ready while a machine boots.
-    pub(super) fn upcoming(
+    pub(crate) fn upcoming(
         &self,
         store: &StoreReplica,
         mut usage: Usage,
--- a/src/core/upcoming/tests.rs
+++ b/src/core/shard/soon_ready/tests.rs
@@ -1,11 +1,12 @@
-use super::super::machines::{Phase, TrackedAttempt};
-use super::super::outbox::Outbox;
-use super::super::owned_jobs::describe;
-use super::super::part_map::ShardEntry as MapShare;
-use super::super::store::{job_key, put};
-use super::super::test_support::{map, owner as map_owner, shard, types};
-use super::super::unresponsive::UnresponsiveMachines;
 use super::*;
+use crate::core::effects::outbox::Outbox;
+use crate::core::machines::machine::{Phase, TrackedAttempt};
+use crate::core::machines::unresponsive::UnresponsiveMachines;
+use crate::core::records::keys::job_key;
+use crate::core::records::shard_map::ShardEntry as MapShare;
+use crate::core::records::versioned::put;
+use crate::core::shard::owned_jobs::describe;
+use crate::core::test_support::{map, owner as map_owner, shard, types};
 use crate::ids::{Attempt, TaskId, Version};
 use crate::wire::TaskState;
 
@@ -72,7 +73,7 @@
         tracked.began = began;
         job.set(
             index,
-            super::super::jobs::Task::Placed("m-1".into(), Attempt(1)),
+            crate::core::jobs::job::Task::Placed("m-1".into(), Attempt(1)),
             None,
         );
         let machine = self
--- a/src/core/owner/tests.rs
+++ b/src/core/shard/tests.rs
@@ -1,9 +1,10 @@
-use super::super::owned_jobs::describe_terminating;
-use super::super::part_map::{ShardEntry, ShardOwner};
-use super::super::store::{job_key, put};
-use super::super::test_support::{map, owner, record, shard};
-use super::super::unresponsive::Unresponsive;
 use super::*;
+use crate::core::messages::shard_update::Unresponsive;
+use crate::core::records::keys::job_key;
+use crate::core::records::shard_map::{ShardEntry, ShardOwner};
+use crate::core::records::versioned::put;
+use crate::core::shard::owned_jobs::describe_terminating;
+use crate::core::test_support::{map, owner, record, shard};
 use crate::ids::TaskId;
 
 /// Its owner may have changed without this process having read so; then somebody else answers
@@ -235,7 +236,7 @@
     };
     machine.attempts.insert((task, Attempt(1)), tracked);
     shard.machines.insert(id.clone(), machine);
-    let news = |teams: &[&str]| super::super::peer_sync::PeerUpdate {
+    let news = |teams: &[&str]| crate::core::messages::shard_update::PeerUpdate {
         revision: 7,
         teams: teams.iter().map(|team| Team::from(*team)).collect(),
         listening: false,
@@ -427,7 +428,7 @@
 #[test]
 fn cancellations_without_a_time_count_until_a_later_record_is_old() {
     let (_, _, mut store) = shard();
-    let since = super::super::cancelled::CancelledSince {
+    let since = crate::core::store::cancelled_jobs::CancelledSince {
         wall_ms: 1000,
         version: 90,
     };
--- a/src/core/tracking.rs
+++ b/src/core/shard/tracking.rs
@@ -2,24 +2,25 @@
 //!
 //! A task counts as possibly on a machine from the moment its start is issued until it is seen
 //! ended or the machine is known empty, and as long as a start of it may still arrive
-//! ([`super::starts_in_flight`]). A machine is known empty when its session has risen, its deletion was
-//! answered, or its lease must have run out since its last answered report ([`super::lease_expiry`]).
+//! ([`crate::core::machines::starts_in_flight`]). A machine is known empty when its session has risen, its deletion was
+//! answered, or its lease must have run out since its last answered report ([`crate::core::shard::lease_expiry`]).
 
-use super::catalog::Catalog;
-use super::jobs::Task;
-use super::machines::{Carrier, Freshness, Phase, TrackedAttempt};
-use super::outbox::Outbox;
-use super::owned_jobs::{describe, describe_terminating};
-use super::owner::Shard;
-use super::placement::Resources;
-use super::store::StoreReplica;
-use super::{Answer, Body, Time};
+use crate::core::effects::outbox::Outbox;
+use crate::core::effects::{Answer, Body, Time};
+use crate::core::jobs::job::Task;
+use crate::core::machines::machine::{Carrier, Freshness, Phase, TrackedAttempt};
+use crate::core::model::resources::Resources;
+use crate::core::scheduling::catalog::Catalog;
+use crate::core::shard::Shard;
+use crate::core::shard::owned_jobs::{describe, describe_terminating};
+use crate::core::store::replica::StoreReplica;
 use crate::ids::{Attempt, JobId, MachineId, TaskId};
 use crate::wire::{Command, Exit, Heartbeat, HeartbeatResponse, Kind, ReportedTask, TaskState};
 use std::collections::BTreeSet;
 
 /// Reports that may fail to show a task whose start was in their answers.
 const REPORTS_WITHOUT_A_START: u32 = 3;
+
 /// Leases for which a machine that fails every job is set aside.
 const CORDON_LEASES: f64 = 20.0;
 
@@ -98,7 +99,7 @@
     }
 
     /// Takes up what a newer message of a machine says.
-    pub(super) fn take_heartbeat(
+    pub(crate) fn take_heartbeat(
         &mut self,
         outbox: &mut Outbox,
         store: &StoreReplica,
@@ -196,7 +197,7 @@
     }
 
     /// One task as its machine shows it.
-    pub(super) fn take_task(
+    pub(crate) fn take_task(
         &mut self,
         outbox: &mut Outbox,
         store: &StoreReplica,
@@ -280,7 +281,7 @@
         }
     }
 
-    pub(super) fn task_exited(
+    pub(crate) fn task_exited(
         &mut self,
         id: &MachineId,
         task: &TaskId,
@@ -407,7 +408,7 @@
 
     /// An attempt is not on the machine (any more), so nothing is known of it any longer; unless a start
     /// of it may still arrive: then the machine gets a fresh token, under which it can't.
-    pub(super) fn drop_attempt(
+    pub(crate) fn drop_attempt(
         &mut self,
         id: &MachineId,
         task: &TaskId,
--- a/src/core/tracking/tests.rs
+++ b/src/core/shard/tracking/tests.rs
@@ -1,11 +1,12 @@
-use super::super::machine_orders::GIVEN_UP_MESSAGES;
-use super::super::part_map::ShardEntry;
-use super::super::part_map::ShardOwner;
-use super::super::store::{job_key, put};
-use super::super::test_support::{map, owner, record, shard};
-use super::super::unresponsive::UnresponsiveMachines;
-use super::super::{CallId, Effect, Pending, WorkerReply};
 use super::*;
+use crate::core::effects::pending::Pending;
+use crate::core::effects::{CallId, Effect, WorkerReply};
+use crate::core::machines::unresponsive::UnresponsiveMachines;
+use crate::core::records::keys::job_key;
+use crate::core::records::shard_map::{ShardEntry, ShardOwner};
+use crate::core::records::versioned::put;
+use crate::core::shard::commands::GIVEN_UP_MESSAGES;
+use crate::core::test_support::{map, owner, record, shard};
 use crate::ids::FencingToken;
 use std::rc::Rc;
 
@@ -112,7 +113,7 @@
 
     /// A sibling says that the first machine is settled under a term, without any task.
     fn observe(&mut self, token: FencingToken) {
-        let update = super::super::peer_sync::PeerUpdate {
+        let update = crate::core::messages::shard_update::PeerUpdate {
             revision: 100,
             teams: ["red".into()].into(),
             listening: false,
--- a/src/core/cancelled.rs
+++ b/src/core/store/cancelled_jobs.rs
@@ -5,7 +5,7 @@
 //! stored records alone: those cancelled a short while ago, and those cancelled since the team was
 //! gained. Older ones have no tasks left and count for nothing, however long the history is.
 
-use super::store::JobRecord;
+use crate::core::records::job_record::JobRecord;
 use crate::ids::{JobId, Version};
 use crate::wire::JobStatus;
 use std::collections::BTreeSet;
--- a/src/core/dependencies.rs
+++ b/src/core/store/dependencies.rs
@@ -5,7 +5,7 @@
 //! reader and for good, even if nobody gets to write that down. Work is in proportion to what
 //! changed: jobs are found by what they need, and only unfinished ones are kept.
 
-use super::store::JobRecord;
+use crate::core::records::job_record::JobRecord;
 use crate::ids::JobId;
 use crate::wire::{JobStatus, Priority};
 use std::collections::{BTreeMap, BTreeSet};
--- /dev/null
+++ b/src/core/store/mod.rs
@@ -0,0 +1,5 @@
+//! TODO.
+
+pub mod cancelled_jobs;
+pub mod dependencies;
+pub mod replica;
