--- a/src/core/store.rs
+++ b/src/core/store/replica.rs
@@ -3,282 +3,69 @@
 //! linearizable: an answer given after a sync that was sent after the question is up to date,
 //! and one sync serves every question that waits.
 
-use super::cancelled::{CancelledJobs, CancelledSince};
-use super::dependencies::{Dependencies, Urgency};
-use super::machine_claims::MachineClaim;
-use super::outbox::Pending;
-use super::ownership::Process;
-use super::part_map::{ShardMap, ShardMapChunk};
-use super::placement::Resources;
-use super::ranges::Ranges;
-use super::{Core, StoreCall, StoreReply, Time};
 use crate::config::Config;
+use crate::core::effects::Time;
+use crate::core::messages::final_states::FinalStates;
+use crate::core::records::job_record::{JobRecord, TerminatingTasks};
+use crate::core::records::keys::{
+    JOB_PREFIX, LEADER_KEY, MAP_PREFIX, NODE_PREFIX, QUOTA_PREFIX, TYPES_KEY, node_key, quota_key,
+};
+use crate::core::records::process_record::ProcessRecord;
+use crate::core::records::shard_map::{ShardMap, ShardMapChunk};
+use crate::core::records::versioned::{StoredLedger, Versioned};
+use crate::core::store::cancelled_jobs::{CancelledJobs, CancelledSince};
+use crate::core::store::dependencies::{Dependencies, Urgency};
 use crate::ids::{FencingToken, JobId, Node, Team, Version};
-use crate::wire::{Change, JobSpec, JobStatus, MachineTypes, Precondition, Write};
+use crate::wire::{Change, JobStatus, MachineTypes, Write};
 use quota_ledger::TeamLedger;
-use serde::{Deserialize, Serialize};
+use serde::Deserialize;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// All keys of the service start with this.
-pub const ROOT: &str = "ochredrum/";
-pub const LEADER_KEY: &str = "ochredrum/leader";
-/// The machine types, as the cloud last told.
-pub const TYPES_KEY: &str = "ochredrum/types";
-const NODE_PREFIX: &str = "ochredrum/node/";
-pub const MAP_PREFIX: &str = "ochredrum/map/";
-const JOB_PREFIX: &str = "ochredrum/job/";
-const QUOTA_PREFIX: &str = "ochredrum/quota/";
-/// Bytes of a key at most.
-const LONGEST_KEY: usize = 200;
-
-pub fn node_key(node: &Node) -> String {
-    format!("{NODE_PREFIX}{node}")
-}
-
-pub fn job_key(job: &JobId) -> String {
-    format!("{JOB_PREFIX}{job}")
-}
-
-/// Where a team's grants are stored; None if its name can't be part of a key.
-pub fn quota_key(team: &Team) -> Option<String> {
-    let key = format!("{QUOTA_PREFIX}{team}");
-    let valid = key.len() <= LONGEST_KEY && !key.contains(char::is_whitespace);
-    valid.then_some(key)
-}
-
-/// A job as known.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(from = "StoredJob", into = "StoredJob")]
-pub struct JobRecord {
-    #[serde(rename = "stance")]
-    pub status: JobStatus,
-    /// When it was accepted, by the accepting controller's time of day.
-    pub accepted_ms: u64,
-    pub tasks: u32,
-    pub done: Ranges,
-    /// Final states do without, so that keeping them for ever costs little.
-    pub spec: Option<Rc<JobSpec>>,
-    /// When it was done or cancelled, by the time of day of who wrote so.
-    pub ended_ms: Option<u64>,
-    /// Of a cancelled job: what its tasks take until they have gone, for so long they count towards
-    /// their team's limit.
-    #[serde(rename = "leaving")]
-    pub terminating: Option<TerminatingTasks>,
-}
-
-/// A job as stored.
-#[derive(Clone, Serialize, Deserialize)]
-struct StoredJob {
-    #[serde(rename = "s")]
-    status: JobStatus,
-    #[serde(rename = "at")]
-    accepted_ms: u64,
-    #[serde(rename = "n")]
-    tasks: u32,
-    #[serde(rename = "d", default, skip_serializing_if = "Ranges::is_empty")]
-    done: Ranges,
-    #[serde(rename = "j", default, skip_serializing_if = "Option::is_none")]
-    spec: Option<Rc<JobSpec>>,
-    /// In place of `j` if it has dependencies. To a version that doesn't know them the job is one
-    /// without a description: it answers for it and cancels it, but never starts or rewrites it.
-    #[serde(rename = "jd", default, skip_serializing_if = "Option::is_none")]
-    dependent: Option<Rc<JobSpec>>,
-    #[serde(rename = "e", default, skip_serializing_if = "Option::is_none")]
-    ended_ms: Option<u64>,
-    #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
-    terminating: Option<TerminatingTasks>,
-}
-
-impl From<StoredJob> for JobRecord {
-    fn from(stored: StoredJob) -> Self {
-        let StoredJob {
-            status,
-            accepted_ms,
-            tasks,
-            done,
-            ended_ms,
-            terminating,
-            ..
-        } = stored;
-        let spec = stored.spec.or(stored.dependent);
-        Self {
-            status,
-            accepted_ms,
-            tasks,
-            done,
-            spec,
-            ended_ms,
-            terminating,
-        }
-    }
-}
-
-impl From<JobRecord> for StoredJob {
-    fn from(record: JobRecord) -> Self {
-        let JobRecord {
-            status,
-            accepted_ms,
-            tasks,
-            done,
-            spec,
-            ended_ms,
-            terminating,
-        } = record;
-        let (dependent, spec) = match spec {
-            Some(spec) if !spec.dependencies.is_empty() => (Some(spec), None),
-            spec => (None, spec),
-        };
-        Self {
-            status,
-            accepted_ms,
-            tasks,
-            done,
-            spec,
-            dependent,
-            ended_ms,
-            terminating,
-        }
-    }
-}
-
-/// What may be left of a cancelled job.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct TerminatingTasks {
-    #[serde(rename = "t")]
-    pub team: Team,
-    #[serde(rename = "n")]
-    pub tasks: u32,
-    #[serde(rename = "r")]
-    pub need: Resources,
-}
-
-impl JobRecord {
-    pub fn is_final(&self) -> bool {
-        matches!(self.status, JobStatus::Done | JobStatus::Cancelled)
-    }
-
-    pub fn done(&self, wall_ms: u64) -> Self {
-        let (done, ended_ms) = (Ranges::default(), Some(wall_ms));
-        Self {
-            status: JobStatus::Done,
-            done,
-            spec: None,
-            ended_ms,
-            ..self.clone()
-        }
-    }
-
-    pub fn cancelled(&self, wall_ms: u64) -> Self {
-        let terminating = self.spec.as_ref().map(|spec| TerminatingTasks {
-            team: spec.team.clone(),
-            tasks: self.tasks.saturating_sub(self.done.len()),
-            need: Resources::of(spec),
-        });
-        Self {
-            status: JobStatus::Cancelled,
-            terminating,
-            ..self.done(wall_ms)
-        }
-    }
-
-    /// Cancelled with what it needs: that was never done, so none of its tasks ever began.
-    pub fn cancelled_unstarted(&self, wall_ms: u64) -> Self {
-        let mut record = self.cancelled(wall_ms);
-        record
-            .terminating
-            .iter_mut()
-            .for_each(|terminating| terminating.tasks = 0);
-        record
-    }
-}
-
-/// Final states that a controller knows beyond those that another one asked from.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct FinalStates {
-    /// Who takes these in knows all up to here.
-    pub upto: Version,
-    /// Nothing that its sender knew is left out.
-    pub complete: bool,
-    pub jobs: Vec<(JobId, Version, JobRecord)>,
-}
-
 /// Final states told at once.
-const FINAL_STATES_PAGE: usize = 200;
-
-/// A controller's process, as its own key and the leader's key name it. Both hang on its lease.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ProcessRecord {
-    pub node: Node,
-    pub incarnation: u64,
-    pub lease: u64,
-    /// It starts nothing of a limited team beyond its grant, once its team has a record of grants.
-    #[serde(rename = "quota", default, skip_serializing_if = "std::ops::Not::not")]
-    pub keeps_grants: bool,
-    /// Processes whose share it lets be handed on, told here as it does not hear the leader
-    /// ([`super::ownership`]).
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub consents: Vec<Process>,
-    /// Machines that the leader is to give to it ([`super::machine_claims`]).
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub claims: Vec<MachineClaim>,
-}
-
-/// A team's record of grants as it is stored.
-#[derive(Clone, Debug)]
-pub struct StoredLedger {
-    pub version: Version,
-    /// None if what is stored is no valid record.
-    pub ledger: Option<TeamLedger>,
-}
-
-#[derive(Clone, Debug)]
-pub struct Versioned<T> {
-    pub version: Version,
-    pub record: T,
-}
+pub(crate) const FINAL_STATES_PAGE: usize = 200;
 
 pub struct StoreReplica {
-    jobs: BTreeMap<JobId, Versioned<Rc<JobRecord>>>,
-    leader: Option<Versioned<ProcessRecord>>,
-    types: Option<Versioned<MachineTypes>>,
-    nodes: BTreeMap<Node, Versioned<ProcessRecord>>,
-    map: BTreeMap<String, Versioned<ShardMapChunk>>,
-    ledgers: BTreeMap<Team, StoredLedger>,
-    owners: ShardMap,
+    pub(crate) jobs: BTreeMap<JobId, Versioned<Rc<JobRecord>>>,
+    pub(crate) leader: Option<Versioned<ProcessRecord>>,
+    pub(crate) types: Option<Versioned<MachineTypes>>,
+    pub(crate) nodes: BTreeMap<Node, Versioned<ProcessRecord>>,
+    pub(crate) map: BTreeMap<String, Versioned<ShardMapChunk>>,
+    pub(crate) ledgers: BTreeMap<Team, StoredLedger>,
+    pub(crate) owners: ShardMap,
     /// Rises with every change of the map.
-    map_changes: u64,
+    pub(crate) map_changes: u64,
     /// Jobs whose records changed since the leader last looked.
-    changed: BTreeSet<JobId>,
-    dependencies: Dependencies,
+    pub(crate) changed: BTreeSet<JobId>,
+    pub(crate) dependencies: Dependencies,
     /// Jobs by the version of their final state.
-    final_states: BTreeSet<(Version, JobId)>,
-    cancelled: CancelledJobs,
+    pub(crate) final_states: BTreeSet<(Version, JobId)>,
+    pub(crate) cancelled: CancelledJobs,
     /// Every final state up to here is known: from our own syncs, or a sibling told.
-    final_states_known: Version,
-    revision: Version,
+    pub(crate) final_states_known: Version,
+    pub(crate) revision: Version,
     /// Newest removal of any other key than a job's, so that an older put cannot bring it back.
-    removed: BTreeMap<String, Version>,
-    listing: Option<FullRead>,
-    complete: bool,
-    in_flight: bool,
-    next_sync: Time,
-    failures: u32,
+    pub(crate) removed: BTreeMap<String, Version>,
+    pub(crate) listing: Option<FullRead>,
+    pub(crate) complete: bool,
+    pub(crate) in_flight: bool,
+    pub(crate) next_sync: Time,
+    pub(crate) failures: u32,
     /// When the last successful sync was sent: everything before then is known.
     pub current_as_of: Time,
-    state_ok: Time,
-    interval: Time,
-    spacing: Time,
-    wanted: bool,
+    pub(crate) state_ok: Time,
+    pub(crate) interval: Time,
+    pub(crate) spacing: Time,
+    pub(crate) wanted: bool,
 }
 
 /// A full read in progress.
-struct FullRead {
-    after: Option<String>,
-    revision: Version,
-    sent: Time,
-    keys: BTreeSet<String>,
+pub(crate) struct FullRead {
+    pub(crate) after: Option<String>,
+    pub(crate) revision: Version,
+    pub(crate) sent: Time,
+    pub(crate) keys: BTreeSet<String>,
 }
 
 impl StoreReplica {
@@ -426,7 +213,7 @@
         }
     }
 
-    fn apply(&mut self, change: &Change) {
+    pub(crate) fn apply(&mut self, change: &Change) {
         if let Some(key) = &change.put {
             self.put(key, &change.value, change.version);
         } else if let Some(key) = &change.deleted {
@@ -434,7 +221,7 @@
         }
     }
 
-    fn put(&mut self, key: &str, value: &Value, version: Version) {
+    pub(crate) fn put(&mut self, key: &str, value: &Value, version: Version) {
         if let Some(id) = key.strip_prefix(JOB_PREFIX) {
             let id = JobId::from(id);
             if self
@@ -480,7 +267,7 @@
         }
     }
 
-    fn put_ledger(&mut self, team: Team, value: &Value, version: Version) {
+    pub(crate) fn put_ledger(&mut self, team: Team, value: &Value, version: Version) {
         if self
             .ledgers
             .get(&team)
@@ -495,7 +282,7 @@
         self.ledgers.insert(team, StoredLedger { version, ledger });
     }
 
-    fn put_job(&mut self, id: JobId, record: JobRecord, version: Version) {
+    pub(crate) fn put_job(&mut self, id: JobId, record: JobRecord, version: Version) {
         if self
             .jobs
             .get(&id)
@@ -620,7 +407,7 @@
         self.final_states_known = self.final_states_known.max(final_states.upto);
     }
 
-    fn remove(&mut self, key: &str, version: Version) {
+    pub(crate) fn remove(&mut self, key: &str, version: Version) {
         if key == LEADER_KEY {
             self.leader.take_if(|known| known.version <= version);
         } else if let Some(node) = key.strip_prefix(NODE_PREFIX) {
@@ -655,13 +442,13 @@
         self.removed.insert(key.to_owned(), version);
     }
 
-    fn map_changed(&mut self) {
+    pub(crate) fn map_changed(&mut self) {
         self.map_changes += 1;
         self.owners = ShardMap::read(self.map.values().map(|chunk| &chunk.record));
     }
 
     /// After a full read: what was not in it is gone, unless it was written since.
-    fn remove_unlisted(&mut self, listed: &BTreeSet<String>, revision: Version) {
+    pub(crate) fn remove_unlisted(&mut self, listed: &BTreeSet<String>, revision: Version) {
         let mut gone: Vec<String> = self.map.keys().cloned().collect();
         gone.push(LEADER_KEY.to_owned());
         gone.extend(self.nodes.keys().map(node_key));
@@ -673,7 +460,7 @@
     }
 }
 
-fn put_newer<T: for<'de> Deserialize<'de>>(
+pub(crate) fn put_newer<T: for<'de> Deserialize<'de>>(
     snapshot: &mut Option<Versioned<T>>,
     value: &Value,
     version: Version,
@@ -687,105 +474,5 @@
     }
 }
 
-pub fn precondition(key: &str, version: Version) -> Precondition {
-    Precondition {
-        key: key.to_owned(),
-        version,
-    }
-}
-
-pub fn put<T: Serialize>(key: &str, record: &T, lease: Option<u64>) -> Write {
-    let value = serde_json::to_value(record).unwrap_or_default();
-    Write::Put {
-        key: key.to_owned(),
-        value,
-        lease,
-    }
-}
-
-impl Core {
-    pub(super) fn sync_when_due(&mut self) {
-        let store = &mut self.store;
-        let now = self.outbox.now;
-        if store.in_flight || now < store.next_sync || !self.outbox.may_read() {
-            return;
-        }
-        if !store.wanted && store.listing.is_none() && now < store.next_sync + store.interval {
-            return;
-        }
-        store.wanted = false;
-        store.in_flight = true;
-        let call = match &store.listing {
-            Some(listing) => StoreCall::List {
-                prefix: ROOT,
-                from: listing.after.clone(),
-            },
-            None if !store.complete => StoreCall::List {
-                prefix: ROOT,
-                from: None,
-            },
-            None => StoreCall::Changes {
-                prefix: ROOT,
-                from: store.revision,
-            },
-        };
-        self.outbox.state(Pending::Sync { sent: now }, call);
-    }
-
-    pub(super) fn synced(&mut self, sent: Time, reply: StoreReply) {
-        let now = self.outbox.now;
-        let store = &mut self.store;
-        store.in_flight = false;
-        store.next_sync = now + store.spacing;
-        match reply {
-            StoreReply::Changes(changes) if store.complete => {
-                for change in &changes.events {
-                    store.apply(change);
-                }
-                store.revision = store.revision.max(changes.revision);
-                store.current_as_of = sent;
-                store.failures = 0;
-            }
-            StoreReply::Listing(page) => {
-                let listing = store.listing.get_or_insert_with(|| FullRead {
-                    after: None,
-                    revision: page.revision,
-                    sent,
-                    keys: BTreeSet::new(),
-                });
-                listing.after = page.entries.last().map(|entry| entry.key.clone());
-                listing
-                    .keys
-                    .extend(page.entries.iter().map(|entry| entry.key.clone()));
-                for entry in &page.entries {
-                    store.put(&entry.key, &entry.value, entry.version);
-                }
-                if !page.more
-                    && let Some(listing) = store.listing.take()
-                {
-                    // Later pages are newer than the first; changes since it are read next.
-                    store.remove_unlisted(&listing.keys, listing.revision);
-                    store.revision = listing.revision;
-                    store.current_as_of = listing.sent;
-                    store.complete = true;
-                }
-                store.failures = 0;
-                store.wanted = true;
-            }
-            StoreReply::TooOld => {
-                store.complete = false;
-                store.listing = None;
-            }
-            _ => {
-                store.failures = (store.failures + 1).min(5);
-                let pause = store.spacing * f64::from(1 << store.failures);
-                store.next_sync = now + self.outbox.jitter(pause);
-                store.wanted = true;
-            }
-        }
-        self.resume_user_requests();
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/src/core/store/tests.rs
+++ b/src/core/store/replica/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::core::records::keys::job_key;
 
 fn ended(status: &str) -> Value {
     serde_json::json!({"s": status, "at": 1, "n": 1})
--- a/src/core/test_support.rs
+++ b/src/core/test_support.rs
@@ -1,11 +1,17 @@
 //! What several unit tests of the core begin with.
 
-use super::outbox::Outbox;
-use super::owner::{Hints, Shard};
-use super::part_map::{ShardEntry, ShardMapChunk, ShardOwner};
-use super::store::{JobRecord, LEADER_KEY, MAP_PREFIX, ProcessRecord, StoreReplica, node_key, put};
-use super::{Core, Effect, Input, StoreCall, StoreReply, Time};
 use crate::config::Config;
+use crate::core::Core;
+use crate::core::effects::outbox::Outbox;
+use crate::core::effects::{Effect, Input, StoreCall, StoreReply, Time};
+use crate::core::messages::shard_update::Hints;
+use crate::core::records::job_record::JobRecord;
+use crate::core::records::keys::{LEADER_KEY, MAP_PREFIX, node_key};
+use crate::core::records::process_record::ProcessRecord;
+use crate::core::records::shard_map::{ShardEntry, ShardMapChunk, ShardOwner};
+use crate::core::records::versioned::put;
+use crate::core::shard::Shard;
+use crate::core::store::replica::StoreReplica;
 use crate::features::Features;
 use crate::ids::{FencingToken, Node, Version};
 use crate::wire::{Entry, Heartbeat, JobSpec, JobStatus, Listing, MachineType, Write};
@@ -16,7 +22,7 @@
     let spec = serde_json::json!({"c": "chat", "t": "red", "k": "standing", "p": "critical",
         "n": 2, "cpu": 1.0, "gpu": 1.0, "mem": 1.0, "img": "i", "igb": 1.0, "est": 0.0,
         "ck": 0.0, "sv": 0.0});
-    let mut ranges = super::ranges::Ranges::default();
+    let mut ranges = crate::core::model::ranges::Ranges::default();
     if done {
         ranges.insert(1);
     }
--- a/src/front.rs
+++ b/src/front.rs
@@ -1,6 +1,6 @@
 //! The listener for users, workers and health checks.
 
-use crate::core::{Answer, Body, UserRequest};
+use crate::core::effects::{Answer, Body, UserRequest};
 use crate::http::{self, BodyError, Reply};
 use crate::ids::JobId;
 use crate::inbox::{Inbox, Question};
--- a/src/inbox.rs
+++ b/src/inbox.rs
@@ -5,8 +5,8 @@
 //! to this process's own calls, lease renewals among them, are never refused: there are only as many
 //! as there are calls.
 
-use crate::core::peers::{MeshMessage, MeshReply};
-use crate::core::{Answer, Input, RequestId, UserRequest};
+use crate::core::effects::{Answer, Input, RequestId, UserRequest};
+use crate::core::messages::mesh::{MeshMessage, MeshReply};
 use crate::wire::Heartbeat;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
--- a/src/mesh.rs
+++ b/src/mesh.rs
@@ -1,8 +1,8 @@
 //! The listener between controllers: their messages (CBOR over HTTP), and operators' questions (JSON).
 
 use crate::config::ProcessLimits;
-use crate::core::Body;
-use crate::core::peers::{MeshMessage, MeshReply};
+use crate::core::effects::Body;
+use crate::core::messages::mesh::{MeshMessage, MeshReply};
 use crate::http::{self, Client, Reply};
 use crate::inbox::{Inbox, Question};
 use crate::status::{self, JSON};
--- a/src/service.rs
+++ b/src/service.rs
@@ -3,7 +3,8 @@
 
 use crate::cloud_client::CloudClient;
 use crate::config::Config;
-use crate::core::{CallId, Core, Effect, Input};
+use crate::core::Core;
+use crate::core::effects::{CallId, Effect, Input};
 use crate::front::MESSAGE_PACK;
 use crate::http::{Bounds, Client};
 use crate::ids::Node;
--- a/src/state_client.rs
+++ b/src/state_client.rs
@@ -1,6 +1,6 @@
 //! Requests to the state service: one try each, with a deadline; the core decides on repeats.
 
-use crate::core::{StoreCall, StoreReply};
+use crate::core::effects::{StoreCall, StoreReply};
 use crate::http::{Client, Failure};
 use crate::wire::{Changes, LeaseId, LeaseLife, Listing, Revision, decode, encode};
 use hyper::Method;
--- a/src/worker_client.rs
+++ b/src/worker_client.rs
@@ -1,6 +1,6 @@
 //! Commands sent straight to a machine's worker.
 
-use crate::core::WorkerReply;
+use crate::core::effects::WorkerReply;
 use crate::http::{Client, Failure};
 use crate::wire::{DirectCommands, decode, encode};
 use hyper::Method;
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -8,9 +8,10 @@
 //!
 //! What is read and written again to the letter can be read by the version that wrote it first.
 
-use ochredrum::core::part_map::ShardMapChunk;
-use ochredrum::core::peers::{MeshMessage, MeshReply};
-use ochredrum::core::store::{JobRecord, ProcessRecord};
+use ochredrum::core::messages::mesh::{MeshMessage, MeshReply};
+use ochredrum::core::records::job_record::JobRecord;
+use ochredrum::core::records::process_record::ProcessRecord;
+use ochredrum::core::records::shard_map::ShardMapChunk;
 use ochredrum::wire::{JobStatus, MachineTypes};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -9,7 +9,7 @@
 
 use hyper::body::Incoming;
 use hyper::{Method, Request};
-use ochredrum::core::{StoreCall, StoreReply};
+use ochredrum::core::effects::{StoreCall, StoreReply};
 use ochredrum::front::MESSAGE_PACK;
 use ochredrum::http::{Bounds, Client, Failure, Reply, read_body, reply, serve};
 use ochredrum::wire::{Transaction, decode, encode};
--- a/tests/world/allowance.rs
+++ b/tests/world/allowance.rs
@@ -1,7 +1,7 @@
 //! The state service's rates of requests and of changes, each with one second's worth of burst.
 
 use super::Limits;
-use ochredrum::core::StoreCall;
+use ochredrum::core::effects::StoreCall;
 
 #[derive(Default)]
 pub struct Allowance {
--- a/tests/world/cloud.rs
+++ b/tests/world/cloud.rs
@@ -1,6 +1,6 @@
 //! The cloud's stand-in.
 
-use ochredrum::core::{CloudCall, CloudReply};
+use ochredrum::core::effects::{CloudCall, CloudReply};
 use ochredrum::ids::{MachineId, TypeName, Zone};
 use ochredrum::wire::{
     ListedMachine, MachineList, MachineNames, MachineState, MachineType, MachineTypes,
--- a/tests/world/commands.rs
+++ b/tests/world/commands.rs
@@ -2,7 +2,7 @@
 
 use super::faults::Who;
 use super::{Event, LEASE_S, World};
-use ochredrum::core::{CallId, Input, WorkerReply};
+use ochredrum::core::effects::{CallId, Input, WorkerReply};
 use ochredrum::ids::MachineId;
 use ochredrum::wire::DirectCommands;
 use rand::Rng;
--- a/tests/world/controllers.rs
+++ b/tests/world/controllers.rs
@@ -5,10 +5,11 @@
 use super::{Event, LEASE_S, World, old, users};
 use failure_detector::Stage;
 use ochredrum::config::Config;
-use ochredrum::core::peers::MeshReply;
-use ochredrum::core::{
-    Answer, CallId, CloudReply, Core, Effect, Input, RequestId, StoreCall, StoreReply,
+use ochredrum::core::Core;
+use ochredrum::core::effects::{
+    Answer, CallId, CloudReply, Effect, Input, RequestId, StoreCall, StoreReply,
 };
+use ochredrum::core::messages::mesh::MeshReply;
 use ochredrum::ids::{MachineId, Node};
 use rand::Rng;
 use std::collections::BTreeMap;
--- a/tests/world/effect_digest.rs
+++ b/tests/world/effect_digest.rs
@@ -1,7 +1,7 @@
 //! A digest of everything that the controllers of a world ask and answer: order, moment and content, in
 //! serialized form, so that it does not depend on how anything is named in the code.
 
-use ochredrum::core::{Answer, Body, CloudCall, Effect, StoreCall};
+use ochredrum::core::effects::{Answer, Body, CloudCall, Effect, StoreCall};
 use serde::Serialize;
 use serde_json::json;
 
--- a/tests/world/event.rs
+++ b/tests/world/event.rs
@@ -2,7 +2,7 @@
 
 use super::faults::Fault;
 use super::users;
-use ochredrum::core::{Answer, CallId, CloudCall, Input, StoreCall};
+use ochredrum::core::effects::{Answer, CallId, CloudCall, Input, StoreCall};
 use ochredrum::ids::MachineId;
 use ochredrum::wire::{DirectCommands, Heartbeat};
 
--- a/tests/world/odd.rs
+++ b/tests/world/odd.rs
@@ -3,7 +3,7 @@
 
 use super::users::Ask;
 use super::{Asker, Event, World};
-use ochredrum::core::{Input, RequestId, UserRequest};
+use ochredrum::core::effects::{Input, RequestId, UserRequest};
 use ochredrum::ids::JobId;
 use ochredrum::wire::{JobSpec, encode, parse_submission};
 use rand::Rng;
--- a/tests/world/old.rs
+++ b/tests/world/old.rs
@@ -2,8 +2,8 @@
 //! not know it neither reads nor writes nor sends. The core itself is the present one, so that an old
 //! controller's faults that have been mended since don't show; see also `tests/compatibility.rs`.
 
-use ochredrum::core::peers::{MeshMessage, MeshReply};
-use ochredrum::core::{Input, StoreCall, StoreReply};
+use ochredrum::core::effects::{Input, StoreCall, StoreReply};
+use ochredrum::core::messages::mesh::{MeshMessage, MeshReply};
 use ochredrum::wire::Write;
 use serde_json::Value;
 
--- a/tests/world/services.rs
+++ b/tests/world/services.rs
@@ -2,7 +2,7 @@
 
 use super::faults::{MapFault, Who};
 use super::{Event, RESTART_S, World};
-use ochredrum::core::{CallId, CloudCall, CloudReply, Input, StoreCall, StoreReply};
+use ochredrum::core::effects::{CallId, CloudCall, CloudReply, Input, StoreCall, StoreReply};
 use ochredrum::wire::{Transaction, Write};
 use rand::Rng;
 
--- a/tests/world/state.rs
+++ b/tests/world/state.rs
@@ -1,6 +1,6 @@
 //! The state service's stand-in.
 
-use ochredrum::core::{StoreCall, StoreReply};
+use ochredrum::core::effects::{StoreCall, StoreReply};
 use ochredrum::wire::{Change, Changes, Entry, Listing, Write};
 use serde_json::Value;
 use std::collections::BTreeMap;
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -1,7 +1,7 @@
 //! Users: they submit, poll and cancel, and hold the service to what it told them.
 
 use super::{Asker, CANCEL_S, Event, World};
-use ochredrum::core::{Answer, Body, Input, RequestId, UserRequest};
+use ochredrum::core::effects::{Answer, Body, Input, RequestId, UserRequest};
 use ochredrum::ids::{JobId, TaskId};
 use ochredrum::wire::{JobSpec, Kind};
 use rand::Rng;
--- a/tests/world/worker.rs
+++ b/tests/world/worker.rs
@@ -2,7 +2,7 @@
 
 use super::faults::{CutManner, Who};
 use super::{Event, FAILS_AT_ONCE, GANG_PEER_S, GANG_WAIT_S, GPUS_MAX, LEASE_S, REPORT_S, World};
-use ochredrum::core::{Answer, Body, CallId, Input, WorkerReply};
+use ochredrum::core::effects::{Answer, Body, CallId, Input, WorkerReply};
 use ochredrum::ids::{Attempt, FencingToken, JobId, MachineId, TaskId};
 use ochredrum::wire::{
     Command, DirectCommands, Exit, Heartbeat, JobSpec, Kind, ReportedTask, TaskState,
@@ -729,7 +729,7 @@
     running.until = f64::INFINITY;
 }
 
-fn release(id: &MachineId) -> ochredrum::core::CloudCall {
+fn release(id: &MachineId) -> ochredrum::core::effects::CloudCall {
     let machines = vec![id.clone()];
-    ochredrum::core::CloudCall::Release(ochredrum::wire::MachineNames { machines })
+    ochredrum::core::effects::CloudCall::Release(ochredrum::wire::MachineNames { machines })
 }
