--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -157,10 +157,18 @@
         if kinds.contains(&kind) {
             seen.insert(kind);
             let written = if written.is_empty() { read } else { written };
-            assert_eq!(rewriter(kind)(read, sent), [written, sent], "{kind}: {name}");
+            assert_eq!(
+                rewriter(kind)(read, sent),
+                [written, sent],
+                "{kind}: {name}"
+            );
         }
     }
-    assert_eq!(seen.len(), kinds.len(), "kinds without a line: {seen:?} of {kinds:?}");
+    assert_eq!(
+        seen.len(),
+        kinds.len(),
+        "kinds without a line: {seen:?} of {kinds:?}"
+    );
 }
 
 #[test]
@@ -210,8 +218,14 @@
 #[test]
 fn printed_schemas_are_unchanged() {
     for (of, before) in [
-        ("features", include_str!("fixtures/before_renames/schema_features.json")),
-        ("status", include_str!("fixtures/before_renames/schema_status.json")),
+        (
+            "features",
+            include_str!("fixtures/before_renames/schema_features.json"),
+        ),
+        (
+            "status",
+            include_str!("fixtures/before_renames/schema_status.json"),
+        ),
     ] {
         let mut program = std::process::Command::new(env!("CARGO_BIN_EXE_ochredrum"));
         let printed = program.args(["schema", of]).output().unwrap();
@@ -222,14 +236,11 @@
 
 /// How each kind in `fixtures/before_renames/forms.tsv` is read and written. Rust's names stand only here.
 fn rewriter(kind: &str) -> fn(&str, &str) -> [String; 2] {
-    use ochredrum::core::part_map::MapChunk;
-    use ochredrum::core::peers::{MeshMessage, MeshReply};
-    use ochredrum::core::view::{JobRecord, ProcessRecord};
     use ochredrum::wire;
     match kind {
         "job" => stored::<JobRecord>,
         "process" => stored::<ProcessRecord>,
-        "map" => stored::<MapChunk>,
+        "map" => stored::<ShardMapChunk>,
         "grants" => |text, _| {
             let ledger = quota_ledger::TeamLedger::decode(&parsed(text)).unwrap();
             [serde_json::to_string(&ledger).unwrap(), String::new()]
@@ -239,9 +250,9 @@
         "mesh message" => in_cbor::<MeshMessage>,
         "mesh reply" => in_cbor::<MeshReply>,
         "machine types" => in_messagepack::<wire::MachineTypes>,
-        "report" => in_messagepack::<wire::Report>,
-        "report answer" => in_messagepack::<wire::ReportAnswer>,
-        "direct orders" => in_messagepack::<wire::DirectOrders>,
+        "report" => in_messagepack::<wire::Heartbeat>,
+        "report answer" => in_messagepack::<wire::HeartbeatResponse>,
+        "direct orders" => in_messagepack::<wire::DirectCommands>,
         "rental" => in_messagepack::<wire::Rental>,
         "machine names" => in_messagepack::<wire::MachineNames>,
         "machine list" => in_messagepack::<wire::MachineList>,
@@ -254,7 +265,10 @@
         "submission" => |text, _| {
             let body = wire::encode(&parsed::<Value>(text));
             let read = wire::parse_submission(&body).unwrap();
-            [serde_json::to_string(&read).unwrap(), hexadecimal(&wire::encode(&read))]
+            [
+                serde_json::to_string(&read).unwrap(),
+                hexadecimal(&wire::encode(&read)),
+            ]
         },
         "status answer" => |text, _| {
             let (job, status) = parsed(text);
@@ -266,7 +280,7 @@
         },
         "conductor" => |text, _| {
             let node = parsed::<Option<_>>(text);
-            answered(&wire::report_to(node.as_ref()))
+            answered(&wire::redirect_to(node.as_ref()))
         },
         _ => panic!("{kind}"),
     }
@@ -277,11 +291,17 @@
 }
 
 fn answered(answer: &Value) -> [String; 2] {
-    [answer.to_string(), hexadecimal(&ochredrum::wire::encode(answer))]
+    [
+        answer.to_string(),
+        hexadecimal(&ochredrum::wire::encode(answer)),
+    ]
 }
 
 fn stored<T: DeserializeOwned + Serialize>(text: &str, _: &str) -> [String; 2] {
-    [serde_json::to_string(&parsed::<T>(text)).unwrap(), String::new()]
+    [
+        serde_json::to_string(&parsed::<T>(text)).unwrap(),
+        String::new(),
+    ]
 }
 
 /// The JSON is read from the text, the binary form from the binary one, if there is one yet.
@@ -298,8 +318,15 @@
 fn in_messagepack<T: DeserializeOwned + Serialize>(text: &str, sent: &str) -> [String; 2] {
     let decoded = |body: Vec<u8>| ochredrum::wire::decode::<T>(&body).unwrap();
     let told = decoded(ochredrum::wire::encode(&parsed::<Value>(text)));
-    let read = if sent.is_empty() { &told } else { &decoded(bytes(sent)) };
-    [serde_json::to_string(&told).unwrap(), hexadecimal(&ochredrum::wire::encode(read))]
+    let read = if sent.is_empty() {
+        &told
+    } else {
+        &decoded(bytes(sent))
+    };
+    [
+        serde_json::to_string(&told).unwrap(),
+        hexadecimal(&ochredrum::wire::encode(read)),
+    ]
 }
 
 fn bytes(hex: &str) -> Vec<u8> {
@@ -327,7 +354,11 @@
             check(&changed)
         };
         let old = whole.pointer(&place).unwrap();
-        let wrong = if old.is_boolean() { Value::from("wrong") } else { Value::from(true) };
+        let wrong = if old.is_boolean() {
+            Value::from("wrong")
+        } else {
+            Value::from(true)
+        };
         assert!(with(wrong).is_err(), "{file} {place} is not read");
         let (parent, name) = place.rsplit_once('/').unwrap();
         let mut without = whole.clone();
@@ -335,9 +366,15 @@
             Value::Object(fields) => fields.remove(name).is_some() && check(&without).is_ok(),
             _ => true,
         };
-        let need = if left_out { "may be left out" } else { "needed" };
+        let need = if left_out {
+            "may be left out"
+        } else {
+            "needed"
+        };
         let refusal = match old.is_number() {
-            true => with(Value::from(-1)).err().filter(|error| !error.contains(" | ")),
+            true => with(Value::from(-1))
+                .err()
+                .filter(|error| !error.contains(" | ")),
             false => None,
         };
         lines += &format!("{file}\t{place}\t{need}\t{}\n", refusal.unwrap_or_default());
@@ -348,11 +385,19 @@
 fn inner_places(value: &Value, at: &str) -> Vec<String> {
     let inner: Vec<(String, &Value)> = match value {
         Value::Object(fields) => fields.iter().map(|(name, v)| (name.clone(), v)).collect(),
-        Value::Array(items) => items.iter().enumerate().map(|(i, v)| (i.to_string(), v)).collect(),
+        Value::Array(items) => items
+            .iter()
+            .enumerate()
+            .map(|(i, v)| (i.to_string(), v))
+            .collect(),
         _ => Vec::new(),
     };
-    let places = inner.into_iter().map(|(name, v)| (format!("{at}/{name}"), v));
-    places.flat_map(|(at, v)| [vec![at.clone()], inner_places(v, &at)].concat()).collect()
+    let places = inner
+        .into_iter()
+        .map(|(name, v)| (format!("{at}/{name}"), v));
+    places
+        .flat_map(|(at, v)| [vec![at.clone()], inner_places(v, &at)].concat())
+        .collect()
 }
 
 fn all_places(settings: &str, features: &str) -> String {
