--- a/src/core/controller/acquired_machines.rs
+++ b/src/core/controller/acquired_machines.rs
@@ -14,14 +14,14 @@
             return;
         };
         if !self.config.features.acts_on_failures() {
-            return owner.gained.clear();
+            return owner.uninspected_machines.clear();
         }
         let most = owner.max_direct_commands();
         while self.outbox.direct_commands() < most
-            && let Some(id) = owner.gained.pop_first()
+            && let Some(id) = owner.uninspected_machines.pop_first()
         {
             let machine = owner.machines.get(&id);
-            let machine = machine.filter(|machine| machine.mine && !machine.reconciled());
+            let machine = machine.filter(|machine| machine.is_owned && !machine.reconciled());
             let (Some(machine), Some(contact)) = (machine, self.contacts.get(&id)) else {
                 continue;
             };
@@ -51,7 +51,7 @@
                     contact.filter(|contact| contact.agent_epoch < heartbeat.agent_epoch)
                 {
                     contact.agent_epoch = heartbeat.agent_epoch;
-                    owner.gained.insert(id.clone());
+                    owner.uninspected_machines.insert(id.clone());
                 }
             }
             _ => {}
--- a/src/core/controller/acquired_machines/tests.rs
+++ b/src/core/controller/acquired_machines/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
-use crate::core::effects::{Effect, Time};
+use crate::core::effects::Effect;
 use crate::core::machines::machine::Machine;
 use crate::core::messages::shard_update::{MachineContact, MachineContacts};
+use crate::core::model::time::Time;
 use crate::core::shard::Shard;
 use crate::core::test_support::{heartbeat, running_core};
 use crate::ids::FencingToken;
@@ -21,9 +22,9 @@
         .extend(MachineContacts::from_iter([(id.clone(), contact)]));
     let owner = core.shard.as_mut().unwrap();
     let mut machine = Machine::named(id.clone(), TERM, answered);
-    machine.mine = true;
+    machine.is_owned = true;
     owner.machines.insert(id.clone(), machine);
-    owner.gained.insert(id);
+    owner.uninspected_machines.insert(id);
     core.outbox.take_effects();
     core
 }
@@ -86,7 +87,7 @@
     core.store.current_as_of = NOW + 0.5;
     let owner = core.shard.as_mut().unwrap();
     owner.expire_machines(&core.store, NOW + 0.5);
-    assert!(!machine(&core).empty && machine(&core).trusted);
+    assert!(!machine(&core).known_empty && machine(&core).token_confirmed);
 }
 
 #[test]
@@ -102,7 +103,7 @@
         &"m-1".into(),
         WorkerReply::Executed(heartbeat("m-1", 1, 8, TERM)),
     );
-    assert!(machine(&core).empty && !machine(&core).trusted);
+    assert!(machine(&core).known_empty && !machine(&core).token_confirmed);
 }
 
 #[test]
--- a/src/core/controller/deferred_heartbeats.rs
+++ b/src/core/controller/deferred_heartbeats.rs
@@ -4,7 +4,8 @@
 
 use crate::config::Config;
 use crate::core::Core;
-use crate::core::effects::{Answer, RequestId, Time};
+use crate::core::effects::{Answer, RequestId};
+use crate::core::model::time::Time;
 use crate::core::records::shard_map::ShardOwner;
 use crate::ids::Node;
 use crate::wire::Heartbeat;
--- a/src/core/controller/failure_detection/tests.rs
+++ b/src/core/controller/failure_detection/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
-use crate::core::effects::{Effect, StoreReply, Time};
+use crate::core::effects::{Effect, StoreReply};
+use crate::core::model::time::Time;
 use crate::core::records::keys::LEADER_KEY;
 use crate::core::records::versioned::precondition;
 use crate::core::test_support::{OWN_LEASE, answered_until, running_core};
--- a/src/core/controller/hello.rs
+++ b/src/core/controller/hello.rs
@@ -1,8 +1,10 @@
 use crate::core::Core;
 use crate::core::effects::pending::Pending;
 use crate::core::effects::{Answer, Body, RequestId, UserRequest};
+use crate::core::leader::Leader;
 use crate::core::membership::peers::IMAGES_EVERY;
 use crate::core::messages::mesh::{Hello, HelloReply, MeshMessage, MeshReply};
+use crate::core::model::process::ProcessId;
 use crate::core::shard::Shard;
 use crate::ids::Node;
 use failure_detector::Incarnation;
@@ -55,7 +57,13 @@
                 } else {
                     Default::default()
                 };
-                owner.update_for(&node, &self.store, self.leader.as_ref(), images, contacts)
+                owner.update_for(
+                    &node,
+                    &self.store,
+                    self.leader.as_ref().map(Leader::refused),
+                    images,
+                    contacts,
+                )
             });
             let hello = Hello {
                 from: self.peers.node.clone(),
@@ -107,7 +115,8 @@
         self.peers.detector.message_received(&from, now);
         let registered = self.store.is_registered(&from, incarnation);
         if hello.authority_ends {
-            self.peers.says_authority_ends(&(from.clone(), incarnation));
+            self.peers
+                .says_authority_ends(&ProcessId::new(from.clone(), incarnation));
         }
         let Some(peer) = self.peers.peers.get_mut(&from) else {
             return self.outbox.mesh_answer(request, MeshReply::Noted);
@@ -140,7 +149,7 @@
         if let (Some(mut update), false) = (hello.update, late) {
             self.contacts.extend(std::mem::take(&mut update.contacts));
             if let Some(leader) = self.leader.as_mut() {
-                leader.needs(&from, update.need.clone());
+                leader.set_demand(&from, update.demand.clone());
             }
             if let Some(owner) = self.shard.as_mut() {
                 owner.take_update(&mut self.outbox, &self.store, &from, incarnation, update);
--- a/src/core/controller/ownership.rs
+++ b/src/core/controller/ownership.rs
@@ -1,7 +1,8 @@
 use crate::core::Core;
 use crate::core::effects::pending::{OwnershipCall, Pending};
-use crate::core::effects::{StoreCall, StoreReply, Time};
+use crate::core::effects::{StoreCall, StoreReply};
 use crate::core::membership::ownership::Lease;
+use crate::core::model::time::Time;
 use crate::core::records::keys::{LEADER_KEY, node_key};
 use crate::core::records::process_record::ProcessRecord;
 use crate::core::records::versioned::{precondition, put};
--- a/src/core/controller/status.rs
+++ b/src/core/controller/status.rs
@@ -3,7 +3,7 @@
 use crate::config::TeamLimits;
 use crate::core::Core;
 use crate::core::effects::{Answer, Body, RequestId};
-use crate::core::model::process::Process;
+use crate::core::model::process::ProcessId;
 use crate::core::records::versioned::StoredLedger;
 use crate::core::scheduling::usage::{Basis, are_on};
 use crate::core::shard::grants::TeamGrant;
@@ -82,22 +82,16 @@
     /// Processes that own something though they have failed or their keys have gone.
     fn hand_over_statuses(&self) -> Vec<HandOverStatus> {
         let owners = self.store.owners();
-        let mut owned: BTreeMap<Process, (usize, usize)> = BTreeMap::new();
+        let mut owned: BTreeMap<ProcessId, (usize, usize)> = BTreeMap::new();
         for owner in owners.teams.values() {
-            owned
-                .entry((owner.node.clone(), owner.incarnation))
-                .or_default()
-                .0 += 1;
+            owned.entry(owner.process()).or_default().0 += 1;
         }
         for owner in owners.machines.values() {
-            owned
-                .entry((owner.node.clone(), owner.incarnation))
-                .or_default()
-                .1 += 1;
+            owned.entry(owner.process()).or_default().1 += 1;
         }
-        let status = |(process, (teams, machines)): (Process, (usize, usize))| {
+        let status = |(process, (teams, machines)): (ProcessId, (usize, usize))| {
             let reason = self.hand_over_wait(&process)?;
-            let (controller, incarnation) = (process.0.to_string(), process.1);
+            let (controller, incarnation) = (process.node.to_string(), process.incarnation);
             Some(HandOverStatus {
                 controller,
                 incarnation,
@@ -109,9 +103,9 @@
         owned.into_iter().filter_map(status).collect()
     }
 
-    fn hand_over_wait(&self, process: &Process) -> Option<HandOverWait> {
-        if self.store.is_registered(&process.0, process.1) {
-            let failed = self.peers.detector().has_failed(&process.0);
+    fn hand_over_wait(&self, process: &ProcessId) -> Option<HandOverWait> {
+        if self.store.is_registered(&process.node, process.incarnation) {
+            let failed = self.peers.detector().has_failed(&process.node);
             return failed.then_some(HandOverWait::Key);
         }
         if self.leader.is_none() {
--- a/src/core/controller/store_sync.rs
+++ b/src/core/controller/store_sync.rs
@@ -1,6 +1,7 @@
 use crate::core::Core;
 use crate::core::effects::pending::Pending;
-use crate::core::effects::{StoreCall, StoreReply, Time};
+use crate::core::effects::{StoreCall, StoreReply};
+use crate::core::model::time::Time;
 use crate::core::records::keys::ROOT;
 use crate::core::store::replica::FullRead;
 use std::collections::BTreeSet;
--- a/src/core/controller/user_requests.rs
+++ b/src/core/controller/user_requests.rs
@@ -4,8 +4,9 @@
 
 use crate::core::Core;
 use crate::core::effects::pending::{Pending, ReplyTo, UserWrite, WaitingRequest};
-use crate::core::effects::{Answer, Body, RequestId, StoreCall, StoreReply, Time, UserRequest};
+use crate::core::effects::{Answer, Body, RequestId, StoreCall, StoreReply, UserRequest};
 use crate::core::messages::mesh::{MeshMessage, MeshReply};
+use crate::core::model::time::Time;
 use crate::core::records::job_record::JobRecord;
 use crate::core::records::keys::job_key;
 use crate::core::records::versioned::{Versioned, precondition, put};
--- a/src/core/effects/mod.rs
+++ b/src/core/effects/mod.rs
@@ -12,9 +12,6 @@
 };
 use serde_json::Value;
 
-/// Seconds on the process's steady clock.
-pub type Time = f64;
-
 /// A request that somebody waits on.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct RequestId(pub u64);
--- a/src/core/effects/outbox.rs
+++ b/src/core/effects/outbox.rs
@@ -3,10 +3,9 @@
 use crate::config::Config;
 use crate::core::effects::pacing::Pacing;
 use crate::core::effects::pending::{CloudOperation, Pending};
-use crate::core::effects::{
-    Answer, CallId, CloudCall, Effect, RequestId, StoreCall, StoreReply, Time,
-};
+use crate::core::effects::{Answer, CallId, CloudCall, Effect, RequestId, StoreCall, StoreReply};
 use crate::core::messages::mesh::{MeshMessage, MeshReply};
+use crate::core::model::time::Time;
 use crate::ids::{MachineId, Node};
 use crate::wire::DirectCommands;
 use rand::Rng;
--- a/src/core/effects/pacing.rs
+++ b/src/core/effects/pacing.rs
@@ -5,7 +5,7 @@
 //! that hang on the lease are never held back: they come first when there is room again.
 
 use crate::config::Config;
-use crate::core::effects::Time;
+use crate::core::model::time::Time;
 
 /// The shortest pause, in writes that the state service takes meanwhile.
 const PAUSE_WRITES: f64 = 2.0;
--- a/src/core/effects/pending.rs
+++ b/src/core/effects/pending.rs
@@ -1,4 +1,5 @@
-use crate::core::effects::{RequestId, Time, UserRequest};
+use crate::core::effects::{RequestId, UserRequest};
+use crate::core::model::time::Time;
 use crate::core::records::shard_map::ShardOwner;
 use crate::ids::{FencingToken, JobId, MachineId, Node, Team, Version};
 use crate::wire::{Heartbeat, ListedMachine, Rental, Write};
--- a/src/core/jobs/failures.rs
+++ b/src/core/jobs/failures.rs
@@ -5,7 +5,7 @@
 //! cancels it. Until it proves otherwise it is only probed: one task (of a gang all) at growing intervals,
 //! in room that is free, where its image is; it neither rents nor takes anything for that.
 
-use crate::core::effects::Time;
+use crate::core::model::time::Time;
 use crate::ids::MachineId;
 use std::collections::BTreeSet;
 
--- a/src/core/jobs/job.rs
+++ b/src/core/jobs/job.rs
@@ -1,9 +1,9 @@
 //! An unfinished job as the leader runs it.
 
-use crate::core::effects::Time;
 use crate::core::jobs::failures::JobFailures;
 use crate::core::model::ranges::Ranges;
 use crate::core::model::resources::Resources;
+use crate::core::model::time::Time;
 use crate::core::records::job_record::JobRecord;
 use crate::ids::{Attempt, MachineId, Version, Zone};
 use crate::wire::{JobSpec, Kind, Priority};
--- a/src/core/leader/claims.rs
+++ b/src/core/leader/claims.rs
@@ -1,6 +1,6 @@
-use crate::core::effects::Time;
 use crate::core::leader::Leader;
 use crate::core::machines::claims::CLAIM_LEASES;
+use crate::core::model::time::Time;
 use crate::core::store::replica::StoreReplica;
 use crate::ids::Node;
 use std::collections::BTreeMap;
@@ -21,15 +21,15 @@
                 let Some(owner) = self.map.owners.machines.get(&claim.machine) else {
                     continue;
                 };
-                let former = (owner.node.clone(), owner.incarnation);
-                let lives = living.get(&former.0) == Some(&former.1);
+                let former = owner.process();
+                let lives = living.get(&former.node) == Some(&former.incarnation);
                 if owner.token != claim.token || owner.node == *node || !lives {
                     continue;
                 }
                 tracing::info!(
                     "{} moves from {} to {node}, which hears it",
                     claim.machine,
-                    former.0
+                    former.node
                 );
                 self.assign_machine(&claim.machine, node, incarnation, Some(former));
                 self.claimed.insert(claim.machine.clone(), now);
--- a/src/core/leader/grants.rs
+++ b/src/core/leader/grants.rs
@@ -1,8 +1,9 @@
 use crate::core::leader::Leader;
+use crate::core::model::process::ProcessId;
 use crate::core::records::shard_map::ShardOwner;
 use crate::core::scheduling::usage::are_on;
 use crate::core::store::replica::StoreReplica;
-use crate::ids::{FencingToken, Node, Team};
+use crate::ids::{FencingToken, Team};
 use std::collections::BTreeSet;
 
 impl Leader {
@@ -12,8 +13,8 @@
         let all = records.clone().all(|record| record.keeps_grants);
         let keepers = records
             .filter(|_| all)
-            .map(|record| (record.node.clone(), record.incarnation));
-        self.grant_keepers = keepers.collect::<BTreeSet<(Node, u64)>>();
+            .map(|record| ProcessId::new(record.node.clone(), record.incarnation));
+        self.grant_keepers = keepers.collect::<BTreeSet<ProcessId>>();
     }
 
     /// Teams whose owners keep to grants, of which that is not noted: from the owner's own term on.
@@ -31,7 +32,7 @@
 
     /// Whether the process that owns something keeps to grants, as all others do.
     pub(crate) fn keeps_grants(&self, owner: &ShardOwner) -> bool {
-        let process = (owner.node.clone(), owner.incarnation);
+        let process = owner.process();
         are_on(&self.config) && self.grant_keepers.contains(&process)
     }
 }
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -13,14 +13,15 @@
 use crate::config::Config;
 use crate::core::effects::outbox::Outbox;
 use crate::core::effects::pending::{MapWrite, Pending};
-use crate::core::effects::{StoreCall, StoreReply, Time};
+use crate::core::effects::{StoreCall, StoreReply};
 use crate::core::leader::scaling::CloudRequests;
 use crate::core::leader::shard_map_editor::ShardMapEditor;
 use crate::core::machines::unresponsive::UnresponsiveMachines;
 use crate::core::membership::ownership::OwnershipLease;
 use crate::core::membership::peers::Peers;
-use crate::core::messages::capacity_demand::{CapacityDemand, Offer};
-use crate::core::model::process::Process;
+use crate::core::messages::capacity_demand::{CapacityDemand, MachineOffer};
+use crate::core::model::process::ProcessId;
+use crate::core::model::time::Time;
 use crate::core::records::keys::{LEADER_KEY, node_key};
 use crate::core::records::shard_map::ShardOwner;
 use crate::core::records::versioned::{precondition, put};
@@ -48,7 +49,7 @@
     /// with unknown outcome may turn up there late, and the next would undo it.
     pub(crate) base: BTreeMap<String, Version>,
     /// Terms of this turn's changes.
-    pub(crate) terms: BTreeMap<Process, FencingToken>,
+    pub(crate) terms: BTreeMap<ProcessId, FencingToken>,
     /// Limits of values and transactions: the settings', less where the state service refused more.
     pub(crate) value_kb: f64,
     pub(crate) values_per_write: usize,
@@ -56,11 +57,11 @@
     pub(crate) next_write: Time,
     /// The map as stored may differ from ours: a write failed or its outcome is unknown.
     pub(crate) reread: bool,
-    pub(crate) needs: BTreeMap<Node, CapacityDemand>,
+    pub(crate) demands: BTreeMap<Node, CapacityDemand>,
     /// Machines that reported and are not on the map.
-    pub(crate) unassigned_machines: BTreeMap<MachineId, Offer>,
+    pub(crate) unassigned_machines: BTreeMap<MachineId, MachineOffer>,
     /// Living processes that keep to grants of team limits, if all of them do.
-    pub(crate) grant_keepers: BTreeSet<Process>,
+    pub(crate) grant_keepers: BTreeSet<ProcessId>,
     pub(crate) next_round: Time,
     /// Machines that were claimed, and when: they can't reach those who had them.
     pub(crate) claimed: BTreeMap<MachineId, Time>,
@@ -87,7 +88,7 @@
             writing: false,
             next_write: now,
             reread: false,
-            needs: BTreeMap::new(),
+            demands: BTreeMap::new(),
             unassigned_machines: BTreeMap::new(),
             grant_keepers: BTreeSet::new(),
             next_round: now,
@@ -103,22 +104,22 @@
         self.map.terms_exhausted() && !self.writing
     }
 
-    pub fn refused(&self) -> BTreeSet<Offer> {
+    pub fn refused(&self) -> BTreeSet<MachineOffer> {
         self.cloud.refused()
     }
 
-    pub fn needs(&mut self, node: &Node, need: CapacityDemand) {
-        self.needs.insert(node.clone(), need);
+    pub fn set_demand(&mut self, node: &Node, need: CapacityDemand) {
+        self.demands.insert(node.clone(), need);
     }
 
     /// A machine reported that is not on the map: it gets an owner.
     pub fn add_unassigned_machine(&mut self, heartbeat: &Heartbeat) {
         if !self.map.owners.machines.contains_key(&heartbeat.machine) {
-            let offer = (
-                heartbeat.type_name.clone(),
-                heartbeat.zone.clone(),
-                heartbeat.spot,
-            );
+            let offer = MachineOffer {
+                type_name: heartbeat.type_name.clone(),
+                zone: heartbeat.zone.clone(),
+                spot: heartbeat.spot,
+            };
             self.unassigned_machines
                 .insert(heartbeat.machine.clone(), offer);
         }
@@ -140,7 +141,7 @@
             .iter()
             .map(|(node, n)| (node.clone(), n.record.incarnation))
             .collect();
-        self.needs.retain(|node, _| living.contains_key(node));
+        self.demands.retain(|node, _| living.contains_key(node));
         let may_write = !self.writing && now >= self.next_write && outbox.may_write();
         if may_write && !living.is_empty() {
             if std::mem::take(&mut self.reread) {
@@ -168,7 +169,7 @@
 
     /// What a process gains in one turn it gains under one term, which keeps the map small.
     pub(crate) fn owner(&mut self, node: &Node, incarnation: u64) -> Option<ShardOwner> {
-        let process = (node.clone(), incarnation);
+        let process = ProcessId::new(node.clone(), incarnation);
         let term = match self.terms.get(&process) {
             Some(term) => *term,
             // Out of terms: leadership has to be taken anew; until then nothing more changes.
@@ -178,8 +179,8 @@
             node: node.clone(),
             incarnation,
             token: term,
-            former: None,
-            prior: None,
+            previous_owner: None,
+            previous_token: None,
         })
     }
 
@@ -191,16 +192,22 @@
         }
     }
 
-    /// `former`: the process it is taken from, if that lives.
+    /// `previous_owner`: the process it is taken from, if that lives.
     pub(crate) fn assign_machine(
         &mut self,
         id: &MachineId,
         to: &Node,
         incarnation: u64,
-        former: Option<Process>,
+        previous_owner: Option<ProcessId>,
     ) {
         if let Some(owner) = self.owner(to, incarnation) {
-            self.map.set_machine(id, ShardOwner { former, ..owner });
+            self.map.set_machine(
+                id,
+                ShardOwner {
+                    previous_owner,
+                    ..owner
+                },
+            );
         }
     }
 
@@ -225,7 +232,7 @@
             .filter(|team| !self.map.owners.teams.contains_key(team))
             .collect();
         for team in unowned {
-            if let Some((node, incarnation)) = self.fewest_teams(living, peers) {
+            if let Some(ProcessId { node, incarnation }) = self.fewest_teams(living, peers) {
                 self.assign_team(&team, &node, incarnation);
             }
         }
@@ -235,30 +242,32 @@
             .teams
             .values()
             .chain(self.map.owners.machines.values());
-        let processes: BTreeSet<Process> = owners
-            .map(|owner| (owner.node.clone(), owner.incarnation))
-            .collect();
-        let ended: BTreeSet<Process> = processes
+        let processes: BTreeSet<ProcessId> = owners.map(ShardOwner::process).collect();
+        let ended: BTreeSet<ProcessId> = processes
             .into_iter()
-            .filter(|(node, incarnation)| living.get(node) != Some(incarnation))
+            .filter(|process| living.get(&process.node) != Some(&process.incarnation))
             .collect();
         ownership.close_questions(&ended);
         for process in ended {
             if !ownership.lease_expired(&process, store, peers, now) {
                 continue;
             }
-            let successor = match living.get(&process.0) {
-                Some(incarnation) => Some((process.0.clone(), *incarnation)),
+            let successor = match living.get(&process.node) {
+                Some(incarnation) => Some(ProcessId::new(process.node.clone(), *incarnation)),
                 None => self.fewest_teams(living, peers),
             };
-            let Some((successor, incarnation)) = successor else {
+            let Some(ProcessId {
+                node: successor,
+                incarnation,
+            }) = successor
+            else {
                 continue;
             };
-            tracing::info!("the share of {} goes to {successor}", process.0);
+            tracing::info!("the share of {} goes to {successor}", process.node);
             // It has lapsed as of this version of its key.
-            let registered = store.node(&process.0).map_or(0, |n| n.version);
-            preconditions.push(precondition(&node_key(&process.0), registered));
-            let of = |owner: &ShardOwner| owner.is(&process.0, process.1);
+            let registered = store.node(&process.node).map_or(0, |n| n.version);
+            preconditions.push(precondition(&node_key(&process.node), registered));
+            let of = |owner: &ShardOwner| owner.is(&process.node, process.incarnation);
             let teams = self.map.owners.teams.iter().filter(|(_, owner)| of(owner));
             let teams: Vec<Team> = teams.map(|(team, _)| team.clone()).collect();
             let machines = self
@@ -268,25 +277,31 @@
                 .iter()
                 .filter(|(_, owner)| of(owner));
             // Whom it had a machine from, if that lives, may still have to let go of it.
-            let lives = |former: &Process| living.get(&former.0) == Some(&former.1);
-            let machines: Vec<(MachineId, Option<Process>, Option<FencingToken>)> = machines
+            let lives = |previous_owner: &ProcessId| {
+                living.get(&previous_owner.node) == Some(&previous_owner.incarnation)
+            };
+            let machines: Vec<(MachineId, Option<ProcessId>, Option<FencingToken>)> = machines
                 .map(|(id, owner)| {
                     // Nobody else answered a machine of which it said that it does so no more.
-                    let prior = unresponsive.answered(id, owner.token).map(|_| owner.token);
-                    let former = owner.former.clone().filter(|f| prior.is_none() && lives(f));
-                    (id.clone(), former, prior)
+                    let previous_token =
+                        unresponsive.answered(id, owner.token).map(|_| owner.token);
+                    let previous_owner = owner
+                        .previous_owner
+                        .clone()
+                        .filter(|f| previous_token.is_none() && lives(f));
+                    (id.clone(), previous_owner, previous_token)
                 })
                 .collect();
             for team in teams {
                 self.assign_team(&team, &successor, incarnation);
             }
-            for (id, former, prior) in machines {
+            for (id, previous_owner, previous_token) in machines {
                 if let Some(owner) = self.owner(&successor, incarnation) {
                     self.map.set_machine(
                         &id,
                         ShardOwner {
-                            former,
-                            prior,
+                            previous_owner,
+                            previous_token,
                             ..owner
                         },
                     );
@@ -310,13 +325,13 @@
         &self,
         living: &BTreeMap<Node, u64>,
         peers: &Peers,
-    ) -> Option<Process> {
+    ) -> Option<ProcessId> {
         let acts_on_failures = self.config.features.acts_on_failures();
         let silent = |node: &Node| acts_on_failures && peers.detector().stage(node) != Stage::Alive;
         let node = living
             .keys()
             .min_by_key(|node| (silent(node), self.teams_of(node)))?;
-        Some((node.clone(), living[node]))
+        Some(ProcessId::new(node.clone(), living[node]))
     }
 
     /// Newcomers go to whoever they were rented for, or where machines of their kind are fewest;
@@ -362,16 +377,16 @@
 
     /// Fresh terms for machines that may have lost commands, and for teams short of attempts.
     pub(crate) fn renumber(&mut self, living: &BTreeMap<Node, u64>) {
-        let mut needs = std::mem::take(&mut self.needs);
+        let mut needs = std::mem::take(&mut self.demands);
         for (node, need) in &mut needs {
             let incarnation = living.get(node).copied().unwrap_or_default();
-            for (id, token) in std::mem::take(&mut need.raise) {
+            for (id, token) in std::mem::take(&mut need.tokens_to_renew) {
                 let owner = self.map.owners.machines.get(&id);
                 if owner.is_some_and(|o| o.is(node, incarnation) && o.token == token) {
                     self.assign_machine(&id, node, incarnation, None);
                 }
             }
-            for team in std::mem::take(&mut need.exhausted) {
+            for team in std::mem::take(&mut need.teams_out_of_attempts) {
                 if self
                     .map
                     .owners
@@ -383,7 +398,7 @@
                 }
             }
         }
-        self.needs = needs;
+        self.demands = needs;
     }
 
     pub(crate) fn write(&mut self, outbox: &mut Outbox, mut preconditions: Vec<Precondition>) {
@@ -467,17 +482,17 @@
 /// How many machines a controller has.
 #[derive(Default)]
 pub(crate) struct MachineCount {
-    pub(crate) by_kind: BTreeMap<Offer, usize>,
+    pub(crate) by_kind: BTreeMap<MachineOffer, usize>,
     pub(crate) all: usize,
 }
 
 impl MachineCount {
-    pub(crate) fn add(&mut self, kind: &Offer) {
+    pub(crate) fn add(&mut self, kind: &MachineOffer) {
         *self.by_kind.entry(kind.clone()).or_default() += 1;
         self.all += 1;
     }
 
-    pub(crate) fn of_kind(&self, kind: &Offer) -> usize {
+    pub(crate) fn of_kind(&self, kind: &MachineOffer) -> usize {
         self.by_kind.get(kind).copied().unwrap_or(0)
     }
 }
--- a/src/core/leader/rebalance.rs
+++ b/src/core/leader/rebalance.rs
@@ -3,10 +3,11 @@
 //! What a share wants at once and another can spare does not wait for that. What nobody can spare is
 //! rented ([`crate::core::leader::scaling`]).
 
-use crate::core::effects::Time;
 use crate::core::leader::Leader;
 use crate::core::leader::spare_machines::SpareMachines;
-use crate::core::messages::capacity_demand::{CapacityDemand, MachineDemand, Offer};
+use crate::core::messages::capacity_demand::{CapacityDemand, MachineDemand, MachineOffer};
+use crate::core::model::process::ProcessId;
+use crate::core::model::time::Time;
 use crate::ids::{MachineId, Node, Team};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -48,9 +49,9 @@
         }
         // What waits would wait longer while the new owner learns what runs where.
         let quiet = |team: &Team| {
-            self.needs
+            self.demands
                 .get(&most)
-                .is_some_and(|n| n.quiet.contains(team))
+                .is_some_and(|demand| demand.teams_without_queue.contains(team))
         };
         let teams = self.map.owners.teams.iter();
         let team: Option<Team> = teams
@@ -83,7 +84,12 @@
             .collect();
         for (at, (id, from)) in stranded.into_iter().enumerate() {
             let to = with[at % with.len()].clone();
-            self.assign_machine(&id, &to, living[&to], Some((from.clone(), living[&from])));
+            self.assign_machine(
+                &id,
+                &to,
+                living[&to],
+                Some(ProcessId::new(from.clone(), living[&from])),
+            );
         }
     }
 
@@ -100,17 +106,22 @@
         now: Time,
         served: fn(&MachineDemand) -> bool,
     ) {
-        if !self.needs.values().flat_map(|need| &need.wants).any(served) {
+        if !self
+            .demands
+            .values()
+            .flat_map(|need| &need.machine_demands)
+            .any(served)
+        {
             return;
         }
         let mut pool = self.spare_pool();
         let mut moved = BTreeSet::new();
         for node in living.keys() {
-            let Some(need) = self.needs.get_mut(node) else {
+            let Some(need) = self.demands.get_mut(node) else {
                 continue;
             };
             let (wants, mut open): (Vec<MachineDemand>, Vec<MachineDemand>) =
-                std::mem::take(&mut need.wants)
+                std::mem::take(&mut need.machine_demands)
                     .into_iter()
                     .partition(served);
             for mut want in wants {
@@ -126,8 +137,8 @@
                     open.push(want);
                 }
             }
-            if let Some(need) = self.needs.get_mut(node) {
-                need.wants = open;
+            if let Some(need) = self.demands.get_mut(node) {
+                need.machine_demands = open;
             }
         }
         self.strike(&moved);
@@ -136,7 +147,7 @@
     /// All machines that shares can spare at present.
     fn spare_pool(&self) -> SparePool {
         let mut pool = SparePool::default();
-        for (node, need) in &self.needs {
+        for (node, need) in &self.demands {
             let usable = |id: &&MachineId| {
                 let owner = self.map.owners.machines.get(*id);
                 !self.cloud.releases.contains(*id) && owner.is_some_and(|o| o.node == *node)
@@ -144,14 +155,25 @@
             let with_offer = |id| self.cloud.offer_of(id).map(|offer| (id, offer));
             pool.spare.add(
                 node,
-                need.spare.iter().filter(usable).filter_map(with_offer),
+                need.spare_machines
+                    .iter()
+                    .filter(usable)
+                    .filter_map(with_offer),
             );
             pool.yielding.add(
                 node,
-                need.yielding.iter().filter(usable).filter_map(with_offer),
+                need.opportunistic_only_machines
+                    .iter()
+                    .filter(usable)
+                    .filter_map(with_offer),
+            );
+            pool.kept.add(
+                node,
+                need.forecast_reserve
+                    .iter()
+                    .filter(usable)
+                    .filter_map(with_offer),
             );
-            pool.kept
-                .add(node, need.kept.iter().filter(usable).filter_map(with_offer));
         }
         pool
     }
@@ -166,19 +188,26 @@
         now: Time,
     ) -> Option<(MachineId, Node)> {
         let urgency = want.urgency.filter(|_| !want.opportunistic)?;
-        let refused = |offer: &Offer| self.cloud.refused.contains_key(offer);
-        if now < self.next_urgent || !want.any_of.iter().filter(|o| !o.2).all(refused) {
+        let refused = |offer: &MachineOffer| self.cloud.refused.contains_key(offer);
+        if now < self.next_urgent || !want.any_of.iter().filter(|offer| !offer.spot).all(refused) {
             return None;
         }
         let calm = |need: &CapacityDemand| {
-            let mut wants = need.wants.iter().filter(|other| !other.opportunistic);
+            let mut wants = need
+                .machine_demands
+                .iter()
+                .filter(|other| !other.opportunistic);
             wants.all(|other| other.urgency < Some(urgency))
         };
         let found = self
-            .needs
+            .demands
             .iter()
             .filter(|(node, need)| *node != to && calm(need))
-            .flat_map(|(node, need)| need.roomy.iter().map(move |(id, gpus)| (node, id, *gpus)))
+            .flat_map(|(node, need)| {
+                need.machines_with_free_gpus
+                    .iter()
+                    .map(move |(id, gpus)| (node, id, *gpus))
+            })
             .filter(|(node, id, gpus)| {
                 *gpus >= want.gpus
                     && self
@@ -218,7 +247,12 @@
         living: &BTreeMap<Node, u64>,
     ) {
         tracing::info!("{id} moves from {from} to {to}");
-        self.assign_machine(id, to, living[to], Some((from.clone(), living[from])));
+        self.assign_machine(
+            id,
+            to,
+            living[to],
+            Some(ProcessId::new(from.clone(), living[from])),
+        );
     }
 
     /// What was moved is offered by its former shares no longer.
@@ -226,23 +260,24 @@
         if moved.is_empty() {
             return;
         }
-        for need in self.needs.values_mut() {
+        for need in self.demands.values_mut() {
             let lists = [
-                &mut need.spare,
-                &mut need.kept,
-                &mut need.yielding,
-                &mut need.closed,
+                &mut need.spare_machines,
+                &mut need.forecast_reserve,
+                &mut need.opportunistic_only_machines,
+                &mut need.surplus_machines,
             ];
             lists
                 .into_iter()
                 .for_each(|list| list.retain(|id| !moved.contains(id)));
-            need.roomy.retain(|(id, _)| !moved.contains(id));
+            need.machines_with_free_gpus
+                .retain(|(id, _)| !moved.contains(id));
         }
     }
 
     /// The round: one machine from where least is queued to where most is.
     fn move_one(&mut self, living: &BTreeMap<Node, u64>) {
-        let queued = |node: &Node| self.needs.get(node).map(|need| need.queued);
+        let queued = |node: &Node| self.demands.get(node).map(|need| need.queued);
         let with_teams: Vec<(&Node, f64)> = living
             .keys()
             .filter(|node| self.teams_of(node) > 0)
@@ -257,7 +292,7 @@
             return;
         }
         let (to, from) = ((*to).clone(), (*from).clone());
-        let Some(need) = self.needs.get(&from) else {
+        let Some(need) = self.demands.get(&from) else {
             return;
         };
         let owned = |id: &MachineId| {
@@ -267,8 +302,12 @@
                 .get(id)
                 .is_some_and(|owner| owner.node == from)
         };
-        let idle = need.spare.iter().find(|id| owned(id));
-        let roomy = need.roomy.iter().map(|(id, _)| id).find(|id| owned(id));
+        let idle = need.spare_machines.iter().find(|id| owned(id));
+        let roomy = need
+            .machines_with_free_gpus
+            .iter()
+            .map(|(id, _)| id)
+            .find(|id| owned(id));
         if let Some(id) = idle.or(roomy).cloned() {
             self.move_machine(&id, &from, &to, living);
         }
--- a/src/core/leader/scaling.rs
+++ b/src/core/leader/scaling.rs
@@ -4,11 +4,12 @@
 use crate::config::Config;
 use crate::core::effects::outbox::Outbox;
 use crate::core::effects::pending::{CloudOperation, RentalRequest};
-use crate::core::effects::{CloudCall, CloudReply, Time};
+use crate::core::effects::{CloudCall, CloudReply};
 use crate::core::leader::Leader;
 use crate::core::leader::zone_contact::{ZoneContact, ZoneMachines};
 use crate::core::machines::unresponsive::UnresponsiveMachines;
-use crate::core::messages::capacity_demand::Offer;
+use crate::core::messages::capacity_demand::{MAX_MACHINES_PER_RENTAL, MachineOffer};
+use crate::core::model::time::Time;
 use crate::core::model::token_bucket::TokenBucket;
 use crate::core::scheduling::catalog::Catalog;
 use crate::ids::{MachineId, Node, Zone};
@@ -21,9 +22,6 @@
 /// Names in one release request at most.
 pub(crate) const RELEASE_LIMIT: usize = 100;
 
-/// Machines in one rental request at most.
-pub(crate) const RENT_LIMIT: usize = 50;
-
 /// Machines listed at most.
 pub(crate) const LIST_LIMIT: usize = 10_000;
 
@@ -40,7 +38,7 @@
 pub(crate) const REPLACED_LATE_PART: f64 = 0.25;
 
 pub(crate) struct PendingMachine {
-    pub(crate) offer: Offer,
+    pub(crate) offer: MachineOffer,
     pub(crate) rented: Time,
     pub(crate) node: Option<Node>,
 }
@@ -55,10 +53,10 @@
     /// Rentals without an outcome; repeated under the same name until they have one.
     pub(crate) open: Vec<RentalRequest>,
     pub(crate) renting: bool,
-    pub(crate) refused: BTreeMap<Offer, Time>,
+    pub(crate) refused: BTreeMap<MachineOffer, Time>,
     /// Where nothing is rented since no machine there could report.
     pub(crate) zone_contact: ZoneContact,
-    pub(crate) offers: BTreeMap<MachineId, Offer>,
+    pub(crate) offers: BTreeMap<MachineId, MachineOffer>,
     pub(crate) releases: BTreeSet<MachineId>,
     pub(crate) releasing: bool,
     /// Their deletion was answered: the map is to lose them.
@@ -98,16 +96,16 @@
         }
     }
 
-    pub fn refused(&self) -> BTreeSet<Offer> {
+    pub fn refused(&self) -> BTreeSet<MachineOffer> {
         self.refused.keys().cloned().collect()
     }
 
-    pub fn offer_of(&self, id: &MachineId) -> Option<&Offer> {
+    pub fn offer_of(&self, id: &MachineId) -> Option<&MachineOffer> {
         self.offers.get(id)
     }
 
     /// A machine has come up: for whom was it rented?
-    pub fn arrived(&mut self, id: &MachineId, offer: &Offer) -> Option<Node> {
+    pub fn arrived(&mut self, id: &MachineId, offer: &MachineOffer) -> Option<Node> {
         self.offers.insert(id.clone(), offer.clone());
         self.pending.remove(id).and_then(|pending| pending.node)
     }
@@ -116,7 +114,8 @@
     /// place: some never come up, and what waited for them waited for several boots. Should
     /// they come up all the same they are used or returned as every other.
     pub(crate) fn replaced(&self, catalog: &Catalog, now: Time) -> BTreeSet<MachineId> {
-        let usual = |pending: &PendingMachine| catalog.boot_s(&pending.offer.0) * USUAL_BOOTS;
+        let usual =
+            |pending: &PendingMachine| catalog.boot_s(&pending.offer.type_name) * USUAL_BOOTS;
         let late = self
             .pending
             .iter()
@@ -232,7 +231,11 @@
 
     pub(crate) fn rented(&mut self, order: RentalRequest, reply: CloudReply, now: Time) {
         let rental = &order.rental;
-        let offer = (rental.type_name.clone(), rental.zone.clone(), rental.spot);
+        let offer = MachineOffer {
+            type_name: rental.type_name.clone(),
+            zone: rental.zone.clone(),
+            spot: rental.spot,
+        };
         // Capacity comes back as others return machines: asked again after a while.
         let again = now + self.config.deployment.cloud.list_lag_s.max(1.0);
         match reply {
@@ -267,7 +270,11 @@
     pub(crate) fn take_list(&mut self, list: Vec<ListedMachine>, now: Time) {
         for listed in list {
             let id = listed.machine;
-            let offer = (listed.type_name, listed.zone, listed.spot);
+            let offer = MachineOffer {
+                type_name: listed.type_name,
+                zone: listed.zone,
+                spot: listed.spot,
+            };
             if listed.state == MachineState::Failed {
                 self.cloud.releases.insert(id);
             } else if listed.state == MachineState::Booting
@@ -295,7 +302,7 @@
     ) {
         let mut zones: BTreeMap<Zone, ZoneMachines> = BTreeMap::new();
         for (id, owner) in &self.map.owners.machines {
-            let Some((_, zone, _)) = self.cloud.offer_of(id) else {
+            let Some(MachineOffer { zone, .. }) = self.cloud.offer_of(id) else {
                 continue;
             };
             let machines = zones.entry(zone.clone()).or_default();
@@ -311,7 +318,11 @@
         for of_type in catalog.types() {
             for zone in of_type.zones.iter().filter(|zone| cut_off.contains(*zone)) {
                 for spot in [false, true] {
-                    let offer = (of_type.name.clone(), zone.clone(), spot);
+                    let offer = MachineOffer {
+                        type_name: of_type.name.clone(),
+                        zone: zone.clone(),
+                        spot,
+                    };
                     cloud.refused.entry(offer).or_insert(now + PLAN_S * 2.0);
                 }
             }
@@ -320,13 +331,18 @@
 
     pub(crate) fn plan(&mut self, catalog: &Catalog, now: Time, living: &BTreeMap<Node, u64>) {
         for (id, pending) in &self.cloud.pending {
-            let late = now - pending.rented > catalog.boot_s(&pending.offer.0) * LATE_BOOTS;
+            let late = now - pending.rented > catalog.boot_s(&pending.offer.type_name) * LATE_BOOTS;
             if late && self.cloud.releases.insert(id.clone()) {
                 tracing::info!("{id} does not come up and is returned");
             }
         }
-        let needs = self.needs.values();
-        let returned = needs.flat_map(|need| need.closed.iter().chain(&need.silent).cloned());
+        let needs = self.demands.values();
+        let returned = needs.flat_map(|need| {
+            need.surplus_machines
+                .iter()
+                .chain(&need.unheard_machines)
+                .cloned()
+        });
         self.cloud.releases.extend(returned.collect::<Vec<_>>());
         if now < self.cloud.rent_after || self.cloud.renting || !self.cloud.open.is_empty() {
             return;
@@ -334,7 +350,7 @@
         // Machines on their way that were rented for nobody serve whoever wants them first.
         let replaced = self.cloud.replaced(catalog, now);
         let cut_off =
-            |pending: &PendingMachine| self.cloud.zone_contact.is_cut_off(&pending.offer.1);
+            |pending: &PendingMachine| self.cloud.zone_contact.is_cut_off(&pending.offer.zone);
         let awaited = self
             .cloud
             .pending
@@ -345,17 +361,17 @@
             .filter(|pending| !cut_off(pending));
         let awaited: Vec<&PendingMachine> = awaited.collect();
         let mut unclaimed = awaited.iter().filter(|c| c.node.is_none()).count() as u32;
-        let mut lacks: BTreeMap<Offer, Vec<(&Node, u32)>> = BTreeMap::new();
+        let mut lacks: BTreeMap<MachineOffer, Vec<(&Node, u32)>> = BTreeMap::new();
         for node in living.keys() {
-            let Some(need) = self.needs.get(node) else {
+            let Some(need) = self.demands.get(node) else {
                 continue;
             };
-            let mut pending: BTreeMap<&Offer, u32> = BTreeMap::new();
+            let mut pending: BTreeMap<&MachineOffer, u32> = BTreeMap::new();
             for c in awaited.iter().filter(|c| c.node.as_ref() == Some(node)) {
                 *pending.entry(&c.offer).or_default() += 1;
             }
-            let mut of_node: BTreeMap<&Offer, u32> = BTreeMap::new();
-            for want in &need.wants {
+            let mut of_node: BTreeMap<&MachineOffer, u32> = BTreeMap::new();
+            for want in &need.machine_demands {
                 // What comes of any kind that would do serves the want.
                 let mut count = want.count;
                 for kind in std::iter::once(&want.offer).chain(&want.any_of) {
@@ -379,12 +395,20 @@
                 }
             }
         }
-        for ((type_name, zone, spot), counts) in lacks {
+        for (
+            MachineOffer {
+                type_name,
+                zone,
+                spot,
+            },
+            counts,
+        ) in lacks
+        {
             // In turn, so that if the cloud has fewer nobody goes without.
             let most = counts.iter().map(|(_, count)| *count).max().unwrap_or(0);
             let turns = (0..most).flat_map(|turn| counts.iter().filter(move |(_, n)| *n > turn));
             let nodes: Vec<Node> = turns.map(|(node, _)| (*node).clone()).collect();
-            for nodes in nodes.chunks(RENT_LIMIT) {
+            for nodes in nodes.chunks(MAX_MACHINES_PER_RENTAL) {
                 self.cloud.counter += 1;
                 let request = format!("r-{}-{}", self.term, self.cloud.counter);
                 let (type_name, zone, count) = (type_name.clone(), zone.clone(), nodes.len());
--- a/src/core/leader/scaling/tests.rs
+++ b/src/core/leader/scaling/tests.rs
@@ -5,7 +5,7 @@
 fn on_their_way(rented: &[Time]) -> CloudRequests {
     let mut requests = CloudRequests::new(&config(), 0.0, true);
     for (number, &rented) in rented.iter().enumerate() {
-        let offer = ("g8".into(), "a".into(), false);
+        let offer = MachineOffer::from(("g8".into(), "a".into(), false));
         let pending = PendingMachine {
             offer,
             rented,
--- a/src/core/leader/shard_map_editor/tests.rs
+++ b/src/core/leader/shard_map_editor/tests.rs
@@ -1,13 +1,14 @@
 use super::*;
+use crate::core::model::process::ProcessId;
 
 fn owner(node: &str, token: u64) -> ShardOwner {
-    let former = Some(("drumhead-2".into(), 1 << 51));
+    let former = Some(ProcessId::new("drumhead-2".into(), 1 << 51));
     ShardOwner {
         node: node.into(),
         incarnation: 1 << 51,
         token: FencingToken(token),
-        former,
-        prior: None,
+        previous_owner: former,
+        previous_token: None,
     }
 }
 
--- a/src/core/leader/spare_machines.rs
+++ b/src/core/leader/spare_machines.rs
@@ -1,7 +1,7 @@
 //! Machines that shares can spare, by kind: looked up once for all that is wanted in one turn, so
 //! that moving many machines costs in proportion to them and not to the fleet.
 
-use crate::core::messages::capacity_demand::Offer;
+use crate::core::messages::capacity_demand::MachineOffer;
 use crate::ids::{MachineId, Node};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,7 +11,7 @@
 /// Machines that may be taken from their shares, in the order in which the shares list them.
 #[derive(Debug, Default)]
 pub struct SpareMachines {
-    by_kind: BTreeMap<Offer, BTreeMap<Node, Listed>>,
+    by_kind: BTreeMap<MachineOffer, BTreeMap<Node, Listed>>,
 }
 
 impl SpareMachines {
@@ -19,7 +19,7 @@
     pub fn add<'a>(
         &mut self,
         node: &Node,
-        listed: impl Iterator<Item = (&'a MachineId, &'a Offer)>,
+        listed: impl Iterator<Item = (&'a MachineId, &'a MachineOffer)>,
     ) {
         for (place, (id, offer)) in listed.enumerate() {
             let of_kind = self.by_kind.entry(offer.clone()).or_default();
@@ -31,8 +31,8 @@
     }
 
     /// Takes the first machine of any of these kinds that is in another share than `except`.
-    pub fn take(&mut self, kinds: &[Offer], except: &Node) -> Option<(MachineId, Node)> {
-        let first_of = |kind: &Offer| {
+    pub fn take(&mut self, kinds: &[MachineOffer], except: &Node) -> Option<(MachineId, Node)> {
+        let first_of = |kind: &MachineOffer| {
             let shards = self.by_kind.get(kind)?.iter();
             let mut others = shards.filter(|(node, listed)| *node != except && !listed.is_empty());
             let (node, listed) = others.next()?;
--- a/src/core/leader/spare_machines/tests.rs
+++ b/src/core/leader/spare_machines/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn kind(name: &str) -> Offer {
-    (name.into(), "a".into(), false)
+fn kind(name: &str) -> MachineOffer {
+    MachineOffer::from((name.into(), "a".into(), false))
 }
 
 #[test]
@@ -14,8 +14,8 @@
         &"n1".into(),
         [(&ids[1], &g4), (&ids[2], &g8), (&ids[3], &g4)].into_iter(),
     );
-    let mut take = |kinds: &[&Offer], except: &str| {
-        let kinds: Vec<Offer> = kinds.iter().map(|kind| (*kind).clone()).collect();
+    let mut take = |kinds: &[&MachineOffer], except: &str| {
+        let kinds: Vec<MachineOffer> = kinds.iter().map(|kind| (*kind).clone()).collect();
         spare
             .take(&kinds, &except.into())
             .map(|(id, node)| format!("{id} of {node}"))
--- a/src/core/leader/zone_contact.rs
+++ b/src/core/leader/zone_contact.rs
@@ -3,7 +3,7 @@
 //! other zones meanwhile, and counts on nothing that is on its way there.
 
 use crate::config::Workers;
-use crate::core::effects::Time;
+use crate::core::model::time::Time;
 use crate::ids::Zone;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/core/machines/claims.rs
+++ b/src/core/machines/claims.rs
@@ -5,7 +5,7 @@
 //! of what is allowed; one that the map has overtaken is passed over.
 
 use crate::config::Config;
-use crate::core::effects::Time;
+use crate::core::model::time::Time;
 use crate::core::records::process_record::MachineClaim;
 use crate::core::records::shard_map::ShardMap;
 use crate::ids::{FencingToken, MachineId};
--- a/src/core/machines/machine.rs
+++ b/src/core/machines/machine.rs
@@ -1,9 +1,9 @@
 //! A machine as its owner knows it, and what may be on it.
 
-use crate::core::effects::Time;
 use crate::core::machines::starts_in_flight::{AttemptKey, StartsInFlight};
-use crate::core::model::process::Process;
+use crate::core::model::process::ProcessId;
 use crate::core::model::resources::Resources;
+use crate::core::model::time::Time;
 use crate::ids::{FencingToken, Image, JobId, MachineId, Team, TypeName, Version, Zone};
 use crate::wire::{Command, Exit, Heartbeat, MachineType, Priority, TaskState};
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 pub struct TrackedAttempt {
     /// What it takes; None if its job is not known (any more).
-    pub room: Option<Resources>,
+    pub resources: Option<Resources>,
     pub team: Option<Team>,
     pub image: Option<(Image, f64)>,
     pub priority: Priority,
@@ -32,32 +32,32 @@
     /// What it needs to save when it is stopped; 0 if it never saves.
     pub checkpoint_write_s: f64,
     pub phase: Phase,
-    pub issued: Time,
+    pub issued_at: Time,
     /// When it was first seen with its image.
-    pub began: Option<Time>,
+    pub started_at: Option<Time>,
     /// Grace of the stop it was told.
     pub stop: Option<f64>,
     /// Its exit needs no remembering: recorded, or of no consequence.
-    pub forget: bool,
+    pub may_forget: bool,
     /// Reports since the start was issued that did not show it.
-    pub misses: u32,
+    pub missed_heartbeats: u32,
 }
 
 impl TrackedAttempt {
     pub fn new(now: Time) -> Self {
         Self {
-            room: None,
+            resources: None,
             team: None,
             image: None,
             priority: Priority::Low,
             opportunistic: false,
             checkpoint_write_s: 0.0,
             phase: Phase::Issued,
-            issued: now,
-            began: None,
+            issued_at: now,
+            started_at: None,
             stop: None,
-            forget: false,
-            misses: 0,
+            may_forget: false,
+            missed_heartbeats: 0,
         }
     }
 
@@ -85,50 +85,50 @@
     epoch_is_ours: bool,
     /// Newest message of the session taken up, and newest report among them.
     sequence: u64,
-    handle_heartbeat: u64,
+    last_heartbeat_sequence: u64,
     /// Sessions up to this one are over: their tasks are counted as gone.
     ended_epoch: u64,
     /// The token it must show.
     pub token: FencingToken,
     /// A report of this session has shown the token.
-    pub trusted: bool,
+    pub token_confirmed: bool,
     /// When a report of it was last answered with 200; its lease cannot outlast this by more
     /// than the lease's length.
-    pub answered: Time,
+    pub last_answered: Time,
     /// The map gives it to this process; else it is known for tasks of our teams on it.
-    pub mine: bool,
+    pub is_owned: bool,
     /// The living process it was taken from, until that is known to have let go: it may still
     /// answer the machine and so keep its lease alive.
-    pub former: Option<Process>,
+    pub previous_owner: Option<ProcessId>,
     /// The view's revision when it changed hands.
-    pub gained: Version,
+    pub owned_since_revision: Version,
     /// Known to hold nothing since its lease ran out.
-    pub empty: bool,
+    pub known_empty: bool,
     /// When the cloud takes it away.
-    pub leaves: Option<Time>,
+    pub reclaimed_at: Option<Time>,
     pub attempts: BTreeMap<AttemptKey, TrackedAttempt>,
     /// Most recently used last.
     images: Vec<(Image, f64)>,
     /// Since when nothing but opportunistic work has been on it.
     pub idle_since: Time,
     /// Commands do not seem to reach it.
-    pub suspect: bool,
+    pub unreachable: bool,
     pub releasing: bool,
     /// Its replicas move elsewhere; nothing is started on it until they have gone.
     pub draining: bool,
     /// It is to get a fresh token, so that what may still be under way to it is void.
-    pub raise: bool,
+    pub needs_new_token: bool,
     /// It was said to be silent under the present term, and is not answered until it has a new one.
     pub unresponsive: bool,
     /// Since when it could have reported under the present token.
-    pub awaited: Time,
+    pub heartbeat_expected_since: Time,
     /// Jobs that failed on it.
     pub failed_jobs: BTreeSet<JobId>,
     /// Not to be used before this time.
     pub cordoned_until: Time,
-    pub seen: Time,
+    pub last_seen: Time,
     /// When a sibling last relayed a report of it.
-    pub relayed: Time,
+    pub last_relayed: Time,
 }
 
 /// Whether a report is news.
@@ -157,29 +157,29 @@
             agent_epoch: 0,
             epoch_is_ours: false,
             sequence: 0,
-            handle_heartbeat: 0,
+            last_heartbeat_sequence: 0,
             ended_epoch: 0,
             token,
-            trusted: false,
-            answered: now,
-            mine: false,
-            former: None,
-            gained: 0,
-            empty: false,
-            leaves: None,
+            token_confirmed: false,
+            last_answered: now,
+            is_owned: false,
+            previous_owner: None,
+            owned_since_revision: 0,
+            known_empty: false,
+            reclaimed_at: None,
             attempts: BTreeMap::new(),
             images: Vec::new(),
             idle_since: now,
-            suspect: false,
+            unreachable: false,
             releasing: false,
             draining: false,
-            raise: false,
+            needs_new_token: false,
             unresponsive: false,
-            awaited: now,
+            heartbeat_expected_since: now,
             failed_jobs: BTreeSet::new(),
             cordoned_until: 0.0,
-            seen: now,
-            relayed: Time::NEG_INFINITY,
+            last_seen: now,
+            last_relayed: Time::NEG_INFINITY,
         }
     }
 
@@ -217,14 +217,14 @@
         if heartbeat.agent_epoch > self.agent_epoch {
             self.agent_epoch = heartbeat.agent_epoch;
             self.sequence = 0;
-            self.handle_heartbeat = 0;
+            self.last_heartbeat_sequence = 0;
         }
         self.epoch_is_ours |= heartbeat.token == self.token;
         if !direct {
-            if heartbeat.sequence <= self.handle_heartbeat {
+            if heartbeat.sequence <= self.last_heartbeat_sequence {
                 return Freshness::Copy;
             }
-            self.handle_heartbeat = heartbeat.sequence;
+            self.last_heartbeat_sequence = heartbeat.sequence;
         }
         if heartbeat.sequence <= self.sequence {
             return Freshness::Overtaken;
@@ -241,38 +241,38 @@
     /// Everything on it is gone, and nothing of its present session will count again.
     pub fn end_epoch(&mut self) {
         self.ended_epoch = self.agent_epoch;
-        self.trusted = false;
-        self.empty = true;
+        self.token_confirmed = false;
+        self.known_empty = true;
     }
 
     /// It has a new owner or a new token. Its tasks keep running, and what was sent under the
     /// earlier token is void once it has shown the new one.
     pub fn change_hands(&mut self, token: FencingToken, mine: bool, now: Time) {
-        if !self.mine && mine {
+        if !self.is_owned && mine {
             // Its former owner may have answered it until now.
-            self.answered = now;
-            self.empty = false;
+            self.last_answered = now;
+            self.known_empty = false;
             self.epoch_is_ours = false;
         }
-        self.mine = mine;
+        self.is_owned = mine;
         self.token = token;
-        self.trusted = false;
-        self.raise = false;
+        self.token_confirmed = false;
+        self.needs_new_token = false;
         self.unresponsive = false;
-        self.awaited = now;
+        self.heartbeat_expected_since = now;
         self.releasing = false;
         self.draining = false;
     }
 
     /// Its former owner answers it no more, but may have done so until now.
-    pub fn former_let_go(&mut self, now: Time) {
-        self.former = None;
-        self.answered = self.answered.max(now);
+    pub fn previous_owner_released(&mut self, now: Time) {
+        self.previous_owner = None;
+        self.last_answered = self.last_answered.max(now);
     }
 
     /// Everything that may be on it is known.
     pub fn reconciled(&self) -> bool {
-        self.trusted || self.empty
+        self.token_confirmed || self.known_empty
     }
 
     pub fn free(&self) -> Resources {
@@ -297,7 +297,7 @@
             .values()
             .filter(|tracked| !tracked.exited() && counts(tracked))
         {
-            match &tracked.room {
+            match &tracked.resources {
                 Some(room) => free = free.less(room),
                 None => return Resources::default(),
             }
@@ -313,7 +313,7 @@
             .values()
             .filter(|tracked| !tracked.exited() && tracked.stop.is_none())
         {
-            if let Some(room) = &tracked.room {
+            if let Some(room) = &tracked.resources {
                 let sum = &mut running[tracked.priority as usize];
                 *sum = sum.plus(room);
             }
@@ -328,7 +328,7 @@
         let taken = self.attempts.values().filter(urgent);
         self.total.gpus
             - taken
-                .filter_map(|tracked| tracked.room)
+                .filter_map(|tracked| tracked.resources)
                 .map(|room| room.gpus)
                 .sum::<f64>()
     }
@@ -354,14 +354,14 @@
 
     /// May be given tasks.
     pub fn usable(&self, now: Time) -> bool {
-        self.trusted
-            && self.mine
-            && !self.suspect
+        self.token_confirmed
+            && self.is_owned
+            && !self.unreachable
             && !self.releasing
             && !self.draining
-            && !self.raise
+            && !self.needs_new_token
             && !self.unresponsive
-            && self.leaves.is_none()
+            && self.reclaimed_at.is_none()
             && now >= self.cordoned_until
     }
 
@@ -424,8 +424,8 @@
             .filter(|h| !h.exited() && !h.has_image())
         {
             if let Some((other, _)) = &tracked.image {
-                let since = fetching.entry(other).or_insert(tracked.issued);
-                *since = since.min(tracked.issued);
+                let since = fetching.entry(other).or_insert(tracked.issued_at);
+                *since = since.min(tracked.issued_at);
             }
         }
         match fetching.get(image) {
@@ -460,7 +460,9 @@
                     });
                 }
                 // While a start may still arrive, forgetting would let it start again.
-                (Phase::Exited(_), _) if tracked.forget && !in_flight.may_arrive(&self.id, key) => {
+                (Phase::Exited(_), _)
+                    if tracked.may_forget && !in_flight.may_arrive(&self.id, key) =>
+                {
                     commands.list.push(Command::Forget { task, attempt });
                 }
                 _ => {}
--- a/src/core/machines/machine/tests.rs
+++ b/src/core/machines/machine/tests.rs
@@ -37,7 +37,7 @@
 #[test]
 fn a_session_from_before_the_hand_over_ends_nothing() {
     let mut machine = Machine::named("m-1".into(), FencingToken(1), 0.0);
-    machine.mine = true;
+    machine.is_owned = true;
     assert_eq!(
         machine.freshness(&heartbeat(1, 5), false),
         Freshness::NewReport { new_epoch: false }
--- a/src/core/machines/unresponsive.rs
+++ b/src/core/machines/unresponsive.rs
@@ -6,9 +6,8 @@
 //! lease from there instead of from the hand-over. The map names the term that came directly
 //! before (`prior`), if its owner was known to have said this under it; only then does it count.
 
-use crate::core::effects::Time;
-use crate::core::membership::ownership::DRIFT;
 use crate::core::messages::shard_update::Unresponsive;
+use crate::core::model::time::{CLOCK_DRIFT, Time};
 use crate::core::records::shard_map::ShardMap;
 use crate::ids::{FencingToken, MachineId};
 use std::collections::BTreeMap;
@@ -26,7 +25,7 @@
             age,
         } in said
         {
-            let answered = now - age * (1.0 - DRIFT);
+            let answered = now - age * (1.0 - CLOCK_DRIFT);
             let known = self.0.entry(machine).or_insert((token, answered));
             if token > known.0 || (token == known.0 && answered < known.1) {
                 *known = (token, answered);
@@ -38,7 +37,7 @@
     pub fn prune(&mut self, owners: &ShardMap) {
         self.0.retain(|machine, (token, _)| {
             let owner = owners.machines.get(machine);
-            owner.is_some_and(|owner| owner.token <= *token || owner.prior == Some(*token))
+            owner.is_some_and(|owner| owner.token <= *token || owner.previous_token == Some(*token))
         });
     }
 
--- a/src/core/membership/failure_detection.rs
+++ b/src/core/membership/failure_detection.rs
@@ -1,5 +1,5 @@
-use crate::core::effects::Time;
 use crate::core::messages::detection::Resignation;
+use crate::core::model::time::Time;
 
 /// What this controller keeps for the detection of failures.
 #[derive(Debug, Default)]
--- a/src/core/membership/ownership.rs
+++ b/src/core/membership/ownership.rs
@@ -25,16 +25,13 @@
 //! store since.) A process says in its hellos that it keeps to this; of others the leader waits for consents.
 
 use crate::config::{Config, Workers};
-use crate::core::effects::Time;
 use crate::core::membership::peers::Peers;
-use crate::core::model::process::Process;
+use crate::core::model::process::ProcessId;
+use crate::core::model::time::{CLOCK_DRIFT, Time};
 use crate::core::store::replica::StoreReplica;
 use crate::ids::{Node, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Clocks run fast or slow by 0.05%; two of them differ by at most twice that, doubled again.
-pub const DRIFT: f64 = 0.002;
-
 /// Part of the lease's life between looks at whether consents are to be told unasked.
 pub(crate) const CONSENT_TTLS: f64 = 0.1;
 
@@ -73,21 +70,21 @@
     /// Until when this controller's vouchers for others run.
     pub(crate) extensions_granted: BTreeMap<Node, Time>,
     /// Processes whose share may be handed on: no voucher for them from here.
-    pub(crate) revoked: BTreeSet<Process>,
+    pub(crate) revoked: BTreeSet<ProcessId>,
     /// Lapsed processes the leader wants to replace, and who has consented.
-    pub(crate) consents: BTreeMap<Process, BTreeSet<Node>>,
-    pub(crate) asked_since: BTreeMap<Process, Time>,
+    pub(crate) consents: BTreeMap<ProcessId, BTreeSet<Node>>,
+    pub(crate) asked_since: BTreeMap<ProcessId, Time>,
     /// A question about a lapsed process has come up that siblings have not been asked yet.
     pub(crate) has_new_question: bool,
     pub(crate) ended_predecessor: Option<u64>,
     /// Consents that are told in this process's key.
-    pub(crate) stored_consents: Vec<Process>,
+    pub(crate) stored_consents: Vec<ProcessId>,
     pub(crate) next_stored_consents: Time,
 }
 
 /// See the argument above.
 pub(crate) fn max_staleness(workers: &Workers) -> Time {
-    let tasks_end = workers.lease_s * (1.0 + DRIFT) + workers.report_s * 0.5;
+    let tasks_end = workers.lease_s * (1.0 + CLOCK_DRIFT) + workers.report_s * 0.5;
     (workers.cancel_s * 0.5)
         .min((workers.cancel_s - tasks_end) * 0.9)
         .max(0.0)
@@ -144,8 +141,8 @@
         self.ttl
     }
 
-    pub(crate) fn myself(&self) -> Process {
-        (self.node.clone(), self.incarnation)
+    pub(crate) fn myself(&self) -> ProcessId {
+        ProcessId::new(self.node.clone(), self.incarnation)
     }
 
     /// Whether this process may command the machines that the map gives it.
@@ -175,7 +172,7 @@
     }
 
     pub(crate) fn store_until(&self) -> Time {
-        self.renewed + self.ttl * (1.0 - DRIFT) - self.margin
+        self.renewed + self.ttl * (1.0 - CLOCK_DRIFT) - self.margin
     }
 
     /// Until when a majority's vouchers run, this controller's own word included.
@@ -216,31 +213,35 @@
     ) -> bool {
         let known = store.is_registered(node, incarnation);
         let blind = store.state_silence(now) > self.ttl * 0.3;
-        let revoked = self.revoked.contains(&(node.clone(), incarnation));
+        let revoked = self
+            .revoked
+            .contains(&ProcessId::new(node.clone(), incarnation));
         let yes = known && blind && !revoked && now > self.extension_time;
         if yes {
-            self.extensions_granted
-                .insert(node.clone(), now + self.extension_time * (1.0 + DRIFT));
+            self.extensions_granted.insert(
+                node.clone(),
+                now + self.extension_time * (1.0 + CLOCK_DRIFT),
+            );
         }
         yes
     }
 
     pub fn extension_granted(&mut self, node: &Node, sent: Time, now: Time) {
         if self.wants_extension(now).is_some() {
-            let until = sent + self.extension_time * (1.0 - DRIFT) - self.margin;
+            let until = sent + self.extension_time * (1.0 - CLOCK_DRIFT) - self.margin;
             self.extensions.insert(node.clone(), until);
         }
     }
 
     /// Asked whether a lapsed process may be replaced: not while a voucher from here is out.
-    pub fn consent(&mut self, process: &Process, now: Time) -> bool {
+    pub fn consent(&mut self, process: &ProcessId, now: Time) -> bool {
         let own = *process == self.myself();
         let free = match own {
             // Its own word stands behind its authority for as long as that lasts.
             true => !self.holds_lease(now),
             false => self
                 .extensions_granted
-                .get(&process.0)
+                .get(&process.node)
                 .is_none_or(|until| *until < now),
         };
         let yes = free && now > self.extension_time;
@@ -250,19 +251,19 @@
         yes
     }
 
-    pub fn wanted_consents(&self) -> Vec<Process> {
+    pub fn wanted_consents(&self) -> Vec<ProcessId> {
         self.consents.keys().cloned().collect()
     }
 
     /// Controllers that have consented to the hand-over of a process's share by hello, and how many it takes.
-    pub fn consents_to(&self, process: &Process) -> (usize, usize) {
+    pub fn consents_to(&self, process: &ProcessId) -> (usize, usize) {
         (
             self.consents.get(process).map_or(0, BTreeSet::len),
             self.majority,
         )
     }
 
-    pub fn consented(&mut self, from: &Node, processes: &[Process]) {
+    pub fn consented(&mut self, from: &Node, processes: &[ProcessId]) {
         for process in processes {
             if let Some(consents) = self.consents.get_mut(process) {
                 consents.insert(from.clone());
@@ -274,22 +275,22 @@
     /// long as that is open.
     pub fn lease_expired(
         &mut self,
-        process: &Process,
+        process: &ProcessId,
         store: &StoreReplica,
         peers: &Peers,
         now: Time,
     ) -> bool {
-        if process.0 == self.node {
+        if process.node == self.node {
             // An earlier process of this very controller, or this one before it began anew.
-            return process.1 != self.incarnation;
+            return process.incarnation != self.incarnation;
         }
-        if let Some(registered) = store.node(&process.0) {
+        if let Some(registered) = store.node(&process.node) {
             // Its successor has registered, so it has ended.
-            return registered.record.incarnation != process.1;
+            return registered.record.incarnation != process.incarnation;
         }
         let since = *self.asked_since.entry(process.clone()).or_insert(now);
-        let heard = peers.incarnation_of(&process.0, since);
-        if heard.is_some_and(|incarnation| incarnation != process.1) {
+        let heard = peers.incarnation_of(&process.node, since);
+        if heard.is_some_and(|incarnation| incarnation != process.incarnation) {
             return true;
         }
         let own = self.consent(process, now).then(|| self.node.clone());
@@ -301,7 +302,7 @@
             .filter(|(_, n)| n.record.consents.contains(process));
         let stored = stored.map(|(node, _)| node);
         let consents: BTreeSet<&Node> = asked.iter().chain(stored).chain(&own).collect();
-        let over = since + self.max_staleness * (1.0 + DRIFT) + self.margin;
+        let over = since + self.max_staleness * (1.0 + CLOCK_DRIFT) + self.margin;
         consents.len() >= self.majority || (peers.authority_ends(process) && now > over)
     }
 
@@ -326,13 +327,11 @@
         }
         let owners = store.owners();
         let owners = owners.teams.values().chain(owners.machines.values());
-        let owners: BTreeSet<Process> = owners
-            .map(|owner| (owner.node.clone(), owner.incarnation))
-            .collect();
+        let owners: BTreeSet<ProcessId> = owners.map(|owner| owner.process()).collect();
         let gone = owners
             .into_iter()
-            .filter(|(node, _)| store.node(node).is_none());
-        let gone: Vec<Process> = gone.collect();
+            .filter(|process| store.node(&process.node).is_none());
+        let gone: Vec<ProcessId> = gone.collect();
         self.stored_consents = gone
             .into_iter()
             .filter(|process| self.consent(process, now))
@@ -340,7 +339,7 @@
     }
 
     /// The map names only these processes: questions about others are closed.
-    pub fn close_questions(&mut self, open: &BTreeSet<Process>) {
+    pub fn close_questions(&mut self, open: &BTreeSet<ProcessId>) {
         self.consents.retain(|process, _| open.contains(process));
         self.asked_since.retain(|process, _| open.contains(process));
     }
--- a/src/core/membership/ownership/tests.rs
+++ b/src/core/membership/ownership/tests.rs
@@ -31,7 +31,7 @@
         let max_staleness = max_staleness(&workers(report_s, lease_s, cancel_s));
         assert!(max_staleness > 0.0);
         assert!(
-            max_staleness + lease_s * (1.0 + DRIFT) + report_s * 0.5 < cancel_s,
+            max_staleness + lease_s * (1.0 + CLOCK_DRIFT) + report_s * 0.5 < cancel_s,
             "{lease_s} {cancel_s}"
         );
     }
@@ -93,9 +93,9 @@
     settings += "[[siblings]]\nhost_name = \"n1\"\naddr = \"127.0.0.1:1\"\n";
     let config = Config::parse(&settings).unwrap();
     let (store, mut peers) = (StoreReplica::new(&config), Peers::new(&config));
-    let process = (Node::from("n1"), 7);
+    let process = ProcessId::new(Node::from("n1"), 7);
     let since = 100.0;
-    let over = since + ownership.max_staleness * (1.0 + DRIFT) + ownership.margin;
+    let over = since + ownership.max_staleness * (1.0 + CLOCK_DRIFT) + ownership.margin;
     assert!(!ownership.lease_expired(&process, &store, &peers, since));
     assert!(
         !ownership.lease_expired(&process, &store, &peers, over + 1.0),
@@ -104,7 +104,7 @@
     peers.says_authority_ends(&process);
     assert!(!ownership.lease_expired(&process, &store, &peers, over - 0.01));
     assert!(ownership.lease_expired(&process, &store, &peers, over + 0.01));
-    let other = (Node::from("n1"), 8);
+    let other = ProcessId::new(Node::from("n1"), 8);
     assert!(
         !ownership.lease_expired(&other, &store, &peers, over + 1.0),
         "another process"
--- a/src/core/membership/peers.rs
+++ b/src/core/membership/peers.rs
@@ -3,8 +3,8 @@
 //! them lives is judged by the detector ([`crate::core::controller::failure_detection`]).
 
 use crate::config::Config;
-use crate::core::effects::Time;
-use crate::core::model::process::Process;
+use crate::core::model::process::ProcessId;
+use crate::core::model::time::Time;
 use crate::ids::{JobId, Node};
 use failure_detector::{Detector, Settings};
 use std::collections::BTreeMap;
@@ -17,7 +17,7 @@
     /// When the state service last served it, at the least.
     pub(crate) served: Time,
     pub(crate) hello_out: bool,
-    /// Process and number of its newest hello.
+    /// ProcessId and number of its newest hello.
     pub(crate) newest: (u64, u64),
     /// The process whose authority is known to end by itself.
     pub(crate) bounded: Option<u64>,
@@ -89,14 +89,14 @@
         (sent > since).then_some(incarnation)
     }
 
-    pub fn says_authority_ends(&mut self, (node, incarnation): &Process) {
+    pub fn says_authority_ends(&mut self, ProcessId { node, incarnation }: &ProcessId) {
         if let Some(peer) = self.peers.get_mut(node) {
             peer.bounded = Some(*incarnation);
         }
     }
 
     /// Whether this process's authority is known to end a bounded time after its key has gone.
-    pub fn authority_ends(&self, (node, incarnation): &Process) -> bool {
+    pub fn authority_ends(&self, ProcessId { node, incarnation }: &ProcessId) -> bool {
         self.peers
             .get(node)
             .is_some_and(|peer| peer.bounded == Some(*incarnation))
--- a/src/core/membership/process_pause.rs
+++ b/src/core/membership/process_pause.rs
@@ -5,7 +5,7 @@
 //! conclusion from silence, returns no machine and plans none.
 
 use crate::config::Config;
-use crate::core::effects::Time;
+use crate::core::model::time::Time;
 
 /// Steps come many times a lease; a pause of this part of one between two steps is a standstill.
 const STANDSTILL_LEASES: f64 = 0.1;
--- a/src/core/membership/process_pause/tests.rs
+++ b/src/core/membership/process_pause/tests.rs
@@ -34,7 +34,7 @@
 fn machines_are_not_silent_because_the_owner_stood_still() {
     let (mut owner, mut outbox, mut store) = shard();
     let mut machine = Machine::named("m-1".into(), FencingToken(9), 0.0);
-    machine.mine = true;
+    machine.is_owned = true;
     owner.machines.insert("m-1".into(), machine);
     outbox.begin(8.0, 8_000);
     (owner.heard, store.current_as_of) = (8.0, 8.0);
@@ -52,18 +52,22 @@
 fn nothing_is_planned_before_the_owner_is_up_to_date() {
     let (mut owner, mut outbox, store) = shard();
     let mut machine = Machine::named("m-1".into(), FencingToken(9), 0.0);
-    (machine.mine, machine.trusted, machine.answered) = (true, true, 100.0);
+    (
+        machine.is_owned,
+        machine.token_confirmed,
+        machine.last_answered,
+    ) = (true, true, 100.0);
     machine.address = "m-1".into();
     owner.machines.insert("m-1".into(), machine);
     let catalog = Catalog::with_types(types());
     outbox.begin(100.0, 100_000);
     owner.catching_up = true;
     owner.plan_when_due(&outbox, &store, &catalog);
-    assert!(owner.need.closed.is_empty());
+    assert!(owner.demand.surplus_machines.is_empty());
     owner.catching_up = false;
     owner.plan_when_due(&outbox, &store, &catalog);
     assert_eq!(
-        owner.need.closed,
+        owner.demand.surplus_machines,
         vec![MachineId::from("m-1")],
         "else it would be"
     );
--- a/src/core/messages/detection.rs
+++ b/src/core/messages/detection.rs
@@ -1,4 +1,4 @@
-use crate::core::effects::Time;
+use crate::core::model::time::Time;
 use crate::ids::Node;
 use failure_detector::Opinion;
 use serde::{Deserialize, Serialize};
--- a/src/core/messages/mesh.rs
+++ b/src/core/messages/mesh.rs
@@ -3,7 +3,7 @@
 use crate::core::messages::detection::Detection;
 use crate::core::messages::final_states::FinalStates;
 use crate::core::messages::shard_update::{PeerUpdate, Unresponsive};
-use crate::core::model::process::Process;
+use crate::core::model::process::ProcessId;
 use crate::ids::{JobId, Node, Version};
 use crate::wire::{Heartbeat, HeartbeatResponse, JobSpec};
 use serde::{Deserialize, Serialize};
@@ -37,7 +37,7 @@
     #[serde(rename = "wants_voucher")]
     pub wants_extension: bool,
     /// The sender leads and wants to hand on these lapsed processes' shares.
-    pub wants_consent: Vec<Process>,
+    pub wants_consent: Vec<ProcessId>,
     /// Tasks done and running, of jobs that run in the sender's share.
     pub running: Vec<(JobId, u32, u32)>,
     /// Machines that are known not to be answered any more under these terms.
@@ -87,7 +87,7 @@
     pub incarnation: u64,
     #[serde(rename = "vouches")]
     pub grants_extension: bool,
-    pub consents: Vec<Process>,
+    pub consents: Vec<ProcessId>,
     pub has_state: bool,
     /// Workers came here lately and were sent to the asker.
     pub sends_workers: bool,
--- a/src/core/messages/shard_update.rs
+++ b/src/core/messages/shard_update.rs
@@ -1,5 +1,5 @@
-use crate::core::effects::Time;
-use crate::core::messages::capacity_demand::{CapacityDemand, Offer};
+use crate::core::messages::capacity_demand::{CapacityDemand, MachineOffer};
+use crate::core::model::time::Time;
 use crate::core::records::shard_map::ShardMap;
 use crate::ids::{Attempt, FencingToken, Image, MachineId, Team, Version, Zone};
 use crate::wire::ReportedTask;
@@ -26,9 +26,10 @@
     #[serde(rename = "wishes")]
     pub commands: Vec<TaskCommand>,
     /// To the leader: what the sender's share lacks and has to spare.
-    pub need: CapacityDemand,
+    #[serde(rename = "need")]
+    pub demand: CapacityDemand,
     /// From the leader: what the cloud has none of at present.
-    pub refused: Option<BTreeSet<Offer>>,
+    pub refused: Option<BTreeSet<MachineOffer>>,
     /// Now and then: the images on the sender's machines; to a process that has just begun, all
     /// that the sender knows. A new owner starts without them where it would have to fetch.
     pub images: Hints,
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -20,10 +20,11 @@
 use crate::core::controller::user_requests::UserRequests;
 use crate::core::effects::outbox::Outbox;
 use crate::core::effects::pending::Pending;
-use crate::core::effects::{Effect, Input, StoreReply, Time};
+use crate::core::effects::{Effect, Input, StoreReply};
 use crate::core::leader::Leader;
 use crate::core::membership::ownership::OwnershipLease;
 use crate::core::membership::peers::Peers;
+use crate::core::model::time::Time;
 use crate::core::shard::Shard;
 use crate::core::store::replica::StoreReplica;
 use crate::ids::{Node, Team};
@@ -261,7 +262,7 @@
             }
             if let Some(leader) = self.leader.as_mut() {
                 if let Some(owner) = self.shard.as_mut() {
-                    leader.needs(&self.config.node, owner.need.clone());
+                    leader.set_demand(&self.config.node, owner.demand.clone());
                     owner.refused = leader.refused();
                 }
                 leader.catching_up = catching_up;
--- a/src/core/model/mod.rs
+++ b/src/core/model/mod.rs
@@ -3,4 +3,5 @@
 pub mod process;
 pub mod ranges;
 pub mod resources;
+pub mod time;
 pub mod token_bucket;
--- a/src/core/model/process.rs
+++ b/src/core/model/process.rs
@@ -1,4 +1,33 @@
+//! The identity of a controller's process.
+
 use crate::ids::Node;
+use serde::{Deserialize, Serialize};
+
+/// One run of a controller: its name and its incarnation, which changes with every start. Serialized as a pair.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[serde(from = "(Node, u64)", into = "(Node, u64)")]
+pub struct ProcessId {
+    /// The controller.
+    pub node: Node,
+    /// Which of its processes.
+    pub incarnation: u64,
+}
+
+impl ProcessId {
+    /// The process of `node` with this incarnation.
+    pub fn new(node: Node, incarnation: u64) -> Self {
+        Self { node, incarnation }
+    }
+}
+
+impl From<(Node, u64)> for ProcessId {
+    fn from((node, incarnation): (Node, u64)) -> Self {
+        Self { node, incarnation }
+    }
+}
 
-/// A process that some controller runs or ran.
-pub type Process = (Node, u64);
+impl From<ProcessId> for (Node, u64) {
+    fn from(process: ProcessId) -> Self {
+        (process.node, process.incarnation)
+    }
+}
--- a/src/core/model/token_bucket.rs
+++ b/src/core/model/token_bucket.rs
@@ -1,6 +1,6 @@
 //! A rate limit with one second's worth of burst.
 
-use crate::core::effects::Time;
+use crate::core::model::time::Time;
 
 /// Tokens that come at a steady rate and are kept for up to a second.
 #[derive(Debug)]
--- a/src/core/records/process_record.rs
+++ b/src/core/records/process_record.rs
@@ -1,4 +1,4 @@
-use crate::core::model::process::Process;
+use crate::core::model::process::ProcessId;
 use crate::ids::{FencingToken, MachineId, Node};
 use serde::{Deserialize, Serialize};
 
@@ -14,7 +14,7 @@
     /// Processes whose share it lets be handed on, told here as it does not hear the leader
     /// ([`crate::core::membership::ownership`]).
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub consents: Vec<Process>,
+    pub consents: Vec<ProcessId>,
     /// Machines that the leader is to give to it ([`crate::core::machines::claims`]).
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub claims: Vec<MachineClaim>,
--- a/src/core/records/shard_map.rs
+++ b/src/core/records/shard_map.rs
@@ -1,4 +1,4 @@
-use crate::core::model::process::Process;
+use crate::core::model::process::ProcessId;
 use crate::ids::{FencingToken, MachineId, Node, Team};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -36,13 +36,18 @@
     pub token: FencingToken,
     /// The process it was taken from, if that was alive.
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
-    pub former: Option<Process>,
+    pub previous_owner: Option<ProcessId>,
     /// The term directly before, if its owner had said that it answers the machine no more.
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
-    pub prior: Option<FencingToken>,
+    pub previous_token: Option<FencingToken>,
 }
 
 impl ShardOwner {
+    /// The process that owns.
+    pub fn process(&self) -> ProcessId {
+        ProcessId::new(self.node.clone(), self.incarnation)
+    }
+
     pub fn is(&self, node: &Node, incarnation: u64) -> bool {
         self.node == *node && self.incarnation == incarnation
     }
--- a/src/core/scheduling/catalog.rs
+++ b/src/core/scheduling/catalog.rs
@@ -1,8 +1,8 @@
 //! The machine types that the cloud offers, and which submissions can never run on any of them.
 
 use crate::config::Config;
-use crate::core::effects::Time;
 use crate::core::model::resources::Resources;
+use crate::core::model::time::Time;
 use crate::core::scheduling::constraints::team_limits;
 use crate::core::scheduling::usage::{least_need, within};
 use crate::ids::TypeName;
--- a/src/core/scheduling/constraints.rs
+++ b/src/core/scheduling/constraints.rs
@@ -1,6 +1,6 @@
 use crate::config::{Config, TeamLimits};
-use crate::core::effects::Time;
 use crate::core::jobs::job::Job;
+use crate::core::model::time::Time;
 use crate::ids::{TypeName, Zone};
 use crate::wire::JobSpec;
 
--- a/src/core/scheduling/forecast.rs
+++ b/src/core/scheduling/forecast.rs
@@ -1,7 +1,7 @@
 //! What is likely to arrive, judged by what arrived lately.
 
 use crate::config::Config;
-use crate::core::effects::Time;
+use crate::core::model::time::Time;
 use crate::ids::Image;
 use crate::wire::{JobSpec, Kind, MachineType};
 use std::collections::{BTreeMap, VecDeque};
--- a/src/core/scheduling/opportunistic.rs
+++ b/src/core/scheduling/opportunistic.rs
@@ -3,11 +3,11 @@
 //! free for other work. Machines are rented for them only where that pays off.
 
 use crate::config::Config;
-use crate::core::effects::Time;
 use crate::core::jobs::job::Job;
 use crate::core::machines::machine::Machine;
-use crate::core::messages::capacity_demand::Offer;
+use crate::core::messages::capacity_demand::MachineOffer;
 use crate::core::model::resources::Resources;
+use crate::core::model::time::Time;
 use crate::core::scheduling::catalog::{tasks_per_machine, total_room};
 use crate::core::scheduling::forecast::longest_boot;
 use crate::wire::{JobSpec, MachineType, Priority};
@@ -47,7 +47,7 @@
             .attempts
             .values()
             .filter(|tracked| !tracked.exited() && tracked.stop.is_none() && tracked.opportunistic);
-        let rooms = running.filter_map(|tracked| tracked.room);
+        let rooms = running.filter_map(|tracked| tracked.resources);
         rooms.fold(Resources::default(), |sum, room| sum.plus(&room))
     }
 }
@@ -69,8 +69,10 @@
 
 /// Whether a machine of this kind runs the job nearly as cheaply as anything could. Only spot machines
 /// are cheap enough, and not all of them.
-pub fn is_cheap(types: &[MachineType], offer: &Offer, spec: &JobSpec) -> bool {
-    let (type_name, _, spot) = offer;
+pub fn is_cheap(types: &[MachineType], offer: &MachineOffer, spec: &JobSpec) -> bool {
+    let MachineOffer {
+        type_name, spot, ..
+    } = offer;
     let need = Resources::of(spec);
     let price = |t: &MachineType| t.spot_price / tasks_per_machine(t, &need);
     let runs = |t: &&MachineType| {
--- a/src/core/scheduling/packing.rs
+++ b/src/core/scheduling/packing.rs
@@ -3,7 +3,7 @@
 //! decided in [`crate::core::shard::round`].
 
 use crate::core::jobs::job::zone_allows;
-use crate::core::messages::capacity_demand::{CapacityDemand, MachineDemand, Offer};
+use crate::core::messages::capacity_demand::{CapacityDemand, MachineDemand, MachineOffer};
 use crate::core::model::resources::Resources;
 use crate::core::scheduling::catalog::{fits_without_gpus, tasks_per_machine, total_room};
 use crate::core::scheduling::constraints::allowed;
@@ -51,7 +51,7 @@
 /// Somewhere a task could go in a plan.
 pub struct PackingCandidate {
     pub machine: Option<MachineId>,
-    pub offer: Offer,
+    pub offer: MachineOffer,
     /// Beside what is on it and what is planned there; opportunistic work counts once
     /// [`Plan::count_opportunistic`] was called.
     pub free: Resources,
@@ -73,7 +73,7 @@
 
 impl PackingCandidate {
     /// Nothing is on it, and it has no room yet.
-    pub fn empty(machine: Option<MachineId>, offer: Offer) -> Self {
+    pub fn empty(machine: Option<MachineId>, offer: MachineOffer) -> Self {
         Self {
             machine,
             offer,
@@ -95,7 +95,7 @@
     most_wanted: u32,
     types: &'a [MachineType],
     /// What the cloud has none of at present.
-    refused: &'a BTreeSet<Offer>,
+    refused: &'a BTreeSet<MachineOffer>,
     candidates: Vec<PackingCandidate>,
     machines_in_zone: BTreeMap<Zone, u32>,
 }
@@ -103,14 +103,14 @@
 impl<'a> Plan<'a> {
     pub fn new(
         types: &'a [MachineType],
-        refused: &'a BTreeSet<Offer>,
+        refused: &'a BTreeSet<MachineOffer>,
         candidates: Vec<PackingCandidate>,
         most_wanted: u32,
     ) -> Self {
         let mut machines_in_zone: BTreeMap<Zone, u32> = BTreeMap::new();
         for candidate in &candidates {
             *machines_in_zone
-                .entry(candidate.offer.1.clone())
+                .entry(candidate.offer.zone.clone())
                 .or_default() += 1;
         }
         Self {
@@ -193,7 +193,7 @@
                     candidate.free = candidate.free.less(&room);
                     placed_on_machines += u32::from(candidate.machine.is_some());
                     purpose.mark(candidate, urgency);
-                    candidate.offer.1.clone()
+                    candidate.offer.zone.clone()
                 }
                 None => {
                     first = if bound_to_zones {
@@ -234,11 +234,11 @@
                     .is_none_or(|machine| !avoided.contains(machine))
                 && allowed(
                     spec,
-                    &candidate.offer.0,
-                    &candidate.offer.1,
-                    candidate.offer.2,
+                    &candidate.offer.type_name,
+                    &candidate.offer.zone,
+                    candidate.offer.spot,
                 )
-                && open(&candidate.offer.1)
+                && open(&candidate.offer.zone)
         };
         let left = |candidate: &PackingCandidate| {
             (
@@ -246,7 +246,7 @@
                 candidate.free.cpus - room.cpus,
             )
         };
-        let dear = |candidate: &PackingCandidate| spec.spot && !candidate.offer.2;
+        let dear = |candidate: &PackingCandidate| spec.spot && !candidate.offer.spot;
         self.candidates[first..]
             .iter_mut()
             .filter(|candidate| fits(candidate))
@@ -277,20 +277,25 @@
             room,
             spares_gpus,
         } = task;
-        let has_gpus = |offer: &Offer| self.types.iter().any(|t| t.name == offer.0 && t.gpus > 0.0);
-        let worth = |offer: &Offer| match purpose {
+        let has_gpus = |offer: &MachineOffer| {
+            self.types
+                .iter()
+                .any(|t| t.name == offer.type_name && t.gpus > 0.0)
+        };
+        let worth = |offer: &MachineOffer| match purpose {
             _ if *spares_gpus && has_gpus(offer) => false,
             Purpose::Ordinary | Purpose::Opportunistic { starved: true, .. } => true,
             Purpose::Opportunistic { .. } => is_cheap(self.types, offer, spec),
         };
         let all = offers(self.types, spec, room, open);
-        let (any_of, dear): (Vec<Offer>, Vec<Offer>) = all.into_iter().partition(worth);
+        let (any_of, dear): (Vec<MachineOffer>, Vec<MachineOffer>) =
+            all.into_iter().partition(worth);
         let refused = self.refused.iter().cloned().chain(dear).collect();
         let zones = &self.machines_in_zone;
         let (offer, total) = cheapest(self.types, spec, room, open, zones, &refused)?;
         let opportunistic = purpose.rented();
         let (wanted, gpus) = (offer.clone(), room.gpus);
-        need.want(MachineDemand {
+        need.add(MachineDemand {
             count: 1,
             offer: wanted,
             any_of,
@@ -298,7 +303,7 @@
             gpus,
             opportunistic,
         });
-        let zone = offer.1.clone();
+        let zone = offer.zone.clone();
         purpose.mark(self.add_rented(offer, total, room), urgency);
         Some(zone)
     }
@@ -306,11 +311,11 @@
     /// A machine that is to be rented.
     fn add_rented(
         &mut self,
-        offer: Offer,
+        offer: MachineOffer,
         total: Resources,
         taken: &Resources,
     ) -> &mut PackingCandidate {
-        *self.machines_in_zone.entry(offer.1.clone()).or_default() += 1;
+        *self.machines_in_zone.entry(offer.zone.clone()).or_default() += 1;
         self.candidates.push(PackingCandidate {
             free: total.less(taken),
             total,
@@ -364,7 +369,7 @@
     /// can be rented soon.
     fn may_rent(&self, need: &CapacityDemand, most_wanted: u32) -> bool {
         match self {
-            Self::Ordinary => need.wanted() < most_wanted,
+            Self::Ordinary => need.machines_wanted() < most_wanted,
             Self::Opportunistic { rentals, .. } => **rentals > 0,
         }
     }
@@ -387,7 +392,7 @@
     spec: &JobSpec,
     need: &Resources,
     open: &dyn Fn(&Zone) -> bool,
-) -> Vec<Offer> {
+) -> Vec<MachineOffer> {
     let mut offers = Vec::new();
     for of_type in types
         .iter()
@@ -396,7 +401,11 @@
         for zone in of_type.zones.iter().filter(|zone| open(zone)) {
             for spot in [false, true] {
                 if allowed(spec, &of_type.name, zone, spot) {
-                    offers.push((of_type.name.clone(), zone.clone(), spot));
+                    offers.push(MachineOffer {
+                        type_name: of_type.name.clone(),
+                        zone: zone.clone(),
+                        spot,
+                    });
                 }
             }
         }
@@ -411,9 +420,9 @@
     need: &Resources,
     open: &dyn Fn(&Zone) -> bool,
     in_zone: &BTreeMap<Zone, u32>,
-    refused: &BTreeSet<Offer>,
-) -> Option<(Offer, Resources)> {
-    let mut best: Option<((f64, u32), Offer, Resources)> = None;
+    refused: &BTreeSet<MachineOffer>,
+) -> Option<(MachineOffer, Resources)> {
+    let mut best: Option<((f64, u32), MachineOffer, Resources)> = None;
     for of_type in types
         .iter()
         .filter(|of_type| total_room(of_type).holds(need))
@@ -425,7 +434,11 @@
                 if !allowed(spec, &of_type.name, zone, spot) {
                     continue;
                 }
-                let offer = (of_type.name.clone(), zone.clone(), spot);
+                let offer = MachineOffer {
+                    type_name: of_type.name.clone(),
+                    zone: zone.clone(),
+                    spot,
+                };
                 if refused.contains(&offer) {
                     continue;
                 }
--- a/src/core/scheduling/packing/tests.rs
+++ b/src/core/scheduling/packing/tests.rs
@@ -9,10 +9,10 @@
     let (types, job) = (types(), service("chat", "x", 1.0));
     let need = Resources::of(&job);
     let zones = BTreeMap::from([(Zone::from("a"), 3)]);
-    let best = |refused: &BTreeSet<Offer>| {
+    let best = |refused: &BTreeSet<MachineOffer>| {
         cheapest(&types, &job, &need, &|_| true, &zones, refused).map(|(offer, _)| offer)
     };
-    let g8 = |zone: &str| (TypeName::from("g8"), Zone::from(zone), false);
+    let g8 = |zone: &str| MachineOffer::from((TypeName::from("g8"), Zone::from(zone), false));
     assert_eq!(best(&BTreeSet::new()), Some(g8("b")));
     assert_eq!(best(&BTreeSet::from([g8("b")])), Some(g8("a")));
 }
@@ -22,7 +22,7 @@
 #[test]
 fn a_machine_that_a_job_avoids_is_no_room_for_it() {
     let (types, refused) = (types(), BTreeSet::new());
-    let offer = || (TypeName::from("g8"), Zone::from("a"), false);
+    let offer = || MachineOffer::from((TypeName::from("g8"), Zone::from("a"), false));
     let candidate = || PackingCandidate {
         free: total_room(&types[1]),
         ..PackingCandidate::empty(Some("m-1".into()), offer())
@@ -37,7 +37,7 @@
             ..TaskDemand::expected(&types, service("chat", "x", 1.0), 1)
         };
         plan.serve(waiting, &mut need);
-        need.wanted()
+        need.machines_wanted()
     };
     assert_eq!(wants(BTreeSet::new()), 0);
     assert_eq!(wants(BTreeSet::from(["m-1".into()])), 1);
@@ -55,7 +55,7 @@
             TaskDemand::expected(&types, service("chat", "x", 1.0), tasks),
             &mut need,
         );
-        need.wanted()
+        need.machines_wanted()
     };
     assert_eq!(
         (wants(400), wants(16_000), wants(100_000)),
@@ -68,7 +68,7 @@
 #[test]
 fn opportunistic_work_is_planned_within_its_zones() {
     let (types, refused) = (types(), BTreeSet::new());
-    let offer = || (TypeName::from("g8"), Zone::from("a"), true);
+    let offer = || MachineOffer::from((TypeName::from("g8"), Zone::from("a"), true));
     let candidates = vec![PackingCandidate {
         free: total_room(&types[1]),
         ..PackingCandidate::empty(Some("m-1".into()), offer())
@@ -80,12 +80,12 @@
     let wanted = TaskDemand::expected(&types, job.into(), 4);
     plan.serve_opportunistic(wanted, false, &mut rentals, &mut need);
     assert_eq!(
-        need.wanted(),
+        need.machines_wanted(),
         1,
         "two of four may be in zone a, two more need a machine in b"
     );
-    assert_eq!(need.wants[0].offer.1, Zone::from("b"));
-    assert!(need.wants[0].opportunistic && rentals == 4);
+    assert_eq!(need.machine_demands[0].offer.zone, Zone::from("b"));
+    assert!(need.machine_demands[0].opportunistic && rentals == 4);
 }
 
 /// What needs no GPUs wanted machines with GPUs while there were others without, and the leader moved forty
@@ -103,8 +103,8 @@
     job.gpus = 0.0;
     let job = Rc::new(job);
     let machine = total_room(&types[1]);
-    let offer = || (TypeName::from("g8"), Zone::from("a"), false);
-    let wants = |types: &[MachineType], refused: &BTreeSet<Offer>| {
+    let offer = || MachineOffer::from((TypeName::from("g8"), Zone::from("a"), false));
+    let wants = |types: &[MachineType], refused: &BTreeSet<MachineOffer>| {
         let candidate = PackingCandidate {
             free: machine,
             total: machine,
@@ -115,7 +115,7 @@
             CapacityDemand::default(),
         );
         plan.serve(TaskDemand::expected(types, job.clone(), 1), &mut need);
-        need.wants
+        need.machine_demands
     };
     let none_refused = BTreeSet::new();
     assert!(
@@ -129,13 +129,14 @@
         wanted[0]
             .any_of
             .iter()
-            .all(|offer| offer.0 == TypeName::from("c16"))
+            .all(|offer| offer.type_name == TypeName::from("c16"))
     );
     let zones = ["a", "b"]
         .into_iter()
         .flat_map(|zone| [(zone, false), (zone, true)]);
     let refused = zones
         .map(|(zone, spot)| (TypeName::from("c16"), Zone::from(zone), spot))
+        .map(MachineOffer::from)
         .collect();
     assert!(
         wants(&types, &refused).is_empty(),
--- a/src/core/scheduling/placement.rs
+++ b/src/core/scheduling/placement.rs
@@ -7,8 +7,8 @@
 //! for such a task only beside the part of its CPUs and memory that its free GPUs keep
 //! ([`Resources::beside_free_gpus`]).
 
-use crate::core::effects::Time;
 use crate::core::model::resources::Resources;
+use crate::core::model::time::Time;
 
 /// Weights of the tie-break.
 #[derive(Clone, Copy, Debug)]
--- a/src/core/shard/acquired_machines.rs
+++ b/src/core/shard/acquired_machines.rs
@@ -12,7 +12,7 @@
         let mine = self
             .machines
             .values()
-            .filter(|machine| machine.mine && machine.trusted);
+            .filter(|machine| machine.is_owned && machine.token_confirmed);
         let contact = mine.map(|machine| {
             let (address, agent_epoch) = (machine.address.clone(), machine.agent_epoch);
             (
@@ -35,7 +35,7 @@
         heartbeat: &Heartbeat,
     ) {
         let id = &heartbeat.machine;
-        let Some(machine) = self.machines.get_mut(id).filter(|machine| machine.mine) else {
+        let Some(machine) = self.machines.get_mut(id).filter(|machine| machine.is_owned) else {
             return;
         };
         if heartbeat.agent_epoch <= machine.ended_epoch() {
@@ -46,8 +46,8 @@
         }
         // Its session may have begun a moment ago, since the lease of the one before was over: its own lease
         // then lasts longer than what the former owner's last answer tells (rough day 15).
-        machine.answered = machine.answered.max(outbox.now);
-        machine.empty = false;
+        machine.last_answered = machine.last_answered.max(outbox.now);
+        machine.known_empty = false;
         self.take_direct_heartbeat(outbox, store, id, heartbeat);
     }
 }
--- a/src/core/shard/capacity_planning.rs
+++ b/src/core/shard/capacity_planning.rs
@@ -4,11 +4,12 @@
 //! those that stay so for long are closed, so that the leader may return them.
 
 use crate::config::Config;
-use crate::core::effects::Time;
 use crate::core::effects::outbox::Outbox;
 use crate::core::jobs::job::Job;
-use crate::core::leader::scaling::RENT_LIMIT;
-use crate::core::messages::capacity_demand::CapacityDemand;
+use crate::core::messages::capacity_demand::{
+    CapacityDemand, MAX_MACHINES_PER_RENTAL, MachineOffer,
+};
+use crate::core::model::time::Time;
 use crate::core::scheduling::catalog::Catalog;
 use crate::core::scheduling::constraints::team_limits;
 use crate::core::scheduling::forecast::longest_boot;
@@ -35,7 +36,7 @@
 pub(crate) fn most_wanted(config: &Config) -> u32 {
     let deployment = &config.deployment;
     let calls = deployment.cloud.rps * deployment.workers.cancel_s;
-    (calls * RENT_LIMIT as f64) as u32
+    (calls * MAX_MACHINES_PER_RENTAL as f64) as u32
 }
 
 /// What a share needs room for.
@@ -80,16 +81,17 @@
         self.plan(outbox, store, catalog, &mut need);
         let lease = self.config.deployment.workers.lease_s;
         let lag = self.config.deployment.cloud.list_lag_s;
-        for machine in self.machines.values().filter(|machine| machine.mine) {
-            if now > machine.seen.max(machine.answered) + lease * SILENT_LEASES + lag {
-                need.silent.push(machine.id.clone());
-            } else if machine.raise && !machine.address.is_empty() {
-                need.raise.push((machine.id.clone(), machine.token));
+        for machine in self.machines.values().filter(|machine| machine.is_owned) {
+            if now > machine.last_seen.max(machine.last_answered) + lease * SILENT_LEASES + lag {
+                need.unheard_machines.push(machine.id.clone());
+            } else if machine.needs_new_token && !machine.address.is_empty() {
+                need.tokens_to_renew
+                    .push((machine.id.clone(), machine.token));
             }
         }
-        need.exhausted = self.teams_short_of_attempts();
-        self.sync_soon |= need.wants != self.need.wants;
-        self.need = need;
+        need.teams_out_of_attempts = self.teams_short_of_attempts();
+        self.sync_soon |= need.machine_demands != self.demand.machine_demands;
+        self.demand = need;
     }
 
     pub(crate) fn plan(
@@ -125,7 +127,7 @@
         for wanted in upcoming.wanted {
             plan.serve(wanted, need);
         }
-        if need.wants.is_empty() && need.queued == 0.0 && expects_none {
+        if need.machine_demands.is_empty() && need.queued == 0.0 && expects_none {
             self.consolidate(plan.candidates(), catalog, now);
         }
         self.plan_opportunistic(&mut plan, opportunistic, types, need);
@@ -135,20 +137,20 @@
     pub(crate) fn candidates(&self, now: Time) -> Vec<PackingCandidate> {
         let lease = self.config.deployment.workers.lease_s;
         let usable = self.machines.values().filter(|machine| {
-            let terminating = machine.leaves.is_some() || now < machine.cordoned_until;
-            machine.mine
+            let terminating = machine.reclaimed_at.is_some() || now < machine.cordoned_until;
+            machine.is_owned
                 && !terminating
                 && !machine.unresponsive
-                && now <= machine.answered + lease
+                && now <= machine.last_answered + lease
                 && !machine.address.is_empty()
         });
         usable
             .map(|machine| {
-                let offer = (
-                    machine.type_name.clone(),
-                    machine.zone.clone(),
-                    machine.spot,
-                );
+                let offer = MachineOffer {
+                    type_name: machine.type_name.clone(),
+                    zone: machine.zone.clone(),
+                    spot: machine.spot,
+                };
                 let opportunistic = machine.opportunistic_room();
                 PackingCandidate {
                     free: machine.free_for_other_work(),
@@ -268,7 +270,8 @@
             // Another one would have to boot and to fetch what this one holds.
             let patience = catalog.boot_s(&machine.type_name) + machine.longest_fetch();
             let idle = machine.idle();
-            let spare = machine.trusted && machine.holds_only_opportunistic() && !candidate.used;
+            let spare =
+                machine.token_confirmed && machine.holds_only_opportunistic() && !candidate.used;
             machine.draining &= !candidate.planned && !idle;
             // Opportunistic work keeps spot machines only, and what was rented since a job was starved.
             let filled = machine.spot && (candidate.fills_up || !idle);
@@ -277,14 +280,14 @@
             self.changed |= machine.releasing && !closed;
             machine.releasing = closed;
             if !idle && spare {
-                need.yielding.push(machine.id.clone());
+                need.opportunistic_only_machines.push(machine.id.clone());
             } else if spare {
-                need.spare.push(machine.id.clone());
+                need.spare_machines.push(machine.id.clone());
             } else if machine.usable(now) && idle && !candidate.waited_for {
-                need.kept.push(machine.id.clone());
+                need.forecast_reserve.push(machine.id.clone());
             }
             if closed && idle {
-                need.closed.push(machine.id.clone());
+                need.surplus_machines.push(machine.id.clone());
             } else if closed {
                 emptied.push(machine.id.clone());
             }
@@ -293,12 +296,14 @@
             self.return_from_opportunistic(&id);
         }
         let rest = self.machines.values().filter(|machine| machine.usable(now));
-        let given = |id| need.spare.contains(id) || need.yielding.contains(id);
+        let given =
+            |id| need.spare_machines.contains(id) || need.opportunistic_only_machines.contains(id);
         let rest = rest.filter(|machine| !given(&machine.id));
         let rest = rest.map(|machine| (machine.id.clone(), machine.room_beside_urgent()));
-        need.roomy = rest.filter(|(_, gpus)| *gpus > 0.0).collect();
-        need.roomy.sort_by(|a, b| b.1.total_cmp(&a.1));
-        need.roomy.truncate(ROOMY);
+        need.machines_with_free_gpus = rest.filter(|(_, gpus)| *gpus > 0.0).collect();
+        need.machines_with_free_gpus
+            .sort_by(|a, b| b.1.total_cmp(&a.1));
+        need.machines_with_free_gpus.truncate(ROOMY);
         let waits = |team: &Team| {
             self.jobs
                 .values()
@@ -308,6 +313,6 @@
             .teams
             .iter()
             .filter(|(name, t)| t.unreconciled.is_empty() && !waits(name));
-        need.quiet = quiet.map(|(name, _)| name.clone()).collect();
+        need.teams_without_queue = quiet.map(|(name, _)| name.clone()).collect();
     }
 }
--- a/src/core/shard/commands.rs
+++ b/src/core/shard/commands.rs
@@ -1,10 +1,11 @@
 //! What machines are told: starts and stops, in direct messages and in the answers to reports.
 
 use crate::core::effects::outbox::Outbox;
-use crate::core::effects::{CallId, Time, WorkerReply};
+use crate::core::effects::{CallId, WorkerReply};
 use crate::core::jobs::job::Task;
 use crate::core::machines::machine::{Carrier, CommandBatch, Freshness, Phase, TrackedAttempt};
 use crate::core::machines::starts_in_flight::AttemptKey;
+use crate::core::model::time::Time;
 use crate::core::shard::Shard;
 use crate::core::shard::owned_jobs::describe;
 use crate::core::store::replica::StoreReplica;
@@ -110,11 +111,11 @@
             let Some(machine) = self.machines.get_mut(&id) else {
                 continue;
             };
-            if !machine.mine {
+            if !machine.is_owned {
                 self.sync_soon = true;
                 continue;
             }
-            if !machine.trusted || machine.suspect || machine.raise {
+            if !machine.token_confirmed || machine.unreachable || machine.needs_new_token {
                 continue;
             }
             let CommandBatch { list, starts } =
@@ -154,9 +155,10 @@
             }
             WorkerReply::Unknown => {
                 let given_up = self.starts_in_flight.given_up(id, call);
-                if let Some(machine) = self.machines.get_mut(id).filter(|machine| machine.mine) {
-                    machine.suspect = true;
-                    machine.raise |= given_up >= GIVEN_UP_MESSAGES;
+                if let Some(machine) = self.machines.get_mut(id).filter(|machine| machine.is_owned)
+                {
+                    machine.unreachable = true;
+                    machine.needs_new_token |= given_up >= GIVEN_UP_MESSAGES;
                 }
             }
         }
@@ -171,7 +173,7 @@
         heartbeat: &Heartbeat,
     ) {
         // Of a machine that has changed hands meanwhile its new owner tells.
-        let Some(machine) = self.machines.get_mut(id).filter(|machine| machine.mine) else {
+        let Some(machine) = self.machines.get_mut(id).filter(|machine| machine.is_owned) else {
             return;
         };
         if heartbeat.machine != *id || heartbeat.token > machine.token {
@@ -185,10 +187,10 @@
     /// A direct message could not be sent: the attempts that it would have started, and that nothing
     /// else under way starts, are not there.
     fn drop_unsent(&mut self, id: &MachineId, starts: BTreeSet<AttemptKey>, now: Time) {
-        let Some(machine) = self.machines.get_mut(id).filter(|machine| machine.mine) else {
+        let Some(machine) = self.machines.get_mut(id).filter(|machine| machine.is_owned) else {
             return;
         };
-        machine.suspect = true;
+        machine.unreachable = true;
         let issued = |key: &AttemptKey| {
             machine
                 .attempts
--- a/src/core/shard/consolidation.rs
+++ b/src/core/shard/consolidation.rs
@@ -3,9 +3,9 @@
 //! at a time move to others that hold their images already, where they are up again at once;
 //! the empty machine serves what needs it whole, or is returned in time. Moving replicas is a drain, which the protocol allows.
 
-use crate::core::effects::Time;
 use crate::core::jobs::job::zone_allows;
 use crate::core::machines::machine::{Machine, Phase, TrackedAttempt};
+use crate::core::model::time::Time;
 use crate::core::scheduling::catalog::Catalog;
 use crate::core::scheduling::constraints::allowed;
 use crate::core::scheduling::forecast::is_tight;
@@ -82,7 +82,7 @@
                     let running = tracked.phase == Phase::Seen(TaskState::Running);
                     // A start that is stopped early does not count as one to its user.
                     let reconciled = tracked
-                        .began
+                        .started_at
                         .is_some_and(|b| now - b > self.config.deployment.workers.cancel_s);
                     if !running || !reconciled || tracked.stop.is_some() {
                         return None;
@@ -148,7 +148,7 @@
                 return false;
             };
             free[at] = free[at].less(&need);
-            *counts.entry(candidate.offer.1.clone()).or_default() += 1;
+            *counts.entry(candidate.offer.zone.clone()).or_default() += 1;
         }
         true
     }
--- a/src/core/shard/grants.rs
+++ b/src/core/shard/grants.rs
@@ -9,7 +9,8 @@
 use crate::config::{Config, TeamLimits};
 use crate::core::effects::outbox::Outbox;
 use crate::core::effects::pending::{GrantWrite, Pending};
-use crate::core::effects::{StoreCall, StoreReply, Time};
+use crate::core::effects::{StoreCall, StoreReply};
+use crate::core::model::time::Time;
 use crate::core::records::keys::{quota_key, teams_key};
 use crate::core::records::versioned::{precondition, put};
 use crate::core::scheduling::usage::{Basis, Usage, limit_of};
@@ -119,7 +120,7 @@
     /// Takes up what the view shows of the records of all our teams.
     pub(crate) fn follow_grants(&mut self, store: &StoreReplica) {
         for (name, team) in &mut self.teams {
-            let gained = team.gained;
+            let gained = team.gained_at;
             if let Some(grant) = &mut team.grant {
                 let before = grant.basis;
                 grant.follow(store, name, gained);
--- a/src/core/shard/grants/tests.rs
+++ b/src/core/shard/grants/tests.rs
@@ -139,7 +139,7 @@
     fn runs(&mut self, gpus: f64) {
         let machine = self.shard.machines.get_mut(&"m-1".into()).unwrap();
         let mut tracked = TrackedAttempt::new(0.0);
-        tracked.room = Some(Resources {
+        tracked.resources = Some(Resources {
             gpus,
             ..Resources::default()
         });
--- a/src/core/shard/lease_expiry.rs
+++ b/src/core/shard/lease_expiry.rs
@@ -1,9 +1,8 @@
 //! When a machine that is not heard must have lost its tasks: its worker's lease runs out a bounded time
 //! after its last report was answered.
 
-use crate::core::effects::Time;
-use crate::core::membership::ownership::DRIFT;
 use crate::core::messages::shard_update::Unresponsive;
+use crate::core::model::time::{CLOCK_DRIFT, Time};
 use crate::core::shard::Shard;
 use crate::core::store::replica::StoreReplica;
 use crate::ids::MachineId;
@@ -17,7 +16,7 @@
     /// How long after its last answered report a machine may still have its tasks.
     fn lease(&self) -> Time {
         let workers = &self.config.deployment.workers;
-        workers.lease_s * (1.0 + DRIFT) + workers.report_s * 0.1
+        workers.lease_s * (1.0 + CLOCK_DRIFT) + workers.report_s * 0.1
     }
 
     /// Machines that have not been heard for long are not answered any more under their present
@@ -34,9 +33,9 @@
         }
         let silence = workers.lease_s * UNRESPONSIVE_LEASES;
         for machine in self.machines.values_mut() {
-            let since = machine.answered.max(machine.awaited);
-            let silent = now > since + silence && machine.former.is_none();
-            machine.unresponsive |= machine.mine && silent;
+            let since = machine.last_answered.max(machine.heartbeat_expected_since);
+            let silent = now > since + silence && machine.previous_owner.is_none();
+            machine.unresponsive |= machine.is_owned && silent;
         }
     }
 
@@ -45,12 +44,12 @@
         let unresponsive = self
             .machines
             .values()
-            .filter(|machine| machine.mine && machine.unresponsive);
+            .filter(|machine| machine.is_owned && machine.unresponsive);
         unresponsive
             .map(|machine| Unresponsive {
                 machine: machine.id.clone(),
                 token: machine.token,
-                age: now - machine.answered,
+                age: now - machine.last_answered,
             })
             .collect()
     }
@@ -63,9 +62,9 @@
         let ours = self
             .machines
             .values()
-            .filter(|m| m.mine && !m.empty && m.former.is_none());
+            .filter(|m| m.is_owned && !m.known_empty && m.previous_owner.is_none());
         let expired: Vec<MachineId> = ours
-            .filter(|m| current > m.answered + lease)
+            .filter(|m| current > m.last_answered + lease)
             .map(|m| m.id.clone())
             .collect();
         for id in expired {
--- a/src/core/shard/mod.rs
+++ b/src/core/shard/mod.rs
@@ -20,17 +20,17 @@
 pub mod usage;
 
 use crate::config::Config;
-use crate::core::effects::Time;
 use crate::core::effects::outbox::Outbox;
 use crate::core::jobs::job::Job;
 use crate::core::machines::machine::{Machine, TrackedAttempt};
 use crate::core::machines::starts_in_flight::StartsInFlight;
 use crate::core::machines::task_index::TaskIndex;
 use crate::core::machines::unresponsive::UnresponsiveMachines;
-use crate::core::messages::capacity_demand::{CapacityDemand, Offer};
+use crate::core::messages::capacity_demand::{CapacityDemand, MachineOffer};
 use crate::core::messages::shard_update::Hints;
-use crate::core::model::process::Process;
+use crate::core::model::process::ProcessId;
 use crate::core::model::resources::Resources;
+use crate::core::model::time::Time;
 use crate::core::model::token_bucket::TokenBucket;
 use crate::core::records::job_record::JobRecord;
 use crate::core::records::shard_map::ShardOwner;
@@ -48,7 +48,7 @@
 pub struct OwnedTeam {
     pub(crate) token: FencingToken,
     /// The view's revision when it was gained.
-    pub gained: Version,
+    pub gained_at: Version,
     /// Machines that may still hold tasks of it which nobody has told of.
     pub unreconciled: BTreeSet<MachineId>,
     pub(crate) attempts: u64,
@@ -76,7 +76,7 @@
     /// Machines that have orders to be sent at once.
     pub(crate) unsent_commands: BTreeSet<MachineId>,
     /// Machines that have come here and were not asked yet what they hold.
-    pub(crate) gained: BTreeSet<MachineId>,
+    pub(crate) uninspected_machines: BTreeSet<MachineId>,
     /// Something changed that placement may profit from.
     pub(crate) changed: bool,
     /// On which machines tasks of each job may be.
@@ -101,10 +101,10 @@
     pub(crate) running_at: Time,
     pub(crate) weights: Weights,
     pub(crate) forecast: Forecast,
-    pub(crate) need: CapacityDemand,
+    pub(crate) demand: CapacityDemand,
     pub(crate) next_plan: Time,
     /// What the cloud has none of at present, as the leader knows.
-    pub(crate) refused: BTreeSet<Offer>,
+    pub(crate) refused: BTreeSet<MachineOffer>,
     /// Images that machines are said to hold.
     pub(crate) hints: Hints,
     /// Siblings that want to hear of our machines.
@@ -138,7 +138,7 @@
             teams: BTreeMap::new(),
             map_seen: None,
             unsent_commands: BTreeSet::new(),
-            gained: BTreeSet::new(),
+            uninspected_machines: BTreeSet::new(),
             changed: true,
             task_index: TaskIndex::default(),
             starts_in_flight: StartsInFlight::default(),
@@ -155,7 +155,7 @@
             running_at: Time::NEG_INFINITY,
             weights: Weights::default(),
             forecast: Forecast::new(config),
-            need: CapacityDemand::default(),
+            demand: CapacityDemand::default(),
             next_plan: now,
             refused: BTreeSet::new(),
             hints,
@@ -204,13 +204,13 @@
                 machine.set_type(catalog.types());
             }
             // A successor of its process has registered, so that has ended.
-            let ended = |(node, incarnation): &Process| {
+            let ended = |ProcessId { node, incarnation }: &ProcessId| {
                 store
                     .node(node)
                     .is_some_and(|n| n.record.incarnation != *incarnation)
             };
-            if machine.former.as_ref().is_some_and(ended) {
-                machine.former_let_go(now);
+            if machine.previous_owner.as_ref().is_some_and(ended) {
+                machine.previous_owner_released(now);
             }
         }
         self.declare_unresponsive(store, now);
@@ -265,37 +265,37 @@
         self.record_rate
             .set_rate(write_rate(&self.config, with_teams.len().max(1)));
         let mine = |o: &ShardOwner| o.is(&self.config.node, self.incarnation);
-        let sibling = |(node, _): &Process| *node != self.config.node;
+        let sibling = |ProcessId { node, .. }: &ProcessId| *node != self.config.node;
         for (id, owner) in &owners.machines {
             let mine = mine(owner);
             let answered = owner
-                .prior
+                .previous_token
                 .and_then(|prior| unresponsive.answered(id, prior));
             match self.machines.get_mut(id) {
-                Some(machine) if machine.mine != mine || machine.token != owner.token => {
+                Some(machine) if machine.is_owned != mine || machine.token != owner.token => {
                     // A fresh token says nothing of whether a former owner has let go.
-                    let former = machine.former.take().filter(|_| machine.mine);
-                    let gained = mine && !machine.mine;
+                    let former = machine.previous_owner.take().filter(|_| machine.is_owned);
+                    let gained = mine && !machine.is_owned;
                     machine.change_hands(owner.token, mine, now);
                     if let (true, Some(answered)) = (gained, answered) {
-                        machine.answered = answered;
-                        machine.awaited = answered;
+                        machine.last_answered = answered;
+                        machine.heartbeat_expected_since = answered;
                     }
-                    let former = owner.former.clone().or(former);
-                    machine.former = former.filter(|former| mine && sibling(former));
-                    machine.gained = store.map_revision();
+                    let former = owner.previous_owner.clone().or(former);
+                    machine.previous_owner = former.filter(|former| mine && sibling(former));
+                    machine.owned_since_revision = store.map_revision();
                     if gained {
-                        self.gained.insert(id.clone());
+                        self.uninspected_machines.insert(id.clone());
                     }
                     self.changed = true;
                 }
                 None if mine => {
                     let answered = answered.unwrap_or(now);
                     let mut machine = Machine::named(id.clone(), owner.token, answered);
-                    machine.mine = true;
-                    machine.former = owner.former.clone().filter(sibling);
-                    machine.gained = store.map_revision();
-                    self.gained.insert(id.clone());
+                    machine.is_owned = true;
+                    machine.previous_owner = owner.previous_owner.clone().filter(sibling);
+                    machine.owned_since_revision = store.map_revision();
+                    self.uninspected_machines.insert(id.clone());
                     self.machines.insert(id.clone(), machine);
                 }
                 _ => {}
@@ -323,7 +323,11 @@
                 self.gain_team(outbox, store, team, token);
             }
         }
-        for machine in self.machines.values_mut().filter(|machine| machine.mine) {
+        for machine in self
+            .machines
+            .values_mut()
+            .filter(|machine| machine.is_owned)
+        {
             if let Some(images) = self.hints.get(&machine.id) {
                 machine.take_images(images);
             }
@@ -336,7 +340,7 @@
                 .is_some_and(|team| teams.contains_key(team))
         };
         self.machines.retain(|_, machine| {
-            if !machine.mine {
+            if !machine.is_owned {
                 machine.attempts.retain(|(task, _), tracked| {
                     let keep = ours(tracked);
                     if !keep {
@@ -345,7 +349,7 @@
                     keep
                 });
             }
-            machine.mine || !machine.attempts.is_empty()
+            machine.is_owned || !machine.attempts.is_empty()
         });
     }
 
@@ -380,7 +384,7 @@
         let grant = self.new_team_grant(&team, token);
         let owned = OwnedTeam {
             token,
-            gained,
+            gained_at: gained,
             unreconciled,
             attempts: 0,
             grant,
@@ -407,8 +411,11 @@
     pub(crate) fn reconcile_when_known(&mut self, store: &StoreReplica) {
         let machines = &self.machines;
         let on_map = &store.owners().machines;
-        let reconciled =
-            |id: &MachineId| machines.get(id).is_some_and(|m| m.mine && m.reconciled());
+        let reconciled = |id: &MachineId| {
+            machines
+                .get(id)
+                .is_some_and(|m| m.is_owned && m.reconciled())
+        };
         for (name, team) in &mut self.teams {
             if !team.unreconciled.is_empty() {
                 team.unreconciled
@@ -448,27 +455,27 @@
     }
 
     pub fn has_machines(&self) -> bool {
-        self.machines.values().any(|machine| machine.mine)
+        self.machines.values().any(|machine| machine.is_owned)
     }
 
     /// Machines of this share.
     pub fn machine_count(&self) -> usize {
         self.machines
             .values()
-            .filter(|machine| machine.mine)
+            .filter(|machine| machine.is_owned)
             .count()
     }
 
     /// Machines of this share whose reports a sibling has relayed since this moment.
     pub fn machines_relayed_since(&self, since: Time) -> usize {
-        let mine = self.machines.values().filter(|machine| machine.mine);
-        mine.filter(|machine| machine.relayed >= since).count()
+        let mine = self.machines.values().filter(|machine| machine.is_owned);
+        mine.filter(|machine| machine.last_relayed >= since).count()
     }
 
     /// A sibling relays a report of this machine, which so does not reach this controller by itself.
     pub(crate) fn note_relayed(&mut self, id: &MachineId, now: Time) {
         if let Some(machine) = self.machines.get_mut(id) {
-            machine.relayed = now;
+            machine.last_relayed = now;
         }
     }
 
--- a/src/core/shard/opportunistic/tests.rs
+++ b/src/core/shard/opportunistic/tests.rs
@@ -2,7 +2,7 @@
 use crate::core::effects::outbox::Outbox;
 use crate::core::jobs::job::Job;
 use crate::core::machines::machine::{Machine, TrackedAttempt};
-use crate::core::messages::capacity_demand::{CapacityDemand, Offer};
+use crate::core::messages::capacity_demand::{CapacityDemand, MachineOffer};
 use crate::core::model::resources::Resources;
 use crate::core::scheduling::catalog::{Catalog, total_room};
 use crate::core::scheduling::opportunistic::*;
@@ -27,12 +27,12 @@
     Rc::new(spec)
 }
 
-fn spot(type_name: &str) -> Offer {
-    (TypeName::from(type_name), Zone::from("a"), true)
+fn spot(type_name: &str) -> MachineOffer {
+    MachineOffer::from((TypeName::from(type_name), Zone::from("a"), true))
 }
 
 /// What a share without room asks for on behalf of an opportunistic job.
-fn wanted(spec: &Rc<JobSpec>, starved: bool, refused: &BTreeSet<Offer>) -> CapacityDemand {
+fn wanted(spec: &Rc<JobSpec>, starved: bool, refused: &BTreeSet<MachineOffer>) -> CapacityDemand {
     let (types, mut need) = (types(), CapacityDemand::default());
     let mut plan = Plan::new(&types, refused, Vec::new(), 400);
     let mut rentals = rentals_worth(&types, machine_time(&types, spec, spec.tasks));
@@ -70,42 +70,45 @@
     // 100 tasks of 30 s, eight at a time: 375 s of one machine's time, 20 s for each rental.
     let need = wanted(&guest_array(30.0), false, &none);
     assert!(
-        need.wants
+        need.machine_demands
             .iter()
-            .all(|want| want.offer.2 && want.opportunistic),
+            .all(|want| want.offer.spot && want.opportunistic),
         "{need:?}"
     );
-    assert_eq!(need.wanted(), 13, "100 tasks fit on 13 machines");
+    assert_eq!(need.machines_wanted(), 13, "100 tasks fit on 13 machines");
     assert_eq!(
         need.queued, 0.0,
         "no reason to move machines that are in use"
     );
     // Seconds of work are over before a machine is up.
-    assert_eq!(wanted(&guest_array(1.0), false, &none).wanted(), 0);
-    let cheap: BTreeSet<Offer> = ["a", "b"]
+    assert_eq!(wanted(&guest_array(1.0), false, &none).machines_wanted(), 0);
+    let cheap: BTreeSet<MachineOffer> = ["a", "b"]
         .iter()
-        .map(|zone| (TypeName::from("g8"), Zone::from(*zone), true))
+        .map(|zone| MachineOffer::from((TypeName::from("g8"), Zone::from(*zone), true)))
         .collect();
     // The other type is nearly as cheap, but takes four at a time: the work is worth no 25 of them.
-    assert_eq!(wanted(&guest_array(30.0), false, &cheap).wanted(), 18);
+    assert_eq!(
+        wanted(&guest_array(30.0), false, &cheap).machines_wanted(),
+        18
+    );
 }
 
 /// What has waited for long may rent one machine of any kind, so that it is served at all.
 #[test]
 fn starved_work_may_rent_one_machine() {
     let types = types();
-    let all: BTreeSet<Offer> = types
+    let all: BTreeSet<MachineOffer> = types
         .iter()
         .flat_map(|t| {
             t.zones
                 .iter()
-                .map(|zone| (t.name.clone(), zone.clone(), true))
+                .map(|zone| MachineOffer::from((t.name.clone(), zone.clone(), true)))
         })
         .collect();
-    assert_eq!(wanted(&guest_array(1.0), false, &all).wanted(), 0);
+    assert_eq!(wanted(&guest_array(1.0), false, &all).machines_wanted(), 0);
     let need = wanted(&guest_array(1.0), true, &all);
-    assert_eq!(need.wanted(), 1);
-    assert!(!need.wants[0].offer.2);
+    assert_eq!(need.machines_wanted(), 1);
+    assert!(!need.machine_demands[0].offer.spot);
 }
 
 /// Room that opportunistic work takes is free for everything else, so nothing is rented beside it.
@@ -118,7 +121,7 @@
         opportunistic: full,
         ..PackingCandidate::empty(
             Some("m-1".into()),
-            (TypeName::from("g8"), Zone::from("a"), false),
+            MachineOffer::from((TypeName::from("g8"), Zone::from("a"), false)),
         )
     };
     let (mut plan, mut need) = (
@@ -129,12 +132,12 @@
         TaskDemand::expected(&types, service("chat", "x", 1.0), 2),
         &mut need,
     );
-    assert_eq!(need.wanted(), 0);
+    assert_eq!(need.machines_wanted(), 0);
     // Opportunistic work itself finds none there.
     plan.count_opportunistic();
     let waiting = TaskDemand::expected(&types, guest_array(30.0), 1);
     plan.serve_opportunistic(waiting, false, &mut 1, &mut need);
-    assert_eq!(need.wanted(), 1);
+    assert_eq!(need.machines_wanted(), 1);
 }
 
 /// A spot machine whose tasks cost half as much again as the cheapest is not worth renting.
@@ -146,9 +149,11 @@
     types[0].spot_price *= 2.0;
     assert!(!is_cheap(&types, &spot("g4"), &spec));
     assert!(is_cheap(&types, &spot("g8"), &spec));
-    let (type_name, zone, _) = spot("g8");
+    let MachineOffer {
+        type_name, zone, ..
+    } = spot("g8");
     assert!(
-        !is_cheap(&types, &(type_name, zone, false), &spec),
+        !is_cheap(&types, &MachineOffer::from((type_name, zone, false)), &spec),
         "not an ordinary one"
     );
 }
@@ -157,7 +162,7 @@
 fn share_with_a_filled_machine(spot: bool) -> (Shard, Outbox, StoreReplica) {
     let (mut owner, outbox, store) = shard();
     let mut machine = Machine::named("m-1".into(), FencingToken(9), 0.0);
-    (machine.mine, machine.trusted, machine.spot) = (true, true, spot);
+    (machine.is_owned, machine.token_confirmed, machine.spot) = (true, true, spot);
     machine.type_name = "g8".into();
     machine.address = "m-1".into();
     machine.set_type(&types());
@@ -185,14 +190,17 @@
         };
         outbox.begin(5.0, 5_000);
         owner.plan_when_due(&outbox, &store, &catalog);
-        assert_eq!(owner.need.yielding, vec![MachineId::from("m-1")]);
+        assert_eq!(
+            owner.demand.opportunistic_only_machines,
+            vec![MachineId::from("m-1")]
+        );
         assert_eq!(grace(&owner), None, "not idle for long");
         outbox.begin(100.0, 100_000);
         owner
             .machines
             .get_mut(&MachineId::from("m-1"))
             .unwrap()
-            .answered = 100.0;
+            .last_answered = 100.0;
         owner.plan_when_due(&outbox, &store, &catalog);
         assert_eq!(grace(&owner), if spot { None } else { Some(2.0) });
     }
--- a/src/core/shard/owned_jobs.rs
+++ b/src/core/shard/owned_jobs.rs
@@ -2,10 +2,10 @@
 //! and their ends.
 
 use crate::config::Config;
-use crate::core::effects::Time;
 use crate::core::jobs::job::{Job, Task};
 use crate::core::machines::machine::{Machine, Phase, TrackedAttempt};
 use crate::core::model::resources::Resources;
+use crate::core::model::time::Time;
 use crate::core::records::job_record::{JobRecord, TerminatingTasks};
 use crate::core::scheduling::opportunistic::is_opportunistic;
 use crate::core::shard::Shard;
@@ -58,7 +58,7 @@
         // change of the map. A leader that takes the team for itself knows its own write before
         // its next sync brings the jobs that came before that; so it is the versions that tell, not
         // when a job appeared here. Progress is recorded only of what has run.
-        let unheard_of = version > team.gained && record.done.is_empty();
+        let unheard_of = version > team.gained_at && record.done.is_empty();
         let reconciled = team.unreconciled.is_empty() || unheard_of;
         let age = wall_ms.saturating_sub(ready_ms) as f64 / 1e3;
         let mut job = Job::new(spec.clone(), record.clone(), version, now - age, reconciled);
@@ -106,7 +106,7 @@
                     Task::Placed(at.machine.clone(), at.attempt),
                     Some(at.zone),
                 );
-                job.began |= tracked.began.is_some();
+                job.began |= tracked.started_at.is_some();
             }
         });
         exits
@@ -207,7 +207,7 @@
         self.changed |= self.jobs.remove(id).is_some();
         let mut stopped = Vec::new();
         self.each_attempt(id, |at, tracked| {
-            tracked.forget = true;
+            tracked.may_forget = true;
             if !tracked.exited() && tracked.stop != Some(0.0) {
                 tracked.stop = Some(0.0);
                 stopped.push(at.machine.clone());
@@ -220,7 +220,7 @@
     pub(crate) fn forget_recorded(&mut self, id: &JobId, record: &JobRecord) {
         self.each_attempt(id, |at, tracked| {
             let done = tracked.phase == Phase::Exited(crate::wire::Exit::Done);
-            tracked.forget |= done && record.done.contains(at.task.index);
+            tracked.may_forget |= done && record.done.contains(at.task.index);
         });
     }
 
@@ -249,7 +249,7 @@
                 && let Some(job) = self.jobs.get_mut(&task.job)
             {
                 let running = tracked.phase == Phase::Seen(TaskState::Running);
-                if running && tracked.began.is_some_and(|began| now - began >= proof) {
+                if running && tracked.started_at.is_some_and(|began| now - began >= proof) {
                     job.failures.prove();
                 }
                 let counts = self.running.entry(task.job.clone()).or_default();
@@ -309,7 +309,7 @@
 }
 
 pub(crate) fn describe(tracked: &mut TrackedAttempt, config: &Config, spec: &JobSpec) {
-    tracked.room = Some(Resources::of(spec));
+    tracked.resources = Some(Resources::of(spec));
     tracked.team = Some(spec.team.clone());
     tracked.image = Some((spec.image.clone(), spec.image_gb));
     tracked.priority = spec.priority;
@@ -323,6 +323,6 @@
 
 /// What is left of a cancelled job, as its record tells.
 pub(crate) fn describe_terminating(tracked: &mut TrackedAttempt, terminating: &TerminatingTasks) {
-    tracked.room = Some(terminating.need);
+    tracked.resources = Some(terminating.need);
     tracked.team = Some(terminating.team.clone());
 }
--- a/src/core/shard/preemption.rs
+++ b/src/core/shard/preemption.rs
@@ -2,9 +2,9 @@
 //! team is guaranteed, can run. The cheapest loss goes first, and every task that can save its
 //! progress gets the time to.
 
-use crate::core::effects::Time;
 use crate::core::machines::machine::{Machine, TrackedAttempt};
 use crate::core::model::resources::Resources;
+use crate::core::model::time::Time;
 use crate::core::scheduling::constraints::{allowed, team_limits};
 use crate::core::scheduling::usage::Usage;
 use crate::core::shard::Shard;
@@ -25,7 +25,7 @@
     if tracked.opportunistic && tracked.team.is_some() {
         return Some((0.0, tracked.checkpoint_write_s));
     }
-    let ran = tracked.began.map_or(0.0, |began| now - began);
+    let ran = tracked.started_at.map_or(0.0, |began| now - began);
     let Some(job) = shard.jobs.get(&task.job) else {
         // Of another share's team, on a machine that moved here: its owner starts it elsewhere.
         let known = tracked.team.is_some() && tracked.checkpoint_write_s > 0.0;
@@ -35,7 +35,7 @@
     Some(match job.spec.kind {
         // A replica that stops is missed until it is up elsewhere.
         Kind::Service => (ran.min(shard.config.deployment.workers.cancel_s) + 1.0, 0.0),
-        _ if tracked.began.is_none() => (0.0, 0.0),
+        _ if tracked.started_at.is_none() => (0.0, 0.0),
         _ if saves => (job.spec.checkpoint_write_s, job.spec.checkpoint_write_s),
         _ => (ran, 0.0),
     })
@@ -145,7 +145,7 @@
             if let Some(room) = shard.machines[&victim.machine]
                 .attempts
                 .get(&(victim.task.clone(), victim.attempt))
-                .and_then(|tracked| tracked.room)
+                .and_then(|tracked| tracked.resources)
             {
                 snapshot.later = snapshot.later.plus(&room);
             }
@@ -172,7 +172,7 @@
     for ((task, attempt), tracked) in &machine.attempts {
         if let (true, Some(room), Some((cost, grace))) = (
             yields(task, tracked),
-            tracked.room,
+            tracked.resources,
             loss(shard, task, tracked, now),
         ) {
             let stop = Preemption {
--- a/src/core/shard/progress_records.rs
+++ b/src/core/shard/progress_records.rs
@@ -5,8 +5,9 @@
 use crate::config::Config;
 use crate::core::effects::outbox::Outbox;
 use crate::core::effects::pending::{Pending, RecordWrite};
-use crate::core::effects::{StoreCall, StoreReply, Time};
+use crate::core::effects::{StoreCall, StoreReply};
 use crate::core::jobs::job::Job;
+use crate::core::model::time::Time;
 use crate::core::records::job_record::JobRecord;
 use crate::core::records::keys::job_key;
 use crate::core::records::versioned::{precondition, put};
--- a/src/core/shard/round.rs
+++ b/src/core/shard/round.rs
@@ -1,9 +1,9 @@
 //! A round of placement: which waiting tasks start where, in what order.
 
-use crate::core::effects::Time;
 use crate::core::jobs::job::Job;
 use crate::core::machines::machine::Machine;
 use crate::core::model::resources::Resources;
+use crate::core::model::time::Time;
 use crate::core::scheduling::catalog::{Catalog, fits_without_gpus};
 use crate::core::scheduling::constraints::{ESTIMATE_MARGIN, allowed, due, due_with, team_limits};
 use crate::core::scheduling::placement::{Candidate, Late, best_fit};
@@ -523,7 +523,9 @@
     /// Whether machines of this share are likely to report for the first time before long.
     pub(crate) fn expects_machines(&self, now: Time) -> bool {
         let patience = self.config.deployment.workers.report_s * 2.0;
-        let about_to = |m: &Machine| m.mine && !m.reconciled() && now < m.awaited + patience;
+        let about_to = |m: &Machine| {
+            m.is_owned && !m.reconciled() && now < m.heartbeat_expected_since + patience
+        };
         self.machines.values().any(about_to)
     }
 
@@ -564,7 +566,7 @@
         let margin = self.config.deployment.workers.report_s * 0.5 + 1.0;
         let mut stops = Vec::new();
         for machine in self.machines.values() {
-            let Some(leaves) = machine.leaves else {
+            let Some(leaves) = machine.reclaimed_at else {
                 continue;
             };
             for ((task, attempt), tracked) in &machine.attempts {
--- a/src/core/shard/shard_log.rs
+++ b/src/core/shard/shard_log.rs
@@ -1,9 +1,9 @@
 //! A share's state in the log: what waits, by class, and what is free, by kind of machine. Once a lease, for
 //! whoever looks into an incident later.
 
-use crate::core::effects::Time;
-use crate::core::messages::capacity_demand::{MachineDemand, Offer};
+use crate::core::messages::capacity_demand::{MachineDemand, MachineOffer};
 use crate::core::model::resources::Resources;
+use crate::core::model::time::Time;
 use crate::core::shard::Shard;
 use std::collections::BTreeMap;
 
@@ -40,7 +40,15 @@
                 "tasks of {class}: {placed} placed, {waiting} wait, {unreconciled} unsettled"
             );
         }
-        for ((type_name, zone, spot), room) in self.room_by_kind(now) {
+        for (
+            MachineOffer {
+                type_name,
+                zone,
+                spot,
+            },
+            room,
+        ) in self.room_by_kind(now)
+        {
             let KindRoom {
                 usable,
                 unusable,
@@ -58,10 +66,15 @@
                  free: {cpus:.0} CPUs, {gpus:.0} GPUs, {memory_gb:.0} GB"
             );
         }
-        for want in &self.need.wants {
+        for want in &self.demand.machine_demands {
             let MachineDemand {
                 count,
-                offer: (type_name, zone, spot),
+                offer:
+                    MachineOffer {
+                        type_name,
+                        zone,
+                        spot,
+                    },
                 urgency,
                 ..
             } = want;
@@ -92,14 +105,14 @@
         classes
     }
 
-    fn room_by_kind(&self, now: Time) -> BTreeMap<Offer, KindRoom> {
-        let mut kinds: BTreeMap<Offer, KindRoom> = BTreeMap::new();
-        for machine in self.machines.values().filter(|machine| machine.mine) {
-            let kind = (
-                machine.type_name.clone(),
-                machine.zone.clone(),
-                machine.spot,
-            );
+    fn room_by_kind(&self, now: Time) -> BTreeMap<MachineOffer, KindRoom> {
+        let mut kinds: BTreeMap<MachineOffer, KindRoom> = BTreeMap::new();
+        for machine in self.machines.values().filter(|machine| machine.is_owned) {
+            let kind = MachineOffer {
+                type_name: machine.type_name.clone(),
+                zone: machine.zone.clone(),
+                spot: machine.spot,
+            };
             let room = kinds.entry(kind).or_default();
             if machine.usable(now) {
                 room.usable += 1;
--- a/src/core/shard/sibling_updates.rs
+++ b/src/core/shard/sibling_updates.rs
@@ -4,11 +4,12 @@
 //! state, so that a lost or late one does no harm.
 
 use crate::core::effects::outbox::Outbox;
-use crate::core::leader::Leader;
 use crate::core::machines::machine::{Machine, Phase};
+use crate::core::messages::capacity_demand::MachineOffer;
 use crate::core::messages::shard_update::{
     Hints, MachineContacts, PeerUpdate, TaskCommand, TaskObservation,
 };
+use crate::core::model::process::ProcessId;
 use crate::core::shard::Shard;
 use crate::core::store::replica::StoreReplica;
 use crate::ids::{FencingToken, MachineId, Node, TaskId, Team, Version};
@@ -25,7 +26,7 @@
         &self,
         node: &Node,
         store: &StoreReplica,
-        leader: Option<&Leader>,
+        refused: Option<BTreeSet<MachineOffer>>,
         images: Hints,
         contacts: MachineContacts,
     ) -> PeerUpdate {
@@ -39,7 +40,7 @@
         let (mut reconciled, mut observations, mut commands) = (Vec::new(), Vec::new(), Vec::new());
         let tells = self.listeners.contains(node);
         for machine in self.machines.values() {
-            if machine.mine && machine.reconciled() && tells && all_known(machine, store) {
+            if machine.is_owned && machine.reconciled() && tells && all_known(machine, store) {
                 reconciled.push((machine.id.clone(), machine.token));
                 let tasks = tasks_of(machine, &theirs);
                 if !tasks.is_empty() {
@@ -52,20 +53,20 @@
                         tasks,
                     });
                 }
-            } else if !machine.mine
+            } else if !machine.is_owned
                 && owners
                     .machines
                     .get(&machine.id)
                     .is_some_and(|o| o.node == *node)
             {
                 for ((task, attempt), tracked) in &machine.attempts {
-                    if tracked.stop.is_some() || tracked.forget {
+                    if tracked.stop.is_some() || tracked.may_forget {
                         commands.push(TaskCommand {
                             machine: machine.id.clone(),
                             task: task.to_string(),
                             attempt: *attempt,
                             stop: tracked.stop,
-                            forget: tracked.forget,
+                            forget: tracked.may_forget,
                         });
                     }
                 }
@@ -78,15 +79,15 @@
             reconciled,
             observations,
             commands,
-            need: self.need.clone(),
-            refused: leader.map(Leader::refused),
+            demand: self.demand.clone(),
+            refused,
             images,
             contacts,
         }
     }
 
     pub fn own_images(&self) -> Hints {
-        let mine = self.machines.values().filter(|machine| machine.mine);
+        let mine = self.machines.values().filter(|machine| machine.is_owned);
         mine.map(|machine| (machine.id.clone(), machine.images().to_vec()))
             .collect()
     }
@@ -105,7 +106,7 @@
             || self
                 .machines
                 .values()
-                .any(|m| !m.mine && !m.attempts.is_empty())
+                .any(|m| !m.is_owned && !m.attempts.is_empty())
     }
 
     pub fn take_update(
@@ -125,11 +126,13 @@
             self.refused = refused;
         }
         self.hints.extend(update.images);
-        let former = (from.clone(), incarnation);
+        let former = ProcessId::new(from.clone(), incarnation);
         for machine in self.machines.values_mut() {
             // It has seen the change of the map, and so answers the machine no more.
-            if machine.former.as_ref() == Some(&former) && update.revision >= machine.gained {
-                machine.former_let_go(outbox.now);
+            if machine.previous_owner.as_ref() == Some(&former)
+                && update.revision >= machine.owned_since_revision
+            {
+                machine.previous_owner_released(outbox.now);
             }
         }
         for command in update.commands {
@@ -177,7 +180,7 @@
             .machines
             .entry(id.clone())
             .or_insert_with(|| Machine::named(id.clone(), token, now));
-        if machine.mine {
+        if machine.is_owned {
             return;
         }
         // It has shown its owner's token, or its session is over.
@@ -203,7 +206,7 @@
             let gained = team
                 .as_ref()
                 .and_then(|team| teams.get(team))
-                .map(|team| team.gained);
+                .map(|team| team.gained_at);
             gained.is_none_or(|gained| revision >= gained)
         };
         // Not shown though the sender knew whose the team is: it is not there. Nothing that was
@@ -220,7 +223,7 @@
         if self
             .machines
             .get(id)
-            .is_some_and(|m| !m.mine && m.attempts.is_empty())
+            .is_some_and(|m| !m.is_owned && m.attempts.is_empty())
         {
             self.machines.remove(id);
         }
@@ -234,7 +237,7 @@
         covers: &BTreeSet<Team>,
     ) {
         for (name, team) in &mut self.teams {
-            if revision >= team.gained && covers.contains(name) {
+            if revision >= team.gained_at && covers.contains(name) {
                 team.unreconciled.remove(id);
             }
         }
@@ -245,7 +248,11 @@
         let Some(task) = TaskId::parse(&command.task) else {
             return;
         };
-        let Some(machine) = self.machines.get_mut(&command.machine).filter(|m| m.mine) else {
+        let Some(machine) = self
+            .machines
+            .get_mut(&command.machine)
+            .filter(|m| m.is_owned)
+        else {
             return;
         };
         let Some(tracked) = machine.attempts.get_mut(&(task, command.attempt)) else {
@@ -258,7 +265,7 @@
         if owner.is_none_or(|owner| owner.node != *from) {
             return;
         }
-        tracked.forget |= command.forget;
+        tracked.may_forget |= command.forget;
         if let (Some(grace), false) = (command.stop, tracked.exited())
             && tracked.stop.is_none_or(|before| grace < before)
         {
--- a/src/core/shard/soon_ready.rs
+++ b/src/core/shard/soon_ready.rs
@@ -3,9 +3,9 @@
 //! the room that those before them leave behind. A job whose dependencies wait, or run elsewhere,
 //! may be far off, so nothing is rented for it.
 
-use crate::core::effects::Time;
 use crate::core::jobs::job::Job;
 use crate::core::model::resources::Resources;
+use crate::core::model::time::Time;
 use crate::core::records::job_record::JobRecord;
 use crate::core::scheduling::constraints::team_limits;
 use crate::core::scheduling::forecast::longest_boot;
@@ -62,7 +62,7 @@
                 continue;
             }
             if let Some((id, job)) = self.jobs.get_key_value(&task.job) {
-                let began = tracked.began.unwrap_or(Time::INFINITY);
+                let began = tracked.started_at.unwrap_or(Time::INFINITY);
                 let end = last_end.entry(id).or_insert(Time::NEG_INFINITY);
                 *end = end.max(began + job.spec.estimate_s);
             }
@@ -115,7 +115,7 @@
             let tracked = machine.attempts.iter().filter(|((task, _), tracked)| {
                 !tracked.exited() && tracked.stop.is_none() && jobs.contains(&task.job)
             });
-            let rooms = tracked.filter_map(|(_, tracked)| tracked.room);
+            let rooms = tracked.filter_map(|(_, tracked)| tracked.resources);
             let sum = rooms.fold(Resources::default(), |sum, room| sum.plus(&room));
             if sum != Resources::default() {
                 released.push((machine.id.clone(), sum));
--- a/src/core/shard/soon_ready/tests.rs
+++ b/src/core/shard/soon_ready/tests.rs
@@ -70,7 +70,7 @@
         let mut tracked = TrackedAttempt::new(0.0);
         describe(&mut tracked, &self.owner.config, &job.spec);
         tracked.phase = Phase::Seen(TaskState::Running);
-        tracked.began = began;
+        tracked.started_at = began;
         job.set(
             index,
             crate::core::jobs::job::Task::Placed("m-1".into(), Attempt(1)),
--- a/src/core/shard/tests.rs
+++ b/src/core/shard/tests.rs
@@ -21,10 +21,10 @@
     shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
     store.current_as_of = 9.0;
     shard.expire_machines(&store, 60.0);
-    assert!(!shard.machines[&MachineId::from("m-1")].empty);
+    assert!(!shard.machines[&MachineId::from("m-1")].known_empty);
     store.current_as_of = 59.0;
     shard.expire_machines(&store, 60.0);
-    assert!(shard.machines[&MachineId::from("m-1")].empty);
+    assert!(shard.machines[&MachineId::from("m-1")].known_empty);
 }
 
 /// Who has a silent machine next counts its lease from the last answer that its former owner
@@ -40,7 +40,7 @@
     };
     unresponsive.note([said("m-1"), said("m-2")], 20.0);
     let known = ShardOwner {
-        prior: Some(FencingToken(8)),
+        previous_token: Some(FencingToken(8)),
         ..owner("n0")
     };
     let chain = ShardEntry {
@@ -56,7 +56,7 @@
     map(&mut store, 5, vec![chain, other]);
     outbox.begin(21.0, 0);
     shard.follow_map(&mut outbox, &store, &unresponsive);
-    let answered = |shard: &Shard, id: &str| shard.machines[&MachineId::from(id)].answered;
+    let answered = |shard: &Shard, id: &str| shard.machines[&MachineId::from(id)].last_answered;
     assert!((14.0..14.1).contains(&answered(&shard, "m-1")));
     assert_eq!(answered(&shard, "m-2"), 21.0);
 }
@@ -78,7 +78,7 @@
     );
     shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
     let first = shard.machines.get_mut(&MachineId::from("m-1")).unwrap();
-    first.trusted = true;
+    first.token_confirmed = true;
     first.total = Resources {
         cpus: 32.0,
         gpus: 8.0,
@@ -150,7 +150,10 @@
         handle_heartbeat(&mut shard, &mut outbox, 1.0 + lease * 0.78, 2),
         503
     );
-    assert_eq!(shard.need.raise, [("m-1".into(), FencingToken(9))]);
+    assert_eq!(
+        shard.demand.tokens_to_renew,
+        [("m-1".into(), FencingToken(9))]
+    );
     // With a fresh token it is heard again, and has the time to be.
     let fresh = ShardOwner {
         token: FencingToken(10),
@@ -187,7 +190,7 @@
     shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
     shard.listeners.insert("n1".into());
     let id = MachineId::from("m-1");
-    shard.machines.get_mut(&id).unwrap().trusted = true;
+    shard.machines.get_mut(&id).unwrap().token_confirmed = true;
     let task = TaskId {
         job: "req-000001".into(),
         index: 0,
@@ -243,7 +246,7 @@
         reconciled: vec![(id.clone(), FencingToken(9))],
         observations: vec![],
         commands: vec![],
-        need: CapacityDemand::default(),
+        demand: CapacityDemand::default(),
         refused: None,
         images: Hints::new(),
         contacts: Default::default(),
@@ -385,7 +388,7 @@
             .as_ref()
             .unwrap(),
     );
-    tracked.forget = true;
+    tracked.may_forget = true;
     machine.attempts.insert(
         (
             TaskId {
@@ -480,7 +483,7 @@
     shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
     for (index, id) in (0..).zip(&ids) {
         let machine = shard.machines.get_mut(id).unwrap();
-        machine.trusted = true;
+        machine.token_confirmed = true;
         let task = TaskId {
             job: "req-000001".into(),
             index,
--- a/src/core/shard/tracking.rs
+++ b/src/core/shard/tracking.rs
@@ -6,10 +6,11 @@
 //! answered, or its lease must have run out since its last answered report ([`crate::core::shard::lease_expiry`]).
 
 use crate::core::effects::outbox::Outbox;
-use crate::core::effects::{Answer, Body, Time};
+use crate::core::effects::{Answer, Body};
 use crate::core::jobs::job::Task;
 use crate::core::machines::machine::{Carrier, Freshness, Phase, TrackedAttempt};
 use crate::core::model::resources::Resources;
+use crate::core::model::time::Time;
 use crate::core::scheduling::catalog::Catalog;
 use crate::core::shard::Shard;
 use crate::core::shard::owned_jobs::{describe, describe_terminating};
@@ -51,7 +52,10 @@
     ) -> Option<Answer> {
         let now = outbox.now;
         let id = heartbeat.machine.clone();
-        let machine = self.machines.get_mut(&id).filter(|machine| machine.mine)?;
+        let machine = self
+            .machines
+            .get_mut(&id)
+            .filter(|machine| machine.is_owned)?;
         if machine.total == Resources::default() || machine.address != heartbeat.address {
             machine.describe(&heartbeat, catalog.types());
         }
@@ -71,15 +75,15 @@
         let machine = self.machines.get_mut(&id)?;
         if machine.unresponsive {
             // Its last answer has been told to be the last under this term.
-            machine.raise = true;
-            self.sync_soon |= self.need.raise(&id, machine.token);
+            machine.needs_new_token = true;
+            self.sync_soon |= self.demand.request_new_token(&id, machine.token);
             return Some(Answer::unavailable());
         }
-        machine.answered = now;
-        machine.empty = false;
+        machine.last_answered = now;
+        machine.known_empty = false;
         // Until the machine has shown its token it gets that and no commands but stops of what is over:
         // an answer keeps its tasks alive, and with one owner after the other it might never get them.
-        let commands = if machine.trusted {
+        let commands = if machine.token_confirmed {
             let commands = machine.commands(&self.starts_in_flight, Carrier::HeartbeatResponse);
             self.starts_in_flight
                 .answered(&id, heartbeat.agent_epoch, commands.starts);
@@ -118,8 +122,8 @@
             // The earlier session's tasks are gone, and nothing sent in it will be executed. If
             // its lease ran out, answers may not reach it: it has to show a fresh token.
             let gone: Vec<_> = machine.attempts.keys().cloned().collect();
-            machine.raise |= machine.trusted;
-            machine.trusted = false;
+            machine.needs_new_token |= machine.token_confirmed;
+            machine.token_confirmed = false;
             if !gone.is_empty() {
                 tracing::info!("{id}: new session, {} tasks gone", gone.len());
             }
@@ -130,19 +134,19 @@
         let Some(machine) = self.machines.get_mut(&id) else {
             return;
         };
-        machine.leaves = heartbeat.notice_s.map(|left| now + left);
-        self.changed |= machine.leaves.is_some();
+        machine.reclaimed_at = heartbeat.notice_s.map(|left| now + left);
+        self.changed |= machine.reclaimed_at.is_some();
         if heartbeat.token != machine.token {
             return;
         }
-        let newly_trusted = !std::mem::replace(&mut machine.trusted, true);
+        let newly_trusted = !std::mem::replace(&mut machine.token_confirmed, true);
         if newly_trusted {
             machine.idle_since = now;
             self.sync_soon = true;
             self.changed = true;
         }
-        machine.suspect = false;
-        machine.former = None;
+        machine.unreachable = false;
+        machine.previous_owner = None;
         let mut shown = BTreeSet::new();
         for reported in &heartbeat.tasks {
             if let Some(task) = TaskId::parse(&reported.task) {
@@ -175,20 +179,20 @@
                 Phase::Issued
                     if handle_heartbeat && !self.starts_in_flight.awaits_answer(id, key) =>
                 {
-                    tracked.misses += 1;
+                    tracked.missed_heartbeats += 1;
                     let patience = if tracked.stop.is_some() {
                         1
                     } else {
                         REPORTS_WITHOUT_A_START
                     };
-                    if tracked.misses >= patience {
+                    if tracked.missed_heartbeats >= patience {
                         gone.push(key.clone());
                     }
                 }
                 Phase::Issued => {}
             }
         }
-        machine.suspect |= gone
+        machine.unreachable |= gone
             .iter()
             .any(|key| machine.attempts[key].phase == Phase::Issued);
         for (task, attempt) in gone {
@@ -235,11 +239,11 @@
             }
         }
         let news = std::mem::replace(&mut tracked.phase, phase.clone()) != phase;
-        if tracked.has_image() && tracked.began.is_none() {
-            tracked.began = Some(now);
+        if tracked.has_image() && tracked.started_at.is_none() {
+            tracked.started_at = Some(now);
             tracing::debug!(
                 "{task} has its image on {id} after {:.1} s",
-                now - tracked.issued
+                now - tracked.issued_at
             );
             if let Some((image, gb)) = tracked.image.clone() {
                 machine.used_image(&image, gb);
@@ -253,7 +257,7 @@
         let Some(job) = self.jobs.get_mut(&task.job) else {
             // An accepted job that is over is stopped and forgotten. One of another owner's team
             // is that owner's; one that is not known yet will be.
-            tracked.forget |= ended_epoch;
+            tracked.may_forget |= ended_epoch;
             if ended_epoch && !tracked.exited() && tracked.stop != Some(0.0) {
                 tracked.stop = Some(0.0);
                 self.unsent_commands.insert(id.clone());
@@ -275,7 +279,7 @@
             }
             _ => {}
         }
-        job.began |= tracked.began.is_some();
+        job.began |= tracked.started_at.is_some();
         if news && let Phase::Exited(why) = phase {
             self.task_exited(id, &task, attempt, why, now);
         }
@@ -311,7 +315,7 @@
             }
             return self.note_progress(&task.job, now);
         }
-        tracked.forget = true;
+        tracked.may_forget = true;
         if !here {
             return;
         }
@@ -420,7 +424,7 @@
         };
         let key = (task.clone(), attempt);
         if self.starts_in_flight.may_arrive(id, &key) {
-            machine.raise = true;
+            machine.needs_new_token = true;
             return;
         }
         machine.note_end(&key, now);
--- a/src/core/shard/tracking/tests.rs
+++ b/src/core/shard/tracking/tests.rs
@@ -120,7 +120,7 @@
             reconciled: vec![("m-1".into(), token)],
             observations: vec![],
             commands: vec![],
-            need: Default::default(),
+            demand: Default::default(),
             refused: None,
             images: Default::default(),
             contacts: Default::default(),
@@ -236,7 +236,7 @@
     }
     assert!(fixture.tracks(0));
     let machine = &fixture.shard.machines[&MachineId::from("m-1")];
-    assert!(machine.raise, "a fresh token makes it void");
+    assert!(machine.needs_new_token, "a fresh token makes it void");
 }
 
 /// The same when reports leave the task out while the earlier message is under way.
@@ -398,7 +398,7 @@
     fixture.heartbeat("m-1", &[]);
     fixture.reply(refused, WorkerReply::NotSent);
     assert!(fixture.tracks(0));
-    assert!(!fixture.shard.machines[&MachineId::from("m-1")].raise);
+    assert!(!fixture.shard.machines[&MachineId::from("m-1")].needs_new_token);
 }
 
 /// What voids a start under way: then a task that is not shown is not there, and may start elsewhere.
@@ -497,7 +497,8 @@
 #[test]
 fn a_worker_that_never_answers_gets_a_fresh_token() {
     let mut fixture = Fixture::new();
-    let raised = |fixture: &Fixture| fixture.shard.machines[&MachineId::from("m-1")].raise;
+    let raised =
+        |fixture: &Fixture| fixture.shard.machines[&MachineId::from("m-1")].needs_new_token;
     for attempt in 1..=GIVEN_UP_MESSAGES {
         assert!(!raised(&fixture));
         let number = Attempt(attempt as u64);
--- a/src/core/shard/usage.rs
+++ b/src/core/shard/usage.rs
@@ -33,12 +33,12 @@
         let mut stray = false;
         let attempts = self.machines.values().flat_map(|machine| &machine.attempts);
         for ((_, attempt), tracked) in attempts.filter(|(_, tracked)| !tracked.exited()) {
-            match (&tracked.room, &tracked.team) {
+            match (&tracked.resources, &tracked.team) {
                 (Some(room), Some(team)) if self.started_here(team, *attempt) => {
                     usage.add(team, room.cpus, room.gpus);
                 }
                 (Some(room), Some(team)) => usage.add_inherited(team, room.cpus, room.gpus),
-                (_, None) => stray |= tracked.forget,
+                (_, None) => stray |= tracked.may_forget,
                 (None, Some(_)) => {}
             }
         }
@@ -71,7 +71,7 @@
         for (name, team) in unreconciled {
             let since = CancelledSince {
                 wall_ms: recent,
-                version: team.gained,
+                version: team.gained_at,
             };
             if store.undescribed_cancellation_since(since) {
                 usage.close(name);
@@ -96,7 +96,7 @@
         let mut tasks: BTreeMap<&JobId, BTreeSet<u32>> = BTreeMap::new();
         let on_machines = self.machines.values().flat_map(|machine| &machine.attempts);
         for ((task, _), tracked) in on_machines {
-            if tracked.forget && !tracked.exited() && tracked.room.is_some() {
+            if tracked.may_forget && !tracked.exited() && tracked.resources.is_some() {
                 tasks.entry(&task.job).or_default().insert(task.index);
             }
         }
--- a/src/core/store/replica.rs
+++ b/src/core/store/replica.rs
@@ -4,8 +4,8 @@
 //! and one sync serves every question that waits.
 
 use crate::config::Config;
-use crate::core::effects::Time;
 use crate::core::messages::final_states::FinalStates;
+use crate::core::model::time::Time;
 use crate::core::records::job_record::{JobRecord, TerminatingTasks};
 use crate::core::records::keys::{
     JOB_PREFIX, LEADER_KEY, MAP_PREFIX, NODE_PREFIX, QUOTA_PREFIX, TYPES_KEY, node_key, quota_key,
--- a/src/core/test_support.rs
+++ b/src/core/test_support.rs
@@ -3,8 +3,9 @@
 use crate::config::Config;
 use crate::core::Core;
 use crate::core::effects::outbox::Outbox;
-use crate::core::effects::{Effect, Input, StoreCall, StoreReply, Time};
+use crate::core::effects::{Effect, Input, StoreCall, StoreReply};
 use crate::core::messages::shard_update::Hints;
+use crate::core::model::time::Time;
 use crate::core::records::job_record::JobRecord;
 use crate::core::records::keys::{LEADER_KEY, MAP_PREFIX, node_key};
 use crate::core::records::process_record::ProcessRecord;
@@ -76,8 +77,8 @@
         node: node.into(),
         incarnation: 1,
         token: FencingToken(9),
-        former: None,
-        prior: None,
+        previous_owner: None,
+        previous_token: None,
     }
 }
 
