--- /dev/null
+++ b/src/core/controller/inputs.rs
@@ -0,0 +1,121 @@
+//! Routes each input to the state that it concerns.
+
+use crate::core::Core;
+use crate::core::effects::pending::Pending;
+use crate::core::effects::{CallId, CloudReply, Input, StoreReply, WorkerReply};
+use crate::core::model::time::Time;
+use crate::wire::Write;
+
+impl Core {
+    /// Handles one input. Replies to calls that are no longer pending are ignored.
+    pub(crate) fn input(&mut self, input: Input) {
+        match input {
+            Input::User(request, what) => self.user_request(request, what),
+            Input::Health(request) => self.health(request),
+            Input::Status(request) => self.answer_status(request),
+            Input::Heartbeat(request, heartbeat) => self.heartbeat(request, heartbeat),
+            Input::Mesh(request, message) => self.mesh_message(request, message),
+            Input::State(call, reply) => {
+                if let Some(pending) = self.outbox.finish(call) {
+                    self.store_reply(pending, reply);
+                }
+            }
+            Input::Cloud(call, reply) => self.cloud_reply(call, reply),
+            Input::Worker(call, reply) => self.worker_reply(call, reply),
+            Input::MeshReply(call, reply) => {
+                if let Some(pending) = self.outbox.finish(call) {
+                    self.mesh_reply(pending, reply);
+                }
+            }
+        }
+    }
+
+    fn cloud_reply(&mut self, call: CallId, reply: CloudReply) {
+        match self.outbox.finish(call) {
+            Some(Pending::Cloud(None)) => self.catalog_reply(reply),
+            Some(Pending::Cloud(Some(operation))) => {
+                if let Some(leader) = self.leader.as_mut() {
+                    leader.cloud_reply(&mut self.outbox, operation, reply);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    fn worker_reply(&mut self, call: CallId, reply: WorkerReply) {
+        match (self.outbox.finish(call), self.shard.as_mut()) {
+            (Some(Pending::DirectCommands { machine }), Some(shard)) => {
+                shard.commands_answered(&mut self.outbox, &self.store, &machine, call, reply);
+            }
+            (Some(Pending::Inspection { machine }), Some(_)) => {
+                self.inspection_answered(&machine, reply);
+            }
+            _ => {}
+        }
+    }
+
+    /// Handles the reply of the store to one call.
+    pub(crate) fn store_reply(&mut self, pending: Pending, reply: StoreReply) {
+        self.outbox.pace(pending.is_change(), &reply);
+        self.note_store_contact(&reply);
+        match pending {
+            Pending::Sync { sent } => self.store_read(sent, reply),
+            Pending::UserWrite(write) => self.user_write_answered(write, reply),
+            Pending::OwnershipLease(call) => self.ownership_reply(call, reply),
+            Pending::Records(writes) => {
+                if let Some(shard) = self.shard.as_mut() {
+                    shard.records_written(&mut self.outbox, &mut self.store, writes, reply);
+                }
+            }
+            Pending::Map(write) => {
+                if let Some(leader) = self.leader.as_mut() {
+                    leader.map_written(&mut self.outbox, &mut self.store, write, reply);
+                }
+            }
+            Pending::Grant(write) => {
+                if let Some(shard) = self.shard.as_mut() {
+                    shard.grant_written(&mut self.outbox, &mut self.store, write, reply);
+                }
+            }
+            Pending::Types(write) => self.machine_types_written(&write, &reply),
+            Pending::DirectCommands { .. }
+            | Pending::Inspection { .. }
+            | Pending::Hello { .. }
+            | Pending::Relay { .. }
+            | Pending::RelayedHeartbeat { .. }
+            | Pending::Notice
+            | Pending::Cloud(_) => {}
+        }
+    }
+
+    /// What a reply of the store, or its absence, says of this controller's contact with it.
+    fn note_store_contact(&mut self, reply: &StoreReply) {
+        match reply {
+            StoreReply::Refused => self.detection.refused(),
+            StoreReply::Busy => {}
+            StoreReply::Unknown => self.detection.not_refused(),
+            _ => {
+                self.detection.not_refused();
+                self.store.state_answered(self.outbox.now);
+            }
+        }
+    }
+
+    /// A read of the store that was sent at `sent` is over. It extends the ownership lease's bound on staleness only while
+    /// the store shows this process's key: a process whose key is gone must not act for longer.
+    fn store_read(&mut self, sent: Time, reply: StoreReply) {
+        self.synced(sent, reply);
+        let incarnation = self.ownership.incarnation();
+        if self.store.is_registered(&self.config.node, incarnation) {
+            self.ownership.note_known_as_of(self.store.current_as_of);
+        }
+    }
+
+    fn machine_types_written(&mut self, write: &Write, reply: &StoreReply) {
+        match reply {
+            StoreReply::Committed(version) => self.store.apply_write(write, *version),
+            StoreReply::Rejected => self.catalog.not_storable(),
+            _ => {}
+        }
+    }
+}
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,5 +1,8 @@
-//! The state machine that decides everything. It does no I/O: batches of [`Input`]s and the time
-//! go in, [`Effect`]s come out. Same inputs, same times and same seed give the same effects.
+//! The state machine of a controller. It does no I/O: batches of [`Input`]s and the time go in, [`Effect`]s come out.
+//! The same inputs, times and seed give the same effects.
+//!
+//! [`Core`] owns all state. The folders beside this module import one another in one direction only; see
+//! `docs/architecture.md`.
 
 pub mod controller;
 pub mod effects;
@@ -17,22 +20,34 @@
 mod test_support;
 
 use crate::config::Config;
+use crate::core::controller::deferred_heartbeats::DeferredHeartbeats;
+use crate::core::controller::heartbeat_routing::HeartbeatRelays;
 use crate::core::controller::user_requests::UserRequests;
 use crate::core::effects::outbox::Outbox;
-use crate::core::effects::pending::Pending;
-use crate::core::effects::{Effect, Input, StoreReply};
+use crate::core::effects::{Effect, Input};
 use crate::core::leader::Leader;
+use crate::core::machines::claims::MachineClaims;
+use crate::core::machines::unresponsive::UnresponsiveMachines;
+use crate::core::membership::failure_detection::FailureDetection;
 use crate::core::membership::ownership::OwnershipLease;
 use crate::core::membership::peers::Peers;
+use crate::core::membership::process_pause::ProcessPause;
+use crate::core::messages::shard_update::{Hints, MachineContacts};
 use crate::core::model::time::Time;
+use crate::core::scheduling::catalog::Catalog;
 use crate::core::shard::Shard;
 use crate::core::store::replica::StoreReplica;
-use crate::ids::{Node, Team};
+use crate::ids::{Node, Team, Version};
+use failure_detector::Stage;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use std::rc::Rc;
 
-/// One controller.
+/// Bits by which a drawn incarnation is shortened: the rest leaves room to count up whenever the process begins anew,
+/// and is exact as a number of 53 bits.
+const INCARNATION_SPARE_BITS: u32 = 12;
+
+/// One controller: all of its state, and the order in which it is brought up to date.
 pub struct Core {
     config: Rc<Config>,
     outbox: Outbox,
@@ -40,27 +55,27 @@
     user_requests: UserRequests,
     peers: Peers,
     ownership: OwnershipLease,
-    /// This process's share, while it is registered.
+    /// The shard of this process, while it is registered in the store.
     shard: Option<Shard>,
-    /// The map and the cloud, while this process leads.
+    /// What only a leader does, while this process is the leader.
     leader: Option<Leader>,
-    catalog: crate::core::scheduling::catalog::Catalog,
-    /// What siblings told of machines' images before there was a share.
-    hints: crate::core::messages::shard_update::Hints,
-    unresponsive: crate::core::machines::unresponsive::UnresponsiveMachines,
-    relays: crate::core::controller::heartbeat_routing::HeartbeatRelays,
-    claims: crate::core::machines::claims::MachineClaims,
-    process_pause: crate::core::membership::process_pause::ProcessPause,
-    detection: crate::core::membership::failure_detection::FailureDetection,
-    deferred_heartbeats: crate::core::controller::deferred_heartbeats::DeferredHeartbeats,
-    contacts: crate::core::messages::shard_update::MachineContacts,
+    catalog: Catalog,
+    /// Images of machines that siblings have told of before there is a shard.
+    hints: Hints,
+    unresponsive: UnresponsiveMachines,
+    relays: HeartbeatRelays,
+    claims: MachineClaims,
+    process_pause: ProcessPause,
+    detection: FailureDetection,
+    deferred_heartbeats: DeferredHeartbeats,
+    contacts: MachineContacts,
 }
 
 impl Core {
     pub fn new(config: Config, seed: u64) -> Self {
         let config = Rc::new(config);
         let mut rng = StdRng::seed_from_u64(seed);
-        let incarnation = rand::Rng::random::<u64>(&mut rng) >> 12;
+        let incarnation = rand::Rng::random::<u64>(&mut rng) >> INCARNATION_SPARE_BITS;
         Self {
             outbox: Outbox::new(rng, &config),
             store: StoreReplica::new(&config),
@@ -69,21 +84,21 @@
             ownership: OwnershipLease::new(&config, incarnation),
             shard: None,
             leader: None,
-            catalog: crate::core::scheduling::catalog::Catalog::default(),
-            hints: crate::core::messages::shard_update::Hints::new(),
-            unresponsive: crate::core::machines::unresponsive::UnresponsiveMachines::default(),
-            relays: crate::core::controller::heartbeat_routing::HeartbeatRelays::new(&config),
-            claims: crate::core::machines::claims::MachineClaims::new(&config),
-            process_pause: crate::core::membership::process_pause::ProcessPause::new(&config),
-            detection: crate::core::membership::failure_detection::FailureDetection::default(),
-            deferred_heartbeats:
-                crate::core::controller::deferred_heartbeats::DeferredHeartbeats::new(&config),
-            contacts: crate::core::messages::shard_update::MachineContacts::default(),
+            catalog: Catalog::default(),
+            hints: Hints::new(),
+            unresponsive: UnresponsiveMachines::default(),
+            relays: HeartbeatRelays::new(&config),
+            claims: MachineClaims::new(&config),
+            process_pause: ProcessPause::new(&config),
+            detection: FailureDetection::default(),
+            deferred_heartbeats: DeferredHeartbeats::new(&config),
+            contacts: MachineContacts::default(),
             config,
         }
     }
 
-    /// Works through a batch. `now` is the steady clock; `wall_ms` the time of day.
+    /// Handles a batch of inputs, then does everything that is due. `now` is the steady clock in seconds, `wall_ms` the
+    /// time of day in milliseconds.
     pub fn step(&mut self, now: Time, wall_ms: u64, batch: Vec<Input>) -> Vec<Effect> {
         self.outbox.begin(now, wall_ms);
         self.peers.detector_mut().step(now);
@@ -97,141 +112,45 @@
         self.outbox.take_effects()
     }
 
-    /// Whether this controller leads and is entitled to act.
+    /// Whether this controller is the leader and its ownership lease is valid.
     pub fn leads(&self, now: Time) -> bool {
         self.leader.is_some() && self.ownership.holds_lease(now)
     }
 
-    /// How a sibling is judged.
-    pub fn stage_of(&self, sibling: &Node) -> failure_detector::Stage {
+    /// The failure detector's judgement of a sibling.
+    pub fn stage_of(&self, sibling: &Node) -> Stage {
         self.peers.detector().stage(sibling)
     }
 
-    /// The teams for which this controller can start tasks: it is entitled to, and has machines.
+    /// The teams whose tasks this controller can start: its ownership lease is valid, it owns machines, and the teams are
+    /// reconciled.
     pub fn teams(&self, now: Time) -> Vec<Team> {
-        let owner = self
-            .shard
-            .as_ref()
-            .filter(|_| self.ownership.holds_lease(now));
-        let owner = owner.filter(|owner| owner.has_machines());
-        owner.map(Shard::reconciled_teams).unwrap_or_default()
+        let shard = self.shard.as_ref().filter(|shard| shard.has_machines());
+        let shard = shard.filter(|_| self.ownership.holds_lease(now));
+        shard.map(Shard::reconciled_teams).unwrap_or_default()
     }
 
-    /// Attempts and jobs of the share looked at so far because something happened to them, and rounds
-    /// of placement: what its work is in proportion to.
+    /// Attempts and jobs examined so far because something happened to them, and rounds of placement: what the work of
+    /// the shard is in proportion to.
     pub fn work(&self) -> (u64, u64) {
         self.shard.as_ref().map(Shard::work).unwrap_or_default()
     }
 
-    /// Starts of this process's share that the last guard has held back so far: more than none is a
-    /// fault of the tracking.
+    /// Starts that the last guard has held back so far. Any at all is a fault of the tracking of attempts.
     pub fn starts_held_back(&self) -> u64 {
-        self.shard
-            .as_ref()
-            .map(|owner| owner.starts_held_back)
-            .unwrap_or_default()
-    }
-
-    fn input(&mut self, input: Input) {
-        match input {
-            Input::User(request, what) => self.user_request(request, what),
-            Input::Health(request) => self.health(request),
-            Input::Status(request) => self.answer_status(request),
-            Input::Heartbeat(request, heartbeat) => self.heartbeat(request, heartbeat),
-            Input::Mesh(request, message) => self.mesh_message(request, message),
-            Input::State(call, reply) => {
-                if let Some(pending) = self.outbox.finish(call) {
-                    self.store_reply(pending, reply);
-                }
-            }
-            Input::Cloud(call, reply) => match self.outbox.finish(call) {
-                Some(Pending::Cloud(None)) => self.catalog_reply(reply),
-                Some(Pending::Cloud(Some(work))) => {
-                    if let Some(leader) = self.leader.as_mut() {
-                        leader.cloud_reply(&mut self.outbox, work, reply);
-                    }
-                }
-                _ => {}
-            },
-            Input::Worker(call, reply) => match (self.outbox.finish(call), self.shard.as_mut()) {
-                (Some(Pending::DirectCommands { machine }), Some(owner)) => {
-                    owner.commands_answered(&mut self.outbox, &self.store, &machine, call, reply);
-                }
-                (Some(Pending::Inspection { machine }), Some(_)) => {
-                    self.inspection_answered(&machine, reply);
-                }
-                _ => {}
-            },
-            Input::MeshReply(call, reply) => {
-                if let Some(pending) = self.outbox.finish(call) {
-                    self.mesh_reply(pending, reply);
-                }
-            }
-        }
-    }
-
-    fn store_reply(&mut self, pending: Pending, reply: StoreReply) {
-        self.outbox.pace(pending.is_change(), &reply);
-        match reply {
-            StoreReply::Refused => self.detection.refused(),
-            StoreReply::Busy => {}
-            StoreReply::Unknown => self.detection.not_refused(),
-            _ => {
-                self.detection.not_refused();
-                self.store.state_answered(self.outbox.now);
-            }
-        }
-        match pending {
-            Pending::Sync { sent } => {
-                self.synced(sent, reply);
-                // A process whose key has gone learns no more, so that its authority ends.
-                if self
-                    .store
-                    .is_registered(&self.config.node, self.ownership.incarnation())
-                {
-                    self.ownership.note_known_as_of(self.store.current_as_of);
-                }
-            }
-            Pending::UserWrite(pending) => self.user_write_answered(pending, reply),
-            Pending::OwnershipLease(pending) => self.ownership_reply(pending, reply),
-            Pending::Records(writes) => {
-                if let Some(owner) = self.shard.as_mut() {
-                    owner.records_written(&mut self.outbox, &mut self.store, writes, reply);
-                }
-            }
-            Pending::Map(write) => {
-                if let Some(leader) = self.leader.as_mut() {
-                    leader.map_written(&mut self.outbox, &mut self.store, write, reply);
-                }
-            }
-            Pending::Grant(written) => {
-                if let Some(owner) = self.shard.as_mut() {
-                    owner.grant_written(&mut self.outbox, &mut self.store, written, reply);
-                }
-            }
-            Pending::Types(write) => match reply {
-                StoreReply::Committed(version) => self.store.apply_write(&write, version),
-                StoreReply::Rejected => self.catalog.not_storable(),
-                _ => {}
-            },
-            Pending::DirectCommands { .. }
-            | Pending::Inspection { .. }
-            | Pending::Hello { .. }
-            | Pending::Relay { .. }
-            | Pending::RelayedHeartbeat { .. }
-            | Pending::Notice
-            | Pending::Cloud(_) => {}
-        }
+        let shard = self.shard.as_ref();
+        shard.map_or(0, |shard| shard.starts_held_back)
     }
 
-    /// The process stood still, and its clock ran on ([`process_pause`]).
+    /// The process was paused while its clock went on ([`ProcessPause`]).
     fn resumed(&mut self, paused: Time) {
-        tracing::info!("stood still for {paused:.1} s");
+        tracing::info!(seconds = %format_args!("{paused:.1}"), "process was paused");
         self.peers.heard_workers(self.outbox.now);
         self.store.want_sync();
     }
 
-    /// Everything that happens by itself as time passes.
+    /// Everything that is due at this time. Knowledge comes first (the store, siblings), then the right to act on it,
+    /// then the shard and the leader's work, and last what waits for their results.
     fn advance(&mut self) {
         let now = self.outbox.now;
         let catching_up = self.process_pause.lasts(self.store.current_as_of, now);
@@ -243,66 +162,78 @@
         self.catalog_when_due();
         self.take_roles();
         if self.ownership.holds_lease(now) {
-            if let Some(owner) = self.shard.as_mut() {
-                owner.catching_up = catching_up;
-                owner.advance(
-                    &mut self.outbox,
-                    &mut self.store,
-                    &self.catalog,
-                    &self.unresponsive,
-                );
-                owner.plan_when_due(&self.outbox, &self.store, &self.catalog);
-                if !owner.has_machines() {
-                    // Nobody to hear from: silence says nothing.
-                    self.peers.heard_workers(now);
-                }
-                if owner.take_sync_soon() {
-                    self.peers.sync_soon(now);
-                }
-            }
-            if let Some(leader) = self.leader.as_mut() {
-                if let Some(owner) = self.shard.as_mut() {
-                    leader.set_demand(&self.config.node, owner.demand.clone());
-                    owner.refused = leader.refused();
-                }
-                leader.catching_up = catching_up;
-                leader.advance(
-                    &mut self.outbox,
-                    &self.store,
-                    &mut self.ownership,
-                    &self.peers,
-                    &self.catalog,
-                    &self.unresponsive,
-                );
-                if self.ownership.take_new_question() && self.acts_on_failures() {
-                    self.peers.sync_soon(now);
-                }
-            }
+            self.advance_shard(catching_up);
+            self.advance_leader(catching_up);
             self.inspect_acquired_machines();
         }
         self.answer_waiting_reports();
         self.hello_when_due();
     }
 
-    /// A share begins once this process is registered; leading begins and ends with the key.
+    fn advance_shard(&mut self, catching_up: bool) {
+        let now = self.outbox.now;
+        let Some(shard) = self.shard.as_mut() else {
+            return;
+        };
+        shard.catching_up = catching_up;
+        shard.advance(
+            &mut self.outbox,
+            &mut self.store,
+            &self.catalog,
+            &self.unresponsive,
+        );
+        shard.plan_when_due(&self.outbox, &self.store, &self.catalog);
+        if !shard.has_machines() {
+            // There is no worker to hear from, so silence is no evidence of a failure.
+            self.peers.heard_workers(now);
+        }
+        if shard.take_sync_soon() {
+            self.peers.sync_soon(now);
+        }
+    }
+
+    fn advance_leader(&mut self, catching_up: bool) {
+        let Some(leader) = self.leader.as_mut() else {
+            return;
+        };
+        if let Some(shard) = self.shard.as_mut() {
+            leader.set_demand(&self.config.node, shard.demand.clone());
+            shard.refused = leader.refused();
+        }
+        leader.catching_up = catching_up;
+        leader.advance(
+            &mut self.outbox,
+            &self.store,
+            &mut self.ownership,
+            &self.peers,
+            &self.catalog,
+            &self.unresponsive,
+        );
+        if self.ownership.take_new_question() && self.acts_on_failures() {
+            self.peers.sync_soon(self.outbox.now);
+        }
+    }
+
+    /// The shard begins once this process is registered. Leading begins and ends with the leader's key.
     fn take_roles(&mut self) {
         let now = self.outbox.now;
         let incarnation = self.ownership.incarnation();
-        let registered = self.store.is_registered(&self.config.node, incarnation);
-        if self.shard.is_none() && registered && self.ownership.holds_lease(now) {
+        let is_registered = self.store.is_registered(&self.config.node, incarnation);
+        if self.shard.is_none() && is_registered && self.ownership.holds_lease(now) {
             let hints = std::mem::take(&mut self.hints);
             self.shard = Some(Shard::new(&self.config, incarnation, hints, now));
             self.peers.heard_workers(now);
         }
-        let leads = self.ownership.leads(&self.store);
-        if self.leader.as_ref().map(|leader| leader.term) != leads {
-            // The map as of the key's own revision has every change of earlier leaders.
-            self.leader = leads
-                .filter(|term| self.store.revision() >= *term)
-                .map(|term| {
-                    tracing::info!("leading under term {term}");
-                    Leader::new(&self.config, term, &self.store, now)
-                });
+        let term = self.ownership.leads(&self.store);
+        if self.leader.as_ref().map(|leader| leader.term) != term {
+            // The map as of the revision of the leader's key has every change of earlier leaders.
+            let readable_term = term.filter(|term| self.store.revision() >= *term);
+            self.leader = readable_term.map(|term| self.begin_leading(term));
         }
     }
+
+    fn begin_leading(&self, term: Version) -> Leader {
+        tracing::info!(term, "leading");
+        Leader::new(&self.config, term, &self.store, self.outbox.now)
+    }
 }
--- a/src/core/shard/tests.rs
+++ b/src/core/shard/tests.rs
@@ -7,10 +7,7 @@
 use crate::core::records::versioned::put;
 use crate::core::shard::owned_jobs::describe_terminating;
 use crate::core::test_support::{map, owner, record, shard};
-use crate::ids::Attempt;
-use crate::ids::FencingToken;
-use crate::ids::TaskId;
-use crate::ids::Version;
+use crate::ids::{Attempt, FencingToken, TaskId, Version};
 
 /// Its owner may have changed without this process having read so; then somebody else answers
 /// it, and its tasks live on (hunted days of a starved controller).
