--- a/src/core/controller/deferred_heartbeats.rs
+++ b/src/core/controller/deferred_heartbeats.rs
@@ -156,7 +156,7 @@
     fn answer_waiting_report(&mut self, waiting: DeferredHeartbeat) {
         match self.handle_heartbeat(waiting.heartbeat.clone()) {
             Some(answer) => {
-                self.peers.heard_workers(self.outbox.now);
+                self.peers.note_worker_contact(self.outbox.now);
                 self.outbox.answer(waiting.request, answer);
             }
             None if self.outbox.now >= waiting.until => self.give_up_waiting(waiting),
--- a/src/core/controller/failure_detection.rs
+++ b/src/core/controller/failure_detection.rs
@@ -1,39 +1,47 @@
-//! What this controller makes of its siblings' failures and of its own. The judging is done by
-//! [`failure_detector`]; here it gets its evidence, and what follows is decided:
+//! Acts on failures of siblings and on partial failures of this controller.
 //!
-//! - Suspicion moves nothing. Workers are not sent to a suspected sibling ([`crate::core::controller::heartbeat_routing`]).
-//! - A leader whose failure is confirmed by a quorum loses the leader's key to another controller. That is safe at any
-//!   time: each write of the map is guarded by that key (link 2 of the safety argument).
-//! - A share is handed on only as link 1 allows. A controller that has failed in part ends its own
-//!   authority, so that nobody has to wait for its lease: it begins anew, and its key is removed, by itself or, if the
-//!   state service refuses it, by a sibling.
+//! The [`failure_detector`] judges the siblings; here it is given its evidence, and its findings are
+//! acted on:
+//!
+//! - Suspicion alone changes no ownership. Workers are not redirected to a suspected sibling
+//!   ([`crate::core::controller::heartbeat_routing`]).
+//! - If a quorum confirms that the leader has failed, another controller takes over the leader's key.
+//!   That is safe at any time, since each write of the shard map has that key as a precondition
+//!   (link 2 of the safety argument).
+//! - A shard is failed over only as link 1 of that argument allows. A controller that has partially
+//!   failed ends its own ownership, so that its lease need not expire first: it steps down, and its
+//!   lease is ended, by itself or, if the store refuses its calls, by a sibling.
 
 use crate::core::Core;
-use crate::core::effects::StoreCall;
-use crate::core::effects::pending::{OwnershipCall, Pending};
-use crate::core::messages::detection::{Detection, Resignation};
-use crate::ids::Node;
-use failure_detector::{OwnContact, PartialFailure, Stage, StageChange};
+use crate::core::controller::ownership::StepDownReason;
+use crate::core::messages::detection::{AbandonedLease, DetectionReport};
+use crate::core::model::process::ProcessId;
+use crate::core::model::time::Time;
+use crate::core::shard::Shard;
+use crate::ids::{Node, Version};
+use failure_detector::{Evidence, OwnContact, PartialFailure, Stage, StageChange};
+use std::collections::BTreeSet;
 
-/// Part of the lifetime of a key by which a sibling's contact with the state service has to be younger than
-/// this controller's own, to show that others are served.
-pub(crate) const SERVED_LATER_LIFETIMES: f64 = 0.1;
+/// Part of the lease's lifetime by which a sibling's contact with the store has to be later than this
+/// controller's own, to show that the store answers siblings.
+const LATER_CONTACT_TTLS: f64 = 0.1;
 
-/// Part of a lease after which a controller judges itself again; that may look at its whole share.
-pub(crate) const SELF_CHECK_LEASES: f64 = 0.005;
+/// Worker leases between two checks of this controller for a partial failure. A check may look at all
+/// machines of the shard.
+const SELF_CHECK_LEASES: f64 = 0.005;
 
-/// Report times within which a machine's worker has been with a sibling lately.
-pub(crate) const ELSEWHERE_REPORT_TIMES: f64 = 2.0;
+/// Intervals between heartbeats within which a heartbeat that a sibling relayed is recent.
+const RECENT_RELAY_INTERVALS: f64 = 2.0;
 
-/// Lifetimes of its key after which a process that has ended has lost it: one since the last renewal, and some
-/// for that it was answered before it renewed for the last time.
-pub(crate) const LEASE_EXPIRY_LIFETIMES: f64 = 1.2;
+/// Lifetimes of the lease after which the key of a process that has ended is gone: one since the last
+/// renewal, and some more since it answered a hello before its last renewal.
+const LEASE_EXPIRY_TTLS: f64 = 1.2;
 
-/// Leases for which a process that has begun anew tells that its predecessor has ended.
-pub(crate) const TELL_RESIGNED_LEASES: f64 = 2.0;
+/// Worker leases for which siblings are told of an abandoned lease.
+const ABANDONED_LEASE_REPORT_LEASES: f64 = 2.0;
 
-/// Leases for which a controller that workers do not reach takes no share.
-pub(crate) const CUT_OFF_PAUSE_LEASES: f64 = 2.0;
+/// Worker leases for which a controller that workers do not reach requests no lease.
+const UNREACHABLE_PAUSE_LEASES: f64 = 2.0;
 
 impl Core {
     /// Whether this controller acts on failures that are detected.
@@ -41,166 +49,177 @@
         self.config.features.acts_on_failures()
     }
 
-    /// Judges the siblings anew by what is known now.
+    /// Updates the stage of every sibling by the evidence that there is now.
     pub(crate) fn judge_siblings(&mut self) {
-        let now = self.outbox.now;
-        self.take_stored_evidence();
-        for change in self.peers.detector_mut().judge(now) {
+        self.add_stored_evidence();
+        for change in self.peers.detector_mut().judge(self.outbox.now) {
             log_change(&change);
         }
-        if self.resignation_is_known() {
-            self.detection.resignation = None;
+        if self.abandoned_lease_is_settled() {
+            self.detection.withdraw_abandoned_lease();
         }
     }
 
-    /// Whether nobody needs to be told any more that this controller's last process has ended.
-    pub(crate) fn resignation_is_known(&self) -> bool {
-        let Some((resignation, since)) = &self.detection.resignation else {
-            return false;
-        };
-        let gone = !self
-            .store
-            .is_registered(&self.config.node, resignation.incarnation);
-        let tell_for = self.config.deployment.workers.lease_s * TELL_RESIGNED_LEASES;
-        (gone && self.has_state()) || self.outbox.now - since > tell_for
-    }
-
-    /// What the state service shows of the siblings: their keys, and whether the map names them.
-    pub(crate) fn take_stored_evidence(&mut self) {
+    /// Adds what the store shows of the siblings: whether they have keys, and whether the shard map
+    /// names them.
+    fn add_stored_evidence(&mut self) {
         if !self.store.complete() {
             return;
         }
-        let map_changed = self.detection.map_seen.replace(self.store.map_changes())
-            != Some(self.store.map_changes());
-        let owners = self.store.owners();
+        let map_changes = self.store.map_changes();
+        let owning_nodes = self
+            .detection
+            .take_shard_map_change(map_changes)
+            .then(|| self.owning_nodes());
         for sibling in &self.config.siblings {
             let node = &sibling.node;
             let detector = self.peers.detector_mut();
             detector.key_gone(node, self.store.node(node).is_none());
-            if map_changed {
-                let mut all = owners.teams.values().chain(owners.machines.values());
-                detector.owns_nothing(node, all.all(|owner| owner.node != *node));
+            if let Some(owning_nodes) = &owning_nodes {
+                detector.owns_nothing(node, !owning_nodes.contains(node));
             }
         }
     }
 
-    /// What siblings are told.
-    pub(crate) fn own_detection(&self) -> Option<Detection> {
+    /// The controllers that own at least one team or machine.
+    fn owning_nodes(&self) -> BTreeSet<Node> {
+        let processes = self.store.owners().owning_processes().into_iter();
+        processes.map(|process| process.node).collect()
+    }
+
+    /// Whether siblings need not be told any more of the lease that this controller's previous
+    /// incarnation abandoned.
+    fn abandoned_lease_is_settled(&self) -> bool {
+        let Some((abandoned, since)) = self.detection.abandoned_lease() else {
+            return false;
+        };
+        let key_is_gone = !self
+            .store
+            .is_registered(&self.config.node, abandoned.incarnation);
+        let report_for = self.config.deployment.workers.lease_s * ABANDONED_LEASE_REPORT_LEASES;
+        (key_is_gone && self.reads_store()) || self.outbox.now - since > report_for
+    }
+
+    /// The findings of this controller that siblings are told; none if it takes no part in failure
+    /// detection.
+    pub(crate) fn detection_report(&self) -> Option<DetectionReport> {
         let now = self.outbox.now;
-        self.acts_on_failures().then(|| Detection {
+        self.acts_on_failures().then(|| DetectionReport {
             opinions: self.peers.detector().opinions_to_tell(now),
-            state_age: self.store.state_silence(now).min(f64::MAX),
-            resignation: self
+            store_silence: self.store.state_silence(now).min(f64::MAX),
+            abandoned_lease: self
                 .detection
-                .resignation
-                .as_ref()
-                .map(|(resignation, _)| resignation.clone()),
+                .abandoned_lease()
+                .map(|(lease, _)| lease.clone()),
         })
     }
 
-    /// A sibling tells what it has found.
-    pub(crate) fn take_detection(&mut self, from: &Node, incarnation: u64, detection: Detection) {
+    /// Applies the findings of a sibling's process.
+    pub(crate) fn apply_detection_report(&mut self, from: &ProcessId, report: DetectionReport) {
         if !self.acts_on_failures() {
             return;
         }
         self.peers
             .detector_mut()
-            .opinions(from, detection.opinions, self.outbox.now);
-        if let Some(resignation) = detection
-            .resignation
-            .filter(|r| r.incarnation != incarnation)
+            .opinions(&from.node, report.opinions, self.outbox.now);
+        if let Some(abandoned) = report
+            .abandoned_lease
+            .filter(|abandoned| abandoned.incarnation != from.incarnation)
         {
-            self.end_resigned(from, &resignation);
+            self.end_abandoned_lease(&from.node, &abandoned);
         }
     }
 
-    /// A sibling's process has ended by itself, but could not remove its key.
-    pub(crate) fn end_resigned(&mut self, of: &Node, resignation: &Resignation) {
-        let stored = self.store.node(of).map(|stored| &stored.record);
-        let still_there = stored.is_some_and(|record| {
-            record.incarnation == resignation.incarnation && record.lease == resignation.lease
+    /// Ends the lease of a sibling's process that has stepped down but could not end it, once.
+    fn end_abandoned_lease(&mut self, of: &Node, abandoned: &AbandonedLease) {
+        let lease = abandoned.lease;
+        let is_registered = self.store.node(of).is_some_and(|stored| {
+            stored.record.incarnation == abandoned.incarnation && stored.record.lease == lease
         });
-        if !still_there || !self.has_state() || self.detection.ended == Some(resignation.lease) {
+        if !is_registered || !self.reads_store() || self.detection.has_ended(lease) {
             return;
         }
-        tracing::info!("{of} has given up its share; its lease is ended");
-        self.detection.ended = Some(resignation.lease);
-        let lease = resignation.lease;
-        self.outbox.state(
-            Pending::OwnershipLease(OwnershipCall::End),
-            StoreCall::LeaseEnd { lease },
-        );
+        tracing::info!(controller = %of, lease, "ending the lease of a controller that stepped down");
+        self.detection.note_ended(lease);
+        self.end_lease(lease);
         self.store.want_sync();
     }
 
-    /// Ends this process's authority if it has lost what others have: they can do better.
-    pub(crate) fn resign_if_failed_in_part(&mut self, lease: u64) {
+    /// Steps down if this controller has lost contact with workers or the store while others have it:
+    /// another owner can then do more for its shard.
+    pub(crate) fn step_down_on_partial_failure(&mut self, lease: u64) {
         let now = self.outbox.now;
-        if self.shard.is_none() || now < self.detection.next_self_check {
+        let worker_lease = self.config.deployment.workers.lease_s;
+        let interval = worker_lease * SELF_CHECK_LEASES;
+        if self.shard.is_none() || !self.detection.take_self_check(interval, now) {
             return;
         }
-        let workers = &self.config.deployment.workers;
-        self.detection.next_self_check = now + workers.lease_s * SELF_CHECK_LEASES;
-        match self.own_contact().partial_failure() {
-            None => {}
-            Some(PartialFailure::CutFromWorkers) => {
-                let pause = workers.lease_s * CUT_OFF_PAUSE_LEASES;
-                let pending = Pending::OwnershipLease(OwnershipCall::End);
-                self.outbox.state(pending, StoreCall::LeaseEnd { lease });
-                self.begin_anew("workers reach siblings only", pause);
-                self.peers.sync_soon(now);
+        let Some(failure) = self.own_contact().partial_failure() else {
+            return;
+        };
+        match failure {
+            PartialFailure::CutFromWorkers => {
+                self.end_lease(lease);
+                let pause = worker_lease * UNREACHABLE_PAUSE_LEASES;
+                self.step_down(StepDownReason::UnreachableForWorkers, pause);
             }
-            Some(PartialFailure::RefusedByState) => {
-                let resignation = Resignation {
-                    incarnation: self.ownership.incarnation(),
-                    lease,
-                };
-                self.detection.resignation = Some((resignation, now));
-                self.begin_anew("the state service refuses this controller alone", 0.0);
-                self.peers.sync_soon(now);
+            PartialFailure::RefusedByState => {
+                let incarnation = self.ownership.incarnation();
+                let abandoned = AbandonedLease { incarnation, lease };
+                self.detection.announce_abandoned_lease(abandoned, now);
+                self.step_down(StepDownReason::RefusedByStore, 0.0);
             }
         }
+        self.peers.send_hellos_soon(now);
     }
 
-    pub(crate) fn own_contact(&self) -> OwnContact {
-        let now = self.outbox.now;
+    /// This controller's own contact with workers and the store, compared with that of its siblings.
+    fn own_contact(&self) -> OwnContact {
         let workers = &self.config.deployment.workers;
-        let workers_silent_s = now - self.peers.workers_heard();
         let mut contact = OwnContact {
             report_s: workers.report_s,
             lease_s: workers.lease_s,
             key_lifetime_s: self.ownership.ttl(),
-            workers_silent_s,
+            workers_silent_s: self.outbox.now - self.peers.last_worker_contact(),
             ..OwnContact::default()
         };
-        // Looks at the whole share, so only when there is something to find.
-        if let Some(owner) = self
-            .shard
-            .as_ref()
-            .filter(|_| workers_silent_s > workers.report_s)
+        // This looks at all machines of the shard, so only if workers are silent.
+        if let Some(shard) = &self.shard
+            && contact.workers_silent_s > workers.report_s
         {
-            contact.machines = owner.machine_count();
-            contact.others_get_workers = self.peers.siblings_get_workers(now);
-            if self.acts_on_failures() {
-                let lately = now - workers.report_s * ELSEWHERE_REPORT_TIMES;
-                contact.machines_elsewhere = owner.machines_relayed_since(lately);
-            }
+            self.add_worker_contact(shard, &mut contact);
         }
-        if self.acts_on_failures() && self.detection.refusals > 0 {
-            let state_silent_s = self.store.state_silence(now);
-            let later = now - state_silent_s + self.ownership.ttl() * SERVED_LATER_LIFETIMES;
-            contact.state_silent_s = state_silent_s;
-            contact.refusals = self.detection.refusals;
-            contact.others_heard = self.peers.heard(now).count();
-            contact.others_served = self.peers.served_since(later, now);
+        if self.acts_on_failures() && self.detection.refusals() > 0 {
+            self.add_store_contact(&mut contact);
         }
         contact
     }
 
-    /// Whether renewing the lease would keep a key alive under which nobody acts: this process's authority has
-    /// run out, and neither the state service nor any sibling is heard. What it sends may arrive all the
-    /// same, and so its share would never be handed on. Once it hears the state service it goes on.
-    pub(crate) fn renews_for_nobody(&self) -> bool {
+    fn add_worker_contact(&self, shard: &Shard, contact: &mut OwnContact) {
+        let now = self.outbox.now;
+        contact.machines = shard.machine_count();
+        contact.others_get_workers = self.peers.redirected_from_sibling(now);
+        if self.acts_on_failures() {
+            let since = now - contact.report_s * RECENT_RELAY_INTERVALS;
+            contact.machines_elsewhere = shard.machines_relayed_since(since);
+        }
+    }
+
+    fn add_store_contact(&self, contact: &mut OwnContact) {
+        let now = self.outbox.now;
+        let silence = self.store.state_silence(now);
+        let later = now - silence + self.ownership.ttl() * LATER_CONTACT_TTLS;
+        contact.state_silent_s = silence;
+        contact.refusals = self.detection.refusals();
+        contact.others_heard = self.peers.heard(now).count();
+        contact.others_served = self.peers.count_with_store_contact(later, now);
+    }
+
+    /// Whether a renewal of the lease would keep a key alive under which this process can do nothing:
+    /// its ownership has ended, and neither the store nor any sibling is heard. Its requests may arrive
+    /// all the same, and its shard would then never be failed over. Renewals continue once it hears
+    /// the store.
+    pub(crate) fn renewal_would_delay_failover(&self) -> bool {
         let now = self.outbox.now;
         self.acts_on_failures()
             && !self.ownership.holds_lease(now)
@@ -208,75 +227,79 @@
             && !self.peers.heard_any(now)
     }
 
-    /// The version of the leader's key, if its process has failed and this controller is to take it over: of
-    /// those that may the first by name, so that they do not race.
-    pub(crate) fn failed_leader(&self) -> Option<u64> {
+    /// The version of the leader's key, if the leader has failed and this controller is to take over:
+    /// of the controllers that may, the first by name does, so that they do not compete.
+    pub(crate) fn failed_leader(&self) -> Option<Version> {
         let leader = self.store.leader()?;
         let node = &leader.record.node;
-        let may_lead = self.has_state() && self.ownership.holds_lease(self.outbox.now);
         let takes_over = self.acts_on_failures()
             && *node != self.config.node
             && self.peers.detector().has_failed(node)
-            && may_lead
+            && self.reads_store()
+            && self.ownership.holds_lease(self.outbox.now)
             && !self.has_rival();
         takes_over.then_some(leader.version)
     }
 
-    /// Whether a sibling with a name before this controller's could lead as well.
-    pub(crate) fn has_rival(&self) -> bool {
-        let mut heard = self
-            .peers
-            .heard(self.outbox.now)
-            .filter(|other| **other < self.config.node);
-        heard.any(|other| self.can_serve(other))
+    /// Whether a sibling whose name is before this controller's could lead as well.
+    fn has_rival(&self) -> bool {
+        self.peers
+            .nodes()
+            .filter(|node| **node < self.config.node)
+            .any(|node| self.can_serve(node))
     }
 
-    /// Whether a sibling is heard, reads the state service and has a key there. One without a key has given up:
-    /// the workers may not reach it.
+    /// Whether a sibling has answered recently that it reads the store, and has a key there. One without
+    /// a key has stepped down: workers may not reach it.
     pub(crate) fn can_serve(&self, sibling: &Node) -> bool {
-        self.peers.reads_state(sibling, self.outbox.now) && self.store.node(sibling).is_some()
+        self.peers.reads_store(sibling, self.outbox.now) && self.store.node(sibling).is_some()
     }
 
-    /// Whether a worker is not to be sent to this process, since nobody would answer it there.
+    /// Whether no worker is to be redirected to this process, since it would not be answered there.
     pub(crate) fn is_unreachable_owner(&self, node: &Node, incarnation: u64) -> bool {
         *node == self.config.node
             || !self.store.is_registered(node, incarnation)
             || self.peers.detector().has_failed(node)
     }
 
-    /// Whether this process has failed and its key is about to go, so that its share is handed on soon.
-    /// One that keeps its key for longer lives, out of reach for a quorum: its machines are claimed.
+    /// Whether a controller has failed and its lease is about to expire, so that its shard is failed
+    /// over soon. If its key remains for longer it is alive but unreachable for a quorum: then its
+    /// machines are claimed.
     pub(crate) fn lease_expires_soon(&self, node: &Node) -> bool {
         let detector = self.peers.detector();
-        let lapses_after = self.ownership.ttl() * LEASE_EXPIRY_LIFETIMES;
-        detector.has_failed(node) && detector.silence(node, self.outbox.now) < lapses_after
+        let expires_after: Time = self.ownership.ttl() * LEASE_EXPIRY_TTLS;
+        detector.has_failed(node) && detector.silence(node, self.outbox.now) < expires_after
     }
 }
 
-/// One line for each change of stage.
-pub(crate) fn log_change(change: &StageChange<Node>) {
+/// Logs that a sibling is judged differently.
+fn log_change(change: &StageChange<Node>) {
     let StageChange {
         of,
         from,
         to,
         evidence,
     } = change;
-    let (silence, votes) = (evidence.silence_s, evidence.votes);
-    let process = evidence.incarnation.map_or(0, |incarnation| incarnation.0);
+    let Evidence {
+        votes, key_gone, ..
+    } = evidence;
+    let incarnation = evidence.incarnation.map_or(0, |incarnation| incarnation.0);
     match to {
-        Stage::Alive => tracing::info!("{of} answers again, process {process} (was {from:?})"),
+        Stage::Alive => {
+            tracing::info!(controller = %of, incarnation, previous_stage = ?from, "controller is alive");
+        }
         Stage::Suspected => {
-            tracing::info!("{of} is suspected: no answer for {silence:.1} s, process {process}");
+            let silence_seconds = format_args!("{:.1}", evidence.silence_s);
+            tracing::info!(
+                controller = %of, incarnation, %silence_seconds, "controller is suspected to have failed"
+            );
         }
         Stage::Confirmed => {
-            let gone = if evidence.key_gone {
-                ", its key has gone"
-            } else {
-                ""
-            };
-            tracing::info!("{of} has failed: {votes} controllers do not hear it{gone}");
+            tracing::info!(controller = %of, votes, key_gone, "controller has failed");
+        }
+        Stage::HandedOver => {
+            tracing::info!(controller = %of, "failed controller owns nothing any more");
         }
-        Stage::HandedOver => tracing::info!("{of} has failed and owns nothing any more"),
     }
 }
 
--- a/src/core/controller/failure_detection/tests.rs
+++ b/src/core/controller/failure_detection/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
-use crate::core::effects::{Effect, StoreReply};
+use crate::core::effects::pending::{OwnershipCall, Pending};
+use crate::core::effects::{Effect, StoreCall, StoreReply};
 use crate::core::model::time::Time;
 use crate::core::records::keys::LEADER_KEY;
 use crate::core::records::versioned::precondition;
@@ -9,8 +10,8 @@
 
 const START: Time = 100.0;
 
-/// What the step asks of the state service.
-fn state_calls(core: &mut Core) -> Vec<StoreCall> {
+/// The calls to the store since the last time.
+fn store_calls(core: &mut Core) -> Vec<StoreCall> {
     let effects = core.outbox.take_effects();
     let calls = effects.into_iter().filter_map(|effect| match effect {
         Effect::State(_, call) => Some(call),
@@ -29,14 +30,18 @@
     }]
 }
 
-fn detection(opinions: Vec<Opinion<Node>>) -> Detection {
-    Detection {
+fn report(opinions: Vec<Opinion<Node>>) -> DetectionReport {
+    DetectionReport {
         opinions,
-        state_age: 0.1,
-        resignation: None,
+        store_silence: 0.1,
+        abandoned_lease: None,
     }
 }
 
+fn process(node: &str, incarnation: u64) -> ProcessId {
+    ProcessId::new(node.into(), incarnation)
+}
+
 /// n0, which leads, has been silent for 2.5 s; the others answer.
 fn core_without_its_leader() -> Core {
     let mut core = running_core(4, START);
@@ -48,26 +53,26 @@
 }
 
 #[test]
-fn a_leader_that_one_does_not_hear_keeps_its_key() {
+fn a_leader_suspected_by_a_minority_keeps_its_key() {
     let mut core = core_without_its_leader();
     assert_eq!(core.peers.detector().stage(&"n0".into()), Stage::Suspected);
     assert_eq!(core.failed_leader(), None);
-    core.take_detection(&"n2".into(), 1, detection(suspicion("n0")));
+    core.apply_detection_report(&process("n2", 1), report(suspicion("n0")));
     core.judge_siblings();
     assert_eq!(core.failed_leader(), None, "two of five");
 }
 
 #[test]
-fn a_leader_whose_failure_a_quorum_confirms_loses_its_key() {
+fn a_leader_whose_failure_a_quorum_confirms_is_replaced() {
     let mut core = core_without_its_leader();
     for other in ["n2", "n3"] {
-        core.take_detection(&other.into(), 1, detection(suspicion("n0")));
+        core.apply_detection_report(&process(other, 1), report(suspicion("n0")));
     }
     core.judge_siblings();
     assert_eq!(core.failed_leader(), Some(10));
     core.outbox.take_effects();
     core.keep_ownership();
-    let claims = state_calls(&mut core)
+    let claims = store_calls(&mut core)
         .into_iter()
         .filter_map(|call| match call {
             StoreCall::Commit(Transaction { preconditions, .. }) => Some(preconditions),
@@ -76,7 +81,8 @@
     assert_eq!(claims.collect::<Vec<_>>(), [[precondition(LEADER_KEY, 10)]]);
 }
 
-/// A controller that had just given up held the take-over up: it was the first by name and read the state service.
+/// A controller that had just stepped down delayed the takeover of leadership: it was the first by name and
+/// read the store.
 #[test]
 fn only_siblings_with_keys_count_as_rivals() {
     let mut core = core_without_its_leader();
@@ -94,7 +100,7 @@
 }
 
 #[test]
-fn who_is_refused_alone_gives_up_and_says_so() {
+fn a_controller_refused_alone_steps_down_and_reports_its_lease() {
     let mut core = running_core(4, START);
     let incarnation = core.ownership.incarnation();
     let others = ["n0", "n2", "n3", "n4"];
@@ -103,17 +109,17 @@
         let pending = Pending::OwnershipLease(OwnershipCall::End);
         core.store_reply(pending, StoreReply::Refused);
     }
-    core.resign_if_failed_in_part(OWN_LEASE);
+    core.step_down_on_partial_failure(OWN_LEASE);
     assert!(core.shard.is_some(), "not for a second");
     answered_until(&mut core, &others, START + 1.0, START + 2.0);
-    core.resign_if_failed_in_part(OWN_LEASE);
+    core.step_down_on_partial_failure(OWN_LEASE);
     assert!(core.shard.is_none() && core.ownership.incarnation() != incarnation);
-    let told = core
-        .own_detection()
-        .and_then(|detection| detection.resignation);
+    let reported = core
+        .detection_report()
+        .and_then(|report| report.abandoned_lease);
     assert_eq!(
-        told,
-        Some(Resignation {
+        reported,
+        Some(AbandonedLease {
             incarnation,
             lease: OWN_LEASE
         })
@@ -121,68 +127,71 @@
 }
 
 #[test]
-fn in_an_outage_for_all_nobody_gives_up() {
+fn no_controller_steps_down_in_an_outage_for_all() {
     let mut core = running_core(4, START);
     for node in ["n0", "n2", "n3", "n4"] {
         core.peers.answered(&node.into(), 1, START);
     }
     core.outbox.begin(START + 1.9, 0);
     for _ in 0..9 {
-        core.detection.refused();
+        core.detection.store_refused();
     }
-    core.resign_if_failed_in_part(OWN_LEASE);
-    assert!(core.shard.is_some(), "nobody was served since");
+    core.step_down_on_partial_failure(OWN_LEASE);
+    assert!(
+        core.shard.is_some(),
+        "the store has answered no sibling since"
+    );
 }
 
 #[test]
-fn the_lease_of_a_sibling_that_has_given_up_is_ended_once() {
+fn the_lease_of_a_sibling_that_stepped_down_is_ended_once() {
     let mut core = running_core(2, START);
     core.outbox.take_effects();
-    let resignation = |incarnation, lease| Detection {
-        resignation: Some(Resignation { incarnation, lease }),
-        ..detection(Vec::new())
+    let abandoned = |incarnation, lease| DetectionReport {
+        abandoned_lease: Some(AbandonedLease { incarnation, lease }),
+        ..report(Vec::new())
     };
     let ended = |core: &mut Core| -> Vec<StoreCall> {
-        let calls = state_calls(core);
+        let calls = store_calls(core);
         calls
             .into_iter()
             .filter(|call| matches!(call, StoreCall::LeaseEnd { .. }))
             .collect()
     };
-    core.take_detection(&"n2".into(), 1, resignation(1, 9));
-    assert_eq!(ended(&mut core), [], "the very process that says so");
-    core.take_detection(&"n2".into(), 2, resignation(1, 8));
+    core.apply_detection_report(&process("n2", 1), abandoned(1, 9));
+    assert_eq!(ended(&mut core), [], "the reporting process itself");
+    core.apply_detection_report(&process("n2", 2), abandoned(1, 8));
     assert_eq!(ended(&mut core), [], "not the lease of its key");
-    core.take_detection(&"n2".into(), 2, resignation(1, 9));
-    core.take_detection(&"n2".into(), 2, resignation(1, 9));
+    core.apply_detection_report(&process("n2", 2), abandoned(1, 9));
+    core.apply_detection_report(&process("n2", 2), abandoned(1, 9));
     assert_eq!(ended(&mut core), [StoreCall::LeaseEnd { lease: 9 }]);
 }
 
-/// With its incoming direction cut a controller renewed its lease for ever, could not act, and was not replaced.
+/// A controller that could send but not receive renewed its lease forever, could not act, and was not failed over.
 #[test]
-fn who_hears_nobody_renews_no_key_under_which_it_cannot_act() {
+fn a_controller_that_hears_no_other_stops_renewing_its_lease() {
     let mut core = running_core(2, START);
-    assert!(!core.renews_for_nobody());
+    assert!(!core.renewal_would_delay_failover());
     let later = START + core.ownership.ttl() * 1.5;
     core.outbox.begin(later, 0);
-    assert!(core.renews_for_nobody());
+    assert!(core.renewal_would_delay_failover());
     core.peers.answered(&"n2".into(), 1, later);
     assert!(
-        !core.renews_for_nobody(),
-        "an outage of the state service for all"
+        !core.renewal_would_delay_failover(),
+        "an outage of the store for all"
     );
 }
 
 #[test]
-fn with_the_switch_off_nothing_is_told_or_taken() {
+fn with_failure_detection_off_nothing_is_reported_or_applied() {
     let mut core = core_without_its_leader();
     let mut config = (*core.config).clone();
     config.features = crate::features::Features::default();
     core.config = std::rc::Rc::new(config);
     for other in ["n2", "n3"] {
-        core.take_detection(&other.into(), 1, detection(suspicion("n0")));
+        core.apply_detection_report(&process(other, 1), report(suspicion("n0")));
     }
     core.judge_siblings();
     assert_eq!(core.failed_leader(), None);
-    assert!(core.own_detection().is_none());
+    assert!(core.detection_report().is_none());
 }
--- a/src/core/controller/heartbeat_routing.rs
+++ b/src/core/controller/heartbeat_routing.rs
@@ -162,7 +162,7 @@
     pub(crate) fn heartbeat(&mut self, request: RequestId, heartbeat: Heartbeat) {
         let now = self.outbox.now;
         if let Some(answer) = self.handle_heartbeat(heartbeat.clone()) {
-            self.peers.heard_workers(now);
+            self.peers.note_worker_contact(now);
             return self.outbox.answer(request, answer);
         }
         let owner = self
@@ -244,7 +244,8 @@
     /// Whether the map that is known here is older than what the worker has seen, or may be since the state
     /// service serves others only. Such a map led workers to owners that had lost them.
     fn is_overtaken(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
-        let cut_off = !self.has_state() && self.peers.with_state(self.outbox.now).is_some();
+        let cut_off =
+            !self.reads_store() && self.peers.sibling_reading_store(self.outbox.now).is_some();
         self.acts_on_failures() && (heartbeat.token > owner.token || cut_off)
     }
 
@@ -257,7 +258,7 @@
         owner: &ShardOwner,
         reason: DeferralReason,
     ) {
-        if self.deferred_heartbeats.are_full() || !self.has_state() {
+        if self.deferred_heartbeats.are_full() || !self.reads_store() {
             return self.send_to_reachable(request);
         }
         self.wait_for_map(request, heartbeat, owner, reason);
@@ -272,7 +273,7 @@
 
     pub(crate) fn redirect(&mut self, request: RequestId, to: Option<Node>) {
         if let Some(node) = &to {
-            self.peers.sent_worker(node, self.outbox.now);
+            self.peers.note_redirect(node, self.outbox.now);
         }
         self.outbox
             .answer(request, Answer::value(421, redirect_to(to.as_ref())));
@@ -281,7 +282,7 @@
     /// The worker is to try the next controller. Sent to an owner that it can't reach it would wait for
     /// that in vain for 4 s of its lease, which then ended before its machine had a new owner.
     pub(crate) fn send_elsewhere(&mut self, request: RequestId, owner: &Node) {
-        self.peers.sent_worker(owner, self.outbox.now);
+        self.peers.note_redirect(owner, self.outbox.now);
         self.outbox.answer(request, Answer::unavailable());
     }
 
@@ -291,7 +292,7 @@
             "{} does not reach {node}: its report is relayed",
             heartbeat.machine
         );
-        self.peers.sent_worker(&node, self.outbox.now);
+        self.peers.note_redirect(&node, self.outbox.now);
         self.peers
             .detector_mut()
             .worker_left(&node, self.outbox.now);
--- a/src/core/controller/hello.rs
+++ b/src/core/controller/hello.rs
@@ -1,82 +1,37 @@
+//! The hellos that controllers exchange, and the dispatch of all requests and replies between them.
+
 use crate::core::Core;
 use crate::core::effects::pending::Pending;
 use crate::core::effects::{Answer, Body, RequestId, UserRequest};
 use crate::core::leader::Leader;
-use crate::core::membership::peers::IMAGES_EVERY;
+use crate::core::membership::peers::ImageScope;
 use crate::core::messages::mesh::{Hello, HelloReply, MeshMessage, MeshReply};
+use crate::core::messages::shard_update::{Hints, MachineContacts, PeerUpdate};
 use crate::core::model::process::ProcessId;
+use crate::core::model::time::Time;
 use crate::core::shard::Shard;
-use crate::ids::Node;
-use failure_detector::Incarnation;
+use crate::ids::{Node, Version};
 
 impl Core {
+    /// Sends a hello to every sibling if the next ones are due, except to those that have not
+    /// answered the last one.
     pub(crate) fn hello_when_due(&mut self) {
         let now = self.outbox.now;
-        if now < self.peers.next_hello {
+        if !self.peers.hello_is_due(now) {
             return;
         }
-        self.peers.next_hello = now + self.outbox.jitter(self.peers.interval);
-        self.peers.number += 1;
-        let holds_lease = self.ownership.holds_lease(now);
-        let owner = self.shard.as_ref().filter(|_| holds_lease);
-        let running = owner.map(Shard::running).unwrap_or_default();
-        let (wants_extension, wants_consent) = (
-            self.ownership.wants_extension(now).is_some(),
-            self.ownership.wanted_consents(),
-        );
-        if let Some(owner) = &self.shard {
-            self.unresponsive.note(owner.unresponsive(now), now);
-        }
-        if self.store.complete() {
-            self.unresponsive.prune(self.store.owners());
-            self.contacts.prune(self.store.owners());
-        }
-        let unresponsive = self.unresponsive.all(now);
-        let detection = self.own_detection();
-        let acts_on_failures = self.acts_on_failures();
-        let behind = now - self.store.current_as_of > self.peers.recent;
-        let final_states_after =
-            (behind && self.store.complete()).then(|| self.store.final_states_known());
-        let nodes: Vec<Node> = self.peers.peers.keys().cloned().collect();
+        let delay = self.outbox.jitter(self.peers.hello_interval());
+        let number = self.peers.begin_hellos(now + delay);
+        self.refresh_machine_knowledge();
+        let hello = self.hello_without_update(number);
+        let nodes: Vec<Node> = self.peers.nodes().cloned().collect();
         for node in nodes {
-            let Some(peer) = self.peers.peers.get_mut(&node) else {
-                continue;
-            };
-            if std::mem::replace(&mut peer.hello_out, true) {
+            if !self.peers.begin_hello(&node) {
                 continue;
             }
-            let now_and_then = self.peers.number.is_multiple_of(IMAGES_EVERY);
-            let update = self.shard.as_ref().filter(|_| holds_lease).map(|owner| {
-                let (images, contacts) = match (std::mem::take(&mut peer.ignorant), now_and_then) {
-                    (true, _) => (owner.known_images(), self.contacts.with(owner.contacts())),
-                    (false, true) => (owner.own_images(), owner.contacts()),
-                    (false, false) => Default::default(),
-                };
-                let contacts = if acts_on_failures {
-                    contacts
-                } else {
-                    Default::default()
-                };
-                owner.update_for(
-                    &node,
-                    &self.store,
-                    self.leader.as_ref().map(Leader::refused),
-                    images,
-                    contacts,
-                )
-            });
             let hello = Hello {
-                from: self.peers.node.clone(),
-                incarnation: self.ownership.incarnation(),
-                number: self.peers.number,
-                wants_extension,
-                wants_consent: wants_consent.clone(),
-                running: running.clone(),
-                unresponsive: unresponsive.clone(),
-                update,
-                final_states_after,
-                authority_ends: true,
-                detection: detection.clone(),
+                update: self.update_for(&node),
+                ..hello.clone()
             };
             let pending = Pending::Hello {
                 node: node.clone(),
@@ -87,6 +42,69 @@
         }
     }
 
+    /// Brings up to date what hellos tell of machines beyond this shard's own state.
+    fn refresh_machine_knowledge(&mut self) {
+        let now = self.outbox.now;
+        if let Some(shard) = &self.shard {
+            self.unresponsive.note(shard.unresponsive(now), now);
+        }
+        if self.store.complete() {
+            self.unresponsive.prune(self.store.owners());
+            self.contacts.prune(self.store.owners());
+        }
+    }
+
+    /// A hello with everything that is the same for all siblings.
+    fn hello_without_update(&self, number: u64) -> Hello {
+        let now = self.outbox.now;
+        let process = self.ownership.process();
+        Hello {
+            from: process.node,
+            incarnation: process.incarnation,
+            number,
+            wants_extension: self.ownership.wants_extension(now),
+            wants_consent: self.ownership.wanted_consents(),
+            running: self.leased_shard().map(Shard::running).unwrap_or_default(),
+            unresponsive: self.unresponsive.all(now),
+            update: None,
+            final_states_after: self.wanted_final_states(),
+            bounded_staleness: true,
+            detection: self.detection_report(),
+        }
+    }
+
+    /// The shard, while this process may act as its owner.
+    fn leased_shard(&self) -> Option<&Shard> {
+        let holds_lease = self.ownership.holds_lease(self.outbox.now);
+        self.shard.as_ref().filter(|_| holds_lease)
+    }
+
+    /// The version after which siblings are asked for final states, while syncs with the store fail.
+    fn wanted_final_states(&self) -> Option<Version> {
+        let is_behind = self.outbox.now - self.store.current_as_of > self.peers.recent();
+        (is_behind && self.store.complete()).then(|| self.store.final_states_known())
+    }
+
+    /// The state of this shard for a sibling's shard, while this process may act as its owner.
+    fn update_for(&mut self, node: &Node) -> Option<PeerUpdate> {
+        self.leased_shard()?;
+        let scope = self.peers.take_image_scope(node);
+        let shard = self.shard.as_ref()?;
+        let (images, contacts) = match scope {
+            ImageScope::Known => (shard.known_images(), self.contacts.with(shard.contacts())),
+            ImageScope::Own => (shard.own_images(), shard.contacts()),
+            ImageScope::None => (Hints::default(), MachineContacts::default()),
+        };
+        let contacts = if self.acts_on_failures() {
+            contacts
+        } else {
+            MachineContacts::default()
+        };
+        let refused = self.leader.as_ref().map(Leader::refused);
+        Some(shard.update_for(node, &self.store, refused, images, contacts))
+    }
+
+    /// A sibling sends a request.
     pub(crate) fn mesh_message(&mut self, request: RequestId, message: MeshMessage) {
         match message {
             MeshMessage::Hello(hello) => self.hello(request, *hello),
@@ -103,167 +121,159 @@
         }
     }
 
-    pub(crate) fn hello(&mut self, request: RequestId, hello: Hello) {
+    /// Applies a sibling's hello and replies to it.
+    fn hello(&mut self, request: RequestId, hello: Hello) {
         let now = self.outbox.now;
-        let Hello {
-            from,
-            incarnation,
-            wants_consent,
-            unresponsive,
-            ..
-        } = hello;
-        self.peers.detector.message_received(&from, now);
-        let registered = self.store.is_registered(&from, incarnation);
-        if hello.authority_ends {
-            self.peers
-                .says_authority_ends(&ProcessId::new(from.clone(), incarnation));
-        }
-        let Some(peer) = self.peers.peers.get_mut(&from) else {
+        let sender = ProcessId::new(hello.from, hello.incarnation);
+        self.peers
+            .detector_mut()
+            .message_received(&sender.node, now);
+        if !self.peers.includes(&sender.node) {
             return self.outbox.mesh_answer(request, MeshReply::Noted);
-        };
-        // True whenever it was said: that it arrives late only makes it weaker.
-        self.unresponsive.note(unresponsive, now);
-        // Held up in the network, hellos arrive late: what they tell is then left out.
-        let late = peer.newest.0 == incarnation && peer.newest.1 >= hello.number;
-        let sends_workers = now - peer.sent_worker < self.peers.recent;
-        if !late {
-            peer.ignorant |= peer.newest.0 != incarnation;
-            peer.newest = (incarnation, hello.number);
-            peer.running = hello
-                .running
-                .into_iter()
-                .map(|(job, done, runs)| (job, (done, runs)))
-                .collect();
         }
-        let grants_extension = hello.wants_extension
-            && self
-                .ownership
-                .grant_extension(&from, incarnation, &self.store, now);
-        let consents = wants_consent
+        if hello.bounded_staleness {
+            self.peers.note_bounded_staleness(&sender);
+        }
+        // True whenever it was sent: a delay only makes the statement weaker.
+        self.unresponsive.note(hello.unresponsive, now);
+        let is_newest = self
+            .peers
+            .hello_received(&sender, hello.number, hello.running);
+        let grants_extension =
+            hello.wants_extension && self.ownership.grant_extension(&sender, &self.store, now);
+        let consents = hello
+            .wants_consent
             .into_iter()
             .filter(|process| self.ownership.consent(process, now))
             .collect();
-        if let (Some(update), None, false) = (&hello.update, &self.shard, late) {
-            self.hints.extend(update.images.clone());
-        }
-        if let (Some(mut update), false) = (hello.update, late) {
-            self.contacts.extend(std::mem::take(&mut update.contacts));
-            if let Some(leader) = self.leader.as_mut() {
-                leader.set_demand(&from, update.demand.clone());
+        if is_newest {
+            if let Some(update) = hello.update {
+                self.apply_update(&sender, update);
             }
-            if let Some(owner) = self.shard.as_mut() {
-                owner.take_update(&mut self.outbox, &self.store, &from, incarnation, update);
+            if let Some(report) = hello.detection {
+                self.apply_detection_report(&sender, report);
             }
         }
-        if let Some(detection) = hello.detection.filter(|_| !late) {
-            self.take_detection(&from, incarnation, detection);
-        }
         let reply = HelloReply {
             incarnation: self.ownership.incarnation(),
             grants_extension,
             consents,
-            detection: self.own_detection(),
-            has_state: self.has_state(),
-            sends_workers,
-            // A view that is being read again knows what it knew before, but one that never was
-            // complete says nothing. Nor is a process told whose key has gone: its authority is to end.
+            reads_store: self.reads_store(),
+            redirects_workers: self.peers.redirects_to(&sender.node, now),
             final_states: hello
                 .final_states_after
-                .filter(|_| self.store.complete() && registered)
-                .map(|from| self.store.final_states_after(from)),
+                .filter(|_| self.may_send_final_states(&sender))
+                .map(|version| self.store.final_states_after(version)),
+            detection: self.detection_report(),
         };
         self.outbox.mesh_answer(request, MeshReply::Hello(reply));
     }
 
+    /// Applies the state of a sibling's shard.
+    fn apply_update(&mut self, sender: &ProcessId, mut update: PeerUpdate) {
+        self.contacts.extend(std::mem::take(&mut update.contacts));
+        if let Some(leader) = self.leader.as_mut() {
+            leader.set_demand(&sender.node, update.demand.clone());
+        }
+        match self.shard.as_mut() {
+            Some(shard) => shard.take_update(
+                &mut self.outbox,
+                &self.store,
+                &sender.node,
+                sender.incarnation,
+                update,
+            ),
+            None => self.hints.extend(update.images),
+        }
+    }
+
+    /// Whether final states may be sent to a process. A replica that is being read again knows what it
+    /// knew before, but one that was never complete says nothing. A process whose key is gone gets
+    /// none, since its ownership is to end.
+    fn may_send_final_states(&self, to: &ProcessId) -> bool {
+        self.store.complete() && self.store.is_registered(&to.node, to.incarnation)
+    }
+
+    /// A request to a sibling was answered, or there will be no answer.
     pub(crate) fn mesh_reply(&mut self, pending: Pending, reply: Option<MeshReply>) {
-        let now = self.outbox.now;
-        match (pending, reply) {
-            (Pending::Hello { node, sent }, reply) => {
-                if let Some(peer) = self.peers.peers.get_mut(&node) {
-                    peer.hello_out = false;
-                }
-                let Some(MeshReply::Hello(reply)) = reply else {
-                    return;
-                };
-                if let Some(peer) = self.peers.peers.get_mut(&node) {
-                    peer.incarnation = Some((reply.incarnation, sent));
-                    peer.has_state = reply.has_state;
-                    peer.sends_workers = reply.sends_workers;
-                }
-                let incarnation = Incarnation(reply.incarnation);
-                self.peers
-                    .detector
-                    .heartbeat_answered(&node, incarnation, sent, now);
-                if let Some(detection) = reply.detection {
-                    self.peers.served(&node, sent, detection.state_age);
-                    self.take_detection(&node, reply.incarnation, detection);
-                }
-                if let Some(final_states) = reply.final_states {
-                    let complete = final_states.complete;
-                    self.store.take_final_states(final_states);
-                    if complete {
-                        self.ownership.note_sibling_known_as_of(&node, sent);
-                    } else {
-                        self.peers.sync_soon(now);
-                    }
-                }
-                if reply.grants_extension {
-                    self.ownership.extension_granted(&node, sent, now);
+        match pending {
+            Pending::Hello { node, sent } => {
+                self.peers.hello_finished(&node);
+                if let Some(MeshReply::Hello(reply)) = reply {
+                    self.hello_answered(&node, sent, reply);
                 }
-                self.ownership.consented(&node, &reply.consents);
             }
-            (
-                Pending::Relay { request },
-                Some(MeshReply::Answer {
-                    status,
-                    body,
-                    retry_after,
-                }),
-            ) => {
-                let body = body.map_or(Body::Empty, Body::Value);
-                self.outbox.answer(
-                    request,
-                    Answer {
-                        status,
-                        body,
-                        retry_after,
-                    },
-                );
+            Pending::Relay { request } => {
+                self.outbox.answer(request, relayed_answer(reply));
             }
-            (
-                Pending::RelayedHeartbeat {
-                    request,
-                    owner,
-                    heartbeat,
-                },
-                reply,
-            ) => {
-                let answer = match reply {
-                    Some(MeshReply::HeartbeatResponse(answer)) => answer,
+            Pending::RelayedHeartbeat {
+                request,
+                owner,
+                heartbeat,
+            } => {
+                let response = match reply {
+                    Some(MeshReply::HeartbeatResponse(response)) => response,
                     _ => None,
                 };
-                self.heartbeat_relayed(request, &owner, *heartbeat, answer);
-            }
-            (Pending::Relay { request }, _) => {
-                self.outbox.answer(request, Answer::unavailable());
+                self.heartbeat_relayed(request, &owner, *heartbeat, response);
             }
             _ => {}
         }
     }
 
-    /// Whether this controller's reads of the state service work.
-    pub(crate) fn has_state(&self) -> bool {
+    /// A sibling has answered the hello that was sent to it at `sent`.
+    fn hello_answered(&mut self, node: &Node, sent: Time, reply: HelloReply) {
+        let now = self.outbox.now;
+        self.peers.hello_answered(node, sent, &reply, now);
+        if let Some(report) = reply.detection {
+            let process = ProcessId::new(node.clone(), reply.incarnation);
+            self.apply_detection_report(&process, report);
+        }
+        if let Some(final_states) = reply.final_states {
+            let is_complete = final_states.complete;
+            self.store.take_final_states(final_states);
+            if is_complete {
+                self.ownership.record_sibling_current_as_of(node, sent);
+            } else {
+                self.peers.send_hellos_soon(now);
+            }
+        }
+        if reply.grants_extension {
+            self.ownership.extension_received(node, sent, now);
+        }
+        self.ownership.consents_received(node, &reply.consents);
+    }
+
+    /// Whether this controller's reads of the store work.
+    pub(crate) fn reads_store(&self) -> bool {
         let silence = self.store.state_silence(self.outbox.now);
-        self.store.complete() && silence < self.peers.recent
+        self.store.complete() && silence < self.peers.recent()
     }
 
-    /// Able to take requests: reads the state service, or reaches a sibling that may (in an
-    /// outage for all, staying in rotation costs users less than leaving and coming back).
+    /// Answers a health check: whether this controller can take requests, since it reads the store, or
+    /// reaches a sibling that may. (In an outage for all controllers, to stay in rotation costs users
+    /// less than to leave it and return.)
     pub(crate) fn health(&mut self, request: RequestId) {
-        let able = self.store.complete()
+        let is_able = self.store.complete()
             && self.catalog.known()
-            && (self.has_state() || self.peers.heard_any(self.outbox.now));
+            && (self.reads_store() || self.peers.heard_any(self.outbox.now));
         self.outbox
-            .answer(request, Answer::empty(if able { 200 } else { 503 }));
+            .answer(request, Answer::empty(if is_able { 200 } else { 503 }));
+    }
+}
+
+/// The answer to a user's request that was relayed to a sibling.
+fn relayed_answer(reply: Option<MeshReply>) -> Answer {
+    match reply {
+        Some(MeshReply::Answer {
+            status,
+            body,
+            retry_after,
+        }) => Answer {
+            status,
+            body: body.map_or(Body::Empty, Body::Value),
+            retry_after,
+        },
+        _ => Answer::unavailable(),
     }
 }
--- a/src/core/controller/ownership.rs
+++ b/src/core/controller/ownership.rs
@@ -1,177 +1,127 @@
+//! Keeps the ownership lease, the keys that are attached to it, and ends what this process owned when
+//! it steps down. What the lease entitles to is described in [`crate::core::membership::ownership`].
+
 use crate::core::Core;
 use crate::core::effects::pending::{OwnershipCall, Pending};
 use crate::core::effects::{StoreCall, StoreReply};
-use crate::core::membership::ownership::Lease;
+use crate::core::membership::ownership::LeaseCall;
 use crate::core::model::time::Time;
 use crate::core::records::keys::{LEADER_KEY, node_key};
 use crate::core::records::process_record::ProcessRecord;
 use crate::core::records::versioned::{precondition, put};
+use crate::core::scheduling::usage;
+use crate::ids::Version;
 use crate::wire::Transaction;
 use std::collections::BTreeSet;
+use std::fmt;
 
-impl Core {
-    pub(crate) fn ownership_reply(&mut self, call: OwnershipCall, reply: StoreReply) {
-        let now = self.outbox.now;
-        match call {
-            OwnershipCall::Create { sent } => {
-                if self.ownership.lease != Lease::Creating {
-                    return;
-                }
-                if let StoreReply::Lease(lease) = reply {
-                    self.ownership.lease = Lease::Held(lease);
-                    self.ownership.renewed = sent;
-                    self.ownership.next_renewal = sent + self.ownership.ttl / 3.0;
-                } else {
-                    self.ownership.lease = Lease::None;
-                    self.ownership.next_attempt =
-                        now + self.outbox.jitter(self.ownership.ttl * 0.1);
-                }
-            }
-            OwnershipCall::Register { lease } | OwnershipCall::Claim { lease } => {
-                if self.ownership.lease != Lease::Held(lease) {
-                    return;
-                }
-                // Written, or perhaps, or not: the view tells, once it is that far.
-                self.ownership.writing = false;
-                self.ownership.next_write = now + self.outbox.jitter(self.ownership.ttl * 0.1);
-                self.store.want_sync();
-                if reply == StoreReply::LeaseGone {
-                    self.begin_anew("the lease has ended", 0.0);
-                }
-            }
-            OwnershipCall::Renew { lease, sent } => {
-                if self.ownership.lease != Lease::Held(lease) {
-                    return;
-                }
-                self.ownership.renewing = false;
-                match reply {
-                    StoreReply::Done => {
-                        self.ownership.renewed = self.ownership.renewed.max(sent);
-                        self.ownership.next_renewal = now + self.ownership.ttl / 3.0;
-                        self.ownership.extensions.clear();
-                    }
-                    StoreReply::LeaseGone => self.begin_anew("the lease has ended", 0.0),
-                    // Everything else waits for longer than this, so that renewals come first.
-                    StoreReply::Busy => {
-                        self.ownership.next_renewal =
-                            now + self.outbox.jitter(self.ownership.ttl / 100.0);
-                    }
-                    _ => {
-                        self.ownership.next_renewal =
-                            now + self.outbox.jitter(self.ownership.ttl / 12.0);
-                    }
-                }
-            }
-            OwnershipCall::End => {}
-        }
-    }
+/// Why a process steps down.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum StepDownReason {
+    /// Its lease has expired in the store.
+    LeaseExpired,
+    /// Workers reach siblings, but not this controller.
+    UnreachableForWorkers,
+    /// The store refuses this controller, but answers siblings.
+    RefusedByStore,
+}
 
-    /// Drops everything this process owned, as a restart would.
-    pub(crate) fn begin_anew(&mut self, why: &str, pause: Time) {
-        tracing::info!("share lost: {why}");
-        self.ownership.lost(self.outbox.now + pause);
-        if let Some(owner) = self.shard.take() {
-            self.hints = owner.known_images();
-            self.unresponsive
-                .note(owner.unresponsive(self.outbox.now), self.outbox.now);
-        }
-        self.leader = None;
+impl fmt::Display for StepDownReason {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            Self::LeaseExpired => "the lease has expired",
+            Self::UnreachableForWorkers => "workers reach siblings only",
+            Self::RefusedByStore => "the store refuses this controller alone",
+        })
     }
+}
 
-    /// Keeps the lease, the process's key and, if nobody leads, the leader's key.
+/// A write of one of the keys that are attached to the lease.
+struct KeyWrite {
+    key: String,
+    /// The version that the key must have; 0 if it must not exist.
+    version: Version,
+    call: OwnershipCall,
+}
+
+impl Core {
+    /// Creates or renews the lease, and writes the process's key and, if there is no leader, the
+    /// leader's key.
     pub(crate) fn keep_ownership(&mut self) {
-        let now = self.outbox.now;
         if !self.store.complete() {
             return;
         }
-        match self.ownership.lease {
-            Lease::None if now >= self.ownership.next_attempt => {
-                self.end_predecessor();
-                self.ownership.lease = Lease::Creating;
-                let ttl_ms = (self.ownership.ttl * 1000.0) as u64;
-                let pending = Pending::OwnershipLease(OwnershipCall::Create { sent: now });
-                self.outbox
-                    .state(pending, StoreCall::LeaseCreate { ttl_ms });
-            }
-            Lease::None | Lease::Creating => {}
-            Lease::Held(lease) => {
-                let due = !self.ownership.renewing && now >= self.ownership.next_renewal;
-                if due && !self.renews_for_nobody() {
-                    self.ownership.renewing = true;
-                    let pending =
-                        Pending::OwnershipLease(OwnershipCall::Renew { lease, sent: now });
-                    self.outbox.state(pending, StoreCall::LeaseRenew { lease });
-                }
-                self.write_keys(lease);
-                self.resign_if_failed_in_part(lease);
+        match self.ownership.due_call(self.outbox.now) {
+            Some(LeaseCall::Create) => self.create_lease(),
+            Some(LeaseCall::Renew(lease)) if !self.renewal_would_delay_failover() => {
+                self.renew_lease(lease);
             }
+            Some(LeaseCall::Renew(_)) | None => {}
         }
+        if let Some(lease) = self.ownership.lease_id() {
+            self.write_keys(lease);
+            self.step_down_on_partial_failure(lease);
+        }
+    }
+
+    fn create_lease(&mut self) {
+        let sent = self.outbox.now;
+        self.end_predecessor();
+        self.ownership.creation_sent();
+        let ttl_ms = self.ownership.ttl_ms();
+        self.outbox.state(
+            Pending::OwnershipLease(OwnershipCall::Create { sent }),
+            StoreCall::LeaseCreate { ttl_ms },
+        );
     }
 
-    /// An earlier process of this controller has ended for certain: what hangs on its lease need
-    /// not wait for the lease to end.
-    pub(crate) fn end_predecessor(&mut self) {
+    fn renew_lease(&mut self, lease: u64) {
+        let sent = self.outbox.now;
+        self.ownership.renewal_sent();
+        self.outbox.state(
+            Pending::OwnershipLease(OwnershipCall::Renew { lease, sent }),
+            StoreCall::LeaseRenew { lease },
+        );
+    }
+
+    /// Ends the leases of earlier processes of this controller: they have certainly ended, so the keys
+    /// that are attached to their leases need not wait for the leases to expire.
+    fn end_predecessor(&mut self) {
         let keys = [self.store.node(&self.config.node), self.store.leader()];
-        let mine = keys.into_iter().flatten().map(|key| &key.record);
-        let earlier = mine
-            .filter(|record| record.node == self.config.node)
-            .map(|r| r.lease);
-        for lease in earlier.collect::<BTreeSet<u64>>() {
-            if self.ownership.ended_predecessor.replace(lease) != Some(lease) {
-                let pending = Pending::OwnershipLease(OwnershipCall::End);
-                self.outbox.state(pending, StoreCall::LeaseEnd { lease });
+        let leases: BTreeSet<u64> = keys
+            .into_iter()
+            .flatten()
+            .filter(|stored| stored.record.node == self.config.node)
+            .map(|stored| stored.record.lease)
+            .collect();
+        for lease in leases {
+            if self.ownership.note_predecessor_ended(lease) {
+                self.end_lease(lease);
             }
         }
     }
 
+    /// Ends a lease in the store, and so deletes the keys that are attached to it.
+    pub(crate) fn end_lease(&mut self, lease: u64) {
+        self.outbox.state(
+            Pending::OwnershipLease(OwnershipCall::End),
+            StoreCall::LeaseEnd { lease },
+        );
+    }
+
+    /// Writes the next key that is missing or out of date, one at a time.
     pub(crate) fn write_keys(&mut self, lease: u64) {
         let now = self.outbox.now;
-        if self.ownership.writing || now < self.ownership.next_write {
+        if !self.ownership.may_write_key(now) {
             return;
         }
         self.ownership
-            .consent_unasked(&self.store, &self.peers, now);
-        let record = ProcessRecord {
-            node: self.ownership.node.clone(),
-            incarnation: self.ownership.incarnation,
-            lease,
-            keeps_grants: crate::core::scheduling::usage::are_on(&self.config),
-            consents: self.ownership.stored_consents.clone(),
-            claims: self.claims.told(),
-        };
-        let known = self.store.node(&record.node);
-        let (key, version, call) = if known.is_none_or(|known| known.record != record) {
-            // Guarded, so that a late write of an earlier process cannot replace it.
-            let version = known.map_or(0, |known| known.version);
-            (
-                node_key(&record.node),
-                version,
-                OwnershipCall::Register { lease },
-            )
-        } else if self.store.leader().is_none() && self.ownership.holds_lease(now) {
-            (LEADER_KEY.to_owned(), 0, OwnershipCall::Claim { lease })
-        } else if let Some(exhausted) = self
-            .leader
-            .as_ref()
-            .filter(|leader| leader.terms_exhausted())
-        {
-            // Under the key's new revision there are fresh terms. It stays this process's key.
-            (
-                LEADER_KEY.to_owned(),
-                exhausted.term,
-                OwnershipCall::Claim { lease },
-            )
-        } else if let Some(version) = self.failed_leader() {
-            tracing::info!("takes over from the leader, which has failed");
-            (
-                LEADER_KEY.to_owned(),
-                version,
-                OwnershipCall::Claim { lease },
-            )
-        } else {
+            .publish_consents_if_leader_unheard(&self.store, &self.peers, now);
+        let record = self.process_record(lease);
+        let Some(KeyWrite { key, version, call }) = self.next_key_write(&record) else {
             return;
         };
-        self.ownership.writing = true;
+        self.ownership.key_write_sent();
         let transaction = Transaction {
             preconditions: vec![precondition(&key, version)],
             writes: vec![put(&key, &record, Some(lease))],
@@ -181,4 +131,123 @@
             StoreCall::Commit(transaction),
         );
     }
+
+    /// What this process writes into its own key and the leader's key.
+    fn process_record(&self, lease: u64) -> ProcessRecord {
+        let process = self.ownership.process();
+        ProcessRecord {
+            node: process.node,
+            incarnation: process.incarnation,
+            lease,
+            keeps_grants: usage::are_on(&self.config),
+            consents: self.ownership.published_consents().to_vec(),
+            claims: self.claims.told(),
+        }
+    }
+
+    fn next_key_write(&self, record: &ProcessRecord) -> Option<KeyWrite> {
+        let lease = record.lease;
+        let stored = self.store.node(&record.node);
+        if stored.is_none_or(|stored| stored.record != *record) {
+            return Some(KeyWrite {
+                key: node_key(&record.node),
+                // A precondition, so that a late write of an earlier process cannot replace it.
+                version: stored.map_or(0, |stored| stored.version),
+                call: OwnershipCall::Register { lease },
+            });
+        }
+        Some(KeyWrite {
+            key: LEADER_KEY.to_owned(),
+            version: self.claimable_leader_version()?,
+            call: OwnershipCall::Claim { lease },
+        })
+    }
+
+    /// The version of the leader's key, or 0 if it does not exist, if this process is to write it.
+    fn claimable_leader_version(&self) -> Option<Version> {
+        if self.store.leader().is_none() && self.ownership.holds_lease(self.outbox.now) {
+            return Some(0);
+        }
+        let exhausted = self
+            .leader
+            .as_ref()
+            .filter(|leader| leader.terms_exhausted());
+        if let Some(exhausted) = exhausted {
+            // The key's new revision provides fresh fencing tokens. It stays this process's key.
+            return Some(exhausted.term);
+        }
+        let version = self.failed_leader()?;
+        tracing::info!("taking over leadership: the leader has failed");
+        Some(version)
+    }
+
+    /// The store has replied to a call that concerns the lease or its keys. Replies that belong to a
+    /// lease which is not held any more are ignored.
+    pub(crate) fn ownership_reply(&mut self, call: OwnershipCall, reply: StoreReply) {
+        let held = self.ownership.lease_id();
+        match call {
+            OwnershipCall::Create { sent } if self.ownership.awaits_creation() => {
+                self.lease_creation_answered(sent, &reply);
+            }
+            OwnershipCall::Register { lease } | OwnershipCall::Claim { lease }
+                if held == Some(lease) =>
+            {
+                self.key_write_answered(&reply);
+            }
+            OwnershipCall::Renew { lease, sent } if held == Some(lease) => {
+                self.renewal_answered(sent, &reply);
+            }
+            OwnershipCall::Create { .. }
+            | OwnershipCall::Register { .. }
+            | OwnershipCall::Claim { .. }
+            | OwnershipCall::Renew { .. }
+            | OwnershipCall::End => {}
+        }
+    }
+
+    fn lease_creation_answered(&mut self, sent: Time, reply: &StoreReply) {
+        if let StoreReply::Lease(lease) = reply {
+            return self.ownership.created(*lease, sent);
+        }
+        let delay = self.outbox.jitter(self.ownership.retry_delay());
+        self.ownership.creation_failed(self.outbox.now + delay);
+    }
+
+    fn key_write_answered(&mut self, reply: &StoreReply) {
+        let delay = self.outbox.jitter(self.ownership.retry_delay());
+        self.ownership.key_write_finished(self.outbox.now + delay);
+        // Whether it was written is read from the store replica once that is up to date.
+        self.store.want_sync();
+        if *reply == StoreReply::LeaseGone {
+            self.step_down(StepDownReason::LeaseExpired, 0.0);
+        }
+    }
+
+    fn renewal_answered(&mut self, sent: Time, reply: &StoreReply) {
+        let now = self.outbox.now;
+        let retry_delay = match reply {
+            StoreReply::Done => return self.ownership.renewed(sent, now),
+            StoreReply::LeaseGone => return self.step_down(StepDownReason::LeaseExpired, 0.0),
+            StoreReply::Busy => self.ownership.busy_renewal_retry_delay(),
+            _ => self.ownership.renewal_retry_delay(),
+        };
+        let retry_at = now + self.outbox.jitter(retry_delay);
+        self.ownership.renewal_failed(retry_at);
+    }
+
+    /// Gives up the lease, the shard and leadership, as a restart would, and continues as a new
+    /// incarnation. That requests no lease for `pause` seconds.
+    pub(crate) fn step_down(&mut self, reason: StepDownReason, pause: Time) {
+        let now = self.outbox.now;
+        tracing::info!(%reason, "stepping down: lease and shard are given up");
+        self.ownership.step_down(now + pause);
+        if let Some(shard) = self.shard.take() {
+            self.hints = shard.known_images();
+            self.unresponsive.note(shard.unresponsive(now), now);
+        }
+        self.leader = None;
+    }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/core/controller/ownership/tests.rs
@@ -0,0 +1,41 @@
+use super::*;
+use crate::core::effects::Effect;
+use crate::core::leader::Leader;
+use crate::core::test_support::config;
+
+/// A leader that runs out of fencing tokens writes its key again, with the key's revision as a
+/// precondition. Before, a fleet that had run for weeks under one leader made no changes any more.
+#[test]
+fn a_leader_out_of_fencing_tokens_claims_its_key_again() {
+    let mut core = Core::new(config(), 1);
+    core.outbox.begin(1.0, 0);
+    core.ownership.hold_unrenewed(5);
+    let record = ProcessRecord {
+        node: core.config.node.clone(),
+        incarnation: core.ownership.incarnation(),
+        lease: 5,
+        keeps_grants: false,
+        consents: Vec::new(),
+        claims: Vec::new(),
+    };
+    core.store
+        .apply_write(&put(&node_key(&record.node), &record, Some(5)), 7);
+    core.store
+        .apply_write(&put(LEADER_KEY, &record, Some(5)), 8);
+    core.leader = Some(Leader::new(&core.config, 8, &core.store, 1.0));
+    core.write_keys(5);
+    assert!(core.outbox.take_effects().is_empty(), "tokens remain");
+    while let Some(leader) = core
+        .leader
+        .as_mut()
+        .filter(|leader| !leader.terms_exhausted())
+    {
+        assert!(leader.map.next_token().is_some());
+    }
+    core.write_keys(5);
+    let effects = core.outbox.take_effects();
+    let [Effect::State(_, StoreCall::Commit(claim))] = &effects[..] else {
+        panic!("{effects:?}")
+    };
+    assert_eq!(claim.preconditions, [precondition(LEADER_KEY, 8)]);
+}
--- a/src/core/controller/status.rs
+++ b/src/core/controller/status.rs
@@ -111,7 +111,8 @@
         if self.leader.is_none() {
             return Some(HandOverWait::Leader);
         }
-        let (given, needed) = self.ownership.consents_to(process);
+        let consents = self.ownership.consents_to(process);
+        let (given, needed) = (consents.given, consents.needed);
         Some(HandOverWait::Consents { given, needed })
     }
 
--- a/src/core/controller/user_requests.rs
+++ b/src/core/controller/user_requests.rs
@@ -59,7 +59,10 @@
             return self.give_up(asked);
         }
         let silent = self.store.state_silence(now) > SILENCE;
-        if silent && matches!(reply_to, ReplyTo::User(_)) && self.peers.with_state(now).is_some() {
+        if silent
+            && matches!(reply_to, ReplyTo::User(_))
+            && self.peers.sibling_reading_store(now).is_some()
+        {
             // Cut from the state service alone: a sibling answers at once what would be late here.
             return self.pass_on(asked);
         }
@@ -283,14 +286,14 @@
     /// This controller cannot answer: a sibling that has the state service may; else the user
     /// is told at once when to come back.
     pub(crate) fn give_up(&mut self, asked: WaitingRequest) {
-        if self.has_state() {
+        if self.reads_store() {
             return self.reply(asked.reply_to, Answer::unavailable());
         }
         self.pass_on(asked);
     }
 
     pub(crate) fn pass_on(&mut self, asked: WaitingRequest) {
-        let sibling = self.peers.with_state(self.outbox.now).cloned();
+        let sibling = self.peers.sibling_reading_store(self.outbox.now).cloned();
         let (ReplyTo::User(request), Some(node)) = (asked.reply_to, sibling) else {
             return self.reply(asked.reply_to, Answer::unavailable());
         };
@@ -350,7 +353,7 @@
 
     pub(crate) fn time_out_user_requests(&mut self) {
         let now = self.outbox.now;
-        let has_state = self.has_state();
+        let has_state = self.reads_store();
         let silence = self.store.state_silence(now);
         let mut index = 0;
         while index < self.user_requests.waiting.len() {
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -247,7 +247,7 @@
             .into_iter()
             .filter(|process| living.get(&process.node) != Some(&process.incarnation))
             .collect();
-        ownership.close_questions(&ended);
+        ownership.retain_consent_requests(&ended);
         for process in ended {
             if !ownership.lease_expired(&process, store, peers, now) {
                 continue;
--- a/src/core/membership/mod.rs
+++ b/src/core/membership/mod.rs
@@ -1,4 +1,5 @@
-//! TODO.
+//! Membership of the fleet: which controllers are alive, and for how long each may act as the owner
+//! of its shard.
 
 pub mod failure_detection;
 pub mod ownership;
--- a/src/core/membership/ownership.rs
+++ b/src/core/membership/ownership.rs
@@ -1,359 +1,355 @@
-//! Until when this process may act for its share. Its key in the state service hangs on a lease;
-//! authority ends by the process's own clock, counted from when the last successful renewal was
-//! sent, before the lease can end in the store. The leader's key hangs on the same lease; leading
-//! only entitles to write the map, and such writes are guarded by the key itself.
+//! The ownership lease: until when this process may act as the owner of its shard.
 //!
-//! In an outage of the state service a majority of controllers may vouch for a process, each for a
-//! short time and only while it cannot read the store itself.
+//! # Lease in the store
 //!
-//! Whatever authority rests on, it ends before a cancellation that this process has not heard of can
-//! be late. What any user was told up to `known_as_of` is known here: from a sync sent then, or because
-//! every sibling has told, in answer to a question sent then, all final states that it knows. (What
-//! a sibling's earlier process told its users is in what the present one has read since it began.)
-//! So a cancellation unknown here was confirmed after `known_as_of`; machines were last answered before
-//! `known_as_of + max_staleness`; and what they run ends with their leases, before `cancel_s` is over:
-//! `max_staleness + lease_s` with drift and a report's way is at most `cancel_s`.
+//! The process's key in the store is attached to a lease. Ownership ends by the process's own clock,
+//! counted from the time at which the last successful renewal was sent, so it ends before the lease
+//! can expire in the store. The leader's key is attached to the same lease. Leadership only entitles
+//! a process to write the shard map, and such writes have the leader's key as a precondition.
 //!
-//! To hand a lapsed process's share to
-//! others the leader therefore needs, beside the lapse in the store, to know that no voucher is
-//! out: the process has ended, or a majority consents, each of which has no unexpired voucher out
-//! for it and never again vouches for it. Who does not hear the leader consents in its own key: with zones cut
-//! off from one another the leader may hear nobody, though all can read the state service. Where so many controllers are away that no majority can
-//! consent, it waits: a process learns nothing more once its key has gone, for it counts only reads
-//! that show its key, and a sibling that has seen it gone tells it nothing; so its authority ends
-//! `max_staleness` after that. (Every sibling has to tell, so one is enough. One that has restarted has read the
-//! store since.) A process says in its hellos that it keeps to this; of others the leader waits for consents.
+//! During an outage of the store a majority of the controllers may extend the lease (`extensions`).
+//! Before the shard of a process is failed over, a majority consents to that (`consents`).
+//!
+//! # Bounded staleness
+//!
+//! Whether the lease was renewed or extended, ownership ends before a cancellation that this process
+//! has not learnt of can be overdue. Every final state that was confirmed to a user before
+//! `current_as_of` is known here: from a sync with the store sent at that time, or because every
+//! sibling has answered a request sent at that time with all final states that it knows. (Final
+//! states that an earlier process of a sibling confirmed are part of what the present one has read
+//! since it started.)
+//!
+//! A cancellation that is unknown here was therefore confirmed after `current_as_of`. Machines were
+//! last answered before `current_as_of + staleness_bound`, and their tasks end with the machines'
+//! leases, before `cancel_s` has passed: `staleness_bound + lease_s`, with clock drift and the travel
+//! time of a heartbeat, is at most `cancel_s`.
+
+mod consents;
+mod extensions;
+
+pub use consents::ConsentProgress;
 
 use crate::config::{Config, Workers};
-use crate::core::membership::peers::Peers;
 use crate::core::model::process::ProcessId;
 use crate::core::model::time::{CLOCK_DRIFT, Time};
 use crate::core::store::replica::StoreReplica;
 use crate::ids::{Node, Version};
-use std::collections::{BTreeMap, BTreeSet};
+use consents::FailoverConsents;
+use extensions::LeaseExtensions;
+use std::collections::BTreeMap;
+
+/// Lifetime of the lease, as a part of a worker's lease: short enough that a failover is complete
+/// before the workers' leases expire.
+const TTL_WORKER_LEASES: f64 = 0.35;
+
+/// Bounds of the lease's lifetime, in seconds: below the first, renewals would take most of the
+/// store's request rate; the second is the longest wait for a failover.
+const TTL_BOUNDS: (Time, Time) = (0.1, 600.0);
+
+/// Part of the lease's lifetime by which ownership ends before the lease can expire in the store.
+const MARGIN_TTLS: f64 = 0.1;
 
-/// Part of the lease's life between looks at whether consents are to be told unasked.
-pub(crate) const CONSENT_TTLS: f64 = 0.1;
+/// Renewals in one lifetime of the lease, so that two of them may fail.
+const RENEWALS_PER_TTL: f64 = 3.0;
 
+/// Retries of a renewal that failed, in one lifetime of the lease.
+const RENEWAL_RETRIES_PER_TTL: f64 = 12.0;
+
+/// Retries of a renewal that the store was too busy for, in one lifetime of the lease. All other
+/// calls are retried later than this, so that renewals are served first.
+const BUSY_RENEWAL_RETRIES_PER_TTL: f64 = 100.0;
+
+/// Part of the lease's lifetime after which other calls of the lease are made again.
+const RETRY_TTLS: f64 = 0.1;
+
+/// Part of `cancel_s` that the staleness bound takes at most.
+const STALENESS_PER_CANCEL_TIME: f64 = 0.5;
+
+/// Part of the time between the end of the tasks and `cancel_s` that the staleness bound takes at most.
+const STALENESS_PER_REMAINING_TIME: f64 = 0.9;
+
+/// Intervals between heartbeats that a heartbeat travels at most.
+const HEARTBEAT_TRAVEL_INTERVALS: f64 = 0.5;
+
+/// The state of the lease in the store.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Lease {
+enum LeaseState {
+    /// There is none.
     None,
+    /// Its creation has been requested.
     Creating,
+    /// It was granted under this id. Whether it is still valid is told by the clock.
     Held(u64),
 }
 
+/// The next call that keeps the lease alive.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum LeaseCall {
+    /// Create a lease.
+    Create,
+    /// Renew the lease with this id.
+    Renew(u64),
+}
+
+/// This process's ownership lease, and its part in the extensions and failovers of other processes.
 pub struct OwnershipLease {
-    pub(crate) node: Node,
-    /// Changes whenever the process has to begin anew, as after a restart.
-    pub(crate) incarnation: u64,
-    pub(crate) majority: usize,
-    /// Life of the lease: short enough that a hand-over ends before the workers' leases do.
-    pub(crate) ttl: Time,
-    pub(crate) margin: Time,
-    pub(crate) extension_time: Time,
-    /// How long authority may last beyond `known_as_of`.
-    pub(crate) max_staleness: Time,
-    /// Every cancellation or end that any user was told before then is known here.
-    pub(crate) known_as_of: Time,
-    /// When each sibling was last asked for all it knows, and told that.
-    pub(crate) siblings_known_as_of: BTreeMap<Node, Time>,
-    pub(crate) siblings: usize,
-    pub(crate) lease: Lease,
-    pub(crate) renewed: Time,
-    pub(crate) next_renewal: Time,
-    pub(crate) renewing: bool,
-    /// Not to ask for a lease before this.
-    pub(crate) next_attempt: Time,
-    pub(crate) writing: bool,
-    pub(crate) next_write: Time,
-    pub(crate) extensions: BTreeMap<Node, Time>,
-    /// Until when this controller's vouchers for others run.
-    pub(crate) extensions_granted: BTreeMap<Node, Time>,
-    /// Processes whose share may be handed on: no voucher for them from here.
-    pub(crate) revoked: BTreeSet<ProcessId>,
-    /// Lapsed processes the leader wants to replace, and who has consented.
-    pub(crate) consents: BTreeMap<ProcessId, BTreeSet<Node>>,
-    pub(crate) asked_since: BTreeMap<ProcessId, Time>,
-    /// A question about a lapsed process has come up that siblings have not been asked yet.
-    pub(crate) has_new_question: bool,
-    pub(crate) ended_predecessor: Option<u64>,
-    /// Consents that are told in this process's key.
-    pub(crate) stored_consents: Vec<ProcessId>,
-    pub(crate) next_stored_consents: Time,
+    node: Node,
+    /// Changes whenever the process steps down, as if it had restarted.
+    incarnation: u64,
+    /// Controllers that are a majority of all.
+    majority: usize,
+    /// Lifetime of the lease in seconds.
+    ttl: Time,
+    /// Seconds by which ownership ends before the lease can expire in the store.
+    margin: Time,
+    /// Seconds that ownership may last beyond `current_as_of`.
+    staleness_bound: Time,
+    /// Every final state that was confirmed to any user before then is known here.
+    current_as_of: Time,
+    /// For each sibling that has sent all final states it knows: when the request for them was sent.
+    siblings_current_as_of: BTreeMap<Node, Time>,
+    sibling_count: usize,
+    lease: LeaseState,
+    /// When the last successful renewal was sent.
+    renewed_at: Time,
+    next_renewal: Time,
+    renewal_in_flight: bool,
+    /// No lease is created before this time.
+    next_creation: Time,
+    key_write_in_flight: bool,
+    next_key_write: Time,
+    extensions: LeaseExtensions,
+    consents: FailoverConsents,
+    /// The lease of an earlier process of this controller that was ended last.
+    ended_predecessor: Option<u64>,
 }
 
-/// See the argument above.
-pub(crate) fn max_staleness(workers: &Workers) -> Time {
-    let tasks_end = workers.lease_s * (1.0 + CLOCK_DRIFT) + workers.report_s * 0.5;
-    (workers.cancel_s * 0.5)
-        .min((workers.cancel_s - tasks_end) * 0.9)
+/// Seconds that ownership may last beyond the time as of which all final states are known. Zero if
+/// the deployment's figures leave no time: an idle machine is better than a late cancellation.
+fn staleness_bound(workers: &Workers) -> Time {
+    let tasks_end =
+        workers.lease_s * (1.0 + CLOCK_DRIFT) + workers.report_s * HEARTBEAT_TRAVEL_INTERVALS;
+    (workers.cancel_s * STALENESS_PER_CANCEL_TIME)
+        .min((workers.cancel_s - tasks_end) * STALENESS_PER_REMAINING_TIME)
         .max(0.0)
 }
 
 impl OwnershipLease {
+    /// No lease yet, for the process with this incarnation.
     pub fn new(config: &Config, incarnation: u64) -> Self {
         let workers = &config.deployment.workers;
-        let ttl = (workers.lease_s * 0.35).clamp(0.1, 600.0);
-        let controllers = config.controllers();
+        let (shortest, longest) = TTL_BOUNDS;
+        let ttl = (workers.lease_s * TTL_WORKER_LEASES).clamp(shortest, longest);
+        let margin = ttl * MARGIN_TTLS;
         Self {
             node: config.node.clone(),
             incarnation,
-            majority: controllers / 2 + 1,
+            majority: config.controllers() / 2 + 1,
             ttl,
-            margin: ttl * 0.1,
-            extension_time: workers.lease_s * 0.2,
-            max_staleness: max_staleness(workers),
-            known_as_of: Time::NEG_INFINITY,
-            siblings_known_as_of: BTreeMap::new(),
-            siblings: config.siblings.len(),
-            lease: Lease::None,
-            renewed: Time::NEG_INFINITY,
+            margin,
+            staleness_bound: staleness_bound(workers),
+            current_as_of: Time::NEG_INFINITY,
+            siblings_current_as_of: BTreeMap::new(),
+            sibling_count: config.siblings.len(),
+            lease: LeaseState::None,
+            renewed_at: Time::NEG_INFINITY,
             next_renewal: 0.0,
-            renewing: false,
-            next_attempt: 0.0,
-            writing: false,
-            next_write: 0.0,
-            extensions: BTreeMap::new(),
-            extensions_granted: BTreeMap::new(),
-            revoked: BTreeSet::new(),
-            consents: BTreeMap::new(),
-            asked_since: BTreeMap::new(),
-            has_new_question: false,
+            renewal_in_flight: false,
+            next_creation: 0.0,
+            key_write_in_flight: false,
+            next_key_write: 0.0,
+            extensions: LeaseExtensions::new(workers.lease_s, margin),
+            consents: FailoverConsents::default(),
             ended_predecessor: None,
-            stored_consents: Vec::new(),
-            next_stored_consents: 0.0,
         }
     }
 
+    /// The incarnation of this process.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Holds a lease as if it had just been renewed.
-    #[cfg(test)]
-    pub fn hold(&mut self, lease: u64, now: Time) {
-        self.lease = Lease::Held(lease);
-        self.renewed = now;
-        self.known_as_of = now;
+    /// This process.
+    pub fn process(&self) -> ProcessId {
+        ProcessId::new(self.node.clone(), self.incarnation)
     }
 
+    /// Lifetime of the lease in seconds.
     pub fn ttl(&self) -> Time {
         self.ttl
     }
 
-    pub(crate) fn myself(&self) -> ProcessId {
-        ProcessId::new(self.node.clone(), self.incarnation)
+    /// Lifetime of the lease in milliseconds.
+    #[expect(
+        clippy::cast_possible_truncation,
+        reason = "the lifetime is between 0.1 s and 600 s"
+    )]
+    pub fn ttl_ms(&self) -> u64 {
+        (self.ttl * 1000.0) as u64
     }
 
-    /// Whether this process may command the machines that the map gives it.
+    /// Whether this process may send commands to the machines that the shard map assigns to it.
     pub fn holds_lease(&self, now: Time) -> bool {
-        matches!(self.lease, Lease::Held(_))
-            && now < self.known_as_of + self.max_staleness
-            && (now < self.store_until() || now < self.extended_until())
+        matches!(self.lease, LeaseState::Held(_))
+            && now < self.current_as_of + self.staleness_bound
+            && (now < self.valid_in_store_until() || now < self.extended_until())
     }
 
-    /// Everything that users were told before `asked` is known here.
-    pub fn note_known_as_of(&mut self, asked: Time) {
-        self.known_as_of = self.known_as_of.max(asked);
+    /// The id of the lease, if one was granted; it may have expired since.
+    pub fn lease_id(&self) -> Option<u64> {
+        match self.lease {
+            LeaseState::Held(lease) => Some(lease),
+            LeaseState::None | LeaseState::Creating => None,
+        }
+    }
+
+    /// Until when the lease is certain to be valid in the store.
+    fn valid_in_store_until(&self) -> Time {
+        self.renewed_at + self.ttl * (1.0 - CLOCK_DRIFT) - self.margin
+    }
+
+    /// The version of the leader's key, if this process holds that key as far as it knows.
+    pub fn leads(&self, store: &StoreReplica) -> Option<Version> {
+        let leader = store.leader()?;
+        let is_own =
+            leader.record.node == self.node && leader.record.incarnation == self.incarnation;
+        (is_own && self.lease_id().is_some()).then_some(leader.version)
     }
 
-    /// A sibling has told all that it knew when it answered a question sent at `asked`.
-    pub fn note_sibling_known_as_of(&mut self, node: &Node, asked: Time) {
-        self.siblings_known_as_of.insert(node.clone(), asked);
-        if self.siblings_known_as_of.len() == self.siblings
+    /// Every final state that was confirmed to a user before `asked` is known here.
+    pub fn record_current_as_of(&mut self, asked: Time) {
+        self.current_as_of = self.current_as_of.max(asked);
+    }
+
+    /// A sibling has sent all final states that it knew when it answered a request sent at `asked`.
+    pub fn record_sibling_current_as_of(&mut self, node: &Node, asked: Time) {
+        self.siblings_current_as_of.insert(node.clone(), asked);
+        if self.siblings_current_as_of.len() == self.sibling_count
             && let Some(earliest) = self
-                .siblings_known_as_of
+                .siblings_current_as_of
                 .values()
                 .copied()
                 .min_by(Time::total_cmp)
         {
-            self.note_known_as_of(earliest);
+            self.record_current_as_of(earliest);
         }
     }
 
-    pub(crate) fn store_until(&self) -> Time {
-        self.renewed + self.ttl * (1.0 - CLOCK_DRIFT) - self.margin
+    /// The call that is due to keep the lease alive, if any is.
+    pub fn due_call(&self, now: Time) -> Option<LeaseCall> {
+        match self.lease {
+            LeaseState::None => (now >= self.next_creation).then_some(LeaseCall::Create),
+            LeaseState::Creating => None,
+            LeaseState::Held(lease) => {
+                let is_due = !self.renewal_in_flight && now >= self.next_renewal;
+                is_due.then_some(LeaseCall::Renew(lease))
+            }
+        }
     }
 
-    /// Until when a majority's vouchers run, this controller's own word included.
-    pub(crate) fn extended_until(&self) -> Time {
-        if self.revoked.contains(&self.myself()) {
-            return Time::NEG_INFINITY;
-        }
-        let mut ends: Vec<Time> = self.extensions.values().copied().collect();
-        ends.sort_by(|a, b| b.total_cmp(a));
-        let majority = self.majority.checked_sub(2).and_then(|i| ends.get(i));
-        majority.copied().unwrap_or(Time::NEG_INFINITY)
+    /// The creation of a lease has been requested.
+    pub fn creation_sent(&mut self) {
+        self.lease = LeaseState::Creating;
     }
 
-    /// The leader's term, if this process holds the leader's key as far as it knows.
-    pub fn leads(&self, store: &StoreReplica) -> Option<Version> {
-        let leader = store.leader()?;
-        let mine = leader.record.node == self.node && leader.record.incarnation == self.incarnation;
-        (mine && matches!(self.lease, Lease::Held(_))).then_some(leader.version)
+    /// Whether the reply to the creation of a lease is expected.
+    pub fn awaits_creation(&self) -> bool {
+        self.lease == LeaseState::Creating
     }
 
-    pub fn wants_extension(&self, now: Time) -> Option<u64> {
-        // A restarted controller's own word counts only after one voucher time; and a majority
-        // needs that word, which the leader may have by now for the hand-over of this share.
-        let wants = matches!(self.lease, Lease::Held(_))
-            && now - self.renewed > self.ttl * 0.5
-            && now > self.extension_time
-            && !self.revoked.contains(&self.myself());
-        wants.then_some(self.incarnation)
+    /// The store has created a lease at the request sent at `sent`.
+    pub fn created(&mut self, lease: u64, sent: Time) {
+        self.lease = LeaseState::Held(lease);
+        self.renewed_at = sent;
+        self.next_renewal = sent + self.ttl / RENEWALS_PER_TTL;
     }
 
-    /// Asked to vouch for a process; a yes binds this controller for one voucher time.
-    pub fn grant_extension(
-        &mut self,
-        node: &Node,
-        incarnation: u64,
-        store: &StoreReplica,
-        now: Time,
-    ) -> bool {
-        let known = store.is_registered(node, incarnation);
-        let blind = store.state_silence(now) > self.ttl * 0.3;
-        let revoked = self
-            .revoked
-            .contains(&ProcessId::new(node.clone(), incarnation));
-        let yes = known && blind && !revoked && now > self.extension_time;
-        if yes {
-            self.extensions_granted.insert(
-                node.clone(),
-                now + self.extension_time * (1.0 + CLOCK_DRIFT),
-            );
-        }
-        yes
+    /// The store has not created a lease, or not answered: another is requested from `retry_at` on.
+    pub fn creation_failed(&mut self, retry_at: Time) {
+        self.lease = LeaseState::None;
+        self.next_creation = retry_at;
     }
 
-    pub fn extension_granted(&mut self, node: &Node, sent: Time, now: Time) {
-        if self.wants_extension(now).is_some() {
-            let until = sent + self.extension_time * (1.0 - CLOCK_DRIFT) - self.margin;
-            self.extensions.insert(node.clone(), until);
-        }
+    /// A renewal has been requested.
+    pub fn renewal_sent(&mut self) {
+        self.renewal_in_flight = true;
     }
 
-    /// Asked whether a lapsed process may be replaced: not while a voucher from here is out.
-    pub fn consent(&mut self, process: &ProcessId, now: Time) -> bool {
-        let own = *process == self.myself();
-        let free = match own {
-            // Its own word stands behind its authority for as long as that lasts.
-            true => !self.holds_lease(now),
-            false => self
-                .extensions_granted
-                .get(&process.node)
-                .is_none_or(|until| *until < now),
-        };
-        let yes = free && now > self.extension_time;
-        if yes {
-            self.revoked.insert(process.clone());
-        }
-        yes
+    /// A renewal that was sent at `sent` succeeded. Extensions are not needed any more.
+    pub fn renewed(&mut self, sent: Time, now: Time) {
+        self.renewal_in_flight = false;
+        self.renewed_at = self.renewed_at.max(sent);
+        self.next_renewal = now + self.ttl / RENEWALS_PER_TTL;
+        self.extensions.clear_received();
     }
 
-    pub fn wanted_consents(&self) -> Vec<ProcessId> {
-        self.consents.keys().cloned().collect()
+    /// A renewal failed: the next one is sent at `retry_at`.
+    pub fn renewal_failed(&mut self, retry_at: Time) {
+        self.renewal_in_flight = false;
+        self.next_renewal = retry_at;
     }
 
-    /// Controllers that have consented to the hand-over of a process's share by hello, and how many it takes.
-    pub fn consents_to(&self, process: &ProcessId) -> (usize, usize) {
-        (
-            self.consents.get(process).map_or(0, BTreeSet::len),
-            self.majority,
-        )
+    /// Seconds until the next renewal, before jitter, after one that failed.
+    pub fn renewal_retry_delay(&self) -> Time {
+        self.ttl / RENEWAL_RETRIES_PER_TTL
     }
 
-    pub fn consented(&mut self, from: &Node, processes: &[ProcessId]) {
-        for process in processes {
-            if let Some(consents) = self.consents.get_mut(process) {
-                consents.insert(from.clone());
-            }
-        }
+    /// The same after one that the store was too busy for.
+    pub fn busy_renewal_retry_delay(&self) -> Time {
+        self.ttl / BUSY_RENEWAL_RETRIES_PER_TTL
     }
 
-    /// For the leader: whether nothing is left of a process's authority. Asks for consents as
-    /// long as that is open.
-    pub fn lease_expired(
-        &mut self,
-        process: &ProcessId,
-        store: &StoreReplica,
-        peers: &Peers,
-        now: Time,
-    ) -> bool {
-        if process.node == self.node {
-            // An earlier process of this very controller, or this one before it began anew.
-            return process.incarnation != self.incarnation;
-        }
-        if let Some(registered) = store.node(&process.node) {
-            // Its successor has registered, so it has ended.
-            return registered.record.incarnation != process.incarnation;
-        }
-        let since = *self.asked_since.entry(process.clone()).or_insert(now);
-        let heard = peers.incarnation_of(&process.node, since);
-        if heard.is_some_and(|incarnation| incarnation != process.incarnation) {
-            return true;
-        }
-        let own = self.consent(process, now).then(|| self.node.clone());
-        self.has_new_question |= !self.consents.contains_key(process);
-        let asked = self.consents.entry(process.clone()).or_default();
-        let stored = store
-            .nodes()
-            .iter()
-            .filter(|(_, n)| n.record.consents.contains(process));
-        let stored = stored.map(|(node, _)| node);
-        let consents: BTreeSet<&Node> = asked.iter().chain(stored).chain(&own).collect();
-        let over = since + self.max_staleness * (1.0 + CLOCK_DRIFT) + self.margin;
-        consents.len() >= self.majority || (peers.authority_ends(process) && now > over)
+    /// Seconds, before jitter, until the creation of a lease is requested again or the next key is written.
+    pub fn retry_delay(&self) -> Time {
+        self.ttl * RETRY_TTLS
     }
 
-    /// Whether siblings are to be asked for consents at once.
-    pub fn take_new_question(&mut self) -> bool {
-        std::mem::take(&mut self.has_new_question)
+    /// Whether the next of the keys that are attached to the lease may be written.
+    pub fn may_write_key(&self, now: Time) -> bool {
+        !self.key_write_in_flight && now >= self.next_key_write
     }
 
-    /// Consents to the hand-over of processes that own something though their keys have gone, while the
-    /// leader, who would ask for that, is not heard. What was told once stays told, for it holds for good.
-    pub(crate) fn consent_unasked(&mut self, store: &StoreReplica, peers: &Peers, now: Time) {
-        if now < self.next_stored_consents {
-            return;
-        }
-        self.next_stored_consents = now + self.ttl * CONSENT_TTLS;
-        let unheard = |node: &Node| *node != self.node && !peers.hears(node, now);
-        if !store
-            .leader()
-            .is_some_and(|leader| unheard(&leader.record.node))
-        {
-            return;
-        }
-        let owners = store.owners();
-        let owners = owners.teams.values().chain(owners.machines.values());
-        let owners: BTreeSet<ProcessId> = owners.map(|owner| owner.process()).collect();
-        let gone = owners
-            .into_iter()
-            .filter(|process| store.node(&process.node).is_none());
-        let gone: Vec<ProcessId> = gone.collect();
-        self.stored_consents = gone
-            .into_iter()
-            .filter(|process| self.consent(process, now))
-            .collect();
+    /// A write of a key has been sent.
+    pub fn key_write_sent(&mut self) {
+        self.key_write_in_flight = true;
     }
 
-    /// The map names only these processes: questions about others are closed.
-    pub fn close_questions(&mut self, open: &BTreeSet<ProcessId>) {
-        self.consents.retain(|process, _| open.contains(process));
-        self.asked_since.retain(|process, _| open.contains(process));
+    /// A write of a key was answered, or its outcome is unknown: the next one is sent from `next` on.
+    pub fn key_write_finished(&mut self, next: Time) {
+        self.key_write_in_flight = false;
+        self.next_key_write = next;
     }
 
-    pub(crate) fn lost(&mut self, next_attempt: Time) {
-        self.lease = Lease::None;
+    /// Notes that the lease of an earlier process of this controller is being ended. Returns whether
+    /// it was not the last one for which this was noted.
+    pub fn note_predecessor_ended(&mut self, lease: u64) -> bool {
+        self.ended_predecessor.replace(lease) != Some(lease)
+    }
+
+    /// Drops the lease and continues as a new incarnation, which requests no lease before
+    /// `next_creation`.
+    pub fn step_down(&mut self, next_creation: Time) {
+        self.lease = LeaseState::None;
         self.incarnation += 1;
-        self.renewing = false;
-        self.writing = false;
-        self.extensions.clear();
-        self.consents.clear();
-        self.asked_since.clear();
-        self.stored_consents.clear();
-        self.next_attempt = next_attempt;
+        self.renewal_in_flight = false;
+        self.key_write_in_flight = false;
+        self.extensions.clear_received();
+        self.consents.clear_requests();
+        self.next_creation = next_creation;
+    }
+
+    /// Holds a lease as if it had just been renewed.
+    #[cfg(test)]
+    pub fn hold(&mut self, lease: u64, now: Time) {
+        self.lease = LeaseState::Held(lease);
+        self.renewed_at = now;
+        self.current_as_of = now;
+    }
+
+    /// Holds a lease that has never been renewed.
+    #[cfg(test)]
+    pub fn hold_unrenewed(&mut self, lease: u64) {
+        self.lease = LeaseState::Held(lease);
     }
 }
 
--- a/src/core/membership/process_pause/tests.rs
+++ b/src/core/membership/process_pause/tests.rs
@@ -2,7 +2,6 @@
 use crate::core::Core;
 use crate::core::effects::{Effect, Input, StoreCall, StoreReply};
 use crate::core::machines::machine::Machine;
-use crate::core::membership::peers::Peers;
 use crate::core::scheduling::catalog::Catalog;
 use crate::core::shard::Shard;
 use crate::core::test_support::{config, shard, types};
@@ -12,45 +11,49 @@
     ProcessPause::new(&config())
 }
 
-/// A pause is told once, and lasts until a read that was sent since and until workers could report.
+/// A pause is reported once. The process catches up until it has read the store since, and workers
+/// have had the time to send heartbeats.
 #[test]
-fn it_lasts_until_others_were_heard_again() {
+fn a_process_catches_up_until_others_were_heard_again() {
     let mut process_pause = process_pause();
     assert_eq!(process_pause.step(10.0), None, "the first step");
     assert_eq!(process_pause.step(10.5), None, "a busy moment");
-    assert!(!process_pause.lasts(10.4, 10.5));
+    assert!(!process_pause.is_catching_up(10.4, 10.5));
     assert_eq!(process_pause.step(17.5), Some(7.0));
     assert_eq!(process_pause.step(17.6), None);
-    assert!(process_pause.lasts(17.4, 30.0), "nothing was read since");
     assert!(
-        process_pause.lasts(17.6, 18.0),
-        "workers report once a second"
+        process_pause.is_catching_up(17.4, 30.0),
+        "nothing was read since"
     );
-    assert!(!process_pause.lasts(17.6, 19.1));
+    assert!(
+        process_pause.is_catching_up(17.6, 18.0),
+        "workers send heartbeats once a second"
+    );
+    assert!(!process_pause.is_catching_up(17.6, 19.1));
 }
 
-/// The first report that arrives after a standstill does not make all other machines silent ones.
+/// The first heartbeat that arrives after a pause does not make all other machines unresponsive.
 #[test]
-fn machines_are_not_silent_because_the_owner_stood_still() {
-    let (mut owner, mut outbox, mut store) = shard();
+fn machines_are_not_unresponsive_because_their_owner_was_paused() {
+    let (mut shard, mut outbox, mut store) = shard();
     let mut machine = Machine::named("m-1".into(), FencingToken(9), 0.0);
     machine.is_owned = true;
-    owner.machines.insert("m-1".into(), machine);
+    shard.machines.insert("m-1".into(), machine);
     outbox.begin(8.0, 8_000);
-    (owner.heard, store.current_as_of) = (8.0, 8.0);
-    let silent = |owner: &Shard| owner.machines[&MachineId::from("m-1")].unresponsive;
-    owner.catching_up = true;
-    owner.declare_unresponsive(&store, 8.0);
-    assert!(!silent(&owner));
-    owner.catching_up = false;
-    owner.declare_unresponsive(&store, 8.0);
-    assert!(silent(&owner), "else it would be");
+    (shard.heard, store.current_as_of) = (8.0, 8.0);
+    let is_unresponsive = |shard: &Shard| shard.machines[&MachineId::from("m-1")].unresponsive;
+    shard.catching_up = true;
+    shard.declare_unresponsive(&store, 8.0);
+    assert!(!is_unresponsive(&shard));
+    shard.catching_up = false;
+    shard.declare_unresponsive(&store, 8.0);
+    assert!(is_unresponsive(&shard), "else it would be");
 }
 
-/// Machines that were idle before the standstill are not returned before the owner knows what came since.
+/// Machines that were idle before a pause are not returned before the owner knows what has happened since.
 #[test]
-fn nothing_is_planned_before_the_owner_is_up_to_date() {
-    let (mut owner, mut outbox, store) = shard();
+fn capacity_is_not_planned_while_catching_up_after_a_pause() {
+    let (mut shard, mut outbox, store) = shard();
     let mut machine = Machine::named("m-1".into(), FencingToken(9), 0.0);
     (
         machine.is_owned,
@@ -58,40 +61,39 @@
         machine.last_answered,
     ) = (true, true, 100.0);
     machine.address = "m-1".into();
-    owner.machines.insert("m-1".into(), machine);
+    shard.machines.insert("m-1".into(), machine);
     let catalog = Catalog::with_types(types());
     outbox.begin(100.0, 100_000);
-    owner.catching_up = true;
-    owner.plan_when_due(&outbox, &store, &catalog);
-    assert!(owner.demand.surplus_machines.is_empty());
-    owner.catching_up = false;
-    owner.plan_when_due(&outbox, &store, &catalog);
+    shard.catching_up = true;
+    shard.plan_when_due(&outbox, &store, &catalog);
+    assert!(shard.demand.surplus_machines.is_empty());
+    shard.catching_up = false;
+    shard.plan_when_due(&outbox, &store, &catalog);
     assert_eq!(
-        owner.demand.surplus_machines,
+        shard.demand.surplus_machines,
         vec![MachineId::from("m-1")],
         "else it would be"
     );
 }
 
-/// That no worker was heard while the process stood still does not mean that they reach siblings only.
+/// That no worker was heard while the process was paused does not mean that they reach siblings only.
 #[test]
-fn a_standstill_is_no_cut_from_the_workers() {
+fn a_pause_does_not_count_as_silence_of_workers() {
     let mut core = Core::new(config(), 1);
     core.step(1.0, 1_000, Vec::new());
-    core.peers.heard_workers(1.0);
+    core.peers.note_worker_contact(1.0);
     core.step(8.0, 8_000, Vec::new());
-    let heard = |peers: &Peers| peers.workers_heard();
-    assert_eq!(heard(&core.peers), 8.0);
+    assert_eq!(core.peers.last_worker_contact(), 8.0);
     core.step(8.1, 8_100, Vec::new());
-    assert_eq!(heard(&core.peers), 8.0, "told once");
+    assert_eq!(core.peers.last_worker_contact(), 8.0, "reported once");
 }
 
-/// Authority ends by the clock: a renewal whose answer waited in the sockets counts from when it was sent.
+/// Ownership ends by the clock: a lease whose reply was delayed by a pause counts from when it was requested.
 #[test]
-fn an_answer_that_waited_renews_nothing() {
+fn a_reply_delayed_by_a_pause_extends_no_lease() {
     let mut core = Core::new(config(), 1);
     let mut now = 10.0;
-    // No answer but one to the lease's creation, which comes after the standstill.
+    // No answer but one to the lease's creation, which arrives after the pause.
     let effects = core.step(now, 10_000, Vec::new());
     let listing = effects.into_iter().find_map(|effect| match effect {
         Effect::State(call, StoreCall::List { .. }) => Some(call),
--- a/src/core/messages/detection.rs
+++ b/src/core/messages/detection.rs
@@ -1,29 +1,31 @@
+//! What controllers tell each other for the detection of failed controllers.
+
 use crate::core::model::time::Time;
 use crate::ids::Node;
 use failure_detector::Opinion;
 use serde::{Deserialize, Serialize};
 
-/// What a process that takes part in the detection of failures tells with every hello.
+/// The findings of a process that takes part in failure detection; part of every hello and reply.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Detection {
-    /// What it thinks of its siblings.
+pub struct DetectionReport {
+    /// Its opinions of its siblings.
     #[serde(rename = "o")]
     pub opinions: Vec<Opinion<Node>>,
-    /// How long ago the state service served it.
+    /// Seconds since the store last answered it.
     #[serde(rename = "s")]
-    pub state_age: Time,
-    /// Its predecessor, which has ended by itself though its key may still be there.
+    pub store_silence: Time,
+    /// The lease of its previous incarnation, which has stepped down though its key may still exist.
     #[serde(rename = "r", default, skip_serializing_if = "Option::is_none")]
-    pub resignation: Option<Resignation>,
+    pub abandoned_lease: Option<AbandonedLease>,
 }
 
-/// A process that acts no more, and the lease on which its keys hang.
+/// The lease of an incarnation that has stepped down. Its keys are attached to it until it ends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Resignation {
-    /// The process.
+pub struct AbandonedLease {
+    /// The incarnation that has stepped down.
     #[serde(rename = "i")]
     pub incarnation: u64,
-    /// Its lease in the state service.
+    /// The id of its lease in the store.
     #[serde(rename = "l")]
     pub lease: u64,
 }
--- a/src/core/messages/final_states.rs
+++ b/src/core/messages/final_states.rs
@@ -1,13 +1,16 @@
+//! Final states of jobs, which controllers send each other while the store does not answer them.
+
 use crate::core::records::job_record::JobRecord;
 use crate::ids::{JobId, Version};
 use serde::{Deserialize, Serialize};
 
-/// Final states that a controller knows beyond those that another one asked from.
+/// A page of the final states that a controller knows after the version from which it was asked.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FinalStates {
-    /// Who takes these in knows all up to here.
+    /// A receiver that applies this page knows all final states up to this version.
     pub upto: Version,
-    /// Nothing that its sender knew is left out.
+    /// Whether the page holds all that its sender knew.
     pub complete: bool,
+    /// Jobs with the versions of their final records.
     pub jobs: Vec<(JobId, Version, JobRecord)>,
 }
--- a/src/core/messages/mod.rs
+++ b/src/core/messages/mod.rs
@@ -1,4 +1,4 @@
-//! TODO.
+//! The messages that controllers send each other.
 
 pub mod capacity_demand;
 pub mod detection;
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -173,11 +173,11 @@
     fn store_reply(&mut self, pending: Pending, reply: StoreReply) {
         self.outbox.pace(pending.is_change(), &reply);
         match reply {
-            StoreReply::Refused => self.detection.refused(),
+            StoreReply::Refused => self.detection.store_refused(),
             StoreReply::Busy => {}
-            StoreReply::Unknown => self.detection.not_refused(),
+            StoreReply::Unknown => self.detection.store_not_refused(),
             _ => {
-                self.detection.not_refused();
+                self.detection.store_not_refused();
                 self.store.state_answered(self.outbox.now);
             }
         }
@@ -189,7 +189,8 @@
                     .store
                     .is_registered(&self.config.node, self.ownership.incarnation())
                 {
-                    self.ownership.note_known_as_of(self.store.current_as_of);
+                    self.ownership
+                        .record_current_as_of(self.store.current_as_of);
                 }
             }
             Pending::UserWrite(pending) => self.user_write_answered(pending, reply),
@@ -227,14 +228,16 @@
     /// The process stood still, and its clock ran on ([`process_pause`]).
     fn resumed(&mut self, paused: Time) {
         tracing::info!("stood still for {paused:.1} s");
-        self.peers.heard_workers(self.outbox.now);
+        self.peers.note_worker_contact(self.outbox.now);
         self.store.want_sync();
     }
 
     /// Everything that happens by itself as time passes.
     fn advance(&mut self) {
         let now = self.outbox.now;
-        let catching_up = self.process_pause.lasts(self.store.current_as_of, now);
+        let catching_up = self
+            .process_pause
+            .is_catching_up(self.store.current_as_of, now);
         self.sync_when_due();
         self.time_out_user_requests();
         self.judge_siblings();
@@ -254,10 +257,10 @@
                 owner.plan_when_due(&self.outbox, &self.store, &self.catalog);
                 if !owner.has_machines() {
                     // Nobody to hear from: silence says nothing.
-                    self.peers.heard_workers(now);
+                    self.peers.note_worker_contact(now);
                 }
                 if owner.take_sync_soon() {
-                    self.peers.sync_soon(now);
+                    self.peers.send_hellos_soon(now);
                 }
             }
             if let Some(leader) = self.leader.as_mut() {
@@ -274,8 +277,8 @@
                     &self.catalog,
                     &self.unresponsive,
                 );
-                if self.ownership.take_new_question() && self.acts_on_failures() {
-                    self.peers.sync_soon(now);
+                if self.ownership.take_unsent_request() && self.acts_on_failures() {
+                    self.peers.send_hellos_soon(now);
                 }
             }
             self.inspect_acquired_machines();
@@ -292,7 +295,7 @@
         if self.shard.is_none() && registered && self.ownership.holds_lease(now) {
             let hints = std::mem::take(&mut self.hints);
             self.shard = Some(Shard::new(&self.config, incarnation, hints, now));
-            self.peers.heard_workers(now);
+            self.peers.note_worker_contact(now);
         }
         let leads = self.ownership.leads(&self.store);
         if self.leader.as_ref().map(|leader| leader.term) != leads {
--- a/src/core/records/shard_map.rs
+++ b/src/core/records/shard_map.rs
@@ -1,7 +1,7 @@
 use crate::core::model::process::ProcessId;
 use crate::ids::{FencingToken, MachineId, Node, Team};
 use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
 /// One stored value of the map.
 #[derive(Clone, Debug, PartialEq, Eq, Default, Serialize, Deserialize)]
@@ -83,4 +83,10 @@
         }
         owners
     }
+
+    /// The processes that own at least one team or machine.
+    pub fn owning_processes(&self) -> BTreeSet<ProcessId> {
+        let owners = self.teams.values().chain(self.machines.values());
+        owners.map(ShardOwner::process).collect()
+    }
 }
--- a/tests/world/old.rs
+++ b/tests/world/old.rs
@@ -75,7 +75,7 @@
 pub fn plain_message(message: &mut MeshMessage) {
     if let MeshMessage::Hello(hello) = message {
         hello.final_states_after = None;
-        hello.authority_ends = false;
+        hello.bounded_staleness = false;
         hello.detection = None;
         if let Some(update) = hello.update.as_mut() {
             update.contacts = Default::default();
