--- a/src/core/controller/inputs.rs
+++ b/src/core/controller/inputs.rs
@@ -91,11 +91,11 @@
     /// What a reply of the store, or its absence, says of this controller's contact with it.
     fn note_store_contact(&mut self, reply: &StoreReply) {
         match reply {
-            StoreReply::Refused => self.detection.refused(),
+            StoreReply::Refused => self.detection.store_refused(),
             StoreReply::Busy => {}
-            StoreReply::Unknown => self.detection.not_refused(),
+            StoreReply::Unknown => self.detection.store_not_refused(),
             _ => {
-                self.detection.not_refused();
+                self.detection.store_not_refused();
                 self.store.state_answered(self.outbox.now);
             }
         }
@@ -107,7 +107,8 @@
         self.synced(sent, reply);
         let incarnation = self.ownership.incarnation();
         if self.store.is_registered(&self.config.node, incarnation) {
-            self.ownership.note_known_as_of(self.store.current_as_of);
+            self.ownership
+                .record_current_as_of(self.store.current_as_of);
         }
     }
 
