--- a/src/core/controller/catalog.rs
+++ b/src/core/controller/catalog.rs
@@ -48,7 +48,7 @@
         }
         let version = stored.map_or(0, |stored| stored.version);
         let preconditions = vec![
-            precondition(LEADER_KEY, leader.term),
+            precondition(LEADER_KEY, leader.key_version()),
             precondition(TYPES_KEY, version),
         ];
         let transaction = Transaction {
--- a/src/core/controller/hello.rs
+++ b/src/core/controller/hello.rs
@@ -60,7 +60,7 @@
                 owner.update_for(
                     &node,
                     &self.store,
-                    self.leader.as_ref().map(Leader::refused),
+                    self.leader.as_ref().map(Leader::unavailable_offers),
                     images,
                     contacts,
                 )
--- a/src/core/controller/ownership.rs
+++ b/src/core/controller/ownership.rs
@@ -153,12 +153,12 @@
         } else if let Some(exhausted) = self
             .leader
             .as_ref()
-            .filter(|leader| leader.terms_exhausted())
+            .filter(|leader| leader.tokens_exhausted())
         {
             // Under the key's new revision there are fresh terms. It stays this process's key.
             (
                 LEADER_KEY.to_owned(),
-                exhausted.term,
+                exhausted.key_version(),
                 OwnershipCall::Claim { lease },
             )
         } else if let Some(version) = self.failed_leader() {
--- /dev/null
+++ b/src/core/leader/assignment.rs
@@ -0,0 +1,163 @@
+//! Owners of teams and machines: new fencing tokens, and the placement of machines that have just reported.
+
+use crate::core::leader::Leader;
+use crate::core::leader::live_processes::LiveProcesses;
+use crate::core::messages::capacity_demand::MachineOffer;
+use crate::core::model::process::ProcessId;
+use crate::core::records::shard_map::ShardOwner;
+use crate::ids::{MachineId, Node, Team};
+use std::collections::BTreeMap;
+
+impl Leader {
+    /// An owner record for a process, with a new fencing token. All that a process gains in one turn it gains
+    /// under one token, which keeps the map small. None if the tokens have run out: then nothing changes
+    /// until the leader key is claimed anew.
+    pub(super) fn new_owner(&mut self, process: &ProcessId) -> Option<ShardOwner> {
+        let token = match self.turn_tokens.get(process) {
+            Some(token) => *token,
+            None => {
+                let token = self.editor.next_token()?;
+                self.turn_tokens.insert(process.clone(), token);
+                token
+            }
+        };
+        Some(ShardOwner {
+            node: process.node.clone(),
+            incarnation: process.incarnation,
+            token,
+            previous_owner: None,
+            previous_token: None,
+        })
+    }
+
+    /// Gives a team to a process under a new token.
+    pub(super) fn assign_team(&mut self, team: &Team, to: &ProcessId) {
+        if let Some(owner) = self.new_owner(to) {
+            let keeps_grants = self.keeps_grants(&owner);
+            self.editor.carry_grants(team, &owner, keeps_grants);
+            self.editor.set_team(team, owner);
+        }
+    }
+
+    /// Gives a machine to a process under a new token; `previous_owner` is the live process it is taken from.
+    pub(super) fn assign_machine(
+        &mut self,
+        id: &MachineId,
+        to: &ProcessId,
+        previous_owner: Option<ProcessId>,
+    ) {
+        if let Some(owner) = self.new_owner(to) {
+            let owner = ShardOwner {
+                previous_owner,
+                ..owner
+            };
+            self.editor.set_machine(id, owner);
+        }
+    }
+
+    /// How many teams the controller owns.
+    pub(super) fn teams_of(&self, node: &Node) -> usize {
+        let owners = self.editor.owners().teams.values();
+        owners.filter(|owner| owner.node == *node).count()
+    }
+
+    /// Whether the shard map gives the machine to this controller.
+    pub(super) fn owns_machine(&self, node: &Node, id: &MachineId) -> bool {
+        let owner = self.editor.owners().machines.get(id);
+        owner.is_some_and(|owner| owner.node == *node)
+    }
+
+    /// Gives new machines to the controllers they were rented for, or else to the one with the fewest
+    /// machines of the kind; a controller without a team needs none.
+    pub(super) fn assign_new_machines(&mut self, live: &LiveProcesses) {
+        if self.unassigned_machines.is_empty() {
+            return;
+        }
+        let mut counts = self.machine_counts(live);
+        for (id, offer) in std::mem::take(&mut self.unassigned_machines) {
+            let rented_for = self.cloud.machine_arrived(&id, &offer);
+            let rented_for = rented_for.filter(|node| counts.contains_key(node));
+            let node = rented_for.or_else(|| fewest_machines(&counts, &offer));
+            let Some(process) = node.and_then(|node| live.process_of(&node)) else {
+                continue;
+            };
+            if let Some(count) = counts.get_mut(&process.node) {
+                count.add(&offer);
+            }
+            self.assign_machine(&id, &process, None);
+        }
+    }
+
+    /// The machines of live controllers that have teams.
+    fn machine_counts(&self, live: &LiveProcesses) -> BTreeMap<Node, MachineCount> {
+        let with_teams = live.nodes().filter(|node| self.teams_of(node) > 0);
+        let mut counts: BTreeMap<Node, MachineCount> = with_teams
+            .map(|node| (node.clone(), MachineCount::default()))
+            .collect();
+        for (id, owner) in &self.editor.owners().machines {
+            if let Some(count) = counts.get_mut(&owner.node) {
+                match self.cloud.offer_of(id) {
+                    Some(offer) => count.add(offer),
+                    None => count.total += 1,
+                }
+            }
+        }
+        counts
+    }
+
+    /// Renews the fencing tokens of machines that may have lost commands, and of teams that are running out
+    /// of attempt numbers, as their owners ask.
+    pub(super) fn renew_tokens(&mut self, live: &LiveProcesses) {
+        let mut demands = std::mem::take(&mut self.demands);
+        for (node, demand) in &mut demands {
+            let machines = std::mem::take(&mut demand.tokens_to_renew);
+            let teams = std::mem::take(&mut demand.teams_out_of_attempts);
+            let Some(process) = live.process_of(node) else {
+                continue;
+            };
+            for (id, token) in machines {
+                let owner = self.editor.owners().machines.get(&id);
+                if owner.is_some_and(|owner| owner.process() == process && owner.token == token) {
+                    self.assign_machine(&id, &process, None);
+                }
+            }
+            for team in teams {
+                let owner = self.editor.owners().teams.get(&team);
+                if owner.is_some_and(|owner| owner.process() == process) {
+                    self.assign_team(&team, &process);
+                }
+            }
+        }
+        self.demands = demands;
+    }
+}
+
+/// The controller with the fewest machines of this kind, and of those with the fewest in all.
+fn fewest_machines(counts: &BTreeMap<Node, MachineCount>, offer: &MachineOffer) -> Option<Node> {
+    let (node, _) = counts
+        .iter()
+        .min_by_key(|(_, count)| (count.of_kind(offer), count.total))?;
+    Some(node.clone())
+}
+
+/// How many machines a controller has.
+#[derive(Default)]
+struct MachineCount {
+    /// Of each kind, as far as the kinds are known.
+    by_kind: BTreeMap<MachineOffer, usize>,
+    /// In all.
+    total: usize,
+}
+
+impl MachineCount {
+    /// Counts a machine of this kind.
+    fn add(&mut self, kind: &MachineOffer) {
+        *self.by_kind.entry(kind.clone()).or_default() += 1;
+        self.total += 1;
+    }
+
+    /// How many there are of this kind.
+    fn of_kind(&self, kind: &MachineOffer) -> usize {
+        self.by_kind.get(kind).copied().unwrap_or(0)
+    }
+}
--- /dev/null
+++ b/src/core/leader/failover.rs
@@ -0,0 +1,147 @@
+//! Failover: the shards of failed processes get new owners.
+
+use crate::core::leader::Leader;
+use crate::core::leader::live_processes::LiveProcesses;
+use crate::core::machines::unresponsive::UnresponsiveMachines;
+use crate::core::membership::ownership::OwnershipLease;
+use crate::core::membership::peers::Peers;
+use crate::core::model::process::ProcessId;
+use crate::core::model::time::Time;
+use crate::core::records::keys::node_key;
+use crate::core::records::shard_map::ShardOwner;
+use crate::core::records::versioned::precondition;
+use crate::core::store::replica::StoreReplica;
+use crate::ids::{FencingToken, MachineId, Node, Team};
+use crate::wire::Precondition;
+use failure_detector::Stage;
+use std::collections::BTreeSet;
+
+/// A machine of a failed process, with what its next owner has to know of the former ones.
+struct FailedOverMachine {
+    id: MachineId,
+    previous_owner: Option<ProcessId>,
+    previous_token: Option<FencingToken>,
+}
+
+impl Leader {
+    /// Gives each shard whose owner's lease has expired to the restarted controller, or as a whole to another
+    /// one, so that teams stay with the machines their tasks run on. Returns the preconditions under which
+    /// the leases have expired.
+    pub(super) fn fail_over_shards(
+        &mut self,
+        store: &StoreReplica,
+        ownership: &mut OwnershipLease,
+        peers: &Peers,
+        unresponsive: &UnresponsiveMachines,
+        live: &LiveProcesses,
+        now: Time,
+    ) -> Vec<Precondition> {
+        self.assign_unowned_teams(live, peers);
+        let failed = self.failed_owners(live);
+        ownership.close_questions(&failed);
+        let mut preconditions = Vec::new();
+        for process in failed {
+            if !ownership.lease_expired(&process, store, peers, now) {
+                continue;
+            }
+            let restarted = live.process_of(&process.node);
+            let Some(successor) = restarted.or_else(|| self.fewest_teams(live, peers)) else {
+                continue;
+            };
+            tracing::info!(
+                failed = %process.node,
+                successor = %successor.node,
+                "a shard fails over"
+            );
+            // The lease has expired as of this version of the process's key.
+            let registered = store.node(&process.node).map_or(0, |stored| stored.version);
+            preconditions.push(precondition(&node_key(&process.node), registered));
+            self.fail_over_shard(&process, &successor, unresponsive, live);
+        }
+        preconditions
+    }
+
+    /// Gives the configured teams that have no owner to the controllers with the fewest teams.
+    fn assign_unowned_teams(&mut self, live: &LiveProcesses, peers: &Peers) {
+        let owned = &self.editor.owners().teams;
+        let configured = self.config.deployment.teams.iter().map(|team| &team.name);
+        let unowned = configured.filter(|team| !owned.contains_key(*team));
+        for team in unowned.cloned().collect::<Vec<Team>>() {
+            if let Some(process) = self.fewest_teams(live, peers) {
+                self.assign_team(&team, &process);
+            }
+        }
+    }
+
+    /// Processes that own teams or machines and are no longer registered.
+    fn failed_owners(&self, live: &LiveProcesses) -> BTreeSet<ProcessId> {
+        let owners = self.editor.owners();
+        let owners = owners.teams.values().chain(owners.machines.values());
+        let processes: BTreeSet<ProcessId> = owners.map(ShardOwner::process).collect();
+        let failed = processes.into_iter();
+        failed.filter(|process| !live.contains(process)).collect()
+    }
+
+    /// The process of the controller with the fewest teams, among those that answer if any does.
+    fn fewest_teams(&self, live: &LiveProcesses, peers: &Peers) -> Option<ProcessId> {
+        let acts_on_failures = self.config.features.acts_on_failures();
+        let silent = |node: &Node| acts_on_failures && peers.detector().stage(node) != Stage::Alive;
+        let node = live
+            .nodes()
+            .min_by_key(|node| (silent(node), self.teams_of(node)))?;
+        live.process_of(node)
+    }
+
+    /// Gives all teams and machines of a failed process to its successor.
+    fn fail_over_shard(
+        &mut self,
+        failed: &ProcessId,
+        successor: &ProcessId,
+        unresponsive: &UnresponsiveMachines,
+        live: &LiveProcesses,
+    ) {
+        let owners = self.editor.owners();
+        let of_failed = |owner: &ShardOwner| owner.is(&failed.node, failed.incarnation);
+        let teams = owners.teams.iter().filter(|(_, owner)| of_failed(owner));
+        let teams: Vec<Team> = teams.map(|(team, _)| team.clone()).collect();
+        let machines = owners.machines.iter();
+        let machines: Vec<FailedOverMachine> = machines
+            .filter(|(_, owner)| of_failed(owner))
+            .map(|(id, owner)| failed_over_machine(id, owner, unresponsive, live))
+            .collect();
+        for team in teams {
+            self.assign_team(&team, successor);
+        }
+        for machine in machines {
+            if let Some(owner) = self.new_owner(successor) {
+                let owner = ShardOwner {
+                    previous_owner: machine.previous_owner,
+                    previous_token: machine.previous_token,
+                    ..owner
+                };
+                self.editor.set_machine(&machine.id, owner);
+            }
+        }
+    }
+}
+
+/// What the next owner of a failed process's machine has to know.
+fn failed_over_machine(
+    id: &MachineId,
+    owner: &ShardOwner,
+    unresponsive: &UnresponsiveMachines,
+    live: &LiveProcesses,
+) -> FailedOverMachine {
+    // The failed process had said that it no longer answers the machine, so no other owner does either.
+    let previous_token = unresponsive.answered(id, owner.token).map(|_| owner.token);
+    // Otherwise the process it had the machine from, if live, may still have to release it.
+    let previous_owner = owner
+        .previous_owner
+        .clone()
+        .filter(|previous| previous_token.is_none() && live.contains(previous));
+    FailedOverMachine {
+        id: id.clone(),
+        previous_owner,
+        previous_token,
+    }
+}
--- a/src/core/leader/grants.rs
+++ b/src/core/leader/grants.rs
@@ -1,3 +1,5 @@
+//! Since when the owners of each team have kept to grants of its limits; the shard map says so.
+
 use crate::core::leader::Leader;
 use crate::core::model::process::ProcessId;
 use crate::core::records::shard_map::ShardOwner;
@@ -7,32 +9,35 @@
 use std::collections::BTreeSet;
 
 impl Leader {
-    /// Which living processes keep to grants: all of them, or it does not count.
+    /// Notes the live processes that keep to grants; none, unless all of them do.
     pub(crate) fn note_grant_keepers(&mut self, store: &StoreReplica) {
-        let records = store.nodes().values().map(|node| &node.record);
-        let all = records.clone().all(|record| record.keeps_grants);
-        let keepers = records
-            .filter(|_| all)
-            .map(|record| ProcessId::new(record.node.clone(), record.incarnation));
-        self.grant_keepers = keepers.collect::<BTreeSet<ProcessId>>();
+        let records = store.nodes().values().map(|stored| &stored.record);
+        let all_keep_grants = records.clone().all(|record| record.keeps_grants);
+        self.grant_keepers = if all_keep_grants {
+            records
+                .map(|record| ProcessId::new(record.node.clone(), record.incarnation))
+                .collect()
+        } else {
+            BTreeSet::new()
+        };
     }
 
-    /// Teams whose owners keep to grants, of which that is not noted: from the owner's own term on.
-    pub(crate) fn note_grants(&mut self) {
-        let unnoted = self.map.owners.teams.iter().filter(|(team, owner)| {
-            !self.map.owners.grants_kept_since.contains_key(*team) && self.keeps_grants(owner)
+    /// Notes for teams without such a note that their owners keep to grants, from the owners' tokens on.
+    pub(super) fn note_grants(&mut self) {
+        let owners = self.editor.owners();
+        let unnoted = owners.teams.iter().filter(|(team, owner)| {
+            !owners.grants_kept_since.contains_key(*team) && self.keeps_grants(owner)
         });
         let unnoted: Vec<(Team, FencingToken)> = unnoted
             .map(|(team, owner)| (team.clone(), owner.token))
             .collect();
-        for (team, term) in unnoted {
-            self.map.set_grants_kept_since(&team, Some(term));
+        for (team, token) in unnoted {
+            self.editor.set_grants_kept_since(&team, Some(token));
         }
     }
 
-    /// Whether the process that owns something keeps to grants, as all others do.
+    /// Whether the owner keeps to grants, as all other live processes do.
     pub(crate) fn keeps_grants(&self, owner: &ShardOwner) -> bool {
-        let process = owner.process();
-        are_on(&self.config) && self.grant_keepers.contains(&process)
+        are_on(&self.config) && self.grant_keepers.contains(&owner.process())
     }
 }
--- a/src/core/leader/shard_map_editor.rs
+++ b/src/core/leader/shard_map_editor.rs
@@ -1,220 +1,216 @@
-//! The part map: which process of which controller owns which teams and machines, under which
-//! term. Only the leader writes it, guarded by its leader key and the map's versions, and only on
-//! change. A machine is used only once it is in the stored map, so the map names every machine
-//! that may hold tasks. A term is the leader key's revision with a counter of the leader's changes
-//! below it: never used twice, and higher with every change and every leader.
+//! The leader's working copy of the shard map: which process owns which teams and machines, under which
+//! fencing token.
+//!
+//! Only the leader writes the map, with the versions of its leader key and of the stored values as
+//! preconditions, and only on change. A machine is used only once it is in the stored map, so the map names
+//! every machine that may hold tasks. A fencing token is the leader key's revision with a counter of the
+//! leader's changes below it: it is never used twice, and rises with every change and every leader.
 
+mod machine_chunks;
+
+use crate::core::leader::shard_map_editor::machine_chunks::MachineChunks;
 use crate::core::records::keys::{MAP_PREFIX, teams_key};
 use crate::core::records::shard_map::{ShardEntry, ShardMap, ShardMapChunk, ShardOwner};
 use crate::core::records::versioned::Versioned;
 use crate::ids::{FencingToken, MachineId, Team, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Changes that one leadership can number.
-pub(crate) const CHANGE_BITS: u32 = 16;
+/// Low bits of a fencing token, which count the changes under one version of the leader key.
+const CHANGE_BITS: u32 = 16;
+
+/// Fraction of these changes after which the leader key is claimed anew, long before they run out.
+const EXHAUSTED_FRACTION: f64 = 0.5;
 
-/// Part of them after which leadership is claimed anew, long before they run out.
-pub(crate) const EXHAUSTED_PART: f64 = 0.5;
+/// Bytes that a machine takes in a stored value at most: it may have an owner's record to itself.
+const MACHINE_BYTES: f64 = 150.0;
 
-/// The map as its leader wants it to be.
+/// The shard map as the leader wants it to be, and which of its stored values have to be written for that.
 pub struct ShardMapEditor {
-    pub owners: ShardMap,
-    pub(crate) leader: Version,
-    pub(crate) changes: u64,
-    pub(crate) chunk_of: BTreeMap<MachineId, usize>,
-    pub(crate) members: Vec<BTreeSet<MachineId>>,
-    pub(crate) teams_dirty: bool,
-    pub(crate) dirty: BTreeSet<usize>,
-    pub(crate) capacity: usize,
+    owners: ShardMap,
+    /// Version of the leader key, the high bits of the fencing tokens.
+    leader_version: Version,
+    /// Changes numbered so far, the low bits of the last fencing token.
+    changes: u64,
+    chunks: MachineChunks,
+    /// Whether the value that lists the teams has to be written.
+    teams_dirty: bool,
+    /// Chunks of machines that have to be written.
+    dirty_chunks: BTreeSet<usize>,
 }
 
-pub(crate) fn chunk_key(chunk: usize) -> String {
+/// The key that stores a chunk of machines.
+fn chunk_key(chunk: usize) -> String {
     format!("{MAP_PREFIX}m{chunk:04}")
 }
 
+/// The number of the chunk that this key stores; None for any other key.
+fn chunk_number(key: &str) -> Option<usize> {
+    key.strip_prefix(MAP_PREFIX)?
+        .strip_prefix('m')?
+        .parse()
+        .ok()
+}
+
 impl ShardMapEditor {
-    /// Continues the stored map under a new leadership.
+    /// Continues the stored map under this version of the leader key, in values of up to `value_kb` KiB.
     pub fn new(
-        leader: Version,
+        leader_version: Version,
         stored: &BTreeMap<String, Versioned<ShardMapChunk>>,
-        kb: f64,
+        value_kb: f64,
     ) -> Self {
-        let owners = ShardMap::read(stored.values().map(|chunk| &chunk.record));
-        // Every machine may have an owner's record to itself: up to 150 bytes.
-        let capacity = ((kb * 1024.0 / 150.0) as usize).max(1);
-        let (mut chunk_of, mut members): (BTreeMap<MachineId, usize>, Vec<BTreeSet<MachineId>>) =
-            Default::default();
-        let mut dirty = BTreeSet::new();
-        for (key, chunk) in stored {
-            let prefix = format!("{MAP_PREFIX}m");
-            let number = key
-                .strip_prefix(&prefix)
-                .and_then(|n| n.parse::<usize>().ok());
-            if let Some(number) = number {
-                members.resize_with(members.len().max(number + 1), BTreeSet::new);
-                for id in chunk.record.shards.iter().flat_map(|shard| &shard.machines) {
-                    // Split off by an earlier leader that could not write the rest.
-                    if let Some(split) = chunk_of.insert(id.clone(), number) {
-                        members[split].remove(id);
-                        dirty.insert(split);
-                    }
-                    members[number].insert(id.clone());
-                }
+        let mut chunks = MachineChunks::new(chunk_capacity(value_kb));
+        let mut dirty_chunks = BTreeSet::new();
+        for (key, stored_chunk) in stored {
+            let Some(number) = chunk_number(key) else {
+                continue;
+            };
+            chunks.ensure(number);
+            let shards = &stored_chunk.record.shards;
+            for id in shards.iter().flat_map(|shard| &shard.machines) {
+                // Listed twice: split off by an earlier leader that did not write the rest.
+                dirty_chunks.extend(chunks.place(id, number));
             }
         }
-        let teams_dirty = false;
         Self {
-            owners,
-            leader,
+            owners: ShardMap::read(stored.values().map(|chunk| &chunk.record)),
+            leader_version,
             changes: 0,
-            chunk_of,
-            members,
-            teams_dirty,
-            dirty,
-            capacity,
+            chunks,
+            teams_dirty: false,
+            dirty_chunks,
         }
     }
 
-    /// Takes up what is stored, and goes on counting.
-    pub fn follow(&mut self, stored: ShardMapEditor) {
-        *self = ShardMapEditor {
+    /// Replaces the working copy by what is stored; the numbering of changes continues.
+    pub fn reload(&mut self, stored: &BTreeMap<String, Versioned<ShardMapChunk>>, value_kb: f64) {
+        *self = Self {
             changes: self.changes,
-            ..stored
+            ..Self::new(self.leader_version, stored, value_kb)
         };
     }
 
-    /// A term that nobody has used; None when this leadership has no more.
+    /// The owners of all teams and machines, with the changes made so far.
+    pub fn owners(&self) -> &ShardMap {
+        &self.owners
+    }
+
+    /// A fencing token that was never used; None if this version of the leader key has no more.
     pub fn next_token(&mut self) -> Option<FencingToken> {
         self.changes += 1;
-        (self.changes < 1 << CHANGE_BITS)
-            .then_some(FencingToken((self.leader << CHANGE_BITS) | self.changes))
+        (self.changes < 1 << CHANGE_BITS).then_some(FencingToken(
+            (self.leader_version << CHANGE_BITS) | self.changes,
+        ))
     }
 
-    /// Whether this leadership has numbered so many changes that it should be claimed anew.
-    pub fn terms_exhausted(&self) -> bool {
-        self.changes as f64 > f64::from(1 << CHANGE_BITS) * EXHAUSTED_PART
+    /// Whether so many changes are numbered that the leader key should be claimed anew.
+    pub fn tokens_exhausted(&self) -> bool {
+        self.changes as f64 > f64::from(1 << CHANGE_BITS) * EXHAUSTED_FRACTION
     }
 
+    /// Sets the owner of a team.
     pub fn set_team(&mut self, team: &Team, owner: ShardOwner) {
         self.owners.teams.insert(team.clone(), owner);
         self.teams_dirty = true;
     }
 
-    /// Since which term every owner of a team has kept to its grants; None if that is not known.
+    /// Sets the token since which every owner of a team has kept to its grants; None if that is unknown.
     pub fn set_grants_kept_since(&mut self, team: &Team, since: Option<FencingToken>) {
-        let known = &mut self.owners.grants_kept_since;
+        let kept_since = &mut self.owners.grants_kept_since;
         let before = match since {
-            Some(since) => known.insert(team.clone(), since),
-            None => known.remove(team),
+            Some(since) => kept_since.insert(team.clone(), since),
+            None => kept_since.remove(team),
         };
         self.teams_dirty |= before != since;
     }
 
-    /// A team goes to `owner`: notes whether grants have been kept to all the time.
+    /// Notes for a team that gets a new owner whether its owners have kept to its grants without a gap.
     pub fn carry_grants(&mut self, team: &Team, owner: &ShardOwner, keeps_grants: bool) {
         let before = self.owners.grants_kept_since.get(team).copied();
         let since = keeps_grants.then(|| before.unwrap_or(owner.token));
         self.set_grants_kept_since(team, since);
     }
 
+    /// Sets the owner of a machine.
     pub fn set_machine(&mut self, id: &MachineId, owner: ShardOwner) {
-        let chunk = match self.chunk_of.get(id) {
-            Some(chunk) => *chunk,
-            None => {
-                let open = self
-                    .members
-                    .iter()
-                    .position(|ids| ids.len() < self.capacity);
-                let chunk = open.unwrap_or(self.members.len());
-                self.members
-                    .resize_with(self.members.len().max(chunk + 1), BTreeSet::new);
-                self.members[chunk].insert(id.clone());
-                self.chunk_of.insert(id.clone(), chunk);
-                chunk
-            }
-        };
+        let chunk = self.chunks.chunk_for(id);
         self.owners.machines.insert(id.clone(), owner);
-        self.dirty.insert(chunk);
+        self.dirty_chunks.insert(chunk);
     }
 
+    /// Removes a machine from the map.
     pub fn remove_machine(&mut self, id: &MachineId) {
-        if let Some(chunk) = self.chunk_of.remove(id) {
+        if let Some(chunk) = self.chunks.remove(id) {
             self.owners.machines.remove(id);
-            self.members[chunk].remove(id);
-            self.dirty.insert(chunk);
+            self.dirty_chunks.insert(chunk);
         }
     }
 
-    /// Values that differ from what is stored: up to `limit` of them, and about `bytes` in all.
+    /// The keys and values that differ from what is stored: up to `limit` of them, and about `bytes` in all.
     pub fn take_dirty(&mut self, limit: usize, bytes: usize) -> Vec<(String, ShardMapChunk)> {
         let mut values = Vec::new();
         let mut size = 0;
         if std::mem::take(&mut self.teams_dirty) {
-            let mut shards: BTreeMap<&ShardOwner, ShardEntry> = BTreeMap::new();
-            let grants_kept_since = self.owners.grants_kept_since.clone();
-            for (team, owner) in &self.owners.teams {
-                shard(&mut shards, owner).teams.push(team.clone());
-            }
-            values.push((
-                teams_key(),
-                ShardMapChunk {
-                    shards: shards.into_values().collect(),
-                    grants_kept_since,
-                },
-            ));
+            values.push((teams_key(), self.teams_value()));
         }
         while values.len() < limit
             && size < bytes
-            && let Some(chunk) = self.dirty.pop_first()
+            && let Some(chunk) = self.dirty_chunks.pop_first()
         {
-            // Written when values could be larger: what is too much goes into values of its own, first,
-            // so that no machine is ever off the map.
-            if self.members[chunk].len() > self.capacity {
-                self.dirty.insert(chunk);
-                let rest = self.members[chunk].iter().skip(self.capacity);
-                let piece: BTreeSet<MachineId> = rest.take(self.capacity).cloned().collect();
-                let fresh = self.members.len();
-                for id in &piece {
-                    self.members[chunk].remove(id);
-                    self.chunk_of.insert(id.clone(), fresh);
-                }
-                values.push(self.value(fresh, &piece));
-                self.members.push(piece);
+            // Written when values could be larger: what is too much goes into chunks of its own, which are
+            // written first so that every machine is on the map at all times.
+            if let Some(split) = self.chunks.split_off(chunk) {
+                self.dirty_chunks.insert(chunk);
+                values.push((chunk_key(split), self.machines_value(split)));
                 continue;
             }
-            let value = self.value(chunk, &self.members[chunk]);
-            size += serde_json::to_string(&value.1).map_or(0, |text| text.len());
-            values.push(value);
+            let value = self.machines_value(chunk);
+            size += serde_json::to_string(&value).map_or(0, |text| text.len());
+            values.push((chunk_key(chunk), value));
         }
         values
     }
 
-    pub(crate) fn value(
-        &self,
-        chunk: usize,
-        members: &BTreeSet<MachineId>,
-    ) -> (String, ShardMapChunk) {
-        let mut shards: BTreeMap<&ShardOwner, ShardEntry> = BTreeMap::new();
-        for id in members {
+    /// The value that lists the teams.
+    fn teams_value(&self) -> ShardMapChunk {
+        let mut shards = BTreeMap::new();
+        for (team, owner) in &self.owners.teams {
+            entry_of(&mut shards, owner).teams.push(team.clone());
+        }
+        ShardMapChunk {
+            shards: shards.into_values().collect(),
+            grants_kept_since: self.owners.grants_kept_since.clone(),
+        }
+    }
+
+    /// The value of one chunk of machines.
+    fn machines_value(&self, chunk: usize) -> ShardMapChunk {
+        let mut shards = BTreeMap::new();
+        for id in self.chunks.machines_in(chunk) {
             if let Some(owner) = self.owners.machines.get(id) {
-                shard(&mut shards, owner).machines.push(id.clone());
+                entry_of(&mut shards, owner).machines.push(id.clone());
             }
         }
-        let shards = shards.into_values().collect();
-        (
-            chunk_key(chunk),
-            ShardMapChunk {
-                shards,
-                ..ShardMapChunk::default()
-            },
-        )
+        ShardMapChunk {
+            shards: shards.into_values().collect(),
+            ..ShardMapChunk::default()
+        }
     }
 }
 
-pub(crate) fn shard<'a, 'b>(
-    shards: &'b mut BTreeMap<&'a ShardOwner, ShardEntry>,
-    owner: &'a ShardOwner,
-) -> &'b mut ShardEntry {
+/// Machines that a value of this many KiB holds; at least one.
+#[expect(
+    clippy::cast_possible_truncation,
+    reason = "the cast rounds down and saturates, which is what is wanted here"
+)]
+fn chunk_capacity(value_kb: f64) -> usize {
+    ((value_kb * 1024.0 / MACHINE_BYTES) as usize).max(1)
+}
+
+/// The entry of an owner among the shards of one value; empty at first.
+fn entry_of<'shards, 'owner>(
+    shards: &'shards mut BTreeMap<&'owner ShardOwner, ShardEntry>,
+    owner: &'owner ShardOwner,
+) -> &'shards mut ShardEntry {
     shards.entry(owner).or_insert_with(|| ShardEntry {
         owner: owner.clone(),
         teams: Vec::new(),
--- /dev/null
+++ b/src/core/leader/shard_map_editor/machine_chunks.rs
@@ -0,0 +1,96 @@
+//! Which stored chunk of the shard map lists which machine.
+
+use crate::ids::MachineId;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// The machines of the shard map, divided into chunks of bounded size.
+///
+/// Chunks are numbered from zero and keep their numbers, also when they become empty.
+pub(super) struct MachineChunks {
+    chunk_of: BTreeMap<MachineId, usize>,
+    members: Vec<BTreeSet<MachineId>>,
+    /// Machines that one chunk may list.
+    capacity: usize,
+}
+
+impl MachineChunks {
+    /// No chunks yet; each will list up to `capacity` machines.
+    pub(super) fn new(capacity: usize) -> Self {
+        Self {
+            chunk_of: BTreeMap::new(),
+            members: Vec::new(),
+            capacity,
+        }
+    }
+
+    /// Makes sure that the chunk exists.
+    pub(super) fn ensure(&mut self, chunk: usize) {
+        if self.members.len() <= chunk {
+            self.members.resize_with(chunk + 1, BTreeSet::new);
+        }
+    }
+
+    /// Puts the machine into this chunk, which must exist; returns the chunk that listed it before.
+    pub(super) fn place(&mut self, id: &MachineId, chunk: usize) -> Option<usize> {
+        let earlier = self.chunk_of.insert(id.clone(), chunk);
+        if let Some(members) = earlier.and_then(|earlier| self.members.get_mut(earlier)) {
+            members.remove(id);
+        }
+        if let Some(members) = self.members.get_mut(chunk) {
+            members.insert(id.clone());
+        }
+        earlier
+    }
+
+    /// The chunk that lists the machine; a new machine gets the first chunk with capacity left.
+    pub(super) fn chunk_for(&mut self, id: &MachineId) -> usize {
+        if let Some(chunk) = self.chunk_of.get(id) {
+            return *chunk;
+        }
+        let open = self
+            .members
+            .iter()
+            .position(|members| members.len() < self.capacity);
+        let chunk = open.unwrap_or(self.members.len());
+        self.ensure(chunk);
+        self.place(id, chunk);
+        chunk
+    }
+
+    /// Removes the machine; returns the chunk that listed it.
+    pub(super) fn remove(&mut self, id: &MachineId) -> Option<usize> {
+        let chunk = self.chunk_of.remove(id)?;
+        if let Some(members) = self.members.get_mut(chunk) {
+            members.remove(id);
+        }
+        Some(chunk)
+    }
+
+    /// Moves what an overfull chunk lists beyond its capacity, up to one chunk's worth, to a new chunk
+    /// and returns the number of that; None if the chunk is within its capacity.
+    pub(super) fn split_off(&mut self, chunk: usize) -> Option<usize> {
+        let excess = self.machines_in(chunk).skip(self.capacity);
+        let excess: Vec<MachineId> = excess.take(self.capacity).cloned().collect();
+        if excess.is_empty() {
+            return None;
+        }
+        let split = self.members.len();
+        self.ensure(split);
+        for id in &excess {
+            self.place(id, split);
+        }
+        Some(split)
+    }
+
+    /// The machines that the chunk lists.
+    pub(super) fn machines_in(&self, chunk: usize) -> impl Iterator<Item = &MachineId> {
+        self.members.get(chunk).into_iter().flatten()
+    }
+
+    /// How many machines have a chunk, and how many entries the chunks have together: the same number.
+    #[cfg(test)]
+    pub(super) fn counts(&self) -> (usize, usize) {
+        let entries = self.members.iter().map(BTreeSet::len).sum();
+        (self.chunk_of.len(), entries)
+    }
+}
--- a/src/core/leader/shard_map_editor/tests.rs
+++ b/src/core/leader/shard_map_editor/tests.rs
@@ -2,43 +2,49 @@
 use crate::core::model::process::ProcessId;
 
 fn owner(node: &str, token: u64) -> ShardOwner {
-    let former = Some(ProcessId::new("drumhead-2".into(), 1 << 51));
+    let previous_owner = Some(ProcessId::new("drumhead-2".into(), 1 << 51));
     ShardOwner {
         node: node.into(),
         incarnation: 1 << 51,
         token: FencingToken(token),
-        previous_owner: former,
+        previous_owner,
         previous_token: None,
     }
 }
 
 #[test]
-fn the_map_is_read_back_and_keeps_within_the_value_limit() {
-    let mut map = ShardMapEditor::new(1 << 20, &BTreeMap::new(), 4.0);
-    for i in 0..200 {
-        let token = map.next_token().unwrap().0;
-        map.set_machine(
-            &MachineId::from(format!("m-{i:06}")),
+fn the_shard_map_is_read_back_and_keeps_within_the_value_limit() {
+    let mut editor = ShardMapEditor::new(1 << 20, &BTreeMap::new(), 4.0);
+    for number in 0..200 {
+        let token = editor.next_token().unwrap().0;
+        editor.set_machine(
+            &MachineId::from(format!("m-{number:06}")),
             owner("drumhead-0", token),
         );
     }
-    map.set_team(&"a".into(), owner("drumhead-1", 7));
+    editor.set_team(&"a".into(), owner("drumhead-1", 7));
     let mut stored = BTreeMap::new();
-    for (key, record) in map.take_dirty(usize::MAX, usize::MAX) {
+    for (key, record) in editor.take_dirty(usize::MAX, usize::MAX) {
         assert!(serde_json::to_string(&record).unwrap().len() <= 4096);
         stored.insert(key, Versioned { version: 9, record });
     }
     assert!(
-        map.take_dirty(usize::MAX, usize::MAX).is_empty(),
+        editor.take_dirty(usize::MAX, usize::MAX).is_empty(),
         "written only on change"
     );
     let mut next = ShardMapEditor::new(1 << 21, &stored, 4.0);
-    assert_eq!(next.owners.machines, map.owners.machines);
-    assert_eq!(next.owners.teams, map.owners.teams);
-    let highest = map.owners.machines.values().map(|o| o.token).max().unwrap();
+    assert_eq!(next.owners().machines, editor.owners().machines);
+    assert_eq!(next.owners().teams, editor.owners().teams);
+    let highest = editor
+        .owners()
+        .machines
+        .values()
+        .map(|owner| owner.token)
+        .max()
+        .unwrap();
     assert!(
         next.next_token().unwrap() > highest,
-        "terms rise with every leader"
+        "fencing tokens rise with every leader"
     );
     // Limits were lowered: what is stored larger is split when it is next written, and until all is
     // written every machine stays on the map.
@@ -61,11 +67,9 @@
             );
         }
         let read = ShardMapEditor::new(1 << 23, &lowered, 2.0);
-        assert_eq!(read.owners.machines.len(), 200);
-        assert_eq!(
-            read.chunk_of.len(),
-            read.members.iter().map(BTreeSet::len).sum::<usize>()
-        );
+        assert_eq!(read.owners().machines.len(), 200);
+        let (machines, entries) = read.chunks.counts();
+        assert_eq!(machines, entries);
     }
     next.remove_machine(&"m-000000".into());
     assert_eq!(
@@ -75,14 +79,14 @@
     );
 }
 
-/// A fleet that runs for weeks under one leader used up its terms, and then nothing changed hands any more.
+/// A fleet that ran for weeks under one leader once used up its fencing tokens: no owner could change any more.
 #[test]
-fn a_leadership_is_worn_long_before_its_terms_run_out() {
-    let mut map = ShardMapEditor::new(7, &BTreeMap::new(), 4.0);
+fn tokens_count_as_exhausted_long_before_they_run_out() {
+    let mut editor = ShardMapEditor::new(7, &BTreeMap::new(), 4.0);
     let mut changes = 0;
-    while !map.terms_exhausted() {
-        assert!(map.next_token().is_some());
+    while !editor.tokens_exhausted() {
+        assert!(editor.next_token().is_some());
         changes += 1;
     }
-    assert!(changes > 1 << 14 && (0..1 << 14).all(|_| map.next_token().is_some()));
+    assert!(changes > 1 << 14 && (0..1 << 14).all(|_| editor.next_token().is_some()));
 }
--- a/src/core/leader/spare_machines.rs
+++ b/src/core/leader/spare_machines.rs
@@ -1,46 +1,89 @@
-//! Machines that shares can spare, by kind: looked up once for all that is wanted in one turn, so
-//! that moving many machines costs in proportion to them and not to the fleet.
+//! Machines that shards can spare, by kind: indexed once for all demands of one turn, so that transferring
+//! many machines costs in proportion to them and not to the fleet.
 
-use crate::core::messages::capacity_demand::MachineOffer;
+use crate::core::messages::capacity_demand::{MachineDemand, MachineOffer};
 use crate::ids::{MachineId, Node};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Machines of one share and kind, with their places in the share's list.
-type Listed = VecDeque<(usize, MachineId)>;
+/// A machine that can be spared, and the controller that owns it.
+#[derive(Debug, PartialEq)]
+pub(super) struct SpareMachine {
+    pub(super) id: MachineId,
+    pub(super) owner: Node,
+}
+
+/// What shards can spare, in the order in which it is taken.
+#[derive(Default)]
+pub(super) struct SparePool {
+    /// Idle machines that no plan uses.
+    pub(super) idle: SpareMachines,
+    /// Machines with opportunistic work only.
+    pub(super) opportunistic_only: SpareMachines,
+    /// Idle machines that are kept for forecast demand.
+    pub(super) reserved: SpareMachines,
+}
+
+impl SparePool {
+    /// Takes an acceptable machine of another controller than `except`, preferably an idle one of the cheapest
+    /// kind. Queued tasks also get idle machines that are kept for what is only forecast in other shards.
+    pub(super) fn take_for(
+        &mut self,
+        demand: &MachineDemand,
+        except: &Node,
+    ) -> Option<SpareMachine> {
+        let cheapest = std::slice::from_ref(&demand.offer);
+        let idle = self.idle.take(cheapest, except);
+        let idle = idle.or_else(|| self.idle.take(&demand.any_of, except));
+        if idle.is_some() || demand.opportunistic {
+            return idle;
+        }
+        let preemptible = self.opportunistic_only.take(&demand.any_of, except);
+        match demand.urgency {
+            Some(_) => preemptible.or_else(|| self.reserved.take(&demand.any_of, except)),
+            None => preemptible,
+        }
+    }
+}
+
+/// A machine with its place in its shard's list.
+#[derive(Debug)]
+struct ListedMachine {
+    place: usize,
+    id: MachineId,
+}
 
-/// Machines that may be taken from their shares, in the order in which the shares list them.
+/// Machines that may be taken from their shards, in the order in which the shards list them.
 #[derive(Debug, Default)]
-pub struct SpareMachines {
-    by_kind: BTreeMap<MachineOffer, BTreeMap<Node, Listed>>,
+pub(super) struct SpareMachines {
+    by_kind: BTreeMap<MachineOffer, BTreeMap<Node, VecDeque<ListedMachine>>>,
 }
 
 impl SpareMachines {
-    /// Adds the machines that a share lists, with their kinds.
-    pub fn add<'a>(
+    /// Adds the machines that a shard lists, with their kinds.
+    pub(super) fn add(
         &mut self,
         node: &Node,
-        listed: impl Iterator<Item = (&'a MachineId, &'a MachineOffer)>,
+        listed: impl IntoIterator<Item = (MachineId, MachineOffer)>,
     ) {
-        for (place, (id, offer)) in listed.enumerate() {
-            let of_kind = self.by_kind.entry(offer.clone()).or_default();
-            of_kind
-                .entry(node.clone())
-                .or_default()
-                .push_back((place, id.clone()));
+        for (place, (id, offer)) in listed.into_iter().enumerate() {
+            let shards = self.by_kind.entry(offer).or_default();
+            let machines = shards.entry(node.clone()).or_default();
+            machines.push_back(ListedMachine { place, id });
         }
     }
 
-    /// Takes the first machine of any of these kinds that is in another share than `except`.
-    pub fn take(&mut self, kinds: &[MachineOffer], except: &Node) -> Option<(MachineId, Node)> {
+    /// Takes the first machine of any of these kinds that another controller than `except` owns.
+    pub(super) fn take(&mut self, kinds: &[MachineOffer], except: &Node) -> Option<SpareMachine> {
         let first_of = |kind: &MachineOffer| {
             let shards = self.by_kind.get(kind)?.iter();
-            let mut others = shards.filter(|(node, listed)| *node != except && !listed.is_empty());
-            let (node, listed) = others.next()?;
-            Some((node.clone(), listed.front()?.0, kind.clone()))
+            let mut others = shards.filter(|(node, _)| *node != except);
+            let (node, first) = others.find_map(|(node, listed)| Some((node, listed.front()?)))?;
+            Some((node.clone(), first.place, kind.clone()))
         };
-        let (node, _, kind) = kinds.iter().filter_map(first_of).min()?;
-        let (_, id) = self.by_kind.get_mut(&kind)?.get_mut(&node)?.pop_front()?;
-        Some((id, node))
+        let (owner, _, kind) = kinds.iter().filter_map(first_of).min()?;
+        let machines = self.by_kind.get_mut(&kind)?.get_mut(&owner)?;
+        let ListedMachine { id, .. } = machines.pop_front()?;
+        Some(SpareMachine { id, owner })
     }
 }
 
--- a/src/core/membership/ownership/tests.rs
+++ b/src/core/membership/ownership/tests.rs
@@ -137,9 +137,9 @@
     while let Some(leader) = core
         .leader
         .as_mut()
-        .filter(|leader| !leader.terms_exhausted())
+        .filter(|leader| !leader.tokens_exhausted())
     {
-        assert!(leader.map.next_token().is_some());
+        assert!(leader.take_token().is_some());
     }
     core.write_keys(5);
     let effects = core.outbox.take_effects();
--- a/src/core/messages/capacity_demand.rs
+++ b/src/core/messages/capacity_demand.rs
@@ -1,6 +1,9 @@
+//! Capacity demand: what a shard lacks and can spare, as its owner reports it to the leader.
+
 use crate::ids::{FencingToken, MachineId, Team, TypeName, Zone};
 use crate::wire::Priority;
 use serde::{Deserialize, Serialize};
+use std::collections::BTreeSet;
 
 /// Machines that one rental request may ask for: a limit of the cloud's API.
 pub const MAX_MACHINES_PER_RENTAL: usize = 50;
@@ -33,18 +36,20 @@
     }
 }
 
-/// Machines that a share lacks, all for the same reason.
+/// Machines that a shard lacks, all for the same reason.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineDemand {
+    /// How many.
     pub count: u32,
-    /// The cheapest for what waits.
+    /// The cheapest kind that fits the queued tasks.
     pub offer: MachineOffer,
-    /// Everything that would do, if somebody can spare it.
+    /// All kinds that are acceptable if another shard can spare them.
     pub any_of: Vec<MachineOffer>,
-    /// Of the task that asks first: what it takes, and how urgent it is; None for a forecast.
+    /// The priority of the first task that needs them; None for forecast demand.
     pub urgency: Option<Priority>,
+    /// The GPUs that this task takes.
     pub gpus: f64,
-    /// For opportunistic work, which comes after everything else.
+    /// Whether they are for opportunistic work, which is served after all other demands.
     #[serde(
         rename = "opportunistic",
         default,
@@ -53,72 +58,91 @@
     pub opportunistic: bool,
 }
 
-/// What a share tells the leader.
+impl MachineDemand {
+    /// Whether the two differ in their counts at most.
+    fn equals_except_count(&self, other: &Self) -> bool {
+        let with_its_count = Self {
+            count: other.count,
+            ..self.clone()
+        };
+        with_its_count == *other
+    }
+}
+
+/// What a shard lacks and can spare.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CapacityDemand {
-    /// Machines that would serve what finds no room.
+    /// Machines that the shard lacks for its queued and forecast tasks.
     #[serde(rename = "wants")]
     pub machine_demands: Vec<MachineDemand>,
-    /// GPUs (of tasks without: CPUs) that wait for room, a waiting gang counting whole.
+    /// GPUs of queued tasks, or CPUs where a task takes no GPUs; a queued gang counts as a whole.
     pub queued: f64,
     /// Idle machines that no plan uses.
     #[serde(rename = "spare")]
     pub spare_machines: Vec<MachineId>,
-    /// Idle machines that are kept for what is expected only.
+    /// Idle machines that are kept for forecast demand.
     #[serde(rename = "kept")]
     pub forecast_reserve: Vec<MachineId>,
-    /// Machines that only opportunistic work is on, and that no plan uses for anything else.
+    /// Machines that run only opportunistic tasks, and that no plan uses for others.
     #[serde(rename = "yielding", default, skip_serializing_if = "Vec::is_empty")]
     pub opportunistic_only_machines: Vec<MachineId>,
-    /// Idle machines closed because they were idle for long.
+    /// Machines that have been idle for so long that they can be returned.
     #[serde(rename = "closed")]
     pub surplus_machines: Vec<MachineId>,
-    /// Machines with room beside work that matters, most first: GPUs free or taken by work of
-    /// normal and low priority.
+    /// Machines with GPUs that are free or taken by tasks of normal and low priority, and how many; those with
+    /// the most come first.
     #[serde(rename = "roomy")]
     pub machines_with_free_gpus: Vec<(MachineId, f64)>,
-    /// Teams of which nothing waits.
+    /// Teams that have no queued task.
     #[serde(rename = "quiet")]
     pub teams_without_queue: Vec<Team>,
-    /// Machines that have not been heard of for long.
+    /// Machines that have sent no heartbeat for so long that they can be returned.
     #[serde(rename = "silent")]
     pub unheard_machines: Vec<MachineId>,
-    /// Machines that are to get a fresh token in place of this one.
+    /// Machines that need a new fencing token, each with its present one.
     #[serde(rename = "raise")]
     pub tokens_to_renew: Vec<(MachineId, FencingToken)>,
-    /// Teams that are to get a fresh term.
+    /// Teams that need a new fencing token, since the attempt numbers under the present one run out.
     #[serde(rename = "worn")]
     pub teams_out_of_attempts: Vec<Team>,
 }
 
 impl CapacityDemand {
-    /// Asks for a fresh token; whether that is news.
+    /// Asks for a new fencing token in place of this one; returns whether it was not asked for before.
     pub fn request_new_token(&mut self, id: &MachineId, token: FencingToken) -> bool {
-        let news = !self
-            .tokens_to_renew
-            .iter()
-            .any(|(other, of)| other == id && *of == token);
-        if news {
+        let mut requested = self.tokens_to_renew.iter();
+        let is_new = !requested.any(|(other, requested)| other == id && *requested == token);
+        if is_new {
             self.tokens_to_renew.push((id.clone(), token));
         }
-        news
+        is_new
     }
 
+    /// How many machines the shard lacks in all.
     pub fn machines_wanted(&self) -> u32 {
-        self.machine_demands.iter().map(|want| want.count).sum()
+        let demands = self.machine_demands.iter();
+        demands.map(|demand| demand.count).sum()
     }
 
-    pub fn add(&mut self, want: MachineDemand) {
+    /// Adds a demand; if it differs from the last one in its count only, the two become one.
+    pub fn add(&mut self, demand: MachineDemand) {
         match self.machine_demands.last_mut() {
-            Some(last)
-                if (MachineDemand {
-                    count: last.count,
-                    ..want.clone()
-                }) == *last =>
-            {
-                last.count += want.count;
-            }
-            _ => self.machine_demands.push(want),
+            Some(last) if demand.equals_except_count(last) => last.count += demand.count,
+            _ => self.machine_demands.push(demand),
+        }
+    }
+
+    /// Removes these machines from all that the shard can spare or lets be returned.
+    pub fn remove_machines(&mut self, machines: &BTreeSet<MachineId>) {
+        for list in [
+            &mut self.spare_machines,
+            &mut self.forecast_reserve,
+            &mut self.opportunistic_only_machines,
+            &mut self.surplus_machines,
+        ] {
+            list.retain(|id| !machines.contains(id));
         }
+        self.machines_with_free_gpus
+            .retain(|(id, _)| !machines.contains(id));
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -201,7 +201,7 @@
             }
             Pending::Map(write) => {
                 if let Some(leader) = self.leader.as_mut() {
-                    leader.map_written(&mut self.outbox, &mut self.store, write, reply);
+                    leader.map_written(&mut self.outbox, &mut self.store, &write, &reply);
                 }
             }
             Pending::Grant(written) => {
@@ -263,9 +263,9 @@
             if let Some(leader) = self.leader.as_mut() {
                 if let Some(owner) = self.shard.as_mut() {
                     leader.set_demand(&self.config.node, owner.demand.clone());
-                    owner.refused = leader.refused();
+                    owner.refused = leader.unavailable_offers();
                 }
-                leader.catching_up = catching_up;
+                leader.set_catching_up(catching_up);
                 leader.advance(
                     &mut self.outbox,
                     &self.store,
@@ -295,7 +295,7 @@
             self.peers.heard_workers(now);
         }
         let leads = self.ownership.leads(&self.store);
-        if self.leader.as_ref().map(|leader| leader.term) != leads {
+        if self.leader.as_ref().map(Leader::key_version) != leads {
             // The map as of the key's own revision has every change of earlier leaders.
             self.leader = leads
                 .filter(|term| self.store.revision() >= *term)
--- a/src/core/shard/grants/tests.rs
+++ b/src/core/shard/grants/tests.rs
@@ -484,7 +484,7 @@
         };
         map.carry_grants(&team, &owner, *keeps);
         map.set_team(&team, owner);
-        noted.push(map.owners.grants_kept_since.get(&team).map(|term| term.0));
+        noted.push(map.owners().grants_kept_since.get(&team).map(|term| term.0));
     }
     noted
 }
