--- a/src/core/controller/hello.rs
+++ b/src/core/controller/hello.rs
@@ -100,7 +100,7 @@
         } else {
             MachineContacts::default()
         };
-        let refused = self.leader.as_ref().map(Leader::refused);
+        let refused = self.leader.as_ref().map(Leader::unavailable_offers);
         Some(shard.update_for(node, &self.store, refused, images, contacts))
     }
 
--- a/src/core/controller/inputs.rs
+++ b/src/core/controller/inputs.rs
@@ -69,7 +69,7 @@
             }
             Pending::Map(write) => {
                 if let Some(leader) = self.leader.as_mut() {
-                    leader.map_written(&mut self.outbox, &mut self.store, write, reply);
+                    leader.map_written(&mut self.outbox, &mut self.store, &write, &reply);
                 }
             }
             Pending::Grant(write) => {
--- a/src/core/controller/ownership.rs
+++ b/src/core/controller/ownership.rs
@@ -171,10 +171,10 @@
         let exhausted = self
             .leader
             .as_ref()
-            .filter(|leader| leader.terms_exhausted());
+            .filter(|leader| leader.tokens_exhausted());
         if let Some(exhausted) = exhausted {
             // The key's new revision provides fresh fencing tokens. It stays this process's key.
-            return Some(exhausted.term);
+            return Some(exhausted.key_version());
         }
         let version = self.failed_leader()?;
         tracing::info!("taking over leadership: the leader has failed");
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -200,9 +200,9 @@
         };
         if let Some(shard) = self.shard.as_mut() {
             leader.set_demand(&self.config.node, shard.demand.clone());
-            shard.refused = leader.refused();
+            shard.refused = leader.unavailable_offers();
         }
-        leader.catching_up = catching_up;
+        leader.set_catching_up(catching_up);
         leader.advance(
             &mut self.outbox,
             &self.store,
@@ -227,7 +227,7 @@
             self.peers.note_worker_contact(now);
         }
         let term = self.ownership.leads(&self.store);
-        if self.leader.as_ref().map(|leader| leader.term) != term {
+        if self.leader.as_ref().map(Leader::key_version) != term {
             // The map as of the revision of the leader's key has every change of earlier leaders.
             let readable_term = term.filter(|term| self.store.revision() >= *term);
             self.leader = readable_term.map(|term| self.begin_leading(term));
