--- a/src/core/controller/acquired_machines/tests.rs
+++ b/src/core/controller/acquired_machines/tests.rs
@@ -84,7 +84,7 @@
         &"m-1".into(),
         WorkerReply::Executed(heartbeat("m-1", 2, 1, TERM)),
     );
-    core.store.current_as_of = NOW + 0.5;
+    core.store.set_current_as_of(NOW + 0.5);
     let owner = core.shard.as_mut().unwrap();
     owner.expire_machines(&core.store, NOW + 0.5);
     assert!(!machine(&core).known_empty && machine(&core).token_confirmed);
--- a/src/core/controller/hello.rs
+++ b/src/core/controller/hello.rs
@@ -34,7 +34,7 @@
         let unresponsive = self.unresponsive.all(now);
         let detection = self.own_detection();
         let acts_on_failures = self.acts_on_failures();
-        let behind = now - self.store.current_as_of > self.peers.recent;
+        let behind = now - self.store.current_as_of() > self.peers.recent;
         let final_states_after =
             (behind && self.store.complete()).then(|| self.store.final_states_known());
         let nodes: Vec<Node> = self.peers.peers.keys().cloned().collect();
--- a/src/core/controller/user_requests.rs
+++ b/src/core/controller/user_requests.rs
@@ -104,9 +104,9 @@
         };
         // Only a read since the question tells that nobody has accepted this job or one that it needs. And
         // a controller that stood still may have missed a cancellation long ago (meeting day 97).
-        let age = self.outbox.now - self.store.current_as_of;
+        let age = self.outbox.now - self.store.current_as_of();
         let behind = age > self.config.deployment.workers.report_s && !spec.dependencies.is_empty();
-        if (refusal.is_some() || behind) && self.store.current_as_of < asked.needs {
+        if (refusal.is_some() || behind) && self.store.current_as_of() < asked.needs {
             self.store.want_sync();
             return self.user_requests.waiting.push(asked);
         }
@@ -196,7 +196,7 @@
         if let (false, true, Some(job)) = (ended, self.store.dependency_cancelled(&id), &known) {
             return self.record_cancellation(asked, job);
         }
-        if !ended && self.store.current_as_of < asked.needs {
+        if !ended && self.store.current_as_of() < asked.needs {
             self.store.want_sync();
             self.user_requests.waiting.push(asked);
             return;
@@ -332,7 +332,7 @@
 
     /// The view has moved on: those that waited for that get their answers.
     pub(crate) fn resume_user_requests(&mut self) {
-        let current = self.store.current_as_of;
+        let current = self.store.current_as_of();
         let now = self.outbox.now;
         let (ready, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.user_requests.waiting)
             .into_iter()
@@ -364,7 +364,7 @@
             if late {
                 let asked = self.user_requests.waiting.swap_remove(index);
                 self.give_up(asked);
-            } else if put_off && self.store.current_as_of >= asked.needs {
+            } else if put_off && self.store.current_as_of() >= asked.needs {
                 let asked = self.user_requests.waiting.swap_remove(index);
                 self.resume(asked);
             } else {
--- a/src/core/membership/process_pause/tests.rs
+++ b/src/core/membership/process_pause/tests.rs
@@ -37,7 +37,8 @@
     machine.is_owned = true;
     owner.machines.insert("m-1".into(), machine);
     outbox.begin(8.0, 8_000);
-    (owner.heard, store.current_as_of) = (8.0, 8.0);
+    owner.heard = 8.0;
+    store.set_current_as_of(8.0);
     let silent = |owner: &Shard| owner.machines[&MachineId::from("m-1")].unresponsive;
     owner.catching_up = true;
     owner.declare_unresponsive(&store, 8.0);
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -189,7 +189,7 @@
                     .store
                     .is_registered(&self.config.node, self.ownership.incarnation())
                 {
-                    self.ownership.note_known_as_of(self.store.current_as_of);
+                    self.ownership.note_known_as_of(self.store.current_as_of());
                 }
             }
             Pending::UserWrite(pending) => self.user_write_answered(pending, reply),
@@ -234,7 +234,7 @@
     /// Everything that happens by itself as time passes.
     fn advance(&mut self) {
         let now = self.outbox.now;
-        let catching_up = self.process_pause.lasts(self.store.current_as_of, now);
+        let catching_up = self.process_pause.lasts(self.store.current_as_of(), now);
         self.sync_when_due();
         self.time_out_user_requests();
         self.judge_siblings();
--- a/src/core/shard/lease_expiry.rs
+++ b/src/core/shard/lease_expiry.rs
@@ -27,7 +27,7 @@
         let workers = &self.config.deployment.workers;
         if self.catching_up
             || now > self.heard + workers.report_s
-            || now > store.current_as_of + workers.report_s
+            || now > store.current_as_of() + workers.report_s
         {
             return;
         }
@@ -58,7 +58,7 @@
     /// until then, which only a map read after that can tell. A process that lives on vouchers, or
     /// whose reads are slow, may otherwise take a machine for silent that has moved to a sibling.
     pub(crate) fn expire_machines(&mut self, store: &StoreReplica, now: Time) {
-        let (lease, current) = (self.lease(), store.current_as_of);
+        let (lease, current) = (self.lease(), store.current_as_of());
         let ours = self
             .machines
             .values()
--- a/src/core/shard/tests.rs
+++ b/src/core/shard/tests.rs
@@ -19,10 +19,10 @@
     };
     map(&mut store, 5, vec![mine]);
     shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
-    store.current_as_of = 9.0;
+    store.set_current_as_of(9.0);
     shard.expire_machines(&store, 60.0);
     assert!(!shard.machines[&MachineId::from("m-1")].known_empty);
-    store.current_as_of = 59.0;
+    store.set_current_as_of(59.0);
     shard.expire_machines(&store, 60.0);
     assert!(shard.machines[&MachineId::from("m-1")].known_empty);
 }
@@ -137,7 +137,7 @@
     assert_eq!(handle_heartbeat(&mut shard, &mut outbox, 1.0, 1), 200);
     let lease = shard.config.deployment.workers.lease_s;
     let mut current = StoreReplica::new(&shard.config);
-    current.current_as_of = 1.0 + lease * 0.75;
+    current.set_current_as_of(1.0 + lease * 0.75);
     shard.declare_unresponsive(&current, 1.0 + lease * 0.75);
     assert!(
         shard.unresponsive(lease).is_empty(),
--- a/src/core/shard/tracking/tests.rs
+++ b/src/core/shard/tracking/tests.rs
@@ -420,7 +420,7 @@
         fixture.handle_heartbeat(later);
     }));
     assert!(!tracked_after(|fixture| {
-        fixture.store.current_as_of = 1000.0;
+        fixture.store.set_current_as_of(1000.0);
         fixture.shard.expire_machines(&fixture.store, 1000.0);
     }));
     assert!(!tracked_after(Fixture::delete_first));
--- a/src/core/store/dependencies/tests.rs
+++ b/src/core/store/dependencies/tests.rs
@@ -5,15 +5,23 @@
     format!("req-{number:06}").into()
 }
 
-fn record(status: &str, needs: &[usize], priority: &str, due: Option<f64>) -> JobRecord {
-    let numbers: Vec<String> = needs.iter().map(|n| format!("{n:06}")).collect();
+fn record(
+    status: &str,
+    dependencies: &[usize],
+    priority: &str,
+    deadline_s: Option<f64>,
+) -> JobRecord {
+    let numbers: Vec<String> = dependencies
+        .iter()
+        .map(|number| format!("{number:06}"))
+        .collect();
     let mut spec = serde_json::json!({"c": "c", "t": "red", "k": "sweep", "p": priority, "n": 1,
         "cpu": 1.0, "gpu": 0.0, "mem": 1.0, "img": "i", "igb": 1.0, "est": 10.0, "ck": 0.0, "sv": 0.0});
-    if !needs.is_empty() {
+    if !dependencies.is_empty() {
         spec["aw"] = numbers.join(" ").into();
     }
-    if let Some(due) = due {
-        spec["dl"] = due.into();
+    if let Some(deadline_s) = deadline_s {
+        spec["dl"] = deadline_s.into();
     }
     serde_json::from_value(serde_json::json!({"s": status, "at": 1000, "n": 1, "jd": spec}))
         .unwrap()
@@ -23,7 +31,7 @@
 struct Records {
     jobs: BTreeMap<JobId, Rc<JobRecord>>,
     index: Dependencies,
-    /// Jobs looked at again so far.
+    /// Jobs evaluated again so far.
     changed: usize,
 }
 
@@ -32,16 +40,16 @@
         let (jobs, mut changed) = (&self.jobs, BTreeSet::new());
         let job = |id: &JobId| jobs.get(id).map(|job| &**job);
         self.index
-            .take(&id(number), job(&id(number)), &record, job, &mut changed);
+            .apply(&id(number), job(&id(number)), &record, job, &mut changed);
         self.jobs.insert(id(number), Rc::new(record));
         self.changed += changed.len();
         changed
     }
 }
 
-/// A full read shows jobs in the order of their ids, whatever needs what.
+/// A full read lists jobs in the order of their ids, whatever their dependencies.
 #[test]
-fn a_cancellation_spreads_whatever_is_read_first() {
+fn a_cancellation_reaches_dependents_in_any_read_order() {
     const LENGTH: usize = 500;
     for backwards in [false, true] {
         let mut records = Records::default();
@@ -56,25 +64,25 @@
         }
         records.put(1, record("withdrawn", &[], "standard", None));
         assert!((2..=LENGTH).all(|number| records.index.dependency_cancelled(&id(number))));
-        // One that names it later, and one that doesn't.
+        // A later job that depends on it, and one that does not.
         records.put(901, record("pending", &[LENGTH, 1], "standard", None));
         records.put(902, record("pending", &[900], "standard", None));
         assert!(
             records.index.dependency_cancelled(&id(901))
                 && !records.index.dependency_cancelled(&id(902))
         );
-        // Written down, nothing is kept of them.
+        // Once their cancellation is recorded, the index holds nothing of them.
         (2..=LENGTH).for_each(|number| {
             drop(records.put(number, record("withdrawn", &[], "standard", None)))
         });
         records.put(901, record("withdrawn", &[], "standard", None));
         assert!(records.index.dependency_cancelled.is_empty());
-        assert_eq!(records.index.dependents.len(), 1, "only job 900's");
+        assert_eq!(records.index.dependents.len(), 1, "only those of job 900");
     }
 }
 
 #[test]
-fn an_end_looks_only_at_its_dependents() {
+fn a_finished_job_changes_only_its_dependents() {
     let mut records = Records::default();
     for number in 1..=200 {
         records.put(number, record("pending", &[], "standard", None));
@@ -96,7 +104,7 @@
 }
 
 #[test]
-fn urgency_passes_to_all_that_is_needed_and_nothing_lowers_it() {
+fn urgency_reaches_all_dependencies_and_never_falls() {
     let mut records = Records::default();
     records.put(1, record("pending", &[], "best_effort", None));
     records.put(2, record("pending", &[1], "best_effort", None));
@@ -106,17 +114,17 @@
     );
     let changed = records.put(3, record("pending", &[2], "high", Some(60.0)));
     assert_eq!(changed, [id(1), id(2)].into());
-    // Due 61 s, less its own 10 s; and less another 10 s for the one between.
-    let asked = |records: &Records, number| *records.index.inherited(&id(number)).unwrap();
+    // Due at 61 s, less its own 10 s, and less another 10 s for the job between.
+    let inherited = |records: &Records, number| *records.index.inherited(&id(number)).unwrap();
     assert_eq!(
-        asked(&records, 2),
+        inherited(&records, 2),
         Urgency {
             priority: Priority::High,
             due_ms: Some(51_000)
         }
     );
     assert_eq!(
-        asked(&records, 1),
+        inherited(&records, 1),
         Urgency {
             priority: Priority::High,
             due_ms: Some(41_000)
@@ -125,15 +133,15 @@
     records.put(4, record("pending", &[1], "standard", Some(600.0)));
     records.put(3, record("withdrawn", &[], "high", None));
     assert_eq!(
-        asked(&records, 1),
+        inherited(&records, 1),
         Urgency {
             priority: Priority::High,
             due_ms: Some(41_000)
         }
     );
-    // What is read before what it needs passes on all the same.
+    // A job that is read before its dependencies passes its urgency on as well.
     records.put(12, record("pending", &[11], "critical", None));
     records.put(11, record("pending", &[10], "best_effort", None));
     records.put(10, record("pending", &[], "best_effort", None));
-    assert_eq!(asked(&records, 10).priority, Priority::Production);
+    assert_eq!(inherited(&records, 10).priority, Priority::Production);
 }
--- /dev/null
+++ b/src/core/store/replica/apply.rs
@@ -0,0 +1,206 @@
+//! Applying puts and removals of the store to the replica.
+
+use crate::core::records::job_record::JobRecord;
+use crate::core::records::keys::{LEADER_KEY, StoreKey, node_key, quota_key};
+use crate::core::records::shard_map::ShardMap;
+use crate::core::records::versioned::{StoredLedger, Versioned};
+use crate::core::store::replica::StoreReplica;
+use crate::ids::{JobId, Team, Version};
+use crate::wire::{Change, Write};
+use quota_ledger::TeamLedger;
+use serde::Deserialize;
+use serde_json::Value;
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+
+impl StoreReplica {
+    /// Applies a committed write of this process without waiting for the next read.
+    pub fn apply_write(&mut self, write: &Write, version: Version) {
+        match write {
+            Write::Put { key, value, .. } => self.put(key, value, version),
+            Write::Delete { key } => self.remove(key, version),
+        }
+    }
+
+    /// Applies one change that a read returned.
+    pub(super) fn apply_change(&mut self, change: &Change) {
+        if let Some(key) = &change.put {
+            self.put(key, &change.value, change.version);
+        } else if let Some(key) = &change.deleted {
+            self.remove(key, change.version);
+        }
+    }
+
+    /// Applies a value of a key unless a newer one, or a later removal, is known. A value that cannot be decoded
+    /// leaves what is known as it is.
+    pub(super) fn put(&mut self, key: &str, value: &Value, version: Version) {
+        let store_key = StoreKey::parse(key);
+        if let StoreKey::Job(id) = store_key {
+            return self.put_job_value(key, id, value, version);
+        }
+        if self
+            .removed
+            .get(key)
+            .is_some_and(|removed| *removed >= version)
+        {
+            return;
+        }
+        match store_key {
+            StoreKey::Leader => replace_if_newer(&mut self.leader, value, version),
+            StoreKey::MachineTypes => replace_if_newer(&mut self.machine_types, value, version),
+            StoreKey::Node(node) => insert_if_newer(&mut self.nodes, node, value, version),
+            StoreKey::ShardMapChunk => {
+                insert_if_newer(&mut self.map_chunks, key.to_owned(), value, version);
+                self.rebuild_shard_map();
+            }
+            StoreKey::Ledger(team) => self.put_ledger(team, value, version),
+            StoreKey::Job(_) | StoreKey::Unknown => {}
+        }
+    }
+
+    fn put_job_value(&mut self, key: &str, id: JobId, value: &Value, version: Version) {
+        if self.knows_job(&id, version) {
+            return;
+        }
+        let Ok(record) = JobRecord::deserialize(value) else {
+            tracing::error!(key, "stored job record cannot be decoded");
+            return;
+        };
+        self.put_job(id, record, version);
+    }
+
+    /// Applies a job's record unless a newer one is known.
+    pub(super) fn put_job(&mut self, id: JobId, record: JobRecord, version: Version) {
+        if self.knows_job(&id, version) {
+            return;
+        }
+        if record.is_final() {
+            self.final_states.insert((version, id.clone()));
+            self.cancelled_jobs.insert(&id, &record, version);
+        }
+        let jobs = &self.jobs;
+        let job = |id: &JobId| jobs.get(id).map(|job| &*job.record);
+        self.dependencies
+            .apply(&id, job(&id), &record, job, &mut self.changed_jobs);
+        self.changed_jobs.insert(id.clone());
+        let record = Rc::new(record);
+        self.jobs.insert(id, Versioned { version, record });
+    }
+
+    /// Whether this version of a job's record, or a newer one, is known.
+    fn knows_job(&self, id: &JobId, version: Version) -> bool {
+        self.jobs
+            .get(id)
+            .is_some_and(|known| known.version >= version)
+    }
+
+    fn put_ledger(&mut self, team: Team, value: &Value, version: Version) {
+        if self
+            .ledgers
+            .get(&team)
+            .is_some_and(|known| known.version >= version)
+        {
+            return;
+        }
+        // Logged once per stored value; the team falls back to the rules for teams without a grant record.
+        let ledger = TeamLedger::decode(value)
+            .inspect_err(|error| tracing::error!(%team, %error, "stored grant record is invalid"))
+            .ok();
+        self.ledgers.insert(team, StoredLedger { version, ledger });
+    }
+
+    /// Removes a key unless a newer value is known. Job records are never removed from the store.
+    fn remove(&mut self, key: &str, version: Version) {
+        match StoreKey::parse(key) {
+            StoreKey::Leader => {
+                self.leader.take_if(|known| known.version <= version);
+            }
+            StoreKey::Node(node) => {
+                remove_if_not_newer(&mut self.nodes, &node, version);
+            }
+            StoreKey::ShardMapChunk => {
+                if remove_if_not_newer(&mut self.map_chunks, key, version) {
+                    self.rebuild_shard_map();
+                }
+            }
+            StoreKey::Ledger(team) => {
+                let known = self.ledgers.get(&team);
+                if known.is_some_and(|known| known.version <= version) {
+                    self.ledgers.remove(&team);
+                }
+            }
+            StoreKey::MachineTypes | StoreKey::Job(_) | StoreKey::Unknown => return,
+        }
+        self.removed.insert(key.to_owned(), version);
+    }
+
+    /// After a full read: removes the keys that it did not list, unless they were written since.
+    pub(super) fn remove_unlisted(&mut self, listed: &BTreeSet<String>, revision: Version) {
+        let mut unlisted: Vec<String> = self.map_chunks.keys().cloned().collect();
+        unlisted.push(LEADER_KEY.to_owned());
+        unlisted.extend(self.nodes.keys().map(node_key));
+        unlisted.extend(self.ledgers.keys().filter_map(quota_key));
+        unlisted.retain(|key| !listed.contains(key));
+        for key in unlisted {
+            self.remove(&key, revision);
+        }
+    }
+
+    fn rebuild_shard_map(&mut self) {
+        self.map_changes += 1;
+        let chunks = self.map_chunks.values().map(|chunk| &chunk.record);
+        self.shard_map = ShardMap::read(chunks);
+    }
+}
+
+/// Decodes a value that is newer than the known one; `None` if it is not, or cannot be decoded.
+fn decode_if_newer<T: for<'de> Deserialize<'de>>(
+    known: Option<&Versioned<T>>,
+    value: &Value,
+    version: Version,
+) -> Option<Versioned<T>> {
+    if known.is_some_and(|known| known.version >= version) {
+        return None;
+    }
+    let record = T::deserialize(value).ok()?;
+    Some(Versioned { version, record })
+}
+
+fn replace_if_newer<T: for<'de> Deserialize<'de>>(
+    known: &mut Option<Versioned<T>>,
+    value: &Value,
+    version: Version,
+) {
+    if let Some(newer) = decode_if_newer(known.as_ref(), value, version) {
+        *known = Some(newer);
+    }
+}
+
+fn insert_if_newer<K: Ord, T: for<'de> Deserialize<'de>>(
+    records: &mut BTreeMap<K, Versioned<T>>,
+    key: K,
+    value: &Value,
+    version: Version,
+) {
+    if let Some(newer) = decode_if_newer(records.get(&key), value, version) {
+        records.insert(key, newer);
+    }
+}
+
+/// Whether a record was removed: it was known, and not newer than the removal.
+fn remove_if_not_newer<K, Q, T>(
+    records: &mut BTreeMap<K, Versioned<T>>,
+    key: &Q,
+    version: Version,
+) -> bool
+where
+    K: Ord + std::borrow::Borrow<Q>,
+    Q: Ord + ?Sized,
+{
+    let known = records.get(key);
+    let removable = known.is_some_and(|known| known.version <= version);
+    if removable {
+        records.remove(key);
+    }
+    removable
+}
