--- a/src/core/controller/hello.rs
+++ b/src/core/controller/hello.rs
@@ -81,7 +81,7 @@
 
     /// The version after which siblings are asked for final states, while syncs with the store fail.
     fn wanted_final_states(&self) -> Option<Version> {
-        let is_behind = self.outbox.now - self.store.current_as_of > self.peers.recent();
+        let is_behind = self.outbox.now - self.store.current_as_of() > self.peers.recent();
         (is_behind && self.store.complete()).then(|| self.store.final_states_known())
     }
 
--- a/src/core/controller/inputs.rs
+++ b/src/core/controller/inputs.rs
@@ -108,7 +108,7 @@
         let incarnation = self.ownership.incarnation();
         if self.store.is_registered(&self.config.node, incarnation) {
             self.ownership
-                .record_current_as_of(self.store.current_as_of);
+                .record_current_as_of(self.store.current_as_of());
         }
     }
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -155,7 +155,7 @@
         let now = self.outbox.now;
         let catching_up = self
             .process_pause
-            .is_catching_up(self.store.current_as_of, now);
+            .is_catching_up(self.store.current_as_of(), now);
         self.sync_when_due();
         self.time_out_user_requests();
         self.judge_siblings();
