--- a/src/core/controller/status.rs
+++ b/src/core/controller/status.rs
@@ -153,7 +153,7 @@
         let owner = self.shard.as_ref()?;
         let team = owner.teams.get(&team_limits.name)?;
         let usage = owner.usage(&self.store, self.outbox.wall_ms);
-        let (own, inherited) = usage.under_grants(&team_limits.name);
+        let (own, inherited) = usage.own_and_inherited(&team_limits.name);
         Some(OwnedTeamStatus {
             basis: basis(team.grant.as_ref()),
             used: capacity(&own.plus(&inherited)),
--- a/src/core/controller/user_requests.rs
+++ b/src/core/controller/user_requests.rs
@@ -89,7 +89,7 @@
         };
         let key = job_key(id);
         let write = put(&key, &record, None);
-        let Some(never) = self.catalog.refusal(&self.config, spec) else {
+        let Some(never) = self.catalog.can_never_run(&self.config, spec) else {
             return self.give_up(asked);
         };
         let unknown = spec
--- a/src/core/scheduling/catalog.rs
+++ b/src/core/scheduling/catalog.rs
@@ -1,24 +1,34 @@
-//! The machine types that the cloud offers, and which submissions can never run on any of them.
+//! The machine types that the cloud offers, and which submissions none of them can ever run.
 
 use crate::config::Config;
 use crate::core::model::resources::Resources;
 use crate::core::model::time::Time;
-use crate::core::scheduling::constraints::team_limits;
-use crate::core::scheduling::usage::{least_need, within};
+use crate::core::scheduling::constraints::{accepts_type, team_limits};
+use crate::core::scheduling::usage::{minimum_quota, within_limit};
 use crate::ids::TypeName;
 use crate::wire::{JobSpec, MachineType};
 
+/// Boot time assumed for a machine type that is not in the catalog, in seconds.
+const UNKNOWN_TYPE_BOOT_S: Time = 60.0;
+
+/// A boot is never assumed to be shorter than this, in seconds.
+const MIN_BOOT_S: Time = 1.0;
+
 /// The machine types, known to every controller.
 #[derive(Default)]
 pub struct Catalog {
+    /// The types; empty until they have been read.
     pub(crate) types: Vec<MachineType>,
+    /// When the cloud is to be queried next.
     pub(crate) next: Time,
+    /// Whether a query to the cloud is pending.
     pub(crate) asking: bool,
-    /// Not to be stored again before this.
+    /// The types are not written to the state service before this time.
     pub(crate) next_store: Time,
 }
 
 impl Catalog {
+    /// A catalog of the given types.
     #[cfg(test)]
     pub fn with_types(types: Vec<MachineType>) -> Self {
         Self {
@@ -27,79 +37,88 @@
         }
     }
 
+    /// Whether the machine types have been read.
     pub fn known(&self) -> bool {
         !self.types.is_empty()
     }
 
+    /// The machine types; empty while they are not known.
     pub fn types(&self) -> &[MachineType] {
         &self.types
     }
 
-    /// The state service refuses these types: they are not offered to it again.
+    /// The state service refused to store the types: the write is not repeated.
     pub fn not_storable(&mut self) {
-        tracing::error!("the state service refuses the machine types");
+        tracing::error!("state service refuses the machine types");
         self.next_store = Time::INFINITY;
     }
 
+    /// How long a machine of the type takes to boot, in seconds.
     pub fn boot_s(&self, name: &TypeName) -> Time {
-        self.types
-            .iter()
-            .find(|t| t.name == *name)
-            .map_or(60.0, |t| t.boot_s.max(1.0))
+        self.find(name).map_or(UNKNOWN_TYPE_BOOT_S, |of_type| {
+            of_type.boot_s.max(MIN_BOOT_S)
+        })
     }
 
+    /// Price of a machine of the type, as a spot instance or not; 0 for an unknown type.
     pub fn price(&self, name: &TypeName, spot: bool) -> f64 {
-        let of_type = self.types.iter().find(|t| t.name == *name);
-        of_type.map_or(0.0, |t| if spot { t.spot_price } else { t.price })
+        self.find(name).map_or(0.0, |of_type| price(of_type, spot))
     }
 
-    /// Whether a submission can never run; None while that cannot be told.
-    pub fn refusal(&self, config: &Config, spec: &JobSpec) -> Option<bool> {
+    /// Whether a submission can never run: no machine type can hold a task of it, or its team's limit
+    /// is too low. `None` while the machine types are not known.
+    pub fn can_never_run(&self, config: &Config, spec: &JobSpec) -> Option<bool> {
         if !self.known() {
             return None;
         }
         let Some(team_limits) = team_limits(config, spec) else {
             return Some(true);
         };
-        let (cpus, gpus) = least_need(spec);
-        let need = Resources::of(spec);
-        let fits = |t: &MachineType| {
-            spec.types
-                .as_ref()
-                .is_none_or(|types| types.contains(&t.name))
-                && total_room(t).holds(&need)
-        };
-        let allowed = within(cpus, team_limits.cpus_max) && within(gpus, team_limits.gpus_max);
-        Some(!allowed || !self.types.iter().any(fits))
+        let quota = minimum_quota(spec);
+        let is_within_quota = within_limit(quota.cpus, team_limits.cpus_max)
+            && within_limit(quota.gpus, team_limits.gpus_max);
+        let fits_some_type = self.types.iter().any(|of_type| can_hold(of_type, spec));
+        Some(!is_within_quota || !fits_some_type)
+    }
+
+    fn find(&self, name: &TypeName) -> Option<&MachineType> {
+        self.types.iter().find(|of_type| of_type.name == *name)
     }
 }
 
-/// Whether a task without GPUs could run on a machine that has none either: then it leaves the CPUs and
-/// memory that belong to free GPUs to tasks that need them.
+/// Price of a machine of a type, as a spot instance or not.
+pub fn price(of_type: &MachineType, spot: bool) -> f64 {
+    if spot {
+        of_type.spot_price
+    } else {
+        of_type.price
+    }
+}
+
+/// Whether an empty machine of the type can hold a task of the job, and the job accepts the type. Zones are
+/// not considered: a type may be offered in further zones later.
+pub fn can_hold(of_type: &MachineType, spec: &JobSpec) -> bool {
+    accepts_type(spec, &of_type.name) && total_resources(of_type).holds(&Resources::of(spec))
+}
+
+/// Whether a task needs no GPUs and some machine type without GPUs can hold it: then it can leave the
+/// CPUs and memory beside free GPUs to tasks that need GPUs.
 pub fn fits_without_gpus(types: &[MachineType], spec: &JobSpec) -> bool {
-    let need = Resources::of(spec);
-    let suits = |of_type: &MachineType| {
-        of_type.gpus <= 0.0
-            && spec
-                .types
-                .as_ref()
-                .is_none_or(|types| types.contains(&of_type.name))
-            && total_room(of_type).holds(&need)
-    };
-    need.gpus <= 0.0 && types.iter().any(suits)
+    let holds_without_gpus = |of_type: &MachineType| of_type.gpus <= 0.0 && can_hold(of_type, spec);
+    spec.gpus <= 0.0 && types.iter().any(holds_without_gpus)
 }
 
-/// All that a machine of a type has.
-pub fn total_room(of: &MachineType) -> Resources {
+/// All resources of a machine of the type.
+pub fn total_resources(of_type: &MachineType) -> Resources {
     Resources {
-        cpus: of.cpus,
-        gpus: of.gpus,
-        memory_gb: of.memory_gb,
+        cpus: of_type.cpus,
+        gpus: of_type.gpus,
+        memory_gb: of_type.memory_gb,
     }
 }
 
-/// How many tasks of this size fit on an empty machine of a type.
-pub fn tasks_per_machine(of: &MachineType, need: &Resources) -> f64 {
+/// How many tasks of this size fit on an empty machine of the type; a whole number.
+pub fn tasks_per_machine(of_type: &MachineType, need: &Resources) -> f64 {
     let per = |have: f64, need: f64| {
         if need > 0.0 {
             (have / need).floor()
@@ -107,9 +126,9 @@
             f64::MAX
         }
     };
-    per(of.cpus, need.cpus)
-        .min(per(of.gpus, need.gpus))
-        .min(per(of.memory_gb, need.memory_gb))
+    per(of_type.cpus, need.cpus)
+        .min(per(of_type.gpus, need.gpus))
+        .min(per(of_type.memory_gb, need.memory_gb))
 }
 
 #[cfg(test)]
--- a/src/core/scheduling/catalog/tests.rs
+++ b/src/core/scheduling/catalog/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::core::test_support::{config, service, types};
 
-/// Two kinds that have nothing in common: one without GPUs, one with little memory.
-fn unlike_kinds() -> Vec<MachineType> {
+/// Two types that have nothing in common: one without GPUs, one with little memory.
+fn disjoint_types() -> Vec<MachineType> {
     let g8 = types().remove(1);
     let without_gpus = MachineType {
         name: "c16".into(),
@@ -15,26 +15,26 @@
     vec![without_gpus, g8]
 }
 
-fn refusal(of_kinds: Vec<MachineType>, change: impl FnOnce(&mut JobSpec)) -> Option<bool> {
+fn can_never_run(types: Vec<MachineType>, change: impl FnOnce(&mut JobSpec)) -> Option<bool> {
     let mut job = (*service("chat", "x", 1.0)).clone();
     change(&mut job);
-    Catalog::with_types(of_kinds).refusal(&config(), &job)
+    Catalog::with_types(types).can_never_run(&config(), &job)
 }
 
 #[test]
-fn what_only_two_kinds_together_would_hold_can_never_run() {
-    assert_eq!(refusal(unlike_kinds(), |_| ()), Some(false));
+fn a_task_must_fit_on_one_machine_type() {
+    assert_eq!(can_never_run(disjoint_types(), |_| ()), Some(false));
     let memory_of_one = |job: &mut JobSpec| job.memory_gb = 512.0;
     assert_eq!(
-        refusal(unlike_kinds(), memory_of_one),
+        can_never_run(disjoint_types(), memory_of_one),
         Some(true),
         "GPUs of one, memory of the other"
     );
     let no_gpus = |job: &mut JobSpec| (job.gpus, job.memory_gb) = (0.0, 512.0);
-    assert_eq!(refusal(unlike_kinds(), no_gpus), Some(false));
-    let no_such_kind = |job: &mut JobSpec| job.types = Some(vec!["c16".into()]);
+    assert_eq!(can_never_run(disjoint_types(), no_gpus), Some(false));
+    let type_without_gpus = |job: &mut JobSpec| job.types = Some(vec!["c16".into()]);
     assert_eq!(
-        refusal(unlike_kinds(), no_such_kind),
+        can_never_run(disjoint_types(), type_without_gpus),
         Some(true),
         "it needs GPUs"
     );
@@ -42,38 +42,44 @@
 
 /// Neither says that the job can never run: images are fetched whatever the cache holds, and zones come back.
 #[test]
-fn large_images_and_kinds_without_a_zone_are_no_reason_to_refuse() {
+fn large_images_and_types_without_a_zone_do_not_make_a_job_infeasible() {
     assert_eq!(
-        refusal(unlike_kinds(), |job| job.image_gb = 5000.0),
+        can_never_run(disjoint_types(), |job| job.image_gb = 5000.0),
         Some(false)
     );
-    let mut nowhere = unlike_kinds();
-    nowhere.iter_mut().for_each(|kind| kind.zones.clear());
-    assert_eq!(refusal(nowhere, |_| ()), Some(false));
+    let mut nowhere = disjoint_types();
+    nowhere.iter_mut().for_each(|of_type| of_type.zones.clear());
+    assert_eq!(can_never_run(nowhere, |_| ()), Some(false));
 }
 
-/// One kind that left out its GPUs made the whole list unreadable, and every submission waited.
+/// A single type without a GPU field made the whole list unreadable, and every submission waited.
 #[test]
-fn a_kind_may_leave_its_gpus_out() {
-    let kind = |cards: &str| {
+fn a_machine_type_may_omit_its_gpus() {
+    let json = |cards: &str| {
         format!(r#"{{"label":"c16","cores":16.0,{cards}"memGb":64.0,"rate":0.58,"yards":["a"]}}"#)
     };
     for cards in ["", r#""cards":null,"#, r#""cards":0,"#] {
-        let read: MachineType = serde_json::from_str(&kind(cards)).unwrap();
+        let read: MachineType = serde_json::from_str(&json(cards)).unwrap();
         assert_eq!(read.gpus, 0.0, "{cards:?}");
     }
 }
 
 #[test]
-fn what_needs_no_gpus_fits_without_them_only_where_there_are_such_machines() {
-    let mut front = (*service("chat", "x", 1.0)).clone();
-    assert!(!fits_without_gpus(&unlike_kinds(), &front), "it needs GPUs");
-    front.gpus = 0.0;
-    assert!(fits_without_gpus(&unlike_kinds(), &front));
-    assert!(!fits_without_gpus(&types(), &front), "all kinds have GPUs");
-    front.cpus = 32.0;
+fn a_task_without_gpus_fits_without_them_only_if_such_a_type_exists() {
+    let mut service_spec = (*service("chat", "x", 1.0)).clone();
     assert!(
-        !fits_without_gpus(&unlike_kinds(), &front),
+        !fits_without_gpus(&disjoint_types(), &service_spec),
+        "it needs GPUs"
+    );
+    service_spec.gpus = 0.0;
+    assert!(fits_without_gpus(&disjoint_types(), &service_spec));
+    assert!(
+        !fits_without_gpus(&types(), &service_spec),
+        "all types have GPUs"
+    );
+    service_spec.cpus = 32.0;
+    assert!(
+        !fits_without_gpus(&disjoint_types(), &service_spec),
         "too large for those without"
     );
 }
--- a/src/core/scheduling/constraints.rs
+++ b/src/core/scheduling/constraints.rs
@@ -1,45 +1,58 @@
+//! Constraints of a single job: which machines it accepts and when it has to start.
+
 use crate::config::{Config, TeamLimits};
 use crate::core::jobs::job::Job;
 use crate::core::model::time::Time;
 use crate::ids::{TypeName, Zone};
 use crate::wire::JobSpec;
 
-/// Whether a machine of this type, zone and kind may run the job at all.
+/// Factor on the submitter's run time estimate when deciding by when a machine has to be ready.
+/// Estimates are often too low by half and sometimes by more, and a job that is late only because of an
+/// image fetch has still missed its objective.
+pub(crate) const RUN_TIME_ESTIMATE_MARGIN: f64 = 2.0;
+
+/// Whether the job accepts machines of this type and zone, spot instances or not.
 pub fn allowed(spec: &JobSpec, type_name: &TypeName, zone: &Zone, spot: bool) -> bool {
     (spec.spot || !spot)
-        && spec
-            .types
-            .as_ref()
-            .is_none_or(|types| types.contains(type_name))
+        && accepts_type(spec, type_name)
         && spec.zone.as_ref().is_none_or(|only| only == zone)
 }
 
-/// What a machine has to be ready for takes the owner's estimate this many times: estimates are
-/// often wrong by half, sometimes by more, and who is late by a fetch is late all the same.
-pub(crate) const ESTIMATE_MARGIN: f64 = 2.0;
+/// Whether the job accepts machines of this type, in any zone.
+pub fn accepts_type(spec: &JobSpec, type_name: &TypeName) -> bool {
+    spec.types
+        .as_ref()
+        .is_none_or(|types| types.contains(type_name))
+}
 
-/// When a job's start becomes late, if it runs for as long as its owner thinks.
-pub fn due(config: &Config, job: &Job) -> Time {
-    due_with(config, job, 1.0)
+/// When the job has to start at the latest to meet its objectives and its deadline, if it runs for as long
+/// as estimated.
+pub fn start_deadline(config: &Config, job: &Job) -> Time {
+    start_deadline_with_margin(config, job, 1.0)
 }
 
-pub(crate) fn due_with(config: &Config, job: &Job, margin: f64) -> Time {
+/// [`start_deadline`] with the estimated run time multiplied by `estimate_margin`.
+pub(crate) fn start_deadline_with_margin(config: &Config, job: &Job, estimate_margin: f64) -> Time {
     let spec = &job.spec;
-    let wait = config.wait_objective(&spec.class);
-    let finish = config
+    let wait_objective = config.wait_objective(&spec.class);
+    let finish_objective = config
         .finish_objective(&spec.class)
-        .map(|within| job.submitted + within);
-    let finish = [finish, job.deadline]
+        .map(|objective_s| job.submitted + objective_s);
+    let finish_deadline = [finish_objective, job.deadline]
         .into_iter()
         .flatten()
         .min_by(Time::total_cmp);
-    let finish = finish.map(|at| at - spec.estimate_s * margin);
-    let wait = wait.map(|within| job.submitted + within);
-    let due = [wait, finish].into_iter().flatten().min_by(Time::total_cmp);
-    // Without an objective, work is due one cancellation time after it came.
-    due.unwrap_or(job.submitted + config.deployment.workers.cancel_s)
+    let start_to_finish = finish_deadline.map(|at| at - spec.estimate_s * estimate_margin);
+    let start_objective = wait_objective.map(|objective_s| job.submitted + objective_s);
+    [start_objective, start_to_finish]
+        .into_iter()
+        .flatten()
+        .min_by(Time::total_cmp)
+        // Without an objective, a job should start within one cancellation time of its submission.
+        .unwrap_or(job.submitted + config.deployment.workers.cancel_s)
 }
 
+/// The limits of the job's team; `None` if the team is not configured.
 pub fn team_limits<'a>(config: &'a Config, spec: &JobSpec) -> Option<&'a TeamLimits> {
     config.team_limits(&spec.team)
 }
--- a/src/core/scheduling/forecast.rs
+++ b/src/core/scheduling/forecast.rs
@@ -1,4 +1,4 @@
-//! What is likely to arrive, judged by what arrived lately.
+//! Forecast of the jobs that are likely to be submitted soon, from recent submissions.
 
 use crate::config::Config;
 use crate::core::model::time::Time;
@@ -7,95 +7,141 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// What has arrived lately.
+/// Arrivals are averaged over this many boot times.
+const HISTORY_BOOTS: f64 = 3.0;
+
+/// Arrivals are kept for at most this many times `cancel_s`. Each arrival takes a write to the state
+/// service, whose rate therefore bounds their number.
+const HISTORY_CANCELS: f64 = 4.0;
+
+/// The shortest boot time that forecasts assume, in seconds.
+const MIN_BOOT_S: Time = 1.0;
+
+/// Recent submissions.
 pub struct Forecast {
-    arrivals: VecDeque<(Time, Rc<JobSpec>)>,
+    arrivals: VecDeque<Arrival>,
     /// Arrivals kept at most.
-    most: usize,
+    capacity: usize,
 }
 
-/// Arrivals are averaged over this many boot times.
-const HISTORY_BOOTS: f64 = 3.0;
+/// A submission.
+struct Arrival {
+    at: Time,
+    spec: Rc<JobSpec>,
+}
 
-/// Arrivals are kept for as many times `cancel_s` at most; each takes a change in the state service.
-const HISTORY_CANCELS: f64 = 4.0;
+/// Recent demand for an image whose fetch takes longer than a start may.
+pub struct ImageDemand {
+    /// The latest job that uses the image.
+    pub spec: Rc<JobSpec>,
+    /// Tasks of the image that arrived within the history.
+    pub recent_tasks: u32,
+}
 
 impl Forecast {
-    /// Nothing has arrived yet.
+    /// A forecast without any arrivals.
+    #[expect(
+        clippy::cast_possible_truncation,
+        clippy::cast_sign_loss,
+        reason = "a product of positive settings; the cast saturates"
+    )]
     pub fn new(config: &Config) -> Self {
         let deployment = &config.deployment;
-        let most = deployment.state.write_rps * deployment.workers.cancel_s * HISTORY_CANCELS;
+        let capacity = deployment.state.write_rps * deployment.workers.cancel_s * HISTORY_CANCELS;
         Self {
             arrivals: VecDeque::new(),
-            most: (most as usize).max(1),
+            capacity: (capacity as usize).max(1),
         }
     }
 
-    /// A job arrived, perhaps at another owner and a while ago.
+    /// Records that a job was submitted at `at`, possibly to another controller and some time ago.
     pub fn arrived(&mut self, spec: &Rc<JobSpec>, at: Time) {
-        if self.arrivals.len() >= self.most {
+        if self.arrivals.len() >= self.capacity {
             self.arrivals.pop_front();
         }
-        let place = self.arrivals.partition_point(|(other, _)| *other <= at);
-        self.arrivals.insert(place, (at, spec.clone()));
+        let position = self.arrivals.partition_point(|other| other.at <= at);
+        let spec = spec.clone();
+        self.arrivals.insert(position, Arrival { at, spec });
     }
 
-    /// A job that runs nowhere says nothing of what will be needed.
+    /// Forgets a job that cannot run anywhere: it does not predict demand.
     pub fn withdraw(&mut self, spec: &Rc<JobSpec>) {
-        self.arrivals.retain(|(_, other)| !Rc::ptr_eq(other, spec));
+        self.arrivals
+            .retain(|arrival| !Rc::ptr_eq(&arrival.spec, spec));
     }
 
-    /// Images for which a start is in time only where they are already, each with the job that
-    /// last asked for it and the number of its tasks that came within the history.
-    pub fn tight_images(
+    /// Recent demand for each image that has to be cached on a machine for a start to be in time.
+    pub fn images_to_keep_cached(
         &self,
         config: &Config,
         types: &[MachineType],
         now: Time,
-    ) -> BTreeMap<Image, (Rc<JobSpec>, u32)> {
-        let boot = longest_boot(types);
-        let mut images: BTreeMap<Image, (Rc<JobSpec>, u32)> = BTreeMap::new();
-        for (at, spec) in self.arrivals.iter().rev() {
-            if is_tight(config, types, spec) {
-                let fresh = || (spec.clone(), 0);
-                let entry = images.entry(spec.image.clone()).or_insert_with(fresh);
-                entry.1 += if now - at <= boot * HISTORY_BOOTS {
-                    spec.tasks
-                } else {
-                    0
-                };
+    ) -> BTreeMap<Image, ImageDemand> {
+        let window = longest_boot(types) * HISTORY_BOOTS;
+        let mut images: BTreeMap<Image, ImageDemand> = BTreeMap::new();
+        for Arrival { at, spec } in self.arrivals.iter().rev() {
+            if !needs_cached_image(config, types, spec) {
+                continue;
+            }
+            let demand = images
+                .entry(spec.image.clone())
+                .or_insert_with(|| ImageDemand {
+                    spec: spec.clone(),
+                    recent_tasks: 0,
+                });
+            if now - at <= window {
+                demand.recent_tasks += spec.tasks;
             }
         }
         images
     }
 
-    /// As many of the latest jobs of each class as arrive within a boot.
+    /// The jobs expected to arrive during one boot: of each class with a wait objective as many of the
+    /// latest ones as arrived per boot time.
     pub fn expected(&self, config: &Config, boot: Time, now: Time) -> Vec<Rc<JobSpec>> {
         let window = boot * HISTORY_BOOTS;
         let mut classes: BTreeMap<&str, Vec<&Rc<JobSpec>>> = BTreeMap::new();
-        for (at, spec) in self.arrivals.iter().rev() {
+        for Arrival { at, spec } in self.arrivals.iter().rev() {
             if now - at <= window && config.wait_objective(&spec.class).is_some() {
                 classes.entry(&spec.class).or_default().push(spec);
             }
         }
         let mut expected = Vec::new();
         for recent in classes.values() {
-            let count = (recent.len() as f64 / HISTORY_BOOTS).ceil() as usize;
+            let count = arrivals_per_boot(recent.len());
             expected.extend(recent.iter().take(count).map(|spec| (*spec).clone()));
         }
         expected
     }
 }
 
+/// Average number of arrivals in one boot time, rounded up.
+#[expect(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    reason = "a third of a collection's length"
+)]
+fn arrivals_per_boot(arrivals_in_history: usize) -> usize {
+    (arrivals_in_history as f64 / HISTORY_BOOTS).ceil() as usize
+}
+
+/// The longest boot time of the machine types, in seconds.
 pub fn longest_boot(types: &[MachineType]) -> Time {
-    types.iter().map(|t| t.boot_s).fold(1.0, f64::max)
+    types
+        .iter()
+        .map(|of_type| of_type.boot_s)
+        .fold(MIN_BOOT_S, f64::max)
 }
 
-/// Whether a replica's start is in time only where its image is already.
-pub fn is_tight(config: &Config, types: &[MachineType], spec: &JobSpec) -> bool {
-    let rate = types.iter().map(|t| t.fetch_gb_per_s).fold(0.0, f64::max);
-    let within = config.wait_objective(&spec.class);
-    spec.kind == Kind::Service && within.is_some_and(|s| s * rate < spec.image_gb)
+/// Whether a replica of the job can start within its objective only on a machine that has its image cached.
+pub fn needs_cached_image(config: &Config, types: &[MachineType], spec: &JobSpec) -> bool {
+    let fastest_fetch = types
+        .iter()
+        .map(|of_type| of_type.fetch_gb_per_s)
+        .fold(0.0, f64::max);
+    let objective = config.wait_objective(&spec.class);
+    spec.kind == Kind::Service
+        && objective.is_some_and(|objective_s| objective_s * fastest_fetch < spec.image_gb)
 }
 
 #[cfg(test)]
--- a/src/core/scheduling/forecast/tests.rs
+++ b/src/core/scheduling/forecast/tests.rs
@@ -1,23 +1,23 @@
 use super::*;
 use crate::core::test_support::{service, types};
 
-/// Only images that cannot be fetched in time make room worth holding back.
+/// Resources are worth reserving only for images that cannot be fetched in time.
 #[test]
-fn tight_images_are_those_a_fetch_makes_late() {
+fn images_to_keep_cached_are_those_whose_fetch_misses_the_start_objective() {
     let config = Config::parse(crate::config::TEST_SETTINGS).unwrap();
     let mut forecast = Forecast::new(&config);
     forecast.arrived(&service("chat", "large", 60.0), 50.0);
     forecast.arrived(&service("chat", "large", 60.0), 1.0);
     forecast.arrived(&service("chat", "small", 20.0), 50.0);
     forecast.arrived(&service("other", "huge", 90.0), 50.0);
-    let tight = forecast.tight_images(&config, &types(), 55.0);
+    let images = forecast.images_to_keep_cached(&config, &types(), 55.0);
     assert_eq!(
-        tight.keys().map(Image::as_str).collect::<Vec<_>>(),
+        images.keys().map(Image::as_str).collect::<Vec<_>>(),
         ["large"]
     );
     assert_eq!(
-        tight[&Image::from("large")].1,
+        images[&Image::from("large")].recent_tasks,
         2,
-        "the old arrival counts for no room"
+        "an arrival before the history is not counted"
     );
 }
--- a/src/core/scheduling/opportunistic.rs
+++ b/src/core/scheduling/opportunistic.rs
@@ -1,25 +1,25 @@
-//! Opportunistic work: best-effort jobs to which nothing was promised about when they start. They fill
-//! room that is free anyway and make way at once for everything else, so room that they take counts as
-//! free for other work. Machines are rented for them only where that pays off.
+//! Opportunistic work: best-effort jobs without an objective on when they start. They use resources that
+//! would be idle and are preempted at once for any other work, so the resources they use count as free for
+//! other work. Machines are rented for them only where that is cost-effective.
 
 use crate::config::Config;
 use crate::core::jobs::job::Job;
-use crate::core::machines::machine::Machine;
+use crate::core::machines::machine::{Machine, TrackedAttempt};
 use crate::core::messages::capacity_demand::MachineOffer;
 use crate::core::model::resources::Resources;
 use crate::core::model::time::Time;
-use crate::core::scheduling::catalog::{tasks_per_machine, total_room};
+use crate::core::scheduling::catalog::{can_hold, tasks_per_machine};
 use crate::core::scheduling::forecast::longest_boot;
 use crate::wire::{JobSpec, MachineType, Priority};
 
-/// A rental pays off up to this many times the lowest price that the task could run for.
-pub(crate) const PRICE_MARGIN: f64 = 1.5;
+/// A rental is cost-effective up to this many times the lowest price at which the task could run.
+const PRICE_MARGIN: f64 = 1.5;
 
-/// A rented machine has to have work for this many times as long as it takes to boot.
-pub(crate) const WORK_BOOTS: f64 = 2.0;
+/// A machine is rented only for work that keeps it busy for this many boot times.
+const MIN_WORK_BOOTS: f64 = 2.0;
 
-/// Whether a job of this kind is opportunistic if no other needs it: of the lowest priority, without a
-/// deadline, and of a class whose starts nobody waits for.
+/// Whether a job with this specification is opportunistic if no other job depends on it: of the lowest
+/// priority, without a deadline, and of a class without an objective on waiting.
 pub fn is_opportunistic(config: &Config, spec: &JobSpec) -> bool {
     spec.priority == Priority::Low
         && spec.deadline_s.is_none()
@@ -27,65 +27,65 @@
 }
 
 impl Job {
-    /// Whether it is opportunistic and no other job waits for it.
+    /// Whether the job is opportunistic and no other job depends on it.
     pub fn is_opportunistic(&self, config: &Config) -> bool {
         !self.needed && is_opportunistic(config, &self.spec)
     }
 }
 
 impl Machine {
-    /// Whether nothing but opportunistic work is on it, or nothing at all.
+    /// Whether every live attempt on the machine is opportunistic; true for an empty machine.
     pub fn holds_only_opportunistic(&self) -> bool {
         self.attempts
             .values()
             .all(|tracked| tracked.exited() || tracked.opportunistic)
     }
 
-    /// What opportunistic work takes that was not told to stop.
-    pub fn opportunistic_room(&self) -> Resources {
-        let running = self
-            .attempts
+    /// Resources of the opportunistic attempts that have not been told to stop.
+    pub fn opportunistic_resources(&self) -> Resources {
+        let is_running = |tracked: &&TrackedAttempt| {
+            !tracked.exited() && tracked.stop.is_none() && tracked.opportunistic
+        };
+        self.attempts
             .values()
-            .filter(|tracked| !tracked.exited() && tracked.stop.is_none() && tracked.opportunistic);
-        let rooms = running.filter_map(|tracked| tracked.resources);
-        rooms.fold(Resources::default(), |sum, room| sum.plus(&room))
+            .filter(is_running)
+            .filter_map(|tracked| tracked.resources)
+            .fold(Resources::default(), |sum, used| sum.plus(&used))
     }
 }
 
-/// How long one machine would be busy with this many tasks of a job, on whatever type that takes least.
-pub fn machine_time(types: &[MachineType], spec: &JobSpec, tasks: u32) -> Time {
+/// How long the tasks of a job would keep one machine busy, in seconds, on the type that holds most of
+/// them at once.
+pub fn machine_seconds(types: &[MachineType], spec: &JobSpec, tasks: u32) -> Time {
     let need = Resources::of(spec);
-    let per_machine = types
+    let most_at_once = types
         .iter()
-        .map(|of_type| tasks_per_machine(of_type, &need));
-    let most = per_machine.fold(1.0, f64::max);
-    f64::from(tasks) * spec.estimate_s / most
+        .map(|of_type| tasks_per_machine(of_type, &need))
+        .fold(1.0, f64::max);
+    f64::from(tasks) * spec.estimate_s / most_at_once
 }
 
-/// How many machines are worth renting for work that would keep one busy for this long.
-pub fn rentals_worth(types: &[MachineType], busy: Time) -> u32 {
-    (busy / (longest_boot(types) * WORK_BOOTS)).floor() as u32
+/// How many machines are worth renting for work of this many machine seconds.
+#[expect(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    reason = "a quotient of times that are not negative; the cast saturates"
+)]
+pub fn worthwhile_rentals(types: &[MachineType], machine_seconds: Time) -> u32 {
+    (machine_seconds / (longest_boot(types) * MIN_WORK_BOOTS)).floor() as u32
 }
 
-/// Whether a machine of this kind runs the job nearly as cheaply as anything could. Only spot machines
-/// are cheap enough, and not all of them.
-pub fn is_cheap(types: &[MachineType], offer: &MachineOffer, spec: &JobSpec) -> bool {
-    let MachineOffer {
-        type_name, spot, ..
-    } = offer;
+/// Whether the offer's price per task is within [`PRICE_MARGIN`] of the lowest one of any type that can
+/// hold the job. Only spot instances are.
+pub fn is_cost_effective(types: &[MachineType], offer: &MachineOffer, spec: &JobSpec) -> bool {
     let need = Resources::of(spec);
-    let price = |t: &MachineType| t.spot_price / tasks_per_machine(t, &need);
-    let runs = |t: &&MachineType| {
-        spec.types
-            .as_ref()
-            .is_none_or(|types| types.contains(&t.name))
-            && total_room(t).holds(&need)
-    };
-    let least = types
+    let price_per_task =
+        |of_type: &MachineType| of_type.spot_price / tasks_per_machine(of_type, &need);
+    let lowest = types
         .iter()
-        .filter(runs)
-        .map(price)
+        .filter(|of_type| can_hold(of_type, spec))
+        .map(price_per_task)
         .fold(f64::INFINITY, f64::min);
-    let of_type = types.iter().find(|t| t.name == *type_name);
-    *spot && of_type.is_some_and(|t| price(t) <= least * PRICE_MARGIN)
+    let offered = types.iter().find(|of_type| of_type.name == offer.type_name);
+    offer.spot && offered.is_some_and(|of_type| price_per_task(of_type) <= lowest * PRICE_MARGIN)
 }
--- /dev/null
+++ b/src/core/scheduling/packing/candidate.rs
@@ -0,0 +1,98 @@
+//! The input of a packing plan: tasks that need resources, and machines that may offer them.
+
+use crate::core::jobs::job::Job;
+use crate::core::messages::capacity_demand::MachineOffer;
+use crate::core::model::resources::Resources;
+use crate::core::scheduling::catalog::fits_without_gpus;
+use crate::ids::{MachineId, Zone};
+use crate::wire::{JobSpec, MachineType, Priority};
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+
+/// Tasks of one job that a plan has to place.
+pub struct TaskDemand {
+    /// The job.
+    pub spec: Rc<JobSpec>,
+    /// How many tasks there are.
+    pub count: u32,
+    /// How many of the job's other tasks are in each zone. A plan that ignored them could place tasks in
+    /// a zone that the job's constraints exclude, and would never ask for the machines they need.
+    pub tasks_in_zone: BTreeMap<Zone, u32>,
+    /// Machines that the job avoids. A plan that placed it there would never ask for another machine.
+    pub avoided: BTreeSet<MachineId>,
+    /// Priority of a job that is queued; `None` if it is only forecast.
+    pub urgency: Option<Priority>,
+    /// Whether the tasks avoid stranding GPUs: they leave the CPUs and memory that free GPUs need, and
+    /// no machines with GPUs are rented for them.
+    pub avoids_stranding_gpus: bool,
+}
+
+impl TaskDemand {
+    /// Tasks of a job that is only forecast, and so has no tasks on any machine.
+    pub fn expected(types: &[MachineType], spec: Rc<JobSpec>, count: u32) -> Self {
+        let avoids_stranding_gpus = fits_without_gpus(types, &spec);
+        Self {
+            spec,
+            count,
+            tasks_in_zone: BTreeMap::new(),
+            avoided: BTreeSet::new(),
+            urgency: None,
+            avoids_stranding_gpus,
+        }
+    }
+
+    /// Queued tasks of a job.
+    pub fn queued(job: &Job, count: u32, avoids_stranding_gpus: bool) -> Self {
+        Self {
+            spec: job.spec.clone(),
+            count,
+            tasks_in_zone: job.zones.clone(),
+            avoided: job.failures.avoided().cloned().unwrap_or_default(),
+            urgency: Some(job.priority),
+            avoids_stranding_gpus,
+        }
+    }
+}
+
+/// A machine that a plan may place tasks on: one that exists or one to be rented.
+pub struct PackingCandidate {
+    /// The machine; `None` if it is to be rented.
+    pub machine: Option<MachineId>,
+    /// Its type, zone and whether it is a spot instance.
+    pub offer: MachineOffer,
+    /// Resources beside the tasks on it and those planned there. Resources of opportunistic tasks count
+    /// as free until [`crate::core::scheduling::packing::Plan::reserve_opportunistic`] is called.
+    pub free: Resources,
+    /// All resources of the machine.
+    pub total: Resources,
+    /// The part of `free` that opportunistic tasks use at present.
+    pub opportunistic: Resources,
+    /// Whether tasks other than opportunistic ones are on it or planned there.
+    pub is_in_use: bool,
+    /// Whether it is being drained: it is used only if no other machine suffices.
+    pub is_draining: bool,
+    /// Whether queued or forecast tasks are planned there.
+    pub has_planned_tasks: bool,
+    /// Whether queued tasks are planned there.
+    pub has_queued_tasks: bool,
+    /// Whether opportunistic tasks are planned there.
+    pub has_opportunistic_tasks: bool,
+}
+
+impl PackingCandidate {
+    /// A candidate without tasks and without any resources.
+    pub fn empty(machine: Option<MachineId>, offer: MachineOffer) -> Self {
+        Self {
+            machine,
+            offer,
+            free: Resources::default(),
+            total: Resources::default(),
+            opportunistic: Resources::default(),
+            is_in_use: false,
+            is_draining: false,
+            has_planned_tasks: false,
+            has_queued_tasks: false,
+            has_opportunistic_tasks: false,
+        }
+    }
+}
--- a/src/core/scheduling/placement.rs
+++ b/src/core/scheduling/placement.rs
@@ -1,19 +1,24 @@
-//! Best fit: among the machines that suffice, the one whose remaining GPU room is the smallest;
-//! ties, and tasks without GPUs, go to the machine left with the lowest weighted sum of free CPU
-//! and memory fractions. Pure: it looks at candidates and picks one.
+//! Best-fit bin packing of a single task: among the machines that suffice, the one with the fewest
+//! free GPUs is chosen. Ties, and tasks without GPUs, go to the machine left with the lowest weighted
+//! sum of its free CPU and memory fractions. The functions only look at candidates and pick one.
 //!
-//! A machine's CPUs and memory are there for its GPUs too: what a task without GPUs takes of them may leave
-//! GPUs that nothing can use. So where machines without GPUs are to be had, a machine with GPUs suffices
-//! for such a task only beside the part of its CPUs and memory that its free GPUs keep
-//! ([`Resources::beside_free_gpus`]).
+//! CPUs and memory of a GPU machine are needed to use its GPUs, so a task without GPUs can strand
+//! GPUs by taking them. Where machines without GPUs can be rented, a GPU machine therefore offers such a
+//! task only the CPUs and memory that its free GPUs do not need ([`Resources::beside_free_gpus`]).
 
 use crate::core::model::resources::Resources;
 use crate::core::model::time::Time;
 
-/// Weights of the tie-break.
+/// Candidates that are ready within this factor of the soonest one count as equally soon, because
+/// the times are estimates.
+const EQUALLY_SOON_FACTOR: f64 = 1.1;
+
+/// Weights of the free fractions that break ties between machines with equally many free GPUs.
 #[derive(Clone, Copy, Debug)]
 pub struct Weights {
+    /// Weight of the fraction of CPUs left free.
     pub cpu: f64,
+    /// Weight of the fraction of memory left free.
     pub memory: f64,
 }
 
@@ -26,65 +31,90 @@
     }
 }
 
-/// A machine that satisfies the task's rules.
+/// A machine that satisfies the task's constraints.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
+    /// Resources that the task may use.
     pub free: Resources,
+    /// All resources of the machine.
     pub total: Resources,
     /// Seconds until the task could run there.
     pub ready_in: Time,
 }
 
-/// What to do when no machine could run the task in time.
+/// How to choose among the soonest machines when none is ready before the start deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Late {
-    /// Best fit among the soonest.
+pub enum LateStartPolicy {
+    /// The machine that is left with the least free resources.
     BestFit,
-    /// Among the soonest the one with the most room, so that the image it has to fetch is there
-    /// for the next of its kind, which then is in time.
-    MostRoom,
+    /// The machine that is left with the most free resources, so that further tasks with the image
+    /// that has to be fetched there can start in time.
+    WorstFit,
 }
 
-/// Picks a candidate. One that could not run the task within `slack` does not suffice while
-/// another does; if none does, the soonest ones are left to choose from.
+/// Picks a candidate and returns its index. A candidate that is not ready within
+/// `time_to_deadline` seconds is considered only if none is; then the soonest ones compete under
+/// `late_start`. Returns `None` if no candidate has the needed resources free.
 pub fn best_fit(
     need: &Resources,
     candidates: &[Candidate],
-    slack: Time,
-    late: Late,
+    time_to_deadline: Time,
+    late_start: LateStartPolicy,
     weights: Weights,
 ) -> Option<usize> {
-    let fits = |c: &&Candidate| c.free.holds(need);
     let soonest = candidates
         .iter()
-        .filter(fits)
-        .map(|c| c.ready_in)
+        .filter(|candidate| candidate.free.holds(need))
+        .map(|candidate| candidate.ready_in)
         .min_by(Time::total_cmp)?;
-    // Times are estimates: those within a tenth of the soonest are as good.
-    let limit = if soonest <= slack {
-        slack
+    let is_late = soonest > time_to_deadline;
+    let ready_limit = if soonest <= time_to_deadline {
+        time_to_deadline
     } else {
-        soonest * 1.1
+        soonest * EQUALLY_SOON_FACTOR
     };
-    let suffices = |(_, c): &(usize, &Candidate)| c.free.holds(need) && c.ready_in <= limit;
-    let key = |c: &Candidate| {
-        let left = c.free.less(need);
+    let suffices =
+        |candidate: &Candidate| candidate.free.holds(need) && candidate.ready_in <= ready_limit;
+    let worst_fit = late_start == LateStartPolicy::WorstFit && is_late;
+    candidates
+        .iter()
+        .enumerate()
+        .filter(|(_, candidate)| suffices(candidate))
+        .min_by(|(_, first), (_, second)| {
+            let first = Leftover::of(first, need, weights);
+            let second = Leftover::of(second, need, weights);
+            if worst_fit {
+                second.total_cmp(&first)
+            } else {
+                first.total_cmp(&second)
+            }
+        })
+        .map(|(index, _)| index)
+}
+
+/// What a placement would leave free on a machine.
+struct Leftover {
+    gpus: f64,
+    /// Weighted sum of the free fractions of CPUs and memory.
+    weighted_fraction: f64,
+}
+
+impl Leftover {
+    fn of(candidate: &Candidate, need: &Resources, weights: Weights) -> Self {
+        let left = candidate.free.less(need);
         let fraction = |left: f64, total: f64| if total > 0.0 { left / total } else { 0.0 };
-        let rest = weights.cpu * fraction(left.cpus, c.total.cpus)
-            + weights.memory * fraction(left.memory_gb, c.total.memory_gb);
-        (left.gpus, rest)
-    };
-    let most_room = late == Late::MostRoom && soonest > slack;
-    let all = candidates.iter().enumerate().filter(suffices);
-    all.min_by(|(_, a), (_, b)| {
-        let (a, b) = if most_room {
-            (key(b), key(a))
-        } else {
-            (key(a), key(b))
-        };
-        a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1))
-    })
-    .map(|(index, _)| index)
+        let weighted_fraction = weights.cpu * fraction(left.cpus, candidate.total.cpus)
+            + weights.memory * fraction(left.memory_gb, candidate.total.memory_gb);
+        Self {
+            gpus: left.gpus,
+            weighted_fraction,
+        }
+    }
+
+    fn total_cmp(&self, other: &Self) -> std::cmp::Ordering {
+        let by_gpus = self.gpus.total_cmp(&other.gpus);
+        by_gpus.then(self.weighted_fraction.total_cmp(&other.weighted_fraction))
+    }
 }
 
 #[cfg(test)]
--- a/src/core/scheduling/placement/tests.rs
+++ b/src/core/scheduling/placement/tests.rs
@@ -23,19 +23,25 @@
     memory_gb: 10.0,
 };
 
-fn pick(candidates: &[Candidate], slack: Time) -> Option<usize> {
-    best_fit(&NEED, candidates, slack, Late::BestFit, Weights::default())
+fn pick(candidates: &[Candidate], time_to_deadline: Time) -> Option<usize> {
+    best_fit(
+        &NEED,
+        candidates,
+        time_to_deadline,
+        LateStartPolicy::BestFit,
+        Weights::default(),
+    )
 }
 
 #[test]
-fn least_gpu_room_that_suffices_wins() {
+fn best_fit_leaves_the_fewest_free_gpus() {
     let all = [
         candidate(8.0, 32.0, 0.0),
         candidate(3.0, 32.0, 0.0),
         candidate(1.0, 32.0, 0.0),
     ];
     assert_eq!(pick(&all, 10.0), Some(1));
-    assert_eq!(pick(&all[2..], 10.0), None, "GPU room is never overbooked");
+    assert_eq!(pick(&all[2..], 10.0), None, "GPUs are never overcommitted");
     assert_eq!(
         pick(&[candidate(4.0, 3.0, 0.0)], 10.0),
         None,
@@ -44,7 +50,7 @@
 }
 
 #[test]
-fn ties_go_to_the_machine_left_with_least_cpu_and_memory() {
+fn ties_go_to_the_machine_left_with_the_least_cpu_and_memory() {
     assert_eq!(
         pick(&[candidate(4.0, 30.0, 0.0), candidate(4.0, 8.0, 0.0)], 10.0),
         Some(1)
@@ -52,31 +58,39 @@
 }
 
 #[test]
-fn a_machine_that_is_ready_too_late_does_not_suffice() {
+fn a_machine_ready_after_the_start_deadline_does_not_suffice() {
     let all = [candidate(2.0, 8.0, 30.0), candidate(8.0, 32.0, 5.0)];
     assert_eq!(pick(&all, 10.0), Some(1));
     assert_eq!(pick(&all, 40.0), Some(0));
     assert_eq!(pick(&all, 1.0), Some(1), "if none suffices, the soonest");
     let cold = [candidate(2.0, 8.0, 30.0), candidate(8.0, 32.0, 30.0)];
-    let pick = |slack| best_fit(&NEED, &cold, slack, Late::MostRoom, Weights::default());
+    let pick = |time_to_deadline| {
+        best_fit(
+            &NEED,
+            &cold,
+            time_to_deadline,
+            LateStartPolicy::WorstFit,
+            Weights::default(),
+        )
+    };
     assert_eq!(
         (pick(40.0), pick(10.0)),
         (Some(0), Some(1)),
-        "room where the image will be"
+        "worst fit leaves resources where the image will be"
     );
 }
 
-/// Front services took the CPUs of machines with GPUs, so that a ninth of the GPUs could not be used and
-/// others were rented in their place.
+/// Services without GPUs took the CPUs of GPU machines: a ninth of the GPUs was stranded, and others were
+/// rented in their place.
 #[test]
-fn free_gpus_keep_their_part_of_cpus_and_memory() {
+fn free_gpus_keep_their_share_of_cpus_and_memory() {
     let total = Resources {
         cpus: 48.0,
         gpus: 8.0,
         memory_gb: 192.0,
     };
     assert!(
-        !total.beside_free_gpus(&total).holds(&FRONT),
+        !total.beside_free_gpus(&total).holds(&CPU_TASK),
         "all of it belongs to its GPUs"
     );
     let half_used = Resources {
@@ -86,7 +100,7 @@
     };
     let left = half_used.beside_free_gpus(&total);
     assert_eq!((left.cpus, left.gpus, left.memory_gb), (8.0, 4.0, 50.0));
-    assert!(left.holds(&FRONT.times(4)) && !left.holds(&FRONT.times(5)));
+    assert!(left.holds(&CPU_TASK.times(4)) && !left.holds(&CPU_TASK.times(5)));
     let without_gpus = Resources {
         cpus: 16.0,
         gpus: 0.0,
@@ -95,17 +109,25 @@
     assert_eq!(without_gpus.beside_free_gpus(&without_gpus), without_gpus);
 }
 
-const FRONT: Resources = Resources {
+const CPU_TASK: Resources = Resources {
     cpus: 2.0,
     gpus: 0.0,
     memory_gb: 5.8,
 };
 
 #[test]
-fn a_task_without_gpus_goes_where_least_gpu_room_is_left() {
+fn a_task_without_gpus_goes_where_the_fewest_gpus_are_free() {
     let with_gpus = candidate(4.0, 3.0, 0.0);
     let without = candidate(0.0, 30.0, 0.0);
-    let pick = |all: &[Candidate]| best_fit(&FRONT, all, 10.0, Late::BestFit, Weights::default());
+    let pick = |all: &[Candidate]| {
+        best_fit(
+            &CPU_TASK,
+            all,
+            10.0,
+            LateStartPolicy::BestFit,
+            Weights::default(),
+        )
+    };
     assert_eq!(
         pick(&[with_gpus, without]),
         Some(1),
--- a/src/core/scheduling/usage.rs
+++ b/src/core/scheduling/usage.rs
@@ -1,4 +1,5 @@
-//! Teams' guarantees and limits, against everything that may be on a machine.
+//! Teams' quotas: what they use, what they are guaranteed, and what their limits and grants allow. Usage
+//! includes everything that may be on a machine.
 
 use crate::config::{Config, TeamLimits};
 use crate::core::model::resources::Resources;
@@ -7,293 +8,317 @@
 use quota_ledger::{Amount, Limit};
 use std::collections::{BTreeMap, BTreeSet};
 
-pub(crate) const EPSILON: f64 = 1e-6;
+/// Tolerance for rounding errors in sums of CPUs and GPUs.
+const EPSILON: f64 = 1e-6;
 
-/// CPUs and GPUs together.
+/// An amount of the resources that quotas count.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct QuotaUnits {
+    /// CPUs.
     pub(crate) cpus: f64,
+    /// GPUs.
     pub(crate) gpus: f64,
 }
 
 impl QuotaUnits {
-    pub(crate) fn of(need: &Resources) -> Self {
+    fn of(need: &Resources) -> Self {
         Self {
             cpus: need.cpus,
             gpus: need.gpus,
         }
     }
 
-    pub(crate) fn add(&mut self, other: Self) {
+    fn add(&mut self, other: Self) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
     }
 
-    pub(crate) fn times(self, count: usize) -> Self {
+    fn times(self, count: usize) -> Self {
         Self {
             cpus: self.cpus * count as f64,
             gpus: self.gpus * count as f64,
         }
     }
 
-    pub(crate) fn amount(self) -> Amount {
+    fn amount(self) -> Amount {
         Amount::covering(self.cpus, self.gpus)
     }
 }
 
 /// What one team may be using.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct TeamUsage {
-    /// All of it.
-    pub(crate) all: QuotaUnits,
-    /// The part that was started here since the team was gained.
-    pub(crate) own: QuotaUnits,
-    /// What was started here may not pass our grant.
-    pub(crate) ceiling: Option<Amount>,
-    /// Nor can our grant pass this, as long as others hold what they hold.
-    pub(crate) reachable: Option<Amount>,
-    /// What waits beyond the ceiling though the limit allows it, and the first of that.
-    pub(crate) lacking: QuotaUnits,
-    pub(crate) first_lacking: QuotaUnits,
+struct TeamUsage {
+    /// Everything that may be on a machine.
+    total: QuotaUnits,
+    /// The part of it that this process started since it gained the team.
+    own: QuotaUnits,
+    /// The grant, which `own` must not exceed; `None` if no grant applies.
+    granted: Option<Amount>,
+    /// The most that the grant can be raised to while other holders keep theirs.
+    grantable: Option<Amount>,
+    /// Tasks that the limit allows and that wait for a larger grant.
+    blocked: QuotaUnits,
+    /// The first of the tasks in `blocked`.
+    first_blocked: QuotaUnits,
 }
 
 impl TeamUsage {
-    /// How many of `most` tasks more what was started here may grow by within `bound`.
-    pub(crate) fn own_within(
+    /// How many of `max_tasks` further tasks can be started here with `own` staying within `bound`.
+    fn tasks_within(
         &self,
         bound: Option<Amount>,
         team_limits: &TeamLimits,
         need: &Resources,
-        most: usize,
+        max_tasks: usize,
     ) -> usize {
-        let Some(bound) = bound else { return most };
+        let Some(bound) = bound else {
+            return max_tasks;
+        };
         let limit = limit_of(team_limits);
-        fitting(most, |count| {
+        largest_allowed(max_tasks, |count| {
             let mut own = self.own;
             own.add(QuotaUnits::of(need).times(count));
             bound.covers(&limit.limited(&own.amount()))
         })
     }
+
+    /// Applies a grant while other holders have grants outstanding. What was inherited counts up to what
+    /// they were granted; if the team's usage `is_unknown`, it counts as all of that.
+    fn apply_grant(&mut self, limit: &Limit, own: Amount, outstanding: &Amount, is_unknown: bool) {
+        self.granted = Some(own);
+        self.grantable = Some(limit.amount().less(outstanding).max(&own));
+        let (cpus, gpus) = outstanding.units();
+        let inherited = |counted: f64, granted: f64, is_limited: bool| match is_limited {
+            true if is_unknown => granted,
+            true => counted.min(granted),
+            false => counted,
+        };
+        let limited = limit.amount();
+        let inherited = QuotaUnits {
+            cpus: inherited(
+                self.total.cpus - self.own.cpus,
+                cpus,
+                limited.cpu_thousandths > 0,
+            ),
+            gpus: inherited(
+                self.total.gpus - self.own.gpus,
+                gpus,
+                limited.gpu_thousandths > 0,
+            ),
+        };
+        self.total = self.own;
+        self.total.add(inherited);
+    }
 }
 
 /// What each team may be using at this moment.
 #[derive(Debug, Default)]
 pub struct Usage {
-    pub(crate) teams: BTreeMap<Team, TeamUsage>,
-    /// Of these it is not known what they use: those with limits start nothing.
-    pub(crate) closed: BTreeSet<Team>,
-    /// Of these it is not known whether there is a record of grants: they start nothing.
-    pub(crate) undecided: BTreeSet<Team>,
+    teams: BTreeMap<Team, TeamUsage>,
+    /// Teams whose usage is unknown: those with limits start nothing.
+    unknown_usage: BTreeSet<Team>,
+    /// Teams of which it is unknown whether they have a record of grants: they start nothing.
+    unknown_grants: BTreeSet<Team>,
 }
 
 impl Usage {
-    /// More that was started here.
+    /// Adds resources of tasks that this process started.
     pub fn add(&mut self, team: &Team, cpus: f64, gpus: f64) {
         let used = self.teams.entry(team.clone()).or_default();
-        used.all.add(QuotaUnits { cpus, gpus });
+        used.total.add(QuotaUnits { cpus, gpus });
         used.own.add(QuotaUnits { cpus, gpus });
     }
 
-    /// Many tasks more that were started here.
+    /// Adds `count` equal tasks that this process started.
     pub fn add_tasks(&mut self, team: &Team, need: &Resources, count: usize) {
         let QuotaUnits { cpus, gpus } = QuotaUnits::of(need).times(count);
         self.add(team, cpus, gpus);
     }
 
-    /// More that a former owner of the team may have started.
+    /// Adds resources of tasks that a previous owner of the team may have started.
     pub(crate) fn add_inherited(&mut self, team: &Team, cpus: f64, gpus: f64) {
         self.teams
             .entry(team.clone())
             .or_default()
-            .all
+            .total
             .add(QuotaUnits { cpus, gpus });
     }
 
-    pub fn close(&mut self, team: &Team) {
-        self.closed.insert(team.clone());
+    /// Marks the usage of a team as unknown.
+    pub fn mark_unknown(&mut self, team: &Team) {
+        self.unknown_usage.insert(team.clone());
     }
 
+    /// GPUs that the team may be using.
     #[cfg(test)]
     pub fn gpus(&self, team: &Team) -> f64 {
-        self.of(team).gpus
+        self.total(team).gpus
     }
 
-    pub(crate) fn of(&self, team: &Team) -> QuotaUnits {
+    fn total(&self, team: &Team) -> QuotaUnits {
         self.teams
             .get(team)
-            .map(|used| used.all)
+            .map(|used| used.total)
             .unwrap_or_default()
     }
 
-    /// The same without regard to grants.
+    /// The same usage with limits applied but grants ignored.
     pub fn without_grants(mut self) -> Self {
         for used in self.teams.values_mut() {
-            used.ceiling = None;
-            used.reachable = None;
+            used.granted = None;
+            used.grantable = None;
         }
-        self.undecided.clear();
+        self.unknown_grants.clear();
         self
     }
 
-    /// Whether the team may use this much more without passing its limit and our grant.
+    /// Whether the team may use this much more within both its limit and its grant.
+    #[cfg(test)]
     pub fn allows(&self, team_limits: &TeamLimits, cpus: f64, gpus: f64) -> bool {
         let need = Resources {
             cpus,
             gpus,
             ..Resources::default()
         };
-        self.room_in_limit(team_limits, &need, 1) == 1
-            && self.covered_by_grant(team_limits, &need, 1) == 1
+        self.tasks_within_limit(team_limits, &need, 1) == 1
+            && self.tasks_within_grant(team_limits, &need, 1) == 1
     }
 
-    pub(crate) fn is_closed(&self, team_limits: &TeamLimits) -> bool {
-        let closed = limit_of(team_limits).is_limited() && self.closed.contains(&team_limits.name);
-        closed || self.undecided.contains(&team_limits.name)
+    /// Whether the team may start nothing because its usage or its grant is unknown.
+    fn is_blocked(&self, team_limits: &TeamLimits) -> bool {
+        let is_unknown = self.unknown_usage.contains(&team_limits.name);
+        (limit_of(team_limits).is_limited() && is_unknown)
+            || self.unknown_grants.contains(&team_limits.name)
     }
 
-    pub(crate) fn covered_by_grant(
+    /// How many of `max_tasks` further tasks the team's grant covers.
+    fn tasks_within_grant(
         &self,
         team_limits: &TeamLimits,
         need: &Resources,
-        most: usize,
+        max_tasks: usize,
     ) -> usize {
         let used = self.teams.get(&team_limits.name);
-        used.map_or(most, |used| {
-            used.own_within(used.ceiling, team_limits, need, most)
+        used.map_or(max_tasks, |used| {
+            used.tasks_within(used.granted, team_limits, need, max_tasks)
         })
     }
 
-    /// How many of `most` tasks fit into the team's limit, less what is granted to others.
-    pub fn room_in_limit(&self, team_limits: &TeamLimits, need: &Resources, most: usize) -> usize {
-        if self.is_closed(team_limits) {
+    /// How many of `max_tasks` further tasks fit into the team's limit, less what is granted to others.
+    pub fn tasks_within_limit(
+        &self,
+        team_limits: &TeamLimits,
+        need: &Resources,
+        max_tasks: usize,
+    ) -> usize {
+        if self.is_blocked(team_limits) {
             return 0;
         }
         let of_team = self.teams.get(&team_limits.name);
-        let reachable = of_team.map_or(most, |used| {
-            used.own_within(used.reachable, team_limits, need, most)
+        let grantable = of_team.map_or(max_tasks, |used| {
+            used.tasks_within(used.grantable, team_limits, need, max_tasks)
         });
-        let used = self.of(&team_limits.name);
-        fitting(reachable, |count| {
+        let used = self.total(&team_limits.name);
+        largest_allowed(grantable, |count| {
             let more = QuotaUnits::of(need).times(count);
-            within(used.cpus + more.cpus, team_limits.cpus_max)
-                && within(used.gpus + more.gpus, team_limits.gpus_max)
+            within_limit(used.cpus + more.cpus, team_limits.cpus_max)
+                && within_limit(used.gpus + more.gpus, team_limits.gpus_max)
         })
     }
 
-    /// How many of `most` tasks that would be started now our grant covers: all or none of them if
-    /// they are to be `whole`. Notes what it holds back.
-    pub fn room_in_grant(
+    /// How many of `max_tasks` tasks may be started now under the team's grant; for a gang all or none.
+    /// Records the tasks that have to wait for a larger grant.
+    pub fn admit_under_grant(
         &mut self,
         team_limits: &TeamLimits,
         need: &Resources,
-        most: usize,
-        whole: bool,
+        max_tasks: usize,
+        is_gang: bool,
     ) -> usize {
-        let covered = self.covered_by_grant(team_limits, need, most);
+        let covered = self.tasks_within_grant(team_limits, need, max_tasks);
         let need = QuotaUnits::of(need);
-        if covered == most {
-            return most;
+        if covered == max_tasks {
+            return max_tasks;
         }
-        let room = if whole { 0 } else { covered };
+        let admitted = if is_gang { 0 } else { covered };
         let used = self.teams.entry(team_limits.name.clone()).or_default();
-        if used.lacking == QuotaUnits::default() {
-            used.first_lacking = need.times(if whole { most } else { 1 });
+        if used.blocked == QuotaUnits::default() {
+            used.first_blocked = need.times(if is_gang { max_tasks } else { 1 });
         }
-        used.lacking.add(need.times(most - room));
-        room
+        used.blocked.add(need.times(max_tasks - admitted));
+        admitted
     }
 
-    /// Whether it is known what the team uses.
+    /// Whether both the team's usage and its grant are known.
     pub fn is_known(&self, team: &Team) -> bool {
-        !self.closed.contains(team) && !self.undecided.contains(team)
+        !self.unknown_usage.contains(team) && !self.unknown_grants.contains(team)
     }
 
-    /// What our grant of a team covers, and what those of former owners do.
-    pub fn under_grants(&self, team: &Team) -> (Amount, Amount) {
+    /// What counts against this process's grant for the team, and what against the grants of previous
+    /// owners.
+    pub fn own_and_inherited(&self, team: &Team) -> (Amount, Amount) {
         let Some(used) = self.teams.get(team) else {
             return Default::default();
         };
         let own = used.own.amount();
-        (own, used.all.amount().less(&own))
+        (own, used.total.amount().less(&own))
     }
 
-    /// What waits for a larger grant only, and the first of that.
-    pub fn lacking(&self, team: &Team) -> (Amount, Amount) {
+    /// All tasks of the team that wait only for a larger grant, and the first of them.
+    pub fn blocked_by_grant(&self, team: &Team) -> (Amount, Amount) {
         let Some(used) = self.teams.get(team) else {
             return Default::default();
         };
-        (used.lacking.amount(), used.first_lacking.amount())
+        (used.blocked.amount(), used.first_blocked.amount())
     }
 
-    /// Counts a team by its grants: what former owners started is at most what was granted to them,
-    /// and once nothing is granted to them any more, all that runs is ours.
+    /// Counts a team by its grants: previous owners' tasks use at most what was granted to them, and once
+    /// nothing is granted to them any more, all running tasks are this process's.
     pub(crate) fn count_by_grants(&mut self, team_limits: &TeamLimits, basis: Basis) {
-        let limit = limit_of(team_limits);
-        let closed = self.closed.contains(&team_limits.name);
+        let is_unknown = self.unknown_usage.contains(&team_limits.name);
         let used = self.teams.entry(team_limits.name.clone()).or_default();
         match basis {
             Basis::Undecided => {
-                self.undecided.insert(team_limits.name.clone());
+                self.unknown_grants.insert(team_limits.name.clone());
             }
             Basis::Counting { beginning } => {
-                used.ceiling = beginning;
-                used.own = used.all;
+                used.granted = beginning;
+                used.own = used.total;
             }
             Basis::Granted { own, outstanding } if outstanding.is_zero() => {
-                used.ceiling = Some(own);
-                used.own = used.all;
+                used.granted = Some(own);
+                used.own = used.total;
             }
             Basis::Granted { own, outstanding } => {
-                used.ceiling = Some(own);
-                used.reachable = Some(limit.amount().less(&outstanding).max(&own));
-                let (cpus, gpus) = outstanding.units();
-                let bound = |counted: f64, granted: f64, is_limited: bool| match is_limited {
-                    true if closed => granted,
-                    true => counted.min(granted),
-                    false => counted,
-                };
-                let limited = limit.amount();
-                let inherited = QuotaUnits {
-                    cpus: bound(
-                        used.all.cpus - used.own.cpus,
-                        cpus,
-                        limited.cpu_thousandths > 0,
-                    ),
-                    gpus: bound(
-                        used.all.gpus - used.own.gpus,
-                        gpus,
-                        limited.gpu_thousandths > 0,
-                    ),
-                };
-                used.all = used.own;
-                used.all.add(inherited);
-                self.closed.remove(&team_limits.name);
+                used.apply_grant(&limit_of(team_limits), own, &outstanding, is_unknown);
+                self.unknown_usage.remove(&team_limits.name);
             }
         }
     }
 
-    /// Whether the team, with this much more, stays inside what it is guaranteed.
+    /// Whether the team, with this much more, stays within its guaranteed quota. A team without a
+    /// guarantee never does.
     pub fn guaranteed(&self, team_limits: &TeamLimits, cpus: f64, gpus: f64) -> bool {
-        let used = self.of(&team_limits.name);
-        let inside = |used: f64, guarantee: f64| guarantee > 0.0 && used <= guarantee + EPSILON;
-        let named = team_limits.cpus > 0.0 || team_limits.gpus > 0.0;
-        named
-            && (team_limits.cpus == 0.0 || inside(used.cpus + cpus, team_limits.cpus))
-            && (team_limits.gpus == 0.0 || inside(used.gpus + gpus, team_limits.gpus))
+        let used = self.total(&team_limits.name);
+        let is_within = |used: f64, guarantee: f64| guarantee > 0.0 && used <= guarantee + EPSILON;
+        let has_guarantee = team_limits.cpus > 0.0 || team_limits.gpus > 0.0;
+        has_guarantee
+            && (team_limits.cpus == 0.0 || is_within(used.cpus + cpus, team_limits.cpus))
+            && (team_limits.gpus == 0.0 || is_within(used.gpus + gpus, team_limits.gpus))
     }
 }
 
-/// The largest count up to `most` that is allowed, as are all below it.
-pub(crate) fn fitting(most: usize, allowed: impl Fn(usize) -> bool) -> usize {
-    (1..=most).take_while(|count| allowed(*count)).count()
+/// The largest count up to `max` for which it and all smaller counts are allowed.
+fn largest_allowed(max: usize, is_allowed: impl Fn(usize) -> bool) -> usize {
+    (1..=max).take_while(|count| is_allowed(*count)).count()
 }
 
-/// 0 means no limit.
-pub fn within(used: f64, limit: f64) -> bool {
+/// Whether `used` is within a limit; a limit of 0 means none.
+pub fn within_limit(used: f64, limit: f64) -> bool {
     limit == 0.0 || used <= limit + EPSILON
 }
 
-/// Whether grants of team limits are switched on here.
+/// Whether grants of team limits are enabled in this configuration.
 pub fn are_on(config: &Config) -> bool {
     config
         .features
@@ -301,30 +326,40 @@
         .is_some()
 }
 
-/// A team's limit as the ledger counts it.
+/// A team's limit in the ledger's units.
 pub fn limit_of(team_limits: &TeamLimits) -> Limit {
     Limit::new(team_limits.cpus_max, team_limits.gpus_max)
 }
 
-/// What an owner goes by when it starts tasks of a team.
+/// How the owner of a team accounts for the team's quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Basis {
-    /// It has not read yet what there is: it starts nothing.
+    /// The owner has not yet read whether there is a record of grants: it starts nothing.
     Undecided,
-    /// Everything that anybody may have started counts. If a record is being begun, no more may run
-    /// than it covers.
-    Counting { beginning: Option<Amount> },
-    /// Its own starts count against its grant, those of others up to what is granted to them.
-    Granted { own: Amount, outstanding: Amount },
+    /// All tasks that any owner may have started count against the limit.
+    Counting {
+        /// While a record of grants is being created: the amount that running tasks must not exceed.
+        beginning: Option<Amount>,
+    },
+    /// The owner's tasks count against its grant, those of other holders up to what they were granted.
+    Granted {
+        /// The owner's grant.
+        own: Amount,
+        /// What is granted to other holders.
+        outstanding: Amount,
+    },
 }
 
-/// What a job needs at once at the least, against its team's limit.
-pub fn least_need(spec: &JobSpec) -> (f64, f64) {
+/// The quota that a job needs at once at the least: of one task for an array, of all tasks otherwise.
+pub(crate) fn minimum_quota(spec: &JobSpec) -> QuotaUnits {
     let tasks = match spec.kind {
         Kind::Array => 1.0,
         Kind::Gang | Kind::Service => f64::from(spec.tasks),
     };
-    (spec.cpus * tasks, spec.gpus * tasks)
+    QuotaUnits {
+        cpus: spec.cpus * tasks,
+        gpus: spec.gpus * tasks,
+    }
 }
 
 #[cfg(test)]
--- a/src/core/scheduling/usage/tests.rs
+++ b/src/core/scheduling/usage/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn limits_hold_and_zero_means_none() {
+fn limits_are_enforced_and_zero_means_unlimited() {
     let team_limits = TeamLimits {
         name: "t".into(),
         cpus: 0.0,
--- a/src/core/shard/capacity_planning.rs
+++ b/src/core/shard/capacity_planning.rs
@@ -1,11 +1,13 @@
-//! What a share lacks and what it can spare. What is queued, and what is expected to arrive while
-//! a machine boots, is packed onto the free room there is; what is left over is wanted, at the
-//! lowest price per task. Machines that neither queue nor forecast would use can be spared, and
-//! those that stay so for long are closed, so that the leader may return them.
+//! The capacity demand of a shard: what it lacks and what it can spare. Queued tasks, and tasks that are
+//! expected to arrive while a machine boots, are packed onto the existing machines; the machines that the
+//! others need are demanded at the lowest price per task. Machines that neither the queue nor the forecast
+//! uses can be spared. Those that stay unused for long are closed to placement, so that the leader may return
+//! them.
 
 use crate::config::Config;
 use crate::core::effects::outbox::Outbox;
 use crate::core::jobs::job::Job;
+use crate::core::machines::machine::Machine;
 use crate::core::messages::capacity_demand::{
     CapacityDemand, MAX_MACHINES_PER_RENTAL, MachineOffer,
 };
@@ -13,59 +15,73 @@
 use crate::core::scheduling::catalog::Catalog;
 use crate::core::scheduling::constraints::team_limits;
 use crate::core::scheduling::forecast::longest_boot;
-use crate::core::scheduling::opportunistic::{machine_time, rentals_worth};
-use crate::core::scheduling::packing::{PackingCandidate, Plan, TaskDemand};
+use crate::core::scheduling::opportunistic::{machine_seconds, worthwhile_rentals};
+use crate::core::scheduling::packing::Plan;
+use crate::core::scheduling::packing::candidate::{PackingCandidate, TaskDemand};
 use crate::core::scheduling::usage::Usage;
 use crate::core::shard::Shard;
 use crate::core::store::replica::StoreReplica;
-use crate::ids::{JobId, Team};
+use crate::ids::{JobId, MachineId, Team};
 use crate::wire::MachineType;
+use std::collections::BTreeSet;
 
-/// Machines with room told to the leader at most.
-pub(crate) const ROOMY: usize = 6;
+/// Machines with free GPUs that are reported to the leader at most.
+const MAX_MACHINES_WITH_FREE_GPUS: usize = 6;
 
-/// Opportunistic work that has not begun after this many times `cancel_s` may rent any machine.
-pub(crate) const STARVED_CANCEL_TIMES: f64 = 3.0;
+/// Machines may be rented without regard to cost for an opportunistic job that has not been served for this
+/// many times `cancel_s`.
+const STARVED_CANCEL_TIMES: f64 = 3.0;
 
-/// Leases after which a silent machine is given up.
-pub(crate) const SILENT_LEASES: f64 = 3.0;
+/// Lease durations after which a machine without heartbeats is reported to the leader.
+const UNHEARD_LEASES: f64 = 3.0;
 
-/// Machines that a share wants at once at most: as many as the cloud can be asked for within the time
-/// that a cancellation has. A share that is to grow several times over must be able to ask for that
-/// at once, for each further asking costs its users a boot.
-pub(crate) fn most_wanted(config: &Config) -> u32 {
+/// Capacity plans per lease duration.
+const PLANS_PER_LEASE: f64 = 10.0;
+
+/// The most machines that a shard demands at once: as many as the cloud can be asked for within the time
+/// allowed for a cancellation. A shard that has to grow several times over must be able to demand
+/// that at once, because each further demand costs its users a boot time.
+#[expect(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    reason = "a product of positive settings; the cast saturates"
+)]
+fn max_machines_wanted(config: &Config) -> u32 {
     let deployment = &config.deployment;
     let calls = deployment.cloud.rps * deployment.workers.cancel_s;
     (calls * MAX_MACHINES_PER_RENTAL as f64) as u32
 }
 
-/// What a share needs room for.
+/// Tasks that need resources.
 #[derive(Default)]
-pub(crate) struct Demand {
-    pub(crate) pressing: Vec<TaskDemand>,
-    pub(crate) opportunistic: Vec<OpportunisticDemand>,
+struct PendingWork {
+    /// Queued tasks, then forecast ones, except opportunistic tasks.
+    ordinary: Vec<TaskDemand>,
+    /// Queued opportunistic tasks.
+    opportunistic: Vec<OpportunisticDemand>,
+}
+
+/// Queued tasks of an opportunistic job.
+struct OpportunisticDemand {
+    job: JobId,
+    tasks: TaskDemand,
+    /// See [`unserved_time`].
+    unserved_s: Time,
 }
 
-/// How long a job has waited with nothing of it on a machine. What is left of one that has begun must not
-/// wait for ever either, if it is too little to be worth a machine.
-pub(crate) fn unserved(job: &Job, now: Time) -> Time {
+/// How long a job has waited with none of its tasks on a machine, in seconds. The remaining tasks of a job
+/// that has begun must not wait forever either, even if they are too few to be worth a machine.
+fn unserved_time(job: &Job, now: Time) -> Time {
     if !job.began {
         return now - job.submitted;
     }
-    let since = job.waits_since.filter(|_| job.placed() == 0);
-    since.map_or(0.0, |since| now - since)
-}
-
-/// Waiting tasks of an opportunistic job.
-pub(crate) struct OpportunisticDemand {
-    pub(crate) job: JobId,
-    pub(crate) wanted: TaskDemand,
-    /// See [`unserved`].
-    pub(crate) unserved_s: Time,
+    job.waits_since
+        .filter(|_| job.placed() == 0)
+        .map_or(0.0, |since| now - since)
 }
 
 impl Shard {
-    /// Tells what this share lacks and can spare, once a second.
+    /// Updates the shard's capacity demand, at fixed intervals.
     pub(crate) fn plan_when_due(
         &mut self,
         outbox: &Outbox,
@@ -76,132 +92,120 @@
         if now < self.next_plan || !catalog.known() || self.catching_up {
             return;
         }
-        self.next_plan = now + self.config.deployment.workers.lease_s / 10.0;
-        let mut need = CapacityDemand::default();
-        self.plan(outbox, store, catalog, &mut need);
+        self.next_plan = now + self.config.deployment.workers.lease_s / PLANS_PER_LEASE;
+        let mut demand = CapacityDemand::default();
+        self.plan(outbox, store, catalog, &mut demand);
+        self.report_machines_needing_attention(&mut demand, now);
+        demand.teams_out_of_attempts = self.teams_short_of_attempts();
+        self.sync_soon |= demand.machine_demands != self.demand.machine_demands;
+        self.demand = demand;
+    }
+
+    /// Reports the machines that have not been heard from for long, and those that need a new fencing token.
+    fn report_machines_needing_attention(&self, demand: &mut CapacityDemand, now: Time) {
         let lease = self.config.deployment.workers.lease_s;
-        let lag = self.config.deployment.cloud.list_lag_s;
+        let list_lag = self.config.deployment.cloud.list_lag_s;
         for machine in self.machines.values().filter(|machine| machine.is_owned) {
-            if now > machine.last_seen.max(machine.last_answered) + lease * SILENT_LEASES + lag {
-                need.unheard_machines.push(machine.id.clone());
+            let last_heard = machine.last_seen.max(machine.last_answered);
+            if now > last_heard + lease * UNHEARD_LEASES + list_lag {
+                demand.unheard_machines.push(machine.id.clone());
             } else if machine.needs_new_token && !machine.address.is_empty() {
-                need.tokens_to_renew
+                demand
+                    .tokens_to_renew
                     .push((machine.id.clone(), machine.token));
             }
         }
-        need.teams_out_of_attempts = self.teams_short_of_attempts();
-        self.sync_soon |= need.machine_demands != self.demand.machine_demands;
-        self.demand = need;
     }
 
-    pub(crate) fn plan(
+    fn plan(
         &mut self,
         outbox: &Outbox,
         store: &StoreReplica,
         catalog: &Catalog,
-        need: &mut CapacityDemand,
+        demand: &mut CapacityDemand,
     ) {
         let now = outbox.now;
         let types = catalog.types();
-        let refused = self.refused.clone();
+        let unavailable = self.refused.clone();
         let mut plan = Plan::new(
             types,
-            &refused,
-            self.candidates(now),
-            most_wanted(&self.config),
+            &unavailable,
+            self.packing_candidates(now),
+            max_machines_wanted(&self.config),
         );
-        // What is needed does not depend on how much of the limit is granted yet.
+        // What is needed does not depend on how much of the limit has been granted yet.
         let mut usage = self.usage(store, outbox.wall_ms).without_grants();
-        let Demand {
-            pressing,
-            opportunistic,
-        } = self.demand(catalog, &mut usage, now);
-        for wanted in pressing {
-            plan.serve(wanted, need);
+        let work = self.pending_work(catalog, &mut usage, now);
+        for tasks in work.ordinary {
+            plan.place(tasks, demand);
         }
-        let upcoming = self.upcoming(store, usage, types, now);
-        let expects_none = upcoming.wanted.is_empty();
-        for (machine, room) in &upcoming.released {
-            plan.release(machine, room);
+        let soon_ready = self.soon_ready_jobs(store, usage, types, now);
+        let nothing_soon_ready = soon_ready.demands.is_empty();
+        for (machine, released) in &soon_ready.released {
+            plan.add_released(machine, released);
         }
-        for wanted in upcoming.wanted {
-            plan.serve(wanted, need);
+        for tasks in soon_ready.demands {
+            plan.place(tasks, demand);
         }
-        if need.machine_demands.is_empty() && need.queued == 0.0 && expects_none {
+        if demand.machine_demands.is_empty() && demand.queued == 0.0 && nothing_soon_ready {
             self.consolidate(plan.candidates(), catalog, now);
         }
-        self.plan_opportunistic(&mut plan, opportunistic, types, need);
-        self.spare(&plan.into_bins(), catalog, now, need);
+        self.plan_opportunistic(&mut plan, work.opportunistic, types, demand);
+        self.report_unused(&plan.into_candidates(), catalog, now, demand);
     }
 
-    pub(crate) fn candidates(&self, now: Time) -> Vec<PackingCandidate> {
+    /// The machines on which a plan may place tasks.
+    fn packing_candidates(&self, now: Time) -> Vec<PackingCandidate> {
         let lease = self.config.deployment.workers.lease_s;
-        let usable = self.machines.values().filter(|machine| {
-            let terminating = machine.reclaimed_at.is_some() || now < machine.cordoned_until;
+        let is_usable = |machine: &&Machine| {
+            let is_terminating = machine.reclaimed_at.is_some() || now < machine.cordoned_until;
             machine.is_owned
-                && !terminating
+                && !is_terminating
                 && !machine.unresponsive
                 && now <= machine.last_answered + lease
                 && !machine.address.is_empty()
-        });
-        usable
-            .map(|machine| {
-                let offer = MachineOffer {
-                    type_name: machine.type_name.clone(),
-                    zone: machine.zone.clone(),
-                    spot: machine.spot,
-                };
-                let opportunistic = machine.opportunistic_room();
-                PackingCandidate {
-                    free: machine.free_for_other_work(),
-                    total: machine.total,
-                    opportunistic,
-                    used: !machine.holds_only_opportunistic() && !machine.draining,
-                    draining: machine.draining,
-                    ..PackingCandidate::empty(Some(machine.id.clone()), offer)
-                }
-            })
+        };
+        self.machines
+            .values()
+            .filter(is_usable)
+            .map(packing_candidate)
             .collect()
     }
 
-    /// What opportunistic work finds no room for, as far as machines are worth renting for it.
-    pub(crate) fn plan_opportunistic(
+    /// Plans opportunistic tasks on the resources that are left, and on as many rented machines as are
+    /// worthwhile for them.
+    fn plan_opportunistic(
         &mut self,
         plan: &mut Plan,
-        demand: Vec<OpportunisticDemand>,
+        work: Vec<OpportunisticDemand>,
         types: &[MachineType],
-        need: &mut CapacityDemand,
+        demand: &mut CapacityDemand,
     ) {
-        plan.count_opportunistic();
-        let busy = demand
+        plan.reserve_opportunistic();
+        let busy = work
             .iter()
-            .map(|demand| machine_time(types, &demand.wanted.spec, demand.wanted.count));
-        let mut rentals = rentals_worth(types, busy.sum());
+            .map(|waiting| machine_seconds(types, &waiting.tasks.spec, waiting.tasks.count));
+        let mut rentals = worthwhile_rentals(types, busy.sum());
         let patience = self.config.deployment.workers.cancel_s * STARVED_CANCEL_TIMES;
-        let without_machines = !self.has_machines();
-        for OpportunisticDemand {
-            job,
-            wanted,
-            unserved_s,
-        } in demand
-        {
-            let out_of_patience = unserved_s > patience;
-            if let Some(job) = self.jobs.get_mut(&job) {
-                job.starved |= out_of_patience;
+        let has_no_machines = !self.has_machines();
+        for waiting in work {
+            let is_out_of_patience = waiting.unserved_s > patience;
+            if let Some(job) = self.jobs.get_mut(&waiting.job) {
+                job.starved |= is_out_of_patience;
             }
-            let starved = without_machines || out_of_patience;
-            if starved {
+            let is_starved = has_no_machines || is_out_of_patience;
+            if is_starved {
                 rentals = rentals.max(1);
             }
-            plan.serve_opportunistic(wanted, starved, &mut rentals, need);
+            plan.place_opportunistic(waiting.tasks, is_starved, &mut rentals, demand);
         }
     }
 
-    /// What waits, and what is likely to arrive before a machine rented now could serve it; and the
-    /// opportunistic work that waits.
-    pub(crate) fn demand(&self, catalog: &Catalog, usage: &mut Usage, now: Time) -> Demand {
+    /// Queued tasks within their teams' limits, and tasks that are likely to arrive before a machine rented now
+    /// could run them. Adds the queued tasks to `usage`.
+    fn pending_work(&self, catalog: &Catalog, usage: &mut Usage, now: Time) -> PendingWork {
         let types = catalog.types();
-        let mut demand = Demand::default();
+        let mut work = PendingWork::default();
         for id in self.queue(usage, now) {
             let Some(job) = self.jobs.get(&id) else {
                 continue;
@@ -212,107 +216,141 @@
             let Some(team_limits) = team_limits(&self.config, &job.spec) else {
                 continue;
             };
-            let room = usage.room_in_limit(team_limits, &job.need(), job.waiting().len());
-            usage.add_tasks(&team_limits.name, &job.need(), room);
-            let count = room as u32;
-            let (spec, zones) = (job.spec.clone(), job.zones.clone());
-            let avoided = job.failures.avoided().cloned().unwrap_or_default();
-            let spares_gpus = self.spares_gpus(&id, catalog, now);
-            let urgency = Some(job.priority);
-            let wanted = TaskDemand {
-                spec,
-                count,
-                zones,
-                avoided,
-                urgency,
-                spares_gpus,
-            };
+            let need = job.need();
+            let count = usage.tasks_within_limit(team_limits, &need, job.waiting().len());
+            usage.add_tasks(&team_limits.name, &need, count);
+            let avoids_stranding_gpus = self.avoids_stranding_gpus(&id, catalog, now);
+            let tasks = TaskDemand::queued(job, count as u32, avoids_stranding_gpus);
             if job.is_opportunistic(&self.config) {
-                let unserved_s = unserved(job, now);
-                demand.opportunistic.push(OpportunisticDemand {
+                work.opportunistic.push(OpportunisticDemand {
                     job: id,
-                    wanted,
-                    unserved_s,
+                    tasks,
+                    unserved_s: unserved_time(job, now),
                 });
             } else {
-                demand.pressing.push(wanted);
+                work.ordinary.push(tasks);
             }
         }
         let boot = longest_boot(types);
         for spec in self.forecast.expected(&self.config, boot, now) {
             let count = spec.tasks;
-            demand
-                .pressing
-                .push(TaskDemand::expected(types, spec, count));
+            work.ordinary.push(TaskDemand::expected(types, spec, count));
         }
-        demand
+        work
     }
 
-    /// Idle machines that the plan does not use; after long they are closed to placement, and
-    /// opened again if they are needed before the leader has taken them.
-    pub(crate) fn spare(
+    /// Reports what the plan does not use: idle machines, machines with free GPUs and teams without
+    /// queued tasks. Machines that have been unused for long are closed to placement, and opened again if
+    /// they are needed before the leader has taken them.
+    fn report_unused(
         &mut self,
         candidates: &[PackingCandidate],
         catalog: &Catalog,
         now: Time,
-        need: &mut CapacityDemand,
+        demand: &mut CapacityDemand,
     ) {
-        let mut emptied = Vec::new();
         let kept_for_starved = self.machines_of_starved_jobs();
+        let mut to_empty = Vec::new();
         for candidate in candidates {
-            let Some(machine) = candidate
-                .machine
-                .as_ref()
-                .and_then(|id| self.machines.get_mut(id))
-            else {
-                continue;
-            };
-            // Another one would have to boot and to fetch what this one holds.
-            let patience = catalog.boot_s(&machine.type_name) + machine.longest_fetch();
-            let idle = machine.idle();
-            let spare =
-                machine.token_confirmed && machine.holds_only_opportunistic() && !candidate.used;
-            machine.draining &= !candidate.planned && !idle;
-            // Opportunistic work keeps spot machines only, and what was rented since a job was starved.
-            let filled = machine.spot && (candidate.fills_up || !idle);
-            let filled = filled || kept_for_starved.contains(&machine.id);
-            let closed = spare && !filled && now - machine.idle_since > patience;
-            self.changed |= machine.releasing && !closed;
-            machine.releasing = closed;
-            if !idle && spare {
-                need.opportunistic_only_machines.push(machine.id.clone());
-            } else if spare {
-                need.spare_machines.push(machine.id.clone());
-            } else if machine.usable(now) && idle && !candidate.waited_for {
-                need.forecast_reserve.push(machine.id.clone());
-            }
-            if closed && idle {
-                need.surplus_machines.push(machine.id.clone());
-            } else if closed {
-                emptied.push(machine.id.clone());
+            let is_closed_but_occupied =
+                self.report_machine_use(candidate, &kept_for_starved, catalog, now, demand);
+            if let (true, Some(id)) = (is_closed_but_occupied, &candidate.machine) {
+                to_empty.push(id.clone());
             }
         }
-        for id in emptied {
-            self.return_from_opportunistic(&id);
+        for id in to_empty {
+            self.stop_opportunistic_tasks(&id);
         }
-        let rest = self.machines.values().filter(|machine| machine.usable(now));
-        let given =
-            |id| need.spare_machines.contains(id) || need.opportunistic_only_machines.contains(id);
-        let rest = rest.filter(|machine| !given(&machine.id));
-        let rest = rest.map(|machine| (machine.id.clone(), machine.room_beside_urgent()));
-        need.machines_with_free_gpus = rest.filter(|(_, gpus)| *gpus > 0.0).collect();
-        need.machines_with_free_gpus
-            .sort_by(|a, b| b.1.total_cmp(&a.1));
-        need.machines_with_free_gpus.truncate(ROOMY);
-        let waits = |team: &Team| {
+        self.report_free_gpus(now, demand);
+        demand.teams_without_queue = self.teams_without_queue();
+    }
+
+    /// Closes or opens a machine and reports it if the plan does not use it. Returns whether it is closed
+    /// while opportunistic tasks are still on it.
+    fn report_machine_use(
+        &mut self,
+        candidate: &PackingCandidate,
+        kept_for_starved: &BTreeSet<MachineId>,
+        catalog: &Catalog,
+        now: Time,
+        demand: &mut CapacityDemand,
+    ) -> bool {
+        let machine = candidate.machine.as_ref();
+        let Some(machine) = machine.and_then(|id| self.machines.get_mut(id)) else {
+            return false;
+        };
+        // A replacement would have to boot and to fetch the images that this one has cached.
+        let patience = catalog.boot_s(&machine.type_name) + machine.longest_fetch();
+        let is_idle = machine.idle();
+        let is_spare =
+            machine.token_confirmed && machine.holds_only_opportunistic() && !candidate.is_in_use;
+        machine.draining &= !candidate.has_planned_tasks && !is_idle;
+        // Opportunistic tasks keep only spot instances, and machines rented because a job was starved.
+        let has_opportunistic_work = candidate.has_opportunistic_tasks || !is_idle;
+        let is_kept_for_opportunistic =
+            (machine.spot && has_opportunistic_work) || kept_for_starved.contains(&machine.id);
+        let is_closed =
+            is_spare && !is_kept_for_opportunistic && now - machine.idle_since > patience;
+        self.changed |= machine.releasing && !is_closed;
+        machine.releasing = is_closed;
+        if !is_idle && is_spare {
+            demand.opportunistic_only_machines.push(machine.id.clone());
+        } else if is_spare {
+            demand.spare_machines.push(machine.id.clone());
+        } else if machine.usable(now) && is_idle && !candidate.has_queued_tasks {
+            demand.forecast_reserve.push(machine.id.clone());
+        }
+        if is_closed && is_idle {
+            demand.surplus_machines.push(machine.id.clone());
+        }
+        is_closed && !is_idle
+    }
+
+    /// Reports the machines with the most free GPUs among those that were not reported as spare.
+    fn report_free_gpus(&self, now: Time, demand: &mut CapacityDemand) {
+        let is_reported = |id| {
+            demand.spare_machines.contains(id) || demand.opportunistic_only_machines.contains(id)
+        };
+        let mut with_free_gpus: Vec<(MachineId, f64)> = self
+            .machines
+            .values()
+            .filter(|machine| machine.usable(now) && !is_reported(&machine.id))
+            .map(|machine| (machine.id.clone(), machine.room_beside_urgent()))
+            .filter(|(_, gpus)| *gpus > 0.0)
+            .collect();
+        with_free_gpus.sort_by(|(_, a), (_, b)| b.total_cmp(a));
+        with_free_gpus.truncate(MAX_MACHINES_WITH_FREE_GPUS);
+        demand.machines_with_free_gpus = with_free_gpus;
+    }
+
+    /// The teams without waiting tasks whose tasks on all machines are known.
+    fn teams_without_queue(&self) -> Vec<Team> {
+        let has_queue = |team: &Team| {
             self.jobs
                 .values()
                 .any(|job| job.spec.team == *team && !job.waiting().is_empty())
         };
-        let quiet = self
-            .teams
+        self.teams
             .iter()
-            .filter(|(name, t)| t.unreconciled.is_empty() && !waits(name));
-        need.teams_without_queue = quiet.map(|(name, _)| name.clone()).collect();
+            .filter(|(name, team)| team.unreconciled.is_empty() && !has_queue(name))
+            .map(|(name, _)| name.clone())
+            .collect()
+    }
+}
+
+/// A machine as a candidate of a plan.
+fn packing_candidate(machine: &Machine) -> PackingCandidate {
+    let offer = MachineOffer {
+        type_name: machine.type_name.clone(),
+        zone: machine.zone.clone(),
+        spot: machine.spot,
+    };
+    PackingCandidate {
+        free: machine.free_for_other_work(),
+        total: machine.total,
+        opportunistic: machine.opportunistic_resources(),
+        is_in_use: !machine.holds_only_opportunistic() && !machine.draining,
+        is_draining: machine.draining,
+        ..PackingCandidate::empty(Some(machine.id.clone()), offer)
     }
 }
--- a/src/core/shard/consolidation.rs
+++ b/src/core/shard/consolidation.rs
@@ -1,15 +1,17 @@
-//! Consolidation of replicas: services end here and there, and what is left of them keeps machines that
-//! little runs on. When nothing waits and the plan has room to spare, the replicas of one machine
-//! at a time move to others that hold their images already, where they are up again at once;
-//! the empty machine serves what needs it whole, or is returned in time. Moving replicas is a drain, which the protocol allows.
+//! Consolidation of service replicas. As services end, the remaining replicas keep machines up on which
+//! little else runs. When nothing waits and the plan has resources to spare, the replicas of one machine at a
+//! time move to others that have their images cached, where they are up again at once. The empty machine can
+//! then run tasks that need all of it, or is returned. Moving replicas is a drain, which the protocol
+//! allows.
 
-use crate::core::jobs::job::zone_allows;
+use crate::core::jobs::job::{Job, zone_allows};
 use crate::core::machines::machine::{Machine, Phase, TrackedAttempt};
+use crate::core::model::resources::Resources;
 use crate::core::model::time::Time;
 use crate::core::scheduling::catalog::Catalog;
 use crate::core::scheduling::constraints::allowed;
-use crate::core::scheduling::forecast::is_tight;
-use crate::core::scheduling::packing::PackingCandidate;
+use crate::core::scheduling::forecast::needs_cached_image;
+use crate::core::scheduling::packing::candidate::PackingCandidate;
 use crate::core::shard::Shard;
 use crate::ids::{Attempt, JobId, MachineId, TaskId, Zone};
 use crate::wire::{Kind, MachineType, TaskState};
@@ -19,33 +21,51 @@
 struct Source {
     id: MachineId,
     replicas: Vec<(TaskId, Attempt)>,
-    /// Its price for each replica that has to move.
-    worth: f64,
+    /// The machine's price for each replica that has to move.
+    price_per_replica: f64,
+}
+
+/// A machine that may take replicas.
+struct Target<'c> {
+    candidate: &'c PackingCandidate,
+    /// Resources left beside the replicas moved so far.
+    free: Resources,
+}
+
+/// Whether an attempt prevents its machine from being emptied.
+enum Movability {
+    /// It ends soon without being moved.
+    EndsByItself,
+    /// A replica that can be moved.
+    Movable,
+    /// It must not be moved.
+    Pinned,
 }
 
 impl Shard {
-    /// Empties the machine that costs most for each replica on it, if all of them fit elsewhere.
+    /// Empties the machine with the highest price per replica among those whose replicas all fit elsewhere.
     pub(crate) fn consolidate(
         &mut self,
         candidates: &[PackingCandidate],
         catalog: &Catalog,
         now: Time,
     ) {
-        let sources = candidates.iter().filter(|candidate| !candidate.planned);
-        let mut sources: Vec<Source> = sources
+        let mut sources: Vec<Source> = candidates
+            .iter()
+            .filter(|candidate| !candidate.has_planned_tasks)
             .filter_map(|candidate| self.source(candidate, catalog, now))
             .collect();
-        sources.sort_by(|a, b| b.worth.total_cmp(&a.worth));
+        sources.sort_by(|a, b| b.price_per_replica.total_cmp(&a.price_per_replica));
         let Some(source) = sources
             .into_iter()
-            .find(|source| self.fit_elsewhere(source, candidates, now))
+            .find(|source| self.fits_elsewhere(source, candidates, now))
         else {
             return;
         };
         tracing::info!(
-            "{} is emptied: {} replicas move",
-            source.id,
-            source.replicas.len()
+            machine = %source.id,
+            replicas = source.replicas.len(),
+            "replicas move to empty a machine"
         );
         if let Some(machine) = self.machines.get_mut(&source.id) {
             machine.draining = true;
@@ -55,101 +75,130 @@
         }
     }
 
+    /// The machine as one to be emptied; `None` if it must not be, or if no replica is on it.
     fn source(&self, candidate: &PackingCandidate, catalog: &Catalog, now: Time) -> Option<Source> {
         let machine = self.machines.get(candidate.machine.as_ref()?)?;
-        let live: Vec<(&(TaskId, Attempt), &TrackedAttempt)> = machine
-            .attempts
-            .iter()
-            .filter(|(_, tracked)| !tracked.exited())
-            .collect();
-        if !machine.usable(now) || live.is_empty() {
+        if !machine.usable(now) {
             return None;
         }
-        // Machines with GPUs often fetch many times as fast as those without.
-        let has_gpus = |of_type: &MachineType| of_type.gpus > 0.0;
-        let like_this = |of_type: &&MachineType| has_gpus(of_type) == (machine.total.gpus > 0.0);
-        let alike: Vec<MachineType> = catalog.types().iter().filter(like_this).cloned().collect();
+        // GPU machines often fetch many times as fast as others.
+        let has_gpus = |of_type: &&MachineType| (of_type.gpus > 0.0) == (machine.total.gpus > 0.0);
+        let alike: Vec<MachineType> = catalog.types().iter().filter(has_gpus).cloned().collect();
         let mut replicas = Vec::new();
-        for (key, tracked) in live {
+        for (key, tracked) in &machine.attempts {
+            if tracked.exited() {
+                continue;
+            }
             let job = self.jobs.get(&key.0.job)?;
-            match job.spec.kind {
-                // Ends by itself before long.
-                Kind::Array => {}
-                Kind::Gang => return None,
-                // Resources where such an image is, is scarce, and a move that ends elsewhere is felt.
-                Kind::Service if is_tight(&self.config, &alike, &job.spec) => return None,
-                Kind::Service => {
-                    let running = tracked.phase == Phase::Seen(TaskState::Running);
-                    // A start that is stopped early does not count as one to its user.
-                    let reconciled = tracked
-                        .started_at
-                        .is_some_and(|b| now - b > self.config.deployment.workers.cancel_s);
-                    if !running || !reconciled || tracked.stop.is_some() {
-                        return None;
-                    }
-                    replicas.push(key.clone());
-                }
+            match self.movability(job, tracked, &alike, now) {
+                Movability::EndsByItself => {}
+                Movability::Movable => replicas.push(key.clone()),
+                Movability::Pinned => return None,
             }
         }
         if replicas.is_empty() {
             return None;
         }
-        let worth = catalog.price(&machine.type_name, machine.spot) / replicas.len() as f64;
+        let price = catalog.price(&machine.type_name, machine.spot);
         Some(Source {
             id: machine.id.clone(),
+            price_per_replica: price / replicas.len() as f64,
             replicas,
-            worth,
         })
     }
 
-    /// Whether every replica finds room, beside what is planned, on machines in use that hold its
-    /// image.
-    fn fit_elsewhere(&self, source: &Source, candidates: &[PackingCandidate], now: Time) -> bool {
+    /// Whether an attempt can be moved; `types` are the machine types similar to its machine's.
+    fn movability(
+        &self,
+        job: &Job,
+        tracked: &TrackedAttempt,
+        types: &[MachineType],
+        now: Time,
+    ) -> Movability {
+        match job.spec.kind {
+            Kind::Array => Movability::EndsByItself,
+            Kind::Gang => Movability::Pinned,
+            // Few machines have such an image cached, and a replica that had to fetch it would be missed.
+            Kind::Service if needs_cached_image(&self.config, types, &job.spec) => {
+                Movability::Pinned
+            }
+            Kind::Service => {
+                let is_running = tracked.phase == Phase::Seen(TaskState::Running);
+                // A start that is stopped early does not count as one to its user.
+                let counts_as_started = tracked
+                    .started_at
+                    .is_some_and(|started| now - started > self.config.deployment.workers.cancel_s);
+                if is_running && counts_as_started && tracked.stop.is_none() {
+                    Movability::Movable
+                } else {
+                    Movability::Pinned
+                }
+            }
+        }
+    }
+
+    /// Whether every replica fits, beside what is planned, on machines in use that have its image cached.
+    fn fits_elsewhere(&self, source: &Source, candidates: &[PackingCandidate], now: Time) -> bool {
         let Some(from) = self.machines.get(&source.id) else {
             return false;
         };
-        // A replica that had to wait for opportunistic work to make way would be missed meanwhile.
-        let mut free: Vec<_> = candidates
+        // A replica that waited for opportunistic tasks to stop would be missed meanwhile.
+        let mut targets: Vec<Target> = candidates
             .iter()
-            .map(|candidate| candidate.free.less(&candidate.opportunistic))
+            .map(|candidate| Target {
+                candidate,
+                free: candidate.free.less(&candidate.opportunistic),
+            })
             .collect();
-        let mut zones: BTreeMap<&JobId, BTreeMap<Zone, u32>> = BTreeMap::new();
+        let mut tasks_in_zone: BTreeMap<&JobId, BTreeMap<Zone, u32>> = BTreeMap::new();
         for (task, _) in &source.replicas {
             let Some(job) = self.jobs.get(&task.job) else {
                 return false;
             };
-            let need = job.need();
-            // Of several replicas of a job here each one's move counts for the next.
-            let counts = zones.entry(&task.job).or_insert_with(|| job.zones.clone());
-            if let Some(here) = counts.get_mut(&from.zone) {
-                *here = here.saturating_sub(1);
+            // Each move counts for the next replica of the same job.
+            let job_zones = tasks_in_zone
+                .entry(&task.job)
+                .or_insert_with(|| job.zones.clone());
+            if let Some(in_zone) = job_zones.get_mut(&from.zone) {
+                *in_zone = in_zone.saturating_sub(1);
             }
-            let suits = |candidate: &PackingCandidate, machine: &Machine| {
-                machine.id != source.id
-                    && machine.usable(now)
-                    && (candidate.planned || !machine.idle())
-                    && machine.has_image(&job.spec.image)
-                    && allowed(&job.spec, &machine.type_name, &machine.zone, machine.spot)
-                    && zone_allows(&job.spec, &machine.zone, counts)
-            };
-            let target = candidates
-                .iter()
-                .enumerate()
-                .filter(|(at, _)| free[*at].holds(&need))
-                .filter(|(_, candidate)| {
-                    let machine = candidate
-                        .machine
-                        .as_ref()
-                        .and_then(|id| self.machines.get(id));
-                    machine.is_some_and(|machine| suits(candidate, machine))
-                })
-                .min_by(|(a, _), (b, _)| free[*a].gpus.total_cmp(&free[*b].gpus));
-            let Some((at, candidate)) = target else {
+            let target = targets
+                .iter_mut()
+                .filter(|target| target.free.holds(&job.need()))
+                .filter(|target| self.can_take(target.candidate, job, source, job_zones, now))
+                .min_by(|a, b| a.free.gpus.total_cmp(&b.free.gpus));
+            let Some(target) = target else {
                 return false;
             };
-            free[at] = free[at].less(&need);
-            *counts.entry(candidate.offer.zone.clone()).or_default() += 1;
+            target.free = target.free.less(&job.need());
+            *job_zones
+                .entry(target.candidate.offer.zone.clone())
+                .or_default() += 1;
         }
         true
     }
+
+    /// Whether a replica of the job may move to this machine, apart from the resources it needs.
+    fn can_take(
+        &self,
+        candidate: &PackingCandidate,
+        job: &Job,
+        source: &Source,
+        tasks_in_zone: &BTreeMap<Zone, u32>,
+        now: Time,
+    ) -> bool {
+        let is_suitable = |machine: &Machine| {
+            machine.id != source.id
+                && machine.usable(now)
+                && (candidate.has_planned_tasks || !machine.idle())
+                && machine.has_image(&job.spec.image)
+                && allowed(&job.spec, &machine.type_name, &machine.zone, machine.spot)
+                && zone_allows(&job.spec, &machine.zone, tasks_in_zone)
+        };
+        candidate
+            .machine
+            .as_ref()
+            .and_then(|id| self.machines.get(id))
+            .is_some_and(is_suitable)
+    }
 }
--- a/src/core/shard/grants.rs
+++ b/src/core/shard/grants.rs
@@ -1,10 +1,11 @@
-//! The owner of a limited team starts its tasks under a grant ([`quota_ledger`]).
+//! Quota grants: the owner of a team with a limit starts the team's tasks under a grant
+//! ([`quota_ledger`]).
 //!
-//! The record of grants tells a team's new owner how much its predecessors may have started at most,
-//! so that it can use the rest of the limit at once instead of counting everything that they might
-//! have started. It relies on a record only if every owner since the record was begun has kept to
-//! its grants; the map says since when that is so. Every write of an owner is guarded by the version
-//! of the map's teams as well, so who has lost a team can't enlarge its grant any more.
+//! The record of grants tells a team's new owner how much its predecessors may have started at most, so
+//! that it can use the rest of the limit at once instead of counting everything that they might have
+//! started. It relies on a record only if every owner since the record was begun has kept to its grants;
+//! the shard map says since when that is so. Every write of an owner has the version of the map's teams as
+//! a precondition too, so a process that has lost a team cannot enlarge its grant any more.
 
 use crate::config::{Config, TeamLimits};
 use crate::core::effects::outbox::Outbox;
@@ -20,71 +21,77 @@
 use crate::wire::{Precondition, Transaction, Write};
 use quota_ledger::{Demand, Ended, Holder, HolderId, Outcome, Proposal};
 
-/// Seconds before another try, when a write failed.
-pub(crate) const FAILURE_PAUSE: Time = 0.1;
+/// Seconds before a failed write is retried.
+const RETRY_PAUSE_S: Time = 0.1;
 
-/// An owner's part in the record of one of its teams.
+/// Retry pauses between attempts to delete a record.
+const DELETE_PAUSES: f64 = 10.0;
+
+/// A process's grant for one of the teams it owns.
 pub struct TeamGrant {
-    pub(crate) holder: Holder,
-    /// Since when owners have kept to their grants, as far as was ever known here: once under a
-    /// grant, a process stays under it for as long as it owns the team.
-    pub(crate) since: Option<FencingToken>,
+    holder: Holder,
+    /// The fencing token since which all owners have kept to their grants, as far as it was ever known
+    /// here: a process that has worked under a grant does so for as long as it owns the team.
+    grants_kept_since: Option<FencingToken>,
     /// The team does without a record: it has no limit, or the state service refuses the record.
-    pub(crate) refused: bool,
-    pub(crate) seen: Option<Version>,
-    pub(crate) write_after: Time,
-    pub(crate) basis: Basis,
+    has_no_record: bool,
+    /// The version of the record that was read last; 0 if there was none.
+    seen_version: Option<Version>,
+    /// Nothing is written before this time.
+    write_after: Time,
+    basis: Basis,
 }
 
 impl TeamGrant {
-    pub(crate) fn new(
+    /// No grant yet; `None` if grants are disabled or the team's name makes no valid key.
+    fn new(
         config: &Config,
         team_limits: &TeamLimits,
         incarnation: u64,
-        term: FencingToken,
+        token: FencingToken,
     ) -> Option<Self> {
         let headroom = config
             .features
             .headroom(config.deployment.workers.lease_s)?;
         let limit = limit_of(team_limits);
         quota_key(&team_limits.name)?;
-        let node = config.node.to_string();
         let id = HolderId {
-            term: term.0,
+            term: token.0,
             incarnation,
-            node,
+            node: config.node.to_string(),
         };
         Some(Self {
             holder: Holder::new(id, limit, headroom),
-            since: None,
-            refused: !limit.is_limited(),
-            seen: None,
+            grants_kept_since: None,
+            has_no_record: !limit.is_limited(),
+            seen_version: None,
             write_after: Time::NEG_INFINITY,
             basis: Basis::Undecided,
         })
     }
 
-    /// What the owner goes by at present.
+    /// How the owner accounts for the team's quota at present.
     pub fn basis(&self) -> Basis {
         self.basis
     }
 
-    /// Takes up what the view shows of the record. `gained`: the revision at which the team was
-    /// gained; before the view is that far, a record may be there that it does not show.
-    pub(crate) fn follow(&mut self, store: &StoreReplica, team: &Team, gained: Version) {
-        let since = store.grants_kept_since(team).or(self.since);
+    /// Reads the record from the store replica. `gained_at` is the revision at which the team was gained:
+    /// until the replica has reached it, there may be a record that the replica does not show.
+    fn observe(&mut self, store: &StoreReplica, team: &Team, gained_at: Version) {
+        let kept_since = store.grants_kept_since(team).or(self.grants_kept_since);
         let stored = store.ledger(team);
         let version = stored.map_or(0, |stored| stored.version);
-        if self.seen != Some(version) || since != self.since {
-            self.since = since;
-            self.seen = Some(version);
-            let ledger = stored.and_then(|stored| stored.ledger.as_ref());
-            let relied_on = ledger.filter(|l| since.is_some_and(|since| l.began() >= since.0));
-            self.holder.observe(version, relied_on.cloned());
+        if self.seen_version != Some(version) || kept_since != self.grants_kept_since {
+            self.grants_kept_since = kept_since;
+            self.seen_version = Some(version);
+            let reliable = stored
+                .and_then(|stored| stored.ledger.as_ref())
+                .filter(|ledger| kept_since.is_some_and(|since| ledger.began() >= since.0));
+            self.holder.observe(version, reliable.cloned());
         }
-        // Others rely on a record for as long as it is there, so nothing starts beside it.
-        let to_be_removed = self.refused && version != 0;
-        self.basis = if store.revision() < gained || to_be_removed {
+        // Others rely on a record for as long as it exists, so nothing starts beside it.
+        let has_record_to_delete = self.has_no_record && version != 0;
+        self.basis = if store.revision() < gained_at || has_record_to_delete {
             Basis::Undecided
         } else if self.holder.ledger().is_some() {
             let (own, outstanding) = (self.holder.grant(), self.holder.outstanding());
@@ -96,10 +103,11 @@
         };
     }
 
-    /// What is to be written next.
-    pub(crate) fn next_write(&mut self, now: Time, demand: &Demand) -> Option<Proposal> {
-        let may_begin = self.since.is_some() || self.holder.ledger().is_some();
-        if self.basis == Basis::Undecided || self.refused || !may_begin || now < self.write_after {
+    /// The next change of the record, if one is needed and allowed now.
+    fn next_write(&mut self, now: Time, demand: &Demand) -> Option<Proposal> {
+        let may_begin = self.grants_kept_since.is_some() || self.holder.ledger().is_some();
+        let is_undecided = self.basis == Basis::Undecided;
+        if is_undecided || self.has_no_record || !may_begin || now < self.write_after {
             return None;
         }
         self.holder.propose(now, demand)
@@ -107,29 +115,29 @@
 }
 
 impl Shard {
-    /// A team is ours: its grant, if it has a limit and grants are on.
-    pub(crate) fn new_team_grant(&self, team: &Team, term: FencingToken) -> Option<TeamGrant> {
+    /// The grant for a team that this process has gained, if grants are enabled.
+    pub(crate) fn new_team_grant(&self, team: &Team, token: FencingToken) -> Option<TeamGrant> {
         TeamGrant::new(
             &self.config,
             self.config.team_limits(team)?,
             self.incarnation,
-            term,
+            token,
         )
     }
 
-    /// Takes up what the view shows of the records of all our teams.
+    /// Reads the records of all owned teams from the store replica.
     pub(crate) fn follow_grants(&mut self, store: &StoreReplica) {
         for (name, team) in &mut self.teams {
-            let gained = team.gained_at;
+            let gained_at = team.gained_at;
             if let Some(grant) = &mut team.grant {
                 let before = grant.basis;
-                grant.follow(store, name, gained);
+                grant.observe(store, name, gained_at);
                 self.changed |= grant.basis != before;
             }
         }
     }
 
-    /// Asks for what the teams need beyond their grants, or gives back what they don't.
+    /// Requests what the teams need beyond their grants, and returns what they do not need.
     pub(crate) fn write_grants(
         &mut self,
         outbox: &mut Outbox,
@@ -138,45 +146,46 @@
     ) {
         let names: Vec<Team> = self.teams.keys().cloned().collect();
         for name in names {
-            // Starts wait for these few writes, so they don't wait for the rate of jobs' records.
+            // Starts wait for these few writes, so they are not subject to the rate limit of job records.
             if !outbox.may_write() {
                 return;
             }
-            let Some(team) = self.teams.get_mut(&name) else {
-                continue;
-            };
-            let reconciled = team.unreconciled.is_empty() && usage.is_known(&name);
-            let Some(grant) = &mut team.grant else {
+            let grant = self.teams.get(&name).and_then(|team| team.grant.as_ref());
+            let Some(has_no_record) = grant.map(|grant| grant.has_no_record) else {
                 continue;
             };
-            if grant.refused {
+            if has_no_record {
                 if let Some(version) = store.ledger(&name).map(|stored| stored.version) {
-                    self.remove_record(outbox, store, &name, version);
+                    self.delete_record(outbox, store, &name, version);
                 }
-                continue;
+            } else if let Some(proposal) = self.next_grant_write(&name, usage, outbox.now) {
+                self.write_record(outbox, store, &name, &proposal, true);
             }
-            let (used, inherited) = usage.under_grants(&name);
-            let (waiting, next) = usage.lacking(&name);
-            let ended = if reconciled {
-                Ended::AllOthers
-            } else {
-                Ended::Nobody
-            };
-            let demand = Demand {
-                used,
-                waiting,
-                next,
-                ended,
-                inherited,
-            };
-            let Some(proposal) = grant.next_write(outbox.now, &demand) else {
-                continue;
-            };
-            self.write_record(outbox, store, &name, &proposal, true);
         }
     }
 
-    /// Teams go to other controllers: what may still run of our tasks stays granted.
+    /// The next change of a team's record that its usage requires.
+    fn next_grant_write(&mut self, name: &Team, usage: &Usage, now: Time) -> Option<Proposal> {
+        let team = self.teams.get_mut(name)?;
+        let is_reconciled = team.unreconciled.is_empty() && usage.is_known(name);
+        let (used, inherited) = usage.own_and_inherited(name);
+        let (waiting, next) = usage.blocked_by_grant(name);
+        let ended = if is_reconciled {
+            Ended::AllOthers
+        } else {
+            Ended::Nobody
+        };
+        let demand = Demand {
+            used,
+            waiting,
+            next,
+            ended,
+            inherited,
+        };
+        team.grant.as_mut()?.next_write(now, &demand)
+    }
+
+    /// Reduces the grants of teams that other controllers have gained to what tasks started here may still use.
     pub(crate) fn release_grants(
         &mut self,
         outbox: &mut Outbox,
@@ -191,7 +200,7 @@
             let Some(grant) = self.teams.get(name).and_then(|team| team.grant.as_ref()) else {
                 continue;
             };
-            let (used, _) = usage.under_grants(name);
+            let (used, _) = usage.own_and_inherited(name);
             let released = match grant.basis {
                 Basis::Granted { .. } => grant.holder.release(used),
                 Basis::Undecided | Basis::Counting { .. } => None,
@@ -202,33 +211,34 @@
         }
     }
 
-    /// `proposed`: as the owner, and so only while the map names this process.
-    pub(crate) fn write_record(
+    /// Writes a team's record. If `is_proposal`, the process writes as the team's owner, and so only while the
+    /// shard map names it as such.
+    fn write_record(
         &mut self,
         outbox: &mut Outbox,
         store: &StoreReplica,
         name: &Team,
         proposal: &Proposal,
-        proposed: bool,
+        is_proposal: bool,
     ) {
         let (Some(key), Some(team)) = (quota_key(name), self.teams.get(name)) else {
             return;
         };
         let write = put(&key, &proposal.ledger, None);
         let mut preconditions = vec![precondition(&key, proposal.guard)];
-        if proposed {
+        if is_proposal {
             preconditions.push(precondition(&teams_key(), teams_version(store)));
         }
         let pending = GrantWrite {
             team: name.clone(),
             term: team.token(),
-            proposed,
+            proposed: is_proposal,
             write,
         };
         self.commit_grant(outbox, preconditions, pending);
     }
 
-    pub(crate) fn commit_grant(
+    fn commit_grant(
         &mut self,
         outbox: &mut Outbox,
         preconditions: Vec<Precondition>,
@@ -242,8 +252,8 @@
         outbox.state(Pending::Grant(pending), StoreCall::Commit(transaction));
     }
 
-    /// Without a record nobody relies on it.
-    pub(crate) fn remove_record(
+    /// Deletes a team's record, so that no process relies on it.
+    fn delete_record(
         &mut self,
         outbox: &mut Outbox,
         store: &StoreReplica,
@@ -253,7 +263,7 @@
         let (Some(key), Some(team)) = (quota_key(name), self.teams.get_mut(name)) else {
             return;
         };
-        let term = team.token();
+        let token = team.token();
         let Some(grant) = team
             .grant
             .as_mut()
@@ -261,7 +271,7 @@
         else {
             return;
         };
-        grant.write_after = outbox.now + outbox.jitter(FAILURE_PAUSE * 10.0);
+        grant.write_after = outbox.now + outbox.jitter(RETRY_PAUSE_S * DELETE_PAUSES);
         let preconditions = vec![
             precondition(&key, version),
             precondition(&teams_key(), teams_version(store)),
@@ -269,14 +279,14 @@
         let write = Write::Delete { key };
         let pending = GrantWrite {
             team: name.clone(),
-            term,
+            term: token,
             proposed: false,
             write,
         };
         self.commit_grant(outbox, preconditions, pending);
     }
 
-    /// The answer to a write of a record.
+    /// Handles the reply to a write of a record.
     pub(crate) fn grant_written(
         &mut self,
         outbox: &mut Outbox,
@@ -308,17 +318,20 @@
         match reply {
             StoreReply::Committed(_) => {}
             StoreReply::Rejected => {
-                let bytes = written.write.bytes();
-                let team = &written.team;
-                tracing::error!("the state service refuses {bytes} bytes of grants of team {team}");
-                grant.refused = true;
+                tracing::error!(
+                    team = %written.team,
+                    bytes = written.write.bytes(),
+                    "state service refuses the quota grant record"
+                );
+                grant.has_no_record = true;
             }
-            _ => grant.write_after = outbox.now + outbox.jitter(FAILURE_PAUSE),
+            _ => grant.write_after = outbox.now + outbox.jitter(RETRY_PAUSE_S),
         }
     }
 }
 
-pub(crate) fn teams_version(store: &StoreReplica) -> Version {
+/// The version of the shard map's list of teams; 0 if there is none.
+fn teams_version(store: &StoreReplica) -> Version {
     store
         .map()
         .get(&teams_key())
--- a/src/core/shard/grants/tests.rs
+++ b/src/core/shard/grants/tests.rs
@@ -334,18 +334,18 @@
     };
     let mut usage = scene.usage();
     assert_eq!(
-        usage.room_in_limit(&team_limits, &need, 16),
+        usage.tasks_within_limit(&team_limits, &need, 16),
         6,
         "of 16 others hold 10"
     );
-    assert_eq!(usage.room_in_grant(&team_limits, &need, 6, false), 0);
-    let (waiting, next) = usage.lacking(&RED.into());
+    assert_eq!(usage.admit_under_grant(&team_limits, &need, 6, false), 0);
+    let (waiting, next) = usage.blocked_by_grant(&RED.into());
     assert_eq!(
         (waiting, next),
         (Amount::covering(0.0, 6.0), Amount::covering(0.0, 1.0))
     );
     assert_eq!(
-        usage.room_in_grant(&team_limits, &need, 6, true),
+        usage.admit_under_grant(&team_limits, &need, 6, true),
         0,
         "a gang starts whole"
     );
@@ -356,7 +356,7 @@
 fn what_is_not_known_counts_up_to_what_was_granted() {
     let mut scene = Scene::new(9, Some(5), Some(held_by_other(5, 10.0)));
     scene.synced();
-    let (_, inherited) = scene.usage().under_grants(&RED.into());
+    let (_, inherited) = scene.usage().own_and_inherited(&RED.into());
     assert_eq!(inherited, Amount::ZERO, "nothing may run yet");
     let spec = record(false).spec.unwrap();
     let mut waiting = JobRecord {
@@ -375,7 +375,7 @@
         3,
         taken,
     );
-    let (_, inherited) = scene.usage().under_grants(&RED.into());
+    let (_, inherited) = scene.usage().own_and_inherited(&RED.into());
     let expected = Amount::covering(1000.0, 10.0);
     assert_eq!(
         inherited, expected,
--- a/src/core/shard/mod.rs
+++ b/src/core/shard/mod.rs
@@ -233,7 +233,7 @@
         self.changed = false;
         self.scheduled = outbox.now;
         self.rounds += 1;
-        self.drain(outbox.now);
+        self.drain_reclaimed_machines(outbox.now);
         let mut usage = self.usage(store, outbox.wall_ms);
         self.schedule(outbox.now, &mut usage, catalog);
         self.write_grants(outbox, store, &usage);
--- a/src/core/shard/opportunistic.rs
+++ b/src/core/shard/opportunistic.rs
@@ -1,11 +1,14 @@
+//! Machines that a shard keeps for opportunistic tasks or frees of them.
+
+use crate::core::machines::machine::TrackedAttempt;
 use crate::core::shard::Shard;
 use crate::ids::MachineId;
 use std::collections::BTreeSet;
 
 impl Shard {
-    /// Ordinary machines that are kept for starved jobs: one for each that runs nowhere else. Returned
-    /// under such a job, it would be rented again only once the job had starved again, so that a job of
-    /// long tasks would never end.
+    /// Machines other than spot instances that are kept for starved jobs: one for each job that runs on no
+    /// spot instance. If it were returned, it would be rented again only once the job had starved again, so a
+    /// job of long tasks would never end.
     pub(crate) fn machines_of_starved_jobs(&self) -> BTreeSet<MachineId> {
         let is_spot = |id: &MachineId| self.machines.get(id).is_some_and(|machine| machine.spot);
         let mut kept = BTreeSet::new();
@@ -15,24 +18,27 @@
             .filter(|(_, job)| job.starved && job.placed() > 0);
         for (id, _) in starved {
             let machines = self.task_index.machines_of(id);
-            let provided = |id: &MachineId| is_spot(id) || kept.contains(id);
-            if !machines.iter().any(provided) {
+            let has_machine = machines.iter().any(|id| is_spot(id) || kept.contains(id));
+            if !has_machine {
                 kept.extend(machines.into_iter().next());
             }
         }
         kept
     }
 
-    /// Stops the opportunistic work of a machine that is to be returned; what can't save its progress
-    /// runs to its end.
-    pub(crate) fn return_from_opportunistic(&mut self, id: &MachineId) {
+    /// Stops the opportunistic tasks of a machine that is to be returned. Tasks that cannot write a checkpoint
+    /// run to their end.
+    pub(crate) fn stop_opportunistic_tasks(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get(id) else {
             return;
         };
-        let saves = machine.attempts.iter().filter(|(_, tracked)| {
+        let can_checkpoint = |tracked: &TrackedAttempt| {
             !tracked.exited() && tracked.stop.is_none() && tracked.checkpoint_write_s > 0.0
-        });
-        let stops: Vec<_> = saves
+        };
+        let stops: Vec<_> = machine
+            .attempts
+            .iter()
+            .filter(|(_, tracked)| can_checkpoint(tracked))
             .map(|(key, tracked)| (key.clone(), tracked.checkpoint_write_s))
             .collect();
         for ((task, attempt), grace) in stops {
--- a/src/core/shard/preemption.rs
+++ b/src/core/shard/preemption.rs
@@ -1,198 +1,290 @@
-//! Making room: which running tasks are stopped so that one of higher priority, or one that its
-//! team is guaranteed, can run. The cheapest loss goes first, and every task that can save its
-//! progress gets the time to.
+//! Preemption: which running tasks are stopped so that a task of higher priority, or one within its team's
+//! guaranteed quota, can run. The tasks that lose the least work are preempted first, and every task that
+//! can write a checkpoint gets the time to do so.
 
+use crate::core::jobs::job::Job;
 use crate::core::machines::machine::{Machine, TrackedAttempt};
 use crate::core::model::resources::Resources;
 use crate::core::model::time::Time;
-use crate::core::scheduling::constraints::{allowed, team_limits};
 use crate::core::scheduling::usage::Usage;
 use crate::core::shard::Shard;
-use crate::core::shard::round::MachineSnapshot;
+use crate::core::shard::round::snapshot::MachineSnapshot;
 use crate::ids::{Attempt, JobId, MachineId, TaskId, Team, Zone};
 use crate::wire::{Kind, Priority};
 use std::collections::BTreeMap;
 
-pub struct Preemption {
-    pub machine: MachineId,
-    pub task: TaskId,
-    pub attempt: Attempt,
-    pub grace: f64,
-}
+/// What preempting a replica costs at least, in seconds, so that work which loses nothing goes first.
+const REPLICA_BASE_LOSS_S: Time = 1.0;
 
-/// What stopping a task loses, in seconds of its work.
-fn loss(shard: &Shard, task: &TaskId, tracked: &TrackedAttempt, now: Time) -> Option<(Time, f64)> {
-    if tracked.opportunistic && tracked.team.is_some() {
-        return Some((0.0, tracked.checkpoint_write_s));
-    }
-    let ran = tracked.started_at.map_or(0.0, |began| now - began);
-    let Some(job) = shard.jobs.get(&task.job) else {
-        // Of another share's team, on a machine that moved here: its owner starts it elsewhere.
-        let known = tracked.team.is_some() && tracked.checkpoint_write_s > 0.0;
-        return known.then_some((tracked.checkpoint_write_s, tracked.checkpoint_write_s));
-    };
-    let saves = job.spec.checkpoint_interval_s > 0.0;
-    Some(match job.spec.kind {
-        // A replica that stops is missed until it is up elsewhere.
-        Kind::Service => (ran.min(shard.config.deployment.workers.cancel_s) + 1.0, 0.0),
-        _ if tracked.started_at.is_none() => (0.0, 0.0),
-        _ if saves => (job.spec.checkpoint_write_s, job.spec.checkpoint_write_s),
-        _ => (ran, 0.0),
-    })
+/// An attempt that is to be stopped.
+pub(crate) struct Preemption {
+    /// Its machine.
+    pub(crate) machine: MachineId,
+    /// Its task.
+    pub(crate) task: TaskId,
+    /// The attempt.
+    pub(crate) attempt: Attempt,
+    /// Seconds that it gets to write a checkpoint.
+    pub(crate) grace_s: Time,
 }
 
-/// Tasks of a job that found no room.
-pub struct UnplacedTasks<'a> {
-    pub job: &'a JobId,
-    pub tasks: usize,
-    /// They don't take what belongs to GPUs ([`Shard::spares_gpus`]).
-    pub spares_gpus: bool,
+/// Tasks of a job for which no machine has the resources free.
+pub(crate) struct UnplacedTasks<'a> {
+    /// The job.
+    pub(crate) job: &'a JobId,
+    /// How many tasks there are.
+    pub(crate) tasks: usize,
+    /// Whether they leave CPUs and memory to GPUs ([`Shard::avoids_stranding_gpus`]).
+    pub(crate) avoids_stranding_gpus: bool,
 }
 
-/// Picks what to stop for tasks that found no room.
-pub fn make_room(
+/// Chooses the attempts to stop for tasks that found no machine, and assigns the resources that this will free
+/// to these tasks.
+pub(crate) fn choose_preemptions(
     shard: &Shard,
-    lacking: UnplacedTasks,
+    unplaced: &UnplacedTasks,
     snapshots: &mut [MachineSnapshot],
     usage: &Usage,
     now: Time,
 ) -> Vec<Preemption> {
-    let UnplacedTasks {
-        job: id,
-        tasks: count,
-        spares_gpus,
-    } = lacking;
-    let Some(job) = shard.jobs.get(id) else {
+    let Some(preemptor) = Preemptor::new(shard, unplaced, usage, now) else {
         return Vec::new();
     };
-    let need = job.need();
-    let guaranteed = team_limits(&shard.config, &job.spec)
-        .is_some_and(|team_limits| usage.guaranteed(team_limits, need.cpus, need.gpus));
-    let beyond: Vec<&Team> = shard
-        .config
-        .deployment
-        .teams
-        .iter()
-        .filter(|theirs| guaranteed && theirs.name != job.spec.team)
-        .filter(|theirs| !usage.guaranteed(theirs, 0.0, 0.0))
-        .filter(|theirs| theirs.gpus > 0.0 || theirs.cpus > 0.0)
-        .map(|theirs| &theirs.name)
-        .collect();
-    let yields = |task: &TaskId, tracked: &TrackedAttempt| -> bool {
-        if tracked.exited() || tracked.stop.is_some() || task.job == *id {
-            return false;
-        }
-        tracked.priority < job.priority
-            || (tracked
-                .team
-                .as_ref()
-                .is_some_and(|team| beyond.contains(&team))
-                && shard
-                    .jobs
-                    .get(&task.job)
-                    .is_some_and(|o| o.spec.kind != Kind::Service))
-    };
-    let mut stops = Vec::new();
-    let mut in_zone: BTreeMap<Zone, u32> = BTreeMap::new();
-    for _ in 0..count {
-        let mut best: Option<((Time, Time), usize, Vec<Preemption>)> = None;
-        for (index, snapshot) in snapshots.iter().enumerate() {
-            if snapshot.reserved
-                || (spares_gpus && snapshot.total.gpus > 0.0)
-                || !snapshot.total.holds(&need)
-                || !allowed(
-                    &job.spec,
-                    &snapshot.type_name,
-                    &snapshot.zone,
-                    snapshot.spot,
-                )
-                || !job.zone_allows(&snapshot.zone, &in_zone)
-            {
-                continue;
-            }
-            // Most machines have nothing to give, which is seen without looking at their tasks.
-            let below = if beyond.is_empty() {
-                job.priority as usize
-            } else {
-                Priority::COUNT
-            };
-            let at_most = snapshot.running[..below]
-                .iter()
-                .fold(snapshot.later, |a, room| a.plus(room));
-            if !at_most.holds(&need) {
+    let mut preemptions = Vec::new();
+    let mut tasks_in_zone: BTreeMap<Zone, u32> = BTreeMap::new();
+    for _ in 0..unplaced.tasks {
+        let Some((snapshot, victims)) = preemptor.cheapest_machine(snapshots, &tasks_in_zone)
+        else {
+            break;
+        };
+        let released = victims.iter().map(|victim| victim.resources);
+        snapshot.assign_after_preemption(released, &preemptor.need);
+        *tasks_in_zone.entry(snapshot.zone.clone()).or_default() += 1;
+        preemptions.extend(victims.into_iter().map(|victim| victim.preemption));
+    }
+    preemptions
+}
+
+/// What stopping an attempt loses.
+struct Loss {
+    /// Lost work, in seconds.
+    cost: Time,
+    /// Seconds to write a checkpoint.
+    grace_s: Time,
+}
+
+/// An attempt that may be preempted.
+struct Victim {
+    preemption: Preemption,
+    /// Lost work, in seconds.
+    cost: Time,
+    /// What stopping it frees.
+    resources: Resources,
+}
+
+/// A job whose tasks preempt others.
+struct Preemptor<'a> {
+    shard: &'a Shard,
+    job_id: &'a JobId,
+    job: &'a Job,
+    /// What each task needs.
+    need: Resources,
+    /// Teams that use more than they are guaranteed, if the job is within its own team's guarantee.
+    teams_beyond_guarantee: Vec<&'a Team>,
+    avoids_stranding_gpus: bool,
+    now: Time,
+}
+
+impl<'a> Preemptor<'a> {
+    fn new(
+        shard: &'a Shard,
+        unplaced: &UnplacedTasks<'a>,
+        usage: &Usage,
+        now: Time,
+    ) -> Option<Self> {
+        let job = shard.jobs.get(unplaced.job)?;
+        let teams_beyond_guarantee = if shard.is_guaranteed(job, usage) {
+            teams_beyond_guarantee(shard, &job.spec.team, usage)
+        } else {
+            Vec::new()
+        };
+        Some(Self {
+            shard,
+            job_id: unplaced.job,
+            job,
+            need: job.need(),
+            teams_beyond_guarantee,
+            avoids_stranding_gpus: unplaced.avoids_stranding_gpus,
+            now,
+        })
+    }
+
+    /// The machine on which one more task can run at the lowest cost, and the attempts to stop there. Equal
+    /// costs are decided by how soon the task could run.
+    fn cheapest_machine<'s>(
+        &self,
+        snapshots: &'s mut [MachineSnapshot],
+        tasks_in_zone: &BTreeMap<Zone, u32>,
+    ) -> Option<(&'s mut MachineSnapshot, Vec<Victim>)> {
+        let mut best: Option<((Time, Time), &mut MachineSnapshot, Vec<Victim>)> = None;
+        for snapshot in snapshots {
+            if !self.is_eligible(snapshot, tasks_in_zone) || !self.may_fit(snapshot) {
                 continue;
             }
-            let Some(machine) = shard.machines.get(&snapshot.id) else {
+            let Some(machine) = self.shard.machines.get(&snapshot.id) else {
                 continue;
             };
-            let found = cheapest(shard, machine, snapshot.later, &need, &yields, now);
-            let Some((cost, victims)) = found else {
+            let Some(victims) = self.cheapest_victims(machine, snapshot.free_after_stops()) else {
                 continue;
             };
+            let spec = &self.job.spec;
             let cost = (
-                cost,
-                machine.ready_in(&job.spec.image, job.spec.image_gb, now),
+                total_cost(&victims),
+                machine.ready_in(&spec.image, spec.image_gb, self.now),
             );
             if best.as_ref().is_none_or(|(least, _, _)| cost < *least) {
-                best = Some((cost, index, victims));
+                best = Some((cost, snapshot, victims));
             }
         }
-        let Some((_, index, victims)) = best else {
-            break;
+        best.map(|(_, snapshot, victims)| (snapshot, victims))
+    }
+
+    /// Whether one more task may run on the machine once it is empty.
+    fn is_eligible(&self, snapshot: &MachineSnapshot, tasks_in_zone: &BTreeMap<Zone, u32>) -> bool {
+        let would_strand_gpus = self.avoids_stranding_gpus && snapshot.total.gpus > 0.0;
+        !snapshot.is_reserved()
+            && !would_strand_gpus
+            && snapshot.total.holds(&self.need)
+            && snapshot.is_allowed_for(&self.job.spec)
+            && self.job.zone_allows(&snapshot.zone, tasks_in_zone)
+    }
+
+    /// Whether preemption can free enough resources at all. It cannot on most machines, which is found
+    /// here without looking at their attempts.
+    fn may_fit(&self, snapshot: &MachineSnapshot) -> bool {
+        let preemptible_priorities = if self.teams_beyond_guarantee.is_empty() {
+            self.job.priority as usize
+        } else {
+            Priority::COUNT
         };
-        let snapshot = &mut snapshots[index];
-        for victim in &victims {
-            if let Some(room) = shard.machines[&victim.machine]
-                .attempts
-                .get(&(victim.task.clone(), victim.attempt))
-                .and_then(|tracked| tracked.resources)
-            {
-                snapshot.later = snapshot.later.plus(&room);
-            }
+        snapshot
+            .running
+            .iter()
+            .take(preemptible_priorities)
+            .fold(snapshot.free_after_stops(), |sum, running| {
+                sum.plus(running)
+            })
+            .holds(&self.need)
+    }
+
+    /// Whether the attempt may be preempted: it is of lower priority, or its team uses more than it is
+    /// guaranteed. Services are never preempted for the latter reason.
+    fn may_preempt(&self, task: &TaskId, tracked: &TrackedAttempt) -> bool {
+        if tracked.exited() || tracked.stop.is_some() || task.job == *self.job_id {
+            return false;
         }
-        // What is being freed is spoken for.
-        snapshot.later = snapshot.later.less(&need);
-        snapshot.free = snapshot.free.min(&snapshot.later);
-        *in_zone.entry(snapshot.zone.clone()).or_default() += 1;
-        stops.extend(victims);
+        let is_beyond_guarantee = || {
+            tracked
+                .team
+                .as_ref()
+                .is_some_and(|team| self.teams_beyond_guarantee.contains(&team))
+        };
+        let is_known_non_service = || {
+            let job = self.shard.jobs.get(&task.job);
+            job.is_some_and(|job| job.spec.kind != Kind::Service)
+        };
+        tracked.priority < self.job.priority || (is_beyond_guarantee() && is_known_non_service())
     }
-    stops
-}
 
-/// The cheapest set of tasks on a machine whose end makes room, with what it loses.
-fn cheapest(
-    shard: &Shard,
-    machine: &Machine,
-    mut later: Resources,
-    need: &Resources,
-    yields: &dyn Fn(&TaskId, &TrackedAttempt) -> bool,
-    now: Time,
-) -> Option<(Time, Vec<Preemption>)> {
-    let mut victims: Vec<(Time, Preemption, Resources)> = Vec::new();
-    for ((task, attempt), tracked) in &machine.attempts {
-        if let (true, Some(room), Some((cost, grace))) = (
-            yields(task, tracked),
-            tracked.resources,
-            loss(shard, task, tracked, now),
-        ) {
-            let stop = Preemption {
-                machine: machine.id.clone(),
-                task: task.clone(),
-                attempt: *attempt,
-                grace,
-            };
-            victims.push((cost, stop, room));
+    /// Attempts on a machine whose end frees enough resources for a task, those that lose the least work
+    /// first. `free` is what is free once the stops issued before are carried out.
+    fn cheapest_victims(&self, machine: &Machine, mut free: Resources) -> Option<Vec<Victim>> {
+        let mut candidates = self.candidate_victims(machine);
+        candidates.sort_by(|a, b| a.cost.total_cmp(&b.cost));
+        let mut victims = Vec::new();
+        for victim in candidates {
+            if free.holds(&self.need) {
+                break;
+            }
+            free = free.plus(&victim.resources);
+            victims.push(victim);
         }
+        free.holds(&self.need).then_some(victims)
     }
-    victims.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let (mut cost, mut stops) = (0.0, Vec::new());
-    for (loses, stop, room) in victims {
-        if later.holds(need) {
-            break;
+
+    fn candidate_victims(&self, machine: &Machine) -> Vec<Victim> {
+        let mut victims = Vec::new();
+        for ((task, attempt), tracked) in &machine.attempts {
+            if !self.may_preempt(task, tracked) {
+                continue;
+            }
+            let loss = loss(self.shard, task, tracked, self.now);
+            if let (Some(resources), Some(loss)) = (tracked.resources, loss) {
+                let preemption = Preemption {
+                    machine: machine.id.clone(),
+                    task: task.clone(),
+                    attempt: *attempt,
+                    grace_s: loss.grace_s,
+                };
+                victims.push(Victim {
+                    preemption,
+                    cost: loss.cost,
+                    resources,
+                });
+            }
         }
-        later = later.plus(&room);
-        cost += loses;
-        stops.push(stop);
+        victims
     }
-    later.holds(need).then_some((cost, stops))
+}
+
+/// Lost work of all victims, in seconds.
+fn total_cost(victims: &[Victim]) -> Time {
+    victims.iter().fold(0.0, |sum, victim| sum + victim.cost)
+}
+
+/// Other teams with a guarantee that use more than they are guaranteed.
+fn teams_beyond_guarantee<'a>(shard: &'a Shard, team: &Team, usage: &Usage) -> Vec<&'a Team> {
+    shard
+        .config
+        .deployment
+        .teams
+        .iter()
+        .filter(|other| other.name != *team)
+        .filter(|other| !usage.guaranteed(other, 0.0, 0.0))
+        .filter(|other| other.gpus > 0.0 || other.cpus > 0.0)
+        .map(|other| &other.name)
+        .collect()
+}
+
+/// What stopping an attempt loses; `None` if that is unknown, so that it must not be stopped.
+fn loss(shard: &Shard, task: &TaskId, tracked: &TrackedAttempt, now: Time) -> Option<Loss> {
+    let checkpoint_s = tracked.checkpoint_write_s;
+    if tracked.opportunistic && tracked.team.is_some() {
+        return Some(Loss {
+            cost: 0.0,
+            grace_s: checkpoint_s,
+        });
+    }
+    let Some(job) = shard.jobs.get(&task.job) else {
+        // A task of another shard's team on a machine that moved here: its owner restarts it elsewhere.
+        let can_checkpoint = tracked.team.is_some() && checkpoint_s > 0.0;
+        return can_checkpoint.then_some(Loss {
+            cost: checkpoint_s,
+            grace_s: checkpoint_s,
+        });
+    };
+    let run_time = tracked.started_at.map_or(0.0, |started| now - started);
+    let (cost, grace_s) = match job.spec.kind {
+        // A stopped replica is missed until another is up.
+        Kind::Service => {
+            let cancel_s = shard.config.deployment.workers.cancel_s;
+            (run_time.min(cancel_s) + REPLICA_BASE_LOSS_S, 0.0)
+        }
+        _ if tracked.started_at.is_none() => (0.0, 0.0),
+        _ if job.spec.checkpoint_interval_s > 0.0 => {
+            (job.spec.checkpoint_write_s, job.spec.checkpoint_write_s)
+        }
+        _ => (run_time, 0.0),
+    };
+    Some(Loss { cost, grace_s })
 }
--- /dev/null
+++ b/src/core/shard/round/machine_choice.rs
@@ -0,0 +1,263 @@
+//! The choice of machines for the waiting tasks of a job.
+
+use crate::core::jobs::job::Job;
+use crate::core::model::resources::Resources;
+use crate::core::model::time::Time;
+use crate::core::scheduling::constraints::{RUN_TIME_ESTIMATE_MARGIN, start_deadline_with_margin};
+use crate::core::scheduling::placement::{Candidate, LateStartPolicy, best_fit};
+use crate::core::shard::Shard;
+use crate::core::shard::round::snapshot::MachineSnapshot;
+use crate::ids::{Image, MachineId, Zone};
+use crate::wire::{JobSpec, Kind};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// An image is fetched alone if it is ready within this factor of its fetch time.
+const UNSHARED_FETCH_FACTOR: f64 = 1.1;
+
+/// Heartbeat intervals within which a new machine is expected to send its first heartbeat.
+const FIRST_HEARTBEAT_INTERVALS: f64 = 2.0;
+
+/// What to look for.
+#[derive(Clone, Copy)]
+pub(super) struct PlacementRequest {
+    /// Tasks that need a machine.
+    pub(super) tasks: usize,
+    /// Whether all tasks have to be placed, or none.
+    pub(super) is_gang: bool,
+    /// Whether resources reserved for other images are left alone.
+    pub(super) respects_image_reservations: bool,
+    /// Whether CPUs and memory that free GPUs need are left alone.
+    pub(super) avoids_stranding_gpus: bool,
+}
+
+/// A machine on which the job may be placed, during the choice.
+struct EligibleMachine<'s> {
+    /// Index of its snapshot.
+    index: usize,
+    snapshot: &'s MachineSnapshot,
+    /// Resources left beside the tasks chosen so far.
+    free: Resources,
+    /// Seconds until a task could run there.
+    ready_in: Time,
+}
+
+impl EligibleMachine<'_> {
+    fn candidate(&self) -> Candidate {
+        Candidate {
+            free: self.free,
+            total: self.snapshot.total,
+            ready_in: self.ready_in,
+        }
+    }
+}
+
+impl Shard {
+    /// Chooses machines for tasks of a job: indices of snapshots, one for each placed task.
+    pub(super) fn choose_machines(
+        &self,
+        job: &Job,
+        request: PlacementRequest,
+        snapshots: &[MachineSnapshot],
+        now: Time,
+    ) -> Vec<usize> {
+        let is_new_in_one_zone = job.spec.one_zone && request.tasks > 1 && job.placed() == 0;
+        let chosen = if is_new_in_one_zone {
+            self.choose_in_best_zone(job, request, snapshots, now)
+        } else {
+            self.choose_in_zone(job, request, snapshots, now, None)
+        };
+        if request.is_gang && chosen.len() < request.tasks {
+            Vec::new()
+        } else {
+            chosen
+        }
+    }
+
+    /// Chooses machines in the first zone that can take the most of the tasks.
+    fn choose_in_best_zone(
+        &self,
+        job: &Job,
+        request: PlacementRequest,
+        snapshots: &[MachineSnapshot],
+        now: Time,
+    ) -> Vec<usize> {
+        let zones: BTreeSet<&Zone> = snapshots.iter().map(|snapshot| &snapshot.zone).collect();
+        let mut best = Vec::new();
+        for zone in zones {
+            let chosen = self.choose_in_zone(job, request, snapshots, now, Some(zone));
+            if chosen.len() > best.len() {
+                best = chosen;
+            }
+        }
+        best
+    }
+
+    /// Chooses a machine for one task after the other, in one zone or in all.
+    fn choose_in_zone(
+        &self,
+        job: &Job,
+        request: PlacementRequest,
+        snapshots: &[MachineSnapshot],
+        now: Time,
+        zone: Option<&Zone>,
+    ) -> Vec<usize> {
+        let need = job.need();
+        let time_to_deadline = self.time_to_start_deadline(job, now);
+        let late_start = late_start_policy(job);
+        let mut eligible = self.eligible_machines(job, request, snapshots, now, zone);
+        let mut tasks_in_zone: BTreeMap<Zone, u32> = BTreeMap::new();
+        let mut chosen = Vec::new();
+        for _ in 0..request.tasks {
+            let mut open: Vec<&mut EligibleMachine> = eligible
+                .iter_mut()
+                .filter(|machine| job.zone_allows(&machine.snapshot.zone, &tasks_in_zone))
+                .collect();
+            let candidates: Vec<Candidate> =
+                open.iter().map(|machine| machine.candidate()).collect();
+            let best = best_fit(
+                &need,
+                &candidates,
+                time_to_deadline,
+                late_start,
+                self.weights,
+            );
+            let Some(machine) = best.and_then(|position| open.get_mut(position)) else {
+                break;
+            };
+            machine.free = machine.free.less(&need);
+            chosen.push(machine.index);
+            *tasks_in_zone
+                .entry(machine.snapshot.zone.clone())
+                .or_default() += 1;
+        }
+        chosen
+    }
+
+    /// Seconds until the job has to start; 0 for a job that has begun, which is interrupted now.
+    fn time_to_start_deadline(&self, job: &Job, now: Time) -> Time {
+        if job.began {
+            return 0.0;
+        }
+        start_deadline_with_margin(&self.config, job, RUN_TIME_ESTIMATE_MARGIN) - now
+    }
+
+    /// The machines on which a task of the job fits and that satisfy its constraints, except those on how
+    /// its tasks are spread over zones.
+    fn eligible_machines<'s>(
+        &self,
+        job: &Job,
+        request: PlacementRequest,
+        snapshots: &'s [MachineSnapshot],
+        now: Time,
+        zone: Option<&Zone>,
+    ) -> Vec<EligibleMachine<'s>> {
+        let spec = &job.spec;
+        let needs_spot = prefers_spot_only(job, request.tasks, snapshots);
+        let is_eligible = |snapshot: &MachineSnapshot| {
+            let free = snapshot.usable_part(snapshot.free, request.avoids_stranding_gpus);
+            !snapshot.is_reserved
+                && free.holds(&job.need())
+                && (snapshot.spot || !needs_spot)
+                && zone.is_none_or(|zone| snapshot.zone == *zone)
+                && snapshot.is_allowed_for(spec)
+                && !is_avoided(job, &snapshot.id)
+        };
+        let eligible = snapshots
+            .iter()
+            .enumerate()
+            .filter(|(_, snapshot)| is_eligible(snapshot))
+            .collect();
+        self.limit_probes(job, eligible)
+            .into_iter()
+            .map(|(index, snapshot)| {
+                let unreserved = if request.respects_image_reservations {
+                    snapshot.free_for_image(Some(&spec.image))
+                } else {
+                    snapshot.free
+                };
+                EligibleMachine {
+                    index,
+                    snapshot,
+                    free: snapshot.usable_part(unreserved, request.avoids_stranding_gpus),
+                    ready_in: self.ready_in(&snapshot.id, &spec.image, spec.image_gb, now),
+                }
+            })
+            .collect()
+    }
+
+    /// A job that fails everywhere is probed only on machines that have its image cached, if there are any, and
+    /// preferably on those where it has not failed yet.
+    fn limit_probes<'s>(
+        &self,
+        job: &Job,
+        eligible: Vec<(usize, &'s MachineSnapshot)>,
+    ) -> Vec<(usize, &'s MachineSnapshot)> {
+        if !job.failures.fails_everywhere() {
+            return eligible;
+        }
+        let has_image = |(_, snapshot): &(usize, &MachineSnapshot)| {
+            self.machines
+                .get(&snapshot.id)
+                .is_some_and(|machine| machine.has_image(&job.spec.image))
+        };
+        let is_untried = |(_, snapshot): &(usize, &MachineSnapshot)| {
+            !job.failures.machines().contains(&snapshot.id)
+        };
+        let with_image: Vec<_> = eligible.iter().copied().filter(has_image).collect();
+        let untried: Vec<_> = with_image.iter().copied().filter(is_untried).collect();
+        [untried, with_image, eligible]
+            .into_iter()
+            .find(|machines| !machines.is_empty())
+            .unwrap_or_default()
+    }
+
+    /// Whether machines of this shard are likely to send their first heartbeat soon.
+    pub(super) fn expects_machines(&self, now: Time) -> bool {
+        let patience = self.config.deployment.workers.report_s * FIRST_HEARTBEAT_INTERVALS;
+        self.machines.values().any(|machine| {
+            machine.is_owned
+                && !machine.reconciled()
+                && now < machine.heartbeat_expected_since + patience
+        })
+    }
+
+    /// Whether the job's image would have to share the machine's fetch rate with other images.
+    pub(super) fn fetch_is_shared(&self, id: &MachineId, spec: &JobSpec, now: Time) -> bool {
+        self.machines.get(id).is_some_and(|machine| {
+            machine.ready_in(&spec.image, spec.image_gb, now)
+                > machine.fetch_s(spec.image_gb) * UNSHARED_FETCH_FACTOR
+        })
+    }
+
+    fn ready_in(&self, id: &MachineId, image: &Image, gb: f64, now: Time) -> Time {
+        self.machines
+            .get(id)
+            .map_or(Time::INFINITY, |machine| machine.ready_in(image, gb, now))
+    }
+}
+
+/// The first replicas of a service are late together: where the image is fetched for one, there should
+/// be resources for the others.
+fn late_start_policy(job: &Job) -> LateStartPolicy {
+    if job.spec.kind == Kind::Service && !job.began {
+        LateStartPolicy::WorstFit
+    } else {
+        LateStartPolicy::BestFit
+    }
+}
+
+/// Whether the job is placed on spot instances only: it may use them and enough of them have resources free,
+/// so the more expensive machines are left to jobs that must not use spot instances.
+fn prefers_spot_only(job: &Job, tasks: usize, snapshots: &[MachineSnapshot]) -> bool {
+    let fits_on_spot = |snapshot: &&MachineSnapshot| {
+        let free = snapshot.free_for_image(Some(&job.spec.image));
+        snapshot.spot && free.holds(&job.need())
+    };
+    job.spec.spot && snapshots.iter().filter(fits_on_spot).count() >= tasks
+}
+
+fn is_avoided(job: &Job, machine: &MachineId) -> bool {
+    job.failures
+        .avoided()
+        .is_some_and(|avoided| avoided.contains(machine))
+}
--- /dev/null
+++ b/src/core/shard/round/reservations.rs
@@ -0,0 +1,97 @@
+//! Resources that a round of placement reserves: for tasks that can start in time only where their image
+//! is cached, and for gangs that wait for machines.
+
+use crate::core::model::resources::Resources;
+use crate::core::model::time::Time;
+use crate::core::scheduling::catalog::Catalog;
+use crate::core::scheduling::forecast::ImageDemand;
+use crate::core::shard::Shard;
+use crate::core::shard::round::snapshot::MachineSnapshot;
+use crate::ids::{Image, JobId, Zone};
+use std::collections::BTreeSet;
+
+impl Shard {
+    /// Reserves resources on machines that have an image cached whose fetch takes longer than starts may, for as
+    /// many of its tasks as arrived recently. Best fit would otherwise place other tasks on exactly these
+    /// machines.
+    pub(super) fn reserve_for_cached_images(
+        &self,
+        snapshots: &mut [MachineSnapshot],
+        catalog: &Catalog,
+        now: Time,
+    ) {
+        let images = self
+            .forecast
+            .images_to_keep_cached(&self.config, catalog.types(), now);
+        let zones: BTreeSet<Zone> = snapshots
+            .iter()
+            .map(|snapshot| snapshot.zone.clone())
+            .collect();
+        for (image, demand) in images {
+            for zone in &zones {
+                let tasks_per_zone = demand.recent_tasks.div_ceil(zones.len() as u32).max(1);
+                self.reserve_in_zone(snapshots, &image, &demand, zone, tasks_per_zone);
+            }
+        }
+    }
+
+    /// Reserves resources for up to `tasks` tasks in one zone, on the machines with the fewest free
+    /// GPUs first.
+    fn reserve_in_zone(
+        &self,
+        snapshots: &mut [MachineSnapshot],
+        image: &Image,
+        demand: &ImageDemand,
+        zone: &Zone,
+        tasks: u32,
+    ) {
+        let need = Resources::of(&demand.spec);
+        let has_image = |snapshot: &MachineSnapshot| {
+            self.machines
+                .get(&snapshot.id)
+                .is_some_and(|machine| machine.has_image(image))
+        };
+        let mut holders: Vec<&mut MachineSnapshot> = snapshots
+            .iter_mut()
+            .filter(|snapshot| {
+                snapshot.zone == *zone
+                    && snapshot.is_allowed_for(&demand.spec)
+                    && has_image(snapshot)
+            })
+            .collect();
+        holders.sort_by(|a, b| a.free.gpus.total_cmp(&b.free.gpus));
+        let mut unreserved = tasks;
+        for snapshot in holders {
+            while unreserved > 0 && snapshot.free_for_image(None).holds(&need) {
+                snapshot.reserve_for_image(image, need);
+                unreserved -= 1;
+            }
+        }
+    }
+
+    /// Reserves the machines that will soonest have the resources a gang still lacks, so that smaller tasks
+    /// which are served later do not starve it.
+    pub(super) fn reserve_for_gang(
+        &self,
+        id: &JobId,
+        tasks: usize,
+        snapshots: &mut [MachineSnapshot],
+    ) {
+        let Some(job) = self.jobs.get(id).filter(|job| job.is_gang()) else {
+            return;
+        };
+        let need = job.need();
+        for _ in 0..tasks {
+            let best = snapshots
+                .iter_mut()
+                .filter(|snapshot| !snapshot.is_reserved && snapshot.total.holds(&need))
+                .filter(|snapshot| snapshot.is_allowed_for(&job.spec))
+                .max_by(|a, b| {
+                    let (a, b) = (a.free_after_stops.gpus, b.free_after_stops.gpus);
+                    a.total_cmp(&b)
+                });
+            let Some(snapshot) = best else { return };
+            snapshot.is_reserved = true;
+        }
+    }
+}
--- a/src/core/shard/shard_log.rs
+++ b/src/core/shard/shard_log.rs
@@ -1,7 +1,7 @@
-//! A share's state in the log: what waits, by class, and what is free, by kind of machine. Once a lease, for
-//! whoever looks into an incident later.
+//! Periodic log of a shard's state, for the analysis of incidents: queued tasks by class, free resources by
+//! kind of machine, demanded machines, and teams whose tasks are not fully known.
 
-use crate::core::messages::capacity_demand::{MachineDemand, MachineOffer};
+use crate::core::messages::capacity_demand::MachineOffer;
 use crate::core::model::resources::Resources;
 use crate::core::model::time::Time;
 use crate::core::shard::Shard;
@@ -17,83 +17,82 @@
 
 /// The machines of one kind.
 #[derive(Default)]
-struct KindRoom {
+struct MachineSummary {
     usable: usize,
     unusable: usize,
     idle: usize,
+    /// Free resources of the usable machines.
     free: Resources,
 }
 
 impl Shard {
+    /// Logs the state of the shard once per lease duration.
     pub(crate) fn log_shard_when_due(&mut self, now: Time) {
         if now < self.next_shard_log {
             return;
         }
         self.next_shard_log = now + self.config.deployment.workers.lease_s;
+        self.log_tasks();
+        self.log_machines(now);
+        self.log_demand();
+        self.log_unreconciled_teams();
+    }
+
+    fn log_tasks(&self) {
         for (class, tasks) in self.tasks_by_class() {
-            let ClassTasks {
-                waiting,
-                unreconciled,
-                placed,
-            } = tasks;
             tracing::info!(
-                "tasks of {class}: {placed} placed, {waiting} wait, {unreconciled} unsettled"
+                %class,
+                placed = tasks.placed,
+                waiting = tasks.waiting,
+                unreconciled = tasks.unreconciled,
+                "unfinished tasks of a class"
             );
         }
-        for (
-            MachineOffer {
-                type_name,
-                zone,
-                spot,
-            },
-            room,
-        ) in self.room_by_kind(now)
-        {
-            let KindRoom {
-                usable,
-                unusable,
-                idle,
-                free,
-            } = room;
-            let spot = if spot { ", spot" } else { "" };
-            let Resources {
-                cpus,
-                gpus,
-                memory_gb,
-            } = free;
+    }
+
+    fn log_machines(&self, now: Time) {
+        for (offer, machines) in self.machines_by_offer(now) {
             tracing::info!(
-                "{type_name} in {zone}{spot}: {usable} usable, {idle} of them idle, {unusable} not; \
-                 free: {cpus:.0} CPUs, {gpus:.0} GPUs, {memory_gb:.0} GB"
+                machine_type = %offer.type_name,
+                zone = %offer.zone,
+                spot = offer.spot,
+                usable = machines.usable,
+                idle = machines.idle,
+                unusable = machines.unusable,
+                free_cpus = machines.free.cpus.round(),
+                free_gpus = machines.free.gpus.round(),
+                free_memory_gb = machines.free.memory_gb.round(),
+                "machines of a type"
             );
         }
-        for want in &self.demand.machine_demands {
-            let MachineDemand {
-                count,
-                offer:
-                    MachineOffer {
-                        type_name,
-                        zone,
-                        spot,
-                    },
-                urgency,
-                ..
-            } = want;
-            let spot = if *spot { ", spot" } else { "" };
-            tracing::info!("wants {count} {type_name} in {zone}{spot} ({urgency:?})");
-        }
-        for (name, team) in self
-            .teams
-            .iter()
-            .filter(|(_, team)| !team.unreconciled.is_empty())
-        {
-            let first = team.unreconciled.iter().next();
+    }
+
+    fn log_demand(&self) {
+        for demand in &self.demand.machine_demands {
             tracing::info!(
-                "team {name} waits for {} machines to heartbeat, {first:?} among them",
-                team.unreconciled.len()
+                count = demand.count,
+                machine_type = %demand.offer.type_name,
+                zone = %demand.offer.zone,
+                spot = demand.offer.spot,
+                urgency = ?demand.urgency,
+                "machines demanded"
             );
         }
     }
 
+    fn log_unreconciled_teams(&self) {
+        for (name, team) in &self.teams {
+            if let Some(first) = team.unreconciled.first() {
+                tracing::info!(
+                    team = %name,
+                    machines = team.unreconciled.len(),
+                    first_machine = %first,
+                    "team waits for heartbeats of machines"
+                );
+            }
+        }
+    }
+
     fn tasks_by_class(&self) -> BTreeMap<&str, ClassTasks> {
         let mut classes: BTreeMap<&str, ClassTasks> = BTreeMap::new();
         for job in self.jobs.values() {
@@ -105,23 +104,23 @@
         classes
     }
 
-    fn room_by_kind(&self, now: Time) -> BTreeMap<MachineOffer, KindRoom> {
-        let mut kinds: BTreeMap<MachineOffer, KindRoom> = BTreeMap::new();
+    fn machines_by_offer(&self, now: Time) -> BTreeMap<MachineOffer, MachineSummary> {
+        let mut offers: BTreeMap<MachineOffer, MachineSummary> = BTreeMap::new();
         for machine in self.machines.values().filter(|machine| machine.is_owned) {
-            let kind = MachineOffer {
+            let offer = MachineOffer {
                 type_name: machine.type_name.clone(),
                 zone: machine.zone.clone(),
                 spot: machine.spot,
             };
-            let room = kinds.entry(kind).or_default();
+            let machines = offers.entry(offer).or_default();
             if machine.usable(now) {
-                room.usable += 1;
-                room.idle += usize::from(machine.idle());
-                room.free = room.free.plus(&machine.free());
+                machines.usable += 1;
+                machines.idle += usize::from(machine.idle());
+                machines.free = machines.free.plus(&machine.free());
             } else {
-                room.unusable += 1;
+                machines.unusable += 1;
             }
         }
-        kinds
+        offers
     }
 }
--- a/src/core/shard/soon_ready.rs
+++ b/src/core/shard/soon_ready.rs
@@ -1,15 +1,14 @@
-//! Jobs that are about to become ready: everything that they still need runs in this share and is
-//! expected to end soon. Machines for them are looked for one boot time ahead, not earlier, and in
-//! the room that those before them leave behind. A job whose dependencies wait, or run elsewhere,
-//! may be far off, so nothing is rented for it.
+//! Jobs that are about to become ready: all their unfinished dependencies run in this shard and are expected to
+//! end soon. Machines for them are demanded one boot time ahead and not earlier, and only for tasks that
+//! do not fit into the resources that the dependencies will release. A job whose dependencies are
+//! queued, or run elsewhere, may become ready much later, so nothing is rented for it.
 
 use crate::core::jobs::job::Job;
 use crate::core::model::resources::Resources;
 use crate::core::model::time::Time;
-use crate::core::records::job_record::JobRecord;
 use crate::core::scheduling::constraints::team_limits;
 use crate::core::scheduling::forecast::longest_boot;
-use crate::core::scheduling::packing::TaskDemand;
+use crate::core::scheduling::packing::candidate::TaskDemand;
 use crate::core::scheduling::usage::Usage;
 use crate::core::shard::Shard;
 use crate::core::store::replica::StoreReplica;
@@ -18,16 +17,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// What will soon be wanted, and the room that will be free by then.
+/// Jobs that will soon be ready, and the resources that will be free by then.
 #[derive(Default)]
-pub struct SoonReadyJobs {
-    pub wanted: Vec<TaskDemand>,
-    pub released: Vec<(MachineId, Resources)>,
+pub(crate) struct SoonReadyJobs {
+    /// Their tasks.
+    pub(crate) demands: Vec<TaskDemand>,
+    /// Resources that the jobs they depend on will release, by machine.
+    pub(crate) released: Vec<(MachineId, Resources)>,
 }
 
 impl Shard {
-    /// What becomes ready while a machine boots.
-    pub(crate) fn upcoming(
+    /// The jobs that are expected to become ready while a machine boots.
+    pub(crate) fn soon_ready_jobs(
         &self,
         store: &StoreReplica,
         mut usage: Usage,
@@ -35,39 +36,29 @@
         now: Time,
     ) -> SoonReadyJobs {
         let ending = self.ending_jobs(now + longest_boot(types));
-        let mut wanted = Vec::new();
+        let mut demands = Vec::new();
         for spec in self.ready_after(store, &ending) {
             let Some(team_limits) = team_limits(&self.config, &spec) else {
                 continue;
             };
             let need = Resources::of(&spec);
-            let count = usage.room_in_limit(team_limits, &need, spec.tasks as usize);
+            let count = usage.tasks_within_limit(team_limits, &need, spec.tasks as usize);
             usage.add_tasks(&team_limits.name, &need, count);
-            wanted.push(TaskDemand::expected(types, spec, count as u32));
+            demands.push(TaskDemand::expected(types, spec, count as u32));
         }
-        if wanted.is_empty() {
+        if demands.is_empty() {
             return SoonReadyJobs::default();
         }
         SoonReadyJobs {
-            wanted,
-            released: self.room_of(&ending),
+            demands,
+            released: self.resources_of(&ending),
         }
     }
 
-    /// Jobs all of whose unfinished tasks run and are expected to be done by then.
+    /// Jobs all of whose unfinished tasks are running and are expected to end by the given time.
     fn ending_jobs(&self, by: Time) -> BTreeSet<&JobId> {
-        let mut last_end: BTreeMap<&JobId, Time> = BTreeMap::new();
-        for ((task, _), tracked) in self.machines.values().flat_map(|machine| &machine.attempts) {
-            if tracked.exited() {
-                continue;
-            }
-            if let Some((id, job)) = self.jobs.get_key_value(&task.job) {
-                let began = tracked.started_at.unwrap_or(Time::INFINITY);
-                let end = last_end.entry(id).or_insert(Time::NEG_INFINITY);
-                *end = end.max(began + job.spec.estimate_s);
-            }
-        }
-        let ends = |id: &JobId, job: &Job| {
+        let last_end = self.expected_ends();
+        let is_ending = |id: &JobId, job: &Job| {
             job.spec.kind != Kind::Service
                 && job.waiting().is_empty()
                 && job.unreconciled() == 0
@@ -75,14 +66,31 @@
         };
         self.jobs
             .iter()
-            .filter(|(id, job)| ends(id, job))
+            .filter(|(id, job)| is_ending(id, job))
             .map(|(id, _)| id)
             .collect()
     }
 
-    /// Jobs of our teams that need nothing but what is done or in `ending`.
+    /// When the last live attempt of each job is expected to end; infinity if one has not begun to run.
+    fn expected_ends(&self) -> BTreeMap<&JobId, Time> {
+        let mut last_end: BTreeMap<&JobId, Time> = BTreeMap::new();
+        for ((task, _), tracked) in self.machines.values().flat_map(|machine| &machine.attempts) {
+            if tracked.exited() {
+                continue;
+            }
+            if let Some((id, job)) = self.jobs.get_key_value(&task.job) {
+                let started = tracked.started_at.unwrap_or(Time::INFINITY);
+                let end = last_end.entry(id).or_insert(Time::NEG_INFINITY);
+                *end = end.max(started + job.spec.estimate_s);
+            }
+        }
+        last_end
+    }
+
+    /// Unfinished jobs of this shard's teams all of whose dependencies are done or in `ending`, at least one of
+    /// them in `ending`.
     fn ready_after(&self, store: &StoreReplica, ending: &BTreeSet<&JobId>) -> Vec<Rc<JobSpec>> {
-        let done = |id: &JobId| {
+        let is_done = |id: &JobId| {
             store
                 .job(id)
                 .is_some_and(|job| job.record.status == JobStatus::Done)
@@ -94,34 +102,38 @@
             let Some(job) = store.job(id).filter(|_| !store.dependency_cancelled(id)) else {
                 continue;
             };
-            let record: &JobRecord = &job.record;
-            let Some(spec) = record.spec.as_ref().filter(|_| !record.is_final()) else {
+            let unfinished = job.record.spec.as_ref().filter(|_| !job.record.is_final());
+            let Some(spec) = unfinished else {
                 continue;
             };
-            let ready = spec
+            let is_ready = spec
                 .dependencies
                 .iter()
-                .all(|id| done(id) || ending.contains(id));
-            if ready && self.teams.contains_key(&spec.team) {
+                .all(|id| is_done(id) || ending.contains(id));
+            if is_ready && self.teams.contains_key(&spec.team) {
                 specs.push(spec.clone());
             }
         }
         specs
     }
 
-    fn room_of(&self, jobs: &BTreeSet<&JobId>) -> Vec<(MachineId, Resources)> {
-        let mut released = Vec::new();
+    /// Resources of the jobs' live attempts that were not told to stop, by machine.
+    fn resources_of(&self, jobs: &BTreeSet<&JobId>) -> Vec<(MachineId, Resources)> {
+        let mut used = Vec::new();
         for machine in self.machines.values() {
-            let tracked = machine.attempts.iter().filter(|((task, _), tracked)| {
-                !tracked.exited() && tracked.stop.is_none() && jobs.contains(&task.job)
-            });
-            let rooms = tracked.filter_map(|(_, tracked)| tracked.resources);
-            let sum = rooms.fold(Resources::default(), |sum, room| sum.plus(&room));
+            let sum = machine
+                .attempts
+                .iter()
+                .filter(|((task, _), tracked)| {
+                    !tracked.exited() && tracked.stop.is_none() && jobs.contains(&task.job)
+                })
+                .filter_map(|(_, tracked)| tracked.resources)
+                .fold(Resources::default(), |sum, resources| sum.plus(&resources));
             if sum != Resources::default() {
-                released.push((machine.id.clone(), sum));
+                used.push((machine.id.clone(), sum));
             }
         }
-        released
+        used
     }
 }
 
--- a/src/core/shard/usage.rs
+++ b/src/core/shard/usage.rs
@@ -1,63 +1,71 @@
+//! How much of its quota each team may be using: everything that may be on a machine.
+
 use crate::core::scheduling::usage::Usage;
-use crate::core::shard::Shard;
+use crate::core::shard::{OwnedTeam, Shard};
 use crate::core::store::cancelled_jobs::CancelledSince;
 use crate::core::store::replica::StoreReplica;
-use crate::ids::JobId;
+use crate::ids::{JobId, Team};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Times `cancel_s` after which nothing can be left of a cancelled job: once for its tasks to go, and
-/// once more for clocks that differ and for transactions that are carried out late.
-pub(crate) const CANCELLED_COUNTS: f64 = 2.0;
+/// Times `cancel_s` after which no task of a cancelled job can be left: once for its tasks to stop, and
+/// once more for differing clocks and transactions that are carried out late.
+const CANCELLED_JOB_CANCEL_TIMES: f64 = 2.0;
+
+/// Milliseconds per second.
+const MS_PER_S: f64 = 1e3;
 
 impl Shard {
-    /// Everything of our teams that may be on a machine, and what may be on machines not heard.
+    /// Resources of this shard's teams on all machines, and what may be on machines that have not reported
+    /// their tasks. `wall_ms` is the wall-clock time in milliseconds.
     pub(crate) fn usage(&self, store: &StoreReplica, wall_ms: u64) -> Usage {
         let mut usage = Usage::default();
-        self.add_held(&mut usage);
+        self.add_attempts(&mut usage);
         self.add_unreconciled(&mut usage);
         self.add_cancelled(store, wall_ms, &mut usage);
         for team_limits in &self.config.deployment.teams {
-            let grant = self
-                .teams
-                .get(&team_limits.name)
-                .and_then(|team| team.grant.as_ref());
-            if let Some(grant) = grant {
+            let team = self.teams.get(&team_limits.name);
+            if let Some(grant) = team.and_then(|team| team.grant.as_ref()) {
                 usage.count_by_grants(team_limits, grant.basis());
             }
         }
         usage
     }
 
-    pub(crate) fn add_held(&self, usage: &mut Usage) {
-        // Whether there is a task that is over, of a record that doesn't say whose it was.
-        let mut stray = false;
+    /// Adds the live attempts on all machines.
+    fn add_attempts(&self, usage: &mut Usage) {
+        let mut has_attempt_of_unknown_team = false;
         let attempts = self.machines.values().flat_map(|machine| &machine.attempts);
         for ((_, attempt), tracked) in attempts.filter(|(_, tracked)| !tracked.exited()) {
             match (&tracked.resources, &tracked.team) {
-                (Some(room), Some(team)) if self.started_here(team, *attempt) => {
-                    usage.add(team, room.cpus, room.gpus);
+                (Some(resources), Some(team)) if self.started_here(team, *attempt) => {
+                    usage.add(team, resources.cpus, resources.gpus);
+                }
+                (Some(resources), Some(team)) => {
+                    usage.add_inherited(team, resources.cpus, resources.gpus);
                 }
-                (Some(room), Some(team)) => usage.add_inherited(team, room.cpus, room.gpus),
-                (_, None) => stray |= tracked.may_forget,
+                // A task of a finished job whose record does not name its team.
+                (_, None) => has_attempt_of_unknown_team |= tracked.may_forget,
                 (None, Some(_)) => {}
             }
         }
-        if stray {
-            self.teams.keys().for_each(|name| usage.close(name));
+        if has_attempt_of_unknown_team {
+            self.teams.keys().for_each(|name| usage.mark_unknown(name));
         }
     }
 
-    pub(crate) fn add_unreconciled(&self, usage: &mut Usage) {
+    /// Adds tasks of running jobs that may be on machines that have not reported.
+    fn add_unreconciled(&self, usage: &mut Usage) {
         for job in self.jobs.values().filter(|job| job.unreconciled() > 0) {
             let tasks = f64::from(job.unreconciled());
             usage.add_inherited(&job.spec.team, job.spec.cpus * tasks, job.spec.gpus * tasks);
         }
     }
 
-    /// Cancelled jobs' tasks run on where a stop has not arrived, and a team's new owner has to
-    /// count them too until every machine has told what it holds.
-    pub(crate) fn add_cancelled(&self, store: &StoreReplica, wall_ms: u64, usage: &mut Usage) {
-        let unreconciled: Vec<_> = self
+    /// Adds tasks of cancelled jobs that may be on machines that have not reported. Such tasks run on where
+    /// the stop has not arrived, so a team's new owner has to count them until every machine has
+    /// reported its tasks.
+    fn add_cancelled(&self, store: &StoreReplica, wall_ms: u64, usage: &mut Usage) {
+        let unreconciled: Vec<(&Team, &OwnedTeam)> = self
             .teams
             .iter()
             .filter(|(_, team)| !team.unreconciled.is_empty())
@@ -65,37 +73,40 @@
         if unreconciled.is_empty() {
             return;
         }
-        let tracked = self.tracked_of_cancelled();
-        let recent_ms = self.config.deployment.workers.cancel_s * CANCELLED_COUNTS * 1e3;
-        let recent = wall_ms.saturating_sub(recent_ms as u64);
+        let tracked = self.tracked_tasks_of_cancelled();
+        let recently_cancelled_ms = wall_ms.saturating_sub(self.cancelled_job_lifetime_ms());
         for (name, team) in unreconciled {
             let since = CancelledSince {
-                wall_ms: recent,
+                wall_ms: recently_cancelled_ms,
                 version: team.gained_at,
             };
             if store.undescribed_cancellation_since(since) {
-                usage.close(name);
+                usage.mark_unknown(name);
             }
-            for (id, terminating) in store
-                .cancelled_since(since)
-                .filter(|(_, l)| l.team == *name)
-            {
+            let cancelled = store.cancelled_since(since);
+            for (id, job) in cancelled.filter(|(_, job)| job.team == *name) {
                 let known = tracked.get(id).map_or(0, BTreeSet::len) as u32;
-                let tasks = f64::from(terminating.tasks.saturating_sub(known));
-                usage.add_inherited(
-                    name,
-                    terminating.need.cpus * tasks,
-                    terminating.need.gpus * tasks,
-                );
+                let tasks = f64::from(job.tasks.saturating_sub(known));
+                usage.add_inherited(name, job.need.cpus * tasks, job.need.gpus * tasks);
             }
         }
     }
 
-    /// The tasks of cancelled jobs that are counted where they are.
-    pub(crate) fn tracked_of_cancelled(&self) -> BTreeMap<&JobId, BTreeSet<u32>> {
+    /// How long tasks of a cancelled job may exist, in milliseconds.
+    #[expect(
+        clippy::cast_possible_truncation,
+        clippy::cast_sign_loss,
+        reason = "a product of positive settings; the cast saturates"
+    )]
+    fn cancelled_job_lifetime_ms(&self) -> u64 {
+        (self.config.deployment.workers.cancel_s * CANCELLED_JOB_CANCEL_TIMES * MS_PER_S) as u64
+    }
+
+    /// The tasks of cancelled jobs that are counted as attempts on their machines.
+    fn tracked_tasks_of_cancelled(&self) -> BTreeMap<&JobId, BTreeSet<u32>> {
         let mut tasks: BTreeMap<&JobId, BTreeSet<u32>> = BTreeMap::new();
-        let on_machines = self.machines.values().flat_map(|machine| &machine.attempts);
-        for ((task, _), tracked) in on_machines {
+        let attempts = self.machines.values().flat_map(|machine| &machine.attempts);
+        for ((task, _), tracked) in attempts {
             if tracked.may_forget && !tracked.exited() && tracked.resources.is_some() {
                 tasks.entry(&task.job).or_default().insert(task.index);
             }
