--- a/tests/days/orders.rs
+++ b/tests/days/command_faults.rs
@@ -6,7 +6,7 @@
 /// Many short tasks on few machines, more than have room, urgent ones among them; notices and
 /// cancellations; direct orders that are refused, late or unanswered, machines that hang for less
 /// than a lease, and controllers that end.
-pub fn order_day(seed: u64) -> String {
+pub fn command_faults_day(seed: u64) -> String {
     let mut rng = StdRng::seed_from_u64(seed);
     let controllers = if seed.is_multiple_of(2) { 5 } else { 3 };
     let machines = rng.random_range(3..8);
@@ -16,10 +16,10 @@
     for _ in 0..3 {
         let at = rng.random_range(5..90);
         let kind = [
-            "late_orders",
-            "late_orders",
-            "refused_orders",
-            "lost_order_answers",
+            "late_commands",
+            "late_commands",
+            "refused_commands",
+            "lost_command_responses",
         ];
         let kind = kind[rng.random_range(0..kind.len())];
         day += &format!("at {at} {kind} {}\n", rng.random_range(15..50));
@@ -69,14 +69,14 @@
     let hold = ["", "hold"][rng.random_range(0..2)];
     match rng.random_range(0..14) {
         0..=2 => format!("machine_hangs {which} {moment}"),
-        3 | 4 => format!("machine_refuses {which} {moment}"),
-        5 => format!("machine_deaf {which} {spell}"),
+        3 | 4 => format!("machine_refuses_commands {which} {moment}"),
+        5 => format!("machine_inbound_lost {which} {spell}"),
         6 => format!("machine_cut {which} {moment} {hold}"),
-        7 => format!("machine_mute {which} {spell}"),
-        8 => format!("copies {spell}"),
+        7 => format!("machine_heartbeats_lost {which} {spell}"),
+        8 => format!("duplicate_heartbeats {spell}"),
         9 => format!("crash {who} {moment}"),
         10 => format!("freeze {who} {moment}"),
-        11 => format!("notice {which} {}", rng.random_range(2..12)),
+        11 => format!("termination_notice {which} {}", rng.random_range(2..12)),
         12 => format!("refuse {who} {spell}"),
         _ => format!("cut {who} workers {moment} {hold}"),
     }
--- a/tests/days/meeting.rs
+++ b/tests/days/interacting_faults.rs
@@ -5,7 +5,7 @@
 
 /// A day of meetings: two or three troubles begin within seconds of one another, while jobs are
 /// cancelled and the limited team has as much to run as it may.
-pub fn meeting_day(seed: u64) -> String {
+pub fn interacting_faults_day(seed: u64) -> String {
     let mut rng = StdRng::seed_from_u64(seed);
     let controllers = if seed.is_multiple_of(2) { 5 } else { 3 };
     let machines = rng.random_range(7..14);
@@ -17,7 +17,7 @@
     if upgraded {
         let (at, every) = (rng.random_range(10..60), rng.random_range(4..12));
         let order = ["", "last_first"][rng.random_range(0..2)];
-        day += &format!("old\nat {at} upgrade {every} {order}\n");
+        day += &format!("previous_version\nat {at} upgrade {every} {order}\n");
     }
     for _ in 0..rng.random_range(14..26) {
         let at = f64::from(rng.random_range(10..1300)) / 10.0;
@@ -74,22 +74,22 @@
                 8 => format!("cut {who} everyone {s} {hold}"),
                 9 => format!("machine_dies {which}"),
                 10 => format!("machine_cut {which} {s} {hold}"),
-                11 | 12 => format!("machine_deaf {which} {s}"),
-                13 => format!("machine_mute {which} {s}"),
+                11 | 12 => format!("machine_inbound_lost {which} {s}"),
+                13 => format!("machine_heartbeats_lost {which} {s}"),
                 14 => format!("machine_hangs {which} {s}"),
                 15 => format!("zone_cut b {s} {hold}"),
                 16 => format!("freeze {who} {s}"),
                 17 => format!("late_writes {s}"),
-                18 => format!("lost_answers {s}"),
-                19 => format!("copies_for_next {s}"),
-                20 => format!("copies {s}"),
-                _ => format!("instant_boots {s}"),
+                18 => format!("lost_store_responses {s}"),
+                19 => format!("replay_to_next_leader {s}"),
+                20 => format!("duplicate_heartbeats {s}"),
+                _ => format!("fast_boots {s}"),
             };
             day += &format!("at {begins} {fault}\n");
         }
-        day += &format!("at {at} close_looks 20\nat {at} cancel_at_end 20\n");
+        day += &format!("at {at} linearizability_probes 20\nat {at} cancel_at_completion 20\n");
         if !upgraded {
-            day += &format!("at {at} odd_requests 20\n");
+            day += &format!("at {at} unusual_requests 20\n");
         }
         if rng.random_bool(0.4) {
             // One controller is refused, others confirm cancellations, then the service is out for all.
--- a/tests/days/mod.rs
+++ b/tests/days/mod.rs
@@ -1,15 +1,15 @@
 //! Days that are drawn from a seed.
 
-mod crowded;
-mod meeting;
-mod orders;
+mod command_faults;
+mod interacting_faults;
+mod many_machines;
+mod overlapping_faults;
 mod random;
-mod rough;
 mod upgrade;
 
-pub use crowded::crowded_day;
-pub use meeting::meeting_day;
-pub use orders::order_day;
+pub use command_faults::command_faults_day;
+pub use interacting_faults::interacting_faults_day;
+pub use many_machines::many_machines_day;
+pub use overlapping_faults::overlapping_faults_day;
 pub use random::random_day;
-pub use rough::rough_day;
 pub use upgrade::upgrade_day;
--- a/tests/days/rough.rs
+++ b/tests/days/overlapping_faults.rs
@@ -4,7 +4,7 @@
 use rand::{Rng, SeedableRng};
 
 /// A day on which everything that the protocol names may overlap, on a map of several values.
-pub fn rough_day(seed: u64) -> String {
+pub fn overlapping_faults_day(seed: u64) -> String {
     let mut rng = StdRng::seed_from_u64(seed);
     let controllers = if seed.is_multiple_of(2) { 5 } else { 3 };
     let machines = rng.random_range(6..16);
@@ -49,7 +49,7 @@
                 let again = at + back + f64::from(rng.random_range(1..100)) / 10.0;
                 format!("crash all {back}\nat {again} crash all {back}\n")
             }
-            2 => format!("roll {}\n", rng.random_range(3..12)),
+            2 => format!("rolling_restart {}\n", rng.random_range(3..12)),
             3 => format!("outage {s}\n"),
             4 => format!("cloud_outage {s}\n"),
             5 => format!("refuse {who} {s}\n"),
@@ -59,7 +59,7 @@
             9 | 10 => format!("cut {who} state+siblings {s} {hold}\n"),
             11 => format!("machine_dies {which}\n"),
             12 => format!("machine_cut {which} {s} {hold}\n"),
-            13 => format!("machine_deaf {which} {s}\n"),
+            13 => format!("machine_inbound_lost {which} {s}\n"),
             14 | 15 => format!("machine_hangs {which} {s}\n"),
             16 => format!("zone_cut b {s} {hold}\n"),
             17 | 18 => format!("freeze {who} {s}\n"),
@@ -68,7 +68,7 @@
                 let fault = ["crash_at_map_write", "late_map_write"][rng.random_range(0..2)];
                 format!("{fault} {nth}\nat {at} crash {who} {back}\n")
             }
-            _ => format!("copies {s}\n"),
+            _ => format!("duplicate_heartbeats {s}\n"),
         };
     }
     day + "until 330\n"
--- a/tests/days/random.rs
+++ b/tests/days/random.rs
@@ -50,7 +50,7 @@
         let fault = match rng.random_range(0..16) {
             0 => format!("crash {who} {:.1}", rng.random_range(0.2..8.0)),
             1 => format!("crash all {:.1}", rng.random_range(0.2..8.0)),
-            2 => format!("roll {}", rng.random_range(3..12)),
+            2 => format!("rolling_restart {}", rng.random_range(3..12)),
             3 | 4 => format!("outage {s}"),
             5 => format!("cloud_outage {s}"),
             6 => format!("refuse {who} {s}"),
@@ -60,9 +60,9 @@
             10 => format!("cut {who} state+siblings {s} {hold}"),
             11 => format!("machine_dies {which}"),
             12 => format!("machine_cut {which} {s} {hold}"),
-            13 => format!("machine_deaf {which} {s}"),
-            14 => format!("notice {which} {}", rng.random_range(2..12)),
-            _ => format!("copies {s}"),
+            13 => format!("machine_inbound_lost {which} {s}"),
+            14 => format!("termination_notice {which} {}", rng.random_range(2..12)),
+            _ => format!("duplicate_heartbeats {s}"),
         };
         day += &format!("at {at} {fault}\n");
     }
--- a/tests/days/upgrade.rs
+++ b/tests/days/upgrade.rs
@@ -73,7 +73,8 @@
     // The last is back 5 s after its turn, and all are killed once more on some days.
     let all_new = at + f64::from(every) * turns as f64 + 12.0;
     let trouble = UPGRADE_TROUBLES[seed as usize % UPGRADE_TROUBLES.len()];
-    let mut day = format!("seed {seed}\nold\ncontrollers {controllers}\nmachines 10\nspot 2\n");
+    let mut day =
+        format!("seed {seed}\nprevious_version\ncontrollers {controllers}\nmachines 10\nspot 2\n");
     day += "at 2 job array 6 run=40\nat 3 job service 4 spread\n";
     day += "at 4 job gang 2 onezone run=30 team=blue\nat 5 job array 12 run=15 spot\n";
     day += &format!("at {at} job array 8 run=12 team=blue\n");
@@ -107,7 +108,10 @@
         day += &format!("at {} cancel 15\n", back + 3.0);
         day += &format!("at {again} upgrade {every} {order}\n");
     }
-    day + &format!("at {all_new} close_looks 40\nuntil {}\n", all_new + 220.0)
+    day + &format!(
+        "at {all_new} linearizability_probes 40\nuntil {}\n",
+        all_new + 220.0
+    )
 }
 
 /// From the sixth job on: a chain of eight, a fan of three into one with another team's job among
--- a/tests/effect_digests/mod.rs
+++ b/tests/effect_digests/mod.rs
@@ -14,11 +14,11 @@
 
 const KINDS_OF_DAYS: [(&str, DayOf, u64); 6] = [
     ("random", days::random_day, 10),
-    ("rough", days::rough_day, 8),
-    ("meeting", days::meeting_day, 8),
-    ("order", days::order_day, 8),
+    ("rough", days::overlapping_faults_day, 8),
+    ("meeting", days::interacting_faults_day, 8),
+    ("order", days::command_faults_day, 8),
     ("upgrade", days::upgrade_day, 8),
-    ("crowded", days::crowded_day, 3),
+    ("crowded", days::many_machines_day, 3),
 ];
 
 #[test]
--- a/tests/failures/load.rs
+++ b/tests/failures/load.rs
@@ -18,7 +18,8 @@
     let ends = LOADED_FROM_S + seconds;
     let mut day =
         format!("seed 4\ncontrollers {CONTROLLERS}\nmachines 30\nat 2 job service 30 spread\n");
-    day += &format!("at 20 close_looks {seconds}\nat 25 lost_answers {seconds}\n");
+    day +=
+        &format!("at 20 linearizability_probes {seconds}\nat 25 lost_store_responses {seconds}\n");
     let jobs = (seconds / 2.0) as usize;
     for job in 0..jobs {
         let at = 20.0 + 2.0 * job as f64;
--- a/tests/failures/measure.rs
+++ b/tests/failures/measure.rs
@@ -1,7 +1,7 @@
 //! Plays one failure of a share's owner and takes the times of what follows.
 
 use crate::script::{play, spec};
-use crate::world::{CutManner, Direction, Event, Fault, Who, World};
+use crate::world::{CutManner, Direction, Endpoint, Event, Fault, World};
 use ochredrum::wire::{JobSpec, Kind};
 
 /// When the failure begins at the earliest.
@@ -59,9 +59,9 @@
 
     /// Lets it happen to a controller.
     pub fn happen(self, world: &mut World, at: f64, node: usize) {
-        let who = Who::Node(node);
-        let cut = |from: Who, manner: CutManner, direction: Direction| {
-            let who = Who::Node(node);
+        let who = Endpoint::Node(node);
+        let cut = |from: Endpoint, manner: CutManner, direction: Direction| {
+            let who = Endpoint::Node(node);
             Fault::Cut {
                 who,
                 from,
@@ -80,15 +80,17 @@
                 back_after: Some(seconds),
             },
             Self::StandsStill(seconds) => Fault::Freeze { who, seconds },
-            Self::CutFromWorkers(manner) => cut(Who::Workers, manner, Direction::Both),
+            Self::CutFromWorkers(manner) => cut(Endpoint::Workers, manner, Direction::Both),
             Self::RefusedAlone => Fault::Refuse {
                 who,
                 seconds: LASTS_S,
             },
-            Self::CutFromStateAndSiblings => {
-                cut(Who::StateAndSiblings, CutManner::Silent, Direction::Both)
-            }
-            Self::OneDirection(direction) => cut(Who::Everyone, CutManner::Silent, direction),
+            Self::CutFromStateAndSiblings => cut(
+                Endpoint::StateAndSiblings,
+                CutManner::Silent,
+                Direction::Both,
+            ),
+            Self::OneDirection(direction) => cut(Endpoint::Everyone, CutManner::Silent, direction),
             Self::Slow(pause) => Fault::Slow {
                 who,
                 pause,
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -2,8 +2,8 @@
 
 mod failures;
 mod fleet;
-#[path = "../world/state.rs"]
-mod state;
+#[path = "../world/store.rs"]
+mod store;
 mod team_limits;
 mod worker;
 
@@ -14,7 +14,6 @@
 use ochredrum::http::{Bounds, Client, Failure, Reply, read_body, reply, serve};
 use ochredrum::wire::{Transaction, decode, encode};
 use serde_json::{Value, json};
-use state::State;
 use std::cell::RefCell;
 use std::io::Write;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -22,6 +21,7 @@
 use std::rc::Rc;
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::{Duration, Instant};
+use store::Store;
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
@@ -38,7 +38,7 @@
 
 /// Answers requests as the state service's pages say.
 async fn state_service(
-    state: Rc<RefCell<State>>,
+    state: Rc<RefCell<Store>>,
     began: Instant,
     request: Request<Incoming>,
 ) -> Reply {
@@ -276,9 +276,9 @@
     }
 
     pub async fn of(controllers: usize) -> Self {
-        let mut state = State::default();
-        state.page = ITEMS_IN_PAGE;
-        let state = Rc::new(RefCell::new(state));
+        let mut store = Store::default();
+        store.page_size = ITEMS_IN_PAGE;
+        let state = Rc::new(RefCell::new(store));
         let began = Instant::now();
         let (listener, state_at) = listen().await;
         spawn_local(serve(listener, BOUNDS, move |request| {
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -65,7 +65,7 @@
     let mut world = play(&format!("grants\n{day}"));
     world
         .broken
-        .retain(|broken| !broken.starts_with("no_meeting"));
+        .retain(|broken| !broken.starts_with("expectation_not_met"));
     report(&format!("{name}, with grants"), &world)
 }
 
@@ -79,7 +79,7 @@
             20.0 + f64::from(job) / 20.0
         );
     }
-    let world = play(&(day + "at 15 limits_fall\nat 18 close_looks 30\nuntil 160\n"));
+    let world = play(&(day + "at 15 limits_fall\nat 18 linearizability_probes 30\nuntil 160\n"));
     assert!(
         report("rate", &world).is_none(),
         "{}",
@@ -87,7 +87,7 @@
     );
     // Felt, and heeded: without pacing 3,639 requests of this day were refused.
     assert!(
-        (20..1200).contains(&world.work.state_busy),
+        (20..1200).contains(&world.work.throttled_requests),
         "{:?}",
         world.work
     );
@@ -99,7 +99,7 @@
 fn odd_requests_come_and_cancelled_jobs_start_nothing_more() {
     let world = play(include_str!("scenarios/odd_requests.txt"));
     assert!(world.broken.is_empty(), "{:?}", world.broken);
-    assert!(world.work.odd_requests > 100, "{:?}", world.work);
+    assert!(world.work.unusual_requests > 100, "{:?}", world.work);
     assert!(world.work.starts_after_cancel <= 8, "{:?}", world.work);
 }
 
@@ -133,7 +133,7 @@
                 world
                     .log
                     .iter()
-                    .any(|line| line.contains("fault AtMapWrite"))
+                    .any(|line| line.contains("fault AtShardMapWrite"))
             );
             failures.extend(report(&fault, &world));
         }
@@ -153,7 +153,7 @@
             day += &format!("at {} cancel {job}\n", at + f64::from(job % 5));
         }
     }
-    day += "at 4 close_looks 130\nat 4 cancel_at_end 130\nuntil 240\n";
+    day += "at 4 linearizability_probes 130\nat 4 cancel_at_completion 130\nuntil 240\n";
     let world = play(&day);
     assert!(
         report("flood", &world).is_none(),
@@ -182,7 +182,7 @@
         state_bytes: world.work.state_bytes - before.state_bytes,
         mesh_bytes: world.work.mesh_bytes - before.mesh_bytes,
         commands: world.work.commands - before.commands,
-        state_busy: world.work.state_busy - before.state_busy,
+        throttled_requests: world.work.throttled_requests - before.throttled_requests,
         ..Default::default()
     }
 }
@@ -308,12 +308,12 @@
 }
 
 #[test]
-fn rough_days() {
-    // More days by hand: ROUGH_DAYS=from-to.
+fn overlapping_faults_days() {
+    // More days by hand: OVERLAPPING_FAULTS_DAYS=from-to.
     let mut failures = Vec::new();
-    for seed in seeds("ROUGH_DAYS", "1-40") {
-        let day = days::rough_day(seed);
-        let name = format!("rough day {seed}\n{day}");
+    for seed in seeds("OVERLAPPING_FAULTS_DAYS", "1-40") {
+        let day = days::overlapping_faults_day(seed);
+        let name = format!("overlapping_faults day {seed}\n{day}");
         failures.extend(report(&name, &play(&day)));
         failures.extend(report_with_grants(&name, &day));
     }
@@ -327,13 +327,13 @@
 
 /// Days on which direct orders are refused, late or unanswered, beside all that ends tasks early.
 #[test]
-fn order_days() {
-    // More days by hand: ORDER_DAYS=from-to.
+fn command_faults_days() {
+    // More days by hand: COMMAND_FAULTS_DAYS=from-to.
     let mut failures = Vec::new();
     // Found: a start held up beside one that was refused (78).
-    for seed in seeds("ORDER_DAYS", "1-40").chain([78]) {
-        let day = days::order_day(seed);
-        let name = format!("order day {seed}\n{day}");
+    for seed in seeds("COMMAND_FAULTS_DAYS", "1-40").chain([78]) {
+        let day = days::command_faults_day(seed);
+        let name = format!("command_faults day {seed}\n{day}");
         failures.extend(report(&name, &play(&day)));
         failures.extend(report_with_grants(&name, &day));
     }
@@ -347,12 +347,12 @@
 
 /// Tens of machines, every trouble at once.
 #[test]
-fn crowded_days() {
-    // More days by hand: CROWDED_DAYS=from-to.
+fn many_machines_days() {
+    // More days by hand: MANY_MACHINES_DAYS=from-to.
     let mut failures = Vec::new();
-    for seed in seeds("CROWDED_DAYS", "1-15") {
-        let day = days::crowded_day(seed);
-        let name = format!("crowded day {seed}\n{day}");
+    for seed in seeds("MANY_MACHINES_DAYS", "1-15") {
+        let day = days::many_machines_day(seed);
+        let name = format!("many_machines day {seed}\n{day}");
         failures.extend(report(&name, &play(&day)));
         failures.extend(report_with_grants(&name, &day));
     }
@@ -365,12 +365,12 @@
 }
 
 #[test]
-fn meeting_days() {
-    // More days by hand: MEETING_DAYS=from-to.
+fn interacting_faults_days() {
+    // More days by hand: INTERACTING_FAULTS_DAYS=from-to.
     let mut failures = Vec::new();
-    for seed in seeds("MEETING_DAYS", "1-40") {
-        let day = days::meeting_day(seed);
-        let name = format!("meeting day {seed}\n{day}");
+    for seed in seeds("INTERACTING_FAULTS_DAYS", "1-40") {
+        let day = days::interacting_faults_day(seed);
+        let name = format!("interacting_faults day {seed}\n{day}");
         failures.extend(report(&name, &play(&day)));
         failures.extend(report_with_grants(&name, &day));
     }
@@ -435,7 +435,7 @@
         each_second < world.limits.rps,
         "{each_second} requests a second"
     );
-    let refused = work.state_busy - before.state_busy;
+    let refused = work.throttled_requests - before.throttled_requests;
     assert!(
         refused * 100 < work.state_requests,
         "{refused} were refused for the rate"
@@ -450,7 +450,7 @@
     let day = format!(
         "{grants}\nseed 2\nmachines 6\nat 2 job service 6 gpus=5\n\
          at 3 job service 4 gpus=2 team=blue\nat 20 cloud_outage 160\n\
-         at 30 job array 40 gpus=6 team=blue run=5\nat 58 machine_deaf 1 40\n\
+         at 30 job array 40 gpus=6 team=blue run=5\nat 58 machine_inbound_lost 1 40\n\
          at {ended} crash leader 90\nat 62 job service 1 gpus=1 team=blue\nuntil {ended}\n"
     );
     let mut world = play(&day);
--- a/tests/script/mod.rs
+++ b/tests/script/mod.rs
@@ -2,8 +2,8 @@
 //! its line and column.
 
 use super::world::{
-    CutManner, Direction, Event, FAILS_AT_ONCE, Fault, Limits, MapFault, OrderFate, UpgradeOrder,
-    Who, World, grants_on,
+    CommandFate, CutManner, Direction, Endpoint, Event, FAILS_IMMEDIATELY, Fault, Limits,
+    ShardMapFault, UpgradeOrder, World, grants_on,
 };
 use ochredrum::ids::{Image, Team};
 use ochredrum::wire::{JobSpec, Kind, Priority};
@@ -58,17 +58,17 @@
     }
 }
 
-fn who(word: &str) -> Who {
+fn who(word: &str) -> Endpoint {
     match word {
-        "leader" => Who::Leader,
-        "all" => Who::AllNodes,
-        "state" => Who::State,
-        "cloud" => Who::Cloud,
-        "workers" => Who::Workers,
-        "state+siblings" => Who::StateAndSiblings,
-        "everyone" => Who::Everyone,
+        "leader" => Endpoint::Leader,
+        "all" => Endpoint::AllNodes,
+        "state" => Endpoint::State,
+        "cloud" => Endpoint::Cloud,
+        "workers" => Endpoint::Workers,
+        "state+siblings" => Endpoint::StateAndSiblings,
+        "everyone" => Endpoint::Everyone,
         node => match node.strip_prefix('n').and_then(|n| n.parse().ok()) {
-            Some(node) => Who::Node(node),
+            Some(node) => Endpoint::Node(node),
             None => panic!("who is {word:?}?"),
         },
     }
@@ -113,7 +113,7 @@
             None if *word == "spot" => job.spot = true,
             None if *word == "spread" => job.spread = true,
             None if *word == "onezone" => job.one_zone = true,
-            None if *word == "broken" => run_s = FAILS_AT_ONCE,
+            None if *word == "broken" => run_s = FAILS_IMMEDIATELY,
             None if *word == "low" => job.priority = Priority::Low,
             None if *word == "high" => job.priority = Priority::High,
             _ => panic!("job option {word:?}?"),
@@ -137,12 +137,12 @@
 }
 
 /// `served`, `refused`, `unanswered` or `late=S`.
-fn order_fate(word: &str) -> OrderFate {
+fn command_fate(word: &str) -> CommandFate {
     match word.split_once('=') {
-        Some(("late", seconds)) => OrderFate::Late(number(Some(&seconds))),
-        None if word == "served" => OrderFate::Served,
-        None if word == "refused" => OrderFate::Refused,
-        None if word == "unanswered" => OrderFate::Unanswered,
+        Some(("late", seconds)) => CommandFate::Late(number(Some(&seconds))),
+        None if word == "served" => CommandFate::Served,
+        None if word == "refused" => CommandFate::Refused,
+        None if word == "unanswered" => CommandFate::Unanswered,
         _ => panic!("fate {word:?}?"),
     }
 }
@@ -177,7 +177,7 @@
                 back_after,
             }
         }
-        "roll" => Fault::Roll {
+        "rolling_restart" => Fault::RollingRestart {
             every: number(rest.first()),
         },
         "outage" => Fault::Outage {
@@ -215,7 +215,7 @@
             node: number(rest.get(1)) as usize,
             seconds: number(rest.get(2)),
         },
-        "machine_deaf" => Fault::MachineDeaf {
+        "machine_inbound_lost" => Fault::MachineInboundLost {
             which: number(rest.first()) as usize,
             seconds: number(rest.get(1)),
         },
@@ -223,7 +223,7 @@
             which: number(rest.first()) as usize,
             seconds: number(rest.get(1)),
         },
-        "notice" => Fault::MachineNotice {
+        "termination_notice" => Fault::TerminationNotice {
             which: number(rest.first()) as usize,
             seconds: number(rest.get(1)),
         },
@@ -243,18 +243,18 @@
         "late_writes" => Fault::LateWrites {
             seconds: number(rest.first()),
         },
-        "crash_at_map_write" => Fault::AtMapWrite {
+        "crash_at_map_write" => Fault::AtShardMapWrite {
             nth: number(rest.first()) as usize,
-            fault: MapFault::Crash,
+            fault: ShardMapFault::Crash,
         },
-        "late_map_write" => Fault::AtMapWrite {
+        "late_map_write" => Fault::AtShardMapWrite {
             nth: number(rest.first()) as usize,
-            fault: MapFault::Late,
+            fault: ShardMapFault::Late,
         },
-        "copies" => Fault::Copies {
+        "duplicate_heartbeats" => Fault::DuplicateHeartbeats {
             seconds: number(rest.first()),
         },
-        "machine_mute" => Fault::MachineMute {
+        "machine_heartbeats_lost" => Fault::MachineHeartbeatsLost {
             which: number(rest.first()) as usize,
             seconds: number(rest.get(1)),
         },
@@ -264,39 +264,39 @@
             together: if rest.get(2) == Some(&"pairs") { 2 } else { 1 },
         },
         "downgrade" => Fault::Downgrade { who: who(rest[0]) },
-        "next_orders" => Fault::NextOrders {
+        "next_commands" => Fault::NextCommands {
             which: number(rest.first()) as usize,
-            fates: rest[1..].iter().map(|word| order_fate(word)).collect(),
+            fates: rest[1..].iter().map(|word| command_fate(word)).collect(),
         },
-        "machine_refuses" => Fault::MachineRefuses {
+        "machine_refuses_commands" => Fault::MachineRefusesCommands {
             which: number(rest.first()) as usize,
             seconds: number(rest.get(1)),
         },
-        "refused_orders" => Fault::RefusedOrders {
+        "refused_commands" => Fault::RefusedCommands {
             seconds: number(rest.first()),
         },
-        "late_orders" => Fault::LateOrders {
+        "late_commands" => Fault::LateCommands {
             seconds: number(rest.first()),
         },
-        "lost_order_answers" => Fault::LostOrderAnswers {
+        "lost_command_responses" => Fault::LostCommandResponses {
             seconds: number(rest.first()),
         },
-        "lost_answers" => Fault::LostAnswers {
+        "lost_store_responses" => Fault::LostStoreResponses {
             seconds: number(rest.first()),
         },
-        "copies_for_next" => Fault::CopiesForNext {
+        "replay_to_next_leader" => Fault::ReplayToNextLeader {
             seconds: number(rest.first()),
         },
-        "instant_boots" => Fault::InstantBoots {
+        "fast_boots" => Fault::FastBoots {
             seconds: number(rest.first()),
         },
-        "close_looks" => Fault::CloseLooks {
+        "linearizability_probes" => Fault::LinearizabilityProbes {
             seconds: number(rest.first()),
         },
-        "odd_requests" => Fault::OddRequests {
+        "unusual_requests" => Fault::UnusualRequests {
             seconds: number(rest.first()),
         },
-        "cancel_at_end" => Fault::CancelAtEnd {
+        "cancel_at_completion" => Fault::CancelAtCompletion {
             seconds: number(rest.first()),
         },
         other => panic!("fault {other:?}?"),
@@ -341,7 +341,7 @@
             }
             "grants" => world.features = grants_on(),
             "detection_off" => world.features.failure_detection = None,
-            "old" => world.old = (0..controllers).collect(),
+            "previous_version" => world.previous_version_nodes = (0..controllers).collect(),
             "machines" => world.add_machines(number(words.get(1)) as usize, false),
             "without_gpus" => world.add_machines_without_gpus(number(words.get(1)) as usize),
             "spot" => world.add_machines(number(words.get(1)) as usize, true),
--- a/tests/world/cloud.rs
+++ b/tests/world/cloud.rs
@@ -23,7 +23,7 @@
     /// Of every fleet there are machines with GPUs; of some others as well.
     kinds: Vec<MachineType>,
     machines: BTreeMap<MachineId, Owned>,
-    hires: BTreeMap<String, MachineNames>,
+    rentals: BTreeMap<String, MachineNames>,
     deleted: Vec<MachineId>,
     created: usize,
 }
@@ -33,7 +33,7 @@
         Self {
             kinds: vec![kind_with_gpus()],
             machines: BTreeMap::new(),
-            hires: BTreeMap::new(),
+            rentals: BTreeMap::new(),
             deleted: Vec::new(),
             created: 0,
         }
@@ -153,7 +153,7 @@
                 })
             }
             CloudCall::Rent(rental) => {
-                if let Some(names) = self.hires.get(&rental.request) {
+                if let Some(names) = self.rentals.get(&rental.request) {
                     return (CloudReply::Rented(names.clone()), Vec::new());
                 }
                 if self.machines.len() >= CAPACITY {
@@ -168,7 +168,7 @@
                 let names = MachineNames {
                     machines: machines.clone(),
                 };
-                self.hires.insert(rental.request, names.clone());
+                self.rentals.insert(rental.request, names.clone());
                 return (CloudReply::Rented(names), machines);
             }
             CloudCall::Release(names) => {
--- a/tests/world/commands.rs
+++ b/tests/world/commands.rs
@@ -1,6 +1,6 @@
 //! Direct orders on their way to workers: refused, held up, carried out, answered or not.
 
-use super::faults::Who;
+use super::faults::Endpoint;
 use super::{Event, LEASE_S, World};
 use ochredrum::core::effects::{CallId, Input, WorkerReply};
 use ochredrum::ids::MachineId;
@@ -16,7 +16,7 @@
 
 /// What happens to one message of direct orders.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum OrderFate {
+pub enum CommandFate {
     Served,
     /// The connection is refused at once.
     Refused,
@@ -40,8 +40,8 @@
         let machine = MachineId::from(address.as_str());
         let reply = |reply| Box::new(Input::Worker(call, reply));
         let (lost, unsent) = (reply(WorkerReply::Unknown), reply(WorkerReply::NotSent));
-        let fate = self.order_fate(&machine);
-        let answer_to = if fate == OrderFate::Served {
+        let fate = self.command_fate(&machine);
+        let answer_to = if fate == CommandFate::Served {
             epoch
         } else {
             NOBODY
@@ -54,7 +54,7 @@
             commands,
         };
         match fate {
-            OrderFate::Refused => {
+            CommandFate::Refused => {
                 let delay = self.latency();
                 return self.after(
                     delay,
@@ -65,7 +65,7 @@
                     },
                 );
             }
-            OrderFate::Late(delay) => {
+            CommandFate::Late(delay) => {
                 self.after(delay, event);
                 return self.after(
                     ANSWER_DEADLINE_S,
@@ -76,27 +76,29 @@
                     },
                 );
             }
-            OrderFate::Served | OrderFate::Unanswered => {}
+            CommandFate::Served | CommandFate::Unanswered => {}
         }
-        let (me, to) = (Who::Node(node), Who::Machine(machine));
+        let (me, to) = (Endpoint::Node(node), Endpoint::Machine(machine));
         self.send(me, to, ANSWER_DEADLINE_S, event, node, lost, unsent);
     }
 
     /// As a scenario has it for the next messages to this machine, or as the present troubles draw it.
-    fn order_fate(&mut self, machine: &MachineId) -> OrderFate {
-        if let Some(fate) = self.net.next_order_fate(machine) {
+    fn command_fate(&mut self, machine: &MachineId) -> CommandFate {
+        if let Some(fate) = self.network.next_command_fate(machine) {
             return fate;
         }
-        if self.net.refuses(machine) || (self.net.refused_orders() && self.in_trouble()) {
-            return OrderFate::Refused;
+        if self.network.refuses_commands(machine)
+            || (self.network.refused_commands() && self.in_trouble())
+        {
+            return CommandFate::Refused;
         }
-        if self.net.late_orders() && self.in_trouble() {
-            return OrderFate::Late(self.rng.random_range(0.05..16.0));
+        if self.network.late_commands() && self.in_trouble() {
+            return CommandFate::Late(self.rng.random_range(0.05..16.0));
         }
-        if self.net.lost_order_answers() && self.in_trouble() {
-            return OrderFate::Unanswered;
+        if self.network.lost_command_responses() && self.in_trouble() {
+            return CommandFate::Unanswered;
         }
-        OrderFate::Served
+        CommandFate::Served
     }
 
     fn in_trouble(&mut self) -> bool {
--- a/tests/world/controllers.rs
+++ b/tests/world/controllers.rs
@@ -1,8 +1,8 @@
 //! Controllers: what reaches them, and what they ask of others.
 
-use super::faults::{CutManner, Who};
+use super::faults::{CutManner, Endpoint};
 use super::settings::settings;
-use super::{Event, LEASE_S, World, old, users};
+use super::{Event, LEASE_S, World, previous_version, users};
 use failure_detector::Stage;
 use ochredrum::config::Config;
 use ochredrum::core::Core;
@@ -21,16 +21,16 @@
     /// Clocks run at slightly different rates.
     pub rate: f64,
     pub next_request: u64,
-    pub asked: BTreeMap<RequestId, Asker>,
+    pub pending_requests: BTreeMap<RequestId, Asker>,
     /// Stands still until then; what arrives meanwhile waits.
     pub frozen_until: f64,
-    pub held: Vec<Input>,
+    pub deferred_inputs: Vec<Input>,
 }
 
 pub enum Asker {
     User {
         job: Option<usize>,
-        ask: users::Ask,
+        kind: users::RequestKind,
         asked: f64,
     },
     Worker {
@@ -47,12 +47,14 @@
 
 impl World {
     pub(super) fn restart(&mut self, node: usize) {
-        let next = self.next_limits.filter(|_| !self.old.contains(&node));
+        let next = self
+            .next_limits
+            .filter(|_| !self.previous_version_nodes.contains(&node));
         let text = settings(node, self.nodes.len(), self.limits, next);
         let Ok(mut config) = Config::parse(&text) else {
             panic!("settings of the runner")
         };
-        if !self.old.contains(&node) {
+        if !self.previous_version_nodes.contains(&node) {
             config.features = self.features.clone();
         }
         let seed = self.rng.random();
@@ -63,7 +65,7 @@
         controller.epoch += 1;
         controller.started = self.now;
         controller.frozen_until = 0.0;
-        controller.held.clear();
+        controller.deferred_inputs.clear();
         controller.core = Some(Core::new(config, seed));
         let epoch = controller.epoch;
         self.note(format!("n{node} starts"));
@@ -74,13 +76,13 @@
         if self.nodes[node].core.take().is_some() {
             self.nodes[node].epoch += 1;
             // Whoever asked sees the connection break.
-            for (_, asker) in std::mem::take(&mut self.nodes[node].asked) {
-                if let Asker::User { job, ask, asked } = asker {
+            for (_, asker) in std::mem::take(&mut self.nodes[node].pending_requests) {
+                if let Asker::User { job, kind, asked } = asker {
                     self.after(
                         0.0,
                         Event::UserAnswer {
                             job,
-                            ask,
+                            kind,
                             asked,
                             answer: None,
                         },
@@ -98,14 +100,14 @@
     }
 
     /// Kept copies of reports reach every controller as another one begins to lead.
-    pub(super) fn copies_to_new_leader(&mut self) {
+    pub(super) fn replay_to_new_leader(&mut self) {
         let leader = self.leader();
-        if self.kept.is_empty() || leader.is_none() || leader == self.led {
-            self.led = leader.or(self.led);
+        if self.replay_buffer.is_empty() || leader.is_none() || leader == self.last_leader {
+            self.last_leader = leader.or(self.last_leader);
             return;
         }
-        self.led = leader;
-        for (machine, heartbeat) in std::mem::take(&mut self.kept) {
+        self.last_leader = leader;
+        for (machine, heartbeat) in std::mem::take(&mut self.replay_buffer) {
             for node in 0..self.nodes.len() {
                 let (machine, heartbeat) = (machine.clone(), heartbeat.clone());
                 self.after(
@@ -158,12 +160,12 @@
             return self.answer_asker(node, asker, None, None);
         }
         let controller = &mut self.nodes[node];
-        if self.old.contains(&node) && !old::reads(&input) {
+        if self.previous_version_nodes.contains(&node) && !previous_version::can_read(&input) {
             return self.answer_asker(node, asker, None, None);
         }
         controller.next_request += 1;
         let request = RequestId(controller.next_request);
-        controller.asked.insert(request, asker);
+        controller.pending_requests.insert(request, asker);
         let input = match input {
             Input::User(_, what) => Input::User(request, what),
             Input::Heartbeat(_, heartbeat) => Input::Heartbeat(request, heartbeat),
@@ -182,16 +184,19 @@
     ) {
         let delay = self.latency();
         match asker {
-            Asker::User { job, ask, asked } => {
+            Asker::User { job, kind, asked } => {
                 // Users wait for 2 or 5 s; what comes later they never see.
-                let poll = matches!(ask, users::Ask::Poll | users::Ask::Look);
+                let poll = matches!(
+                    kind,
+                    users::RequestKind::Poll | users::RequestKind::ProbePoll
+                );
                 let patience = if poll { 2.0 } else { 5.0 };
                 let answer = answer.filter(|_| self.now < asked + patience);
                 self.after(
                     delay,
                     Event::UserAnswer {
                         job,
-                        ask,
+                        kind,
                         asked,
                         answer,
                     },
@@ -203,9 +208,9 @@
                 live,
             } => {
                 let passes = self
-                    .net
-                    .passes(Who::Node(node), Who::Machine(machine.clone()));
-                if live && passes && !self.net.deaf(&machine) {
+                    .network
+                    .passes(Endpoint::Node(node), Endpoint::Machine(machine.clone()));
+                if live && passes && !self.network.inbound_lost(&machine) {
                     self.after(
                         delay,
                         Event::HeartbeatResponse {
@@ -217,7 +222,10 @@
                 }
             }
             Asker::Sibling { from, epoch, call } => {
-                if self.net.passes(Who::Node(node), Who::Node(from)) {
+                if self
+                    .network
+                    .passes(Endpoint::Node(node), Endpoint::Node(from))
+                {
                     let input = Box::new(Input::MeshReply(call, mesh));
                     self.after(
                         delay,
@@ -234,13 +242,16 @@
 
     pub(super) fn step(&mut self, node: usize, batch: Vec<Input>) {
         if self.now < self.nodes[node].frozen_until {
-            return self.nodes[node].held.extend(batch);
+            return self.nodes[node].deferred_inputs.extend(batch);
         }
         let now = self.clock(node);
         let wall = 1_700_000_000_000 + (self.now * 1e3) as u64;
-        let old = self.old.contains(&node);
-        let batch = if old {
-            batch.into_iter().map(old::sees).collect()
+        let previous = self.previous_version_nodes.contains(&node);
+        let batch = if previous {
+            batch
+                .into_iter()
+                .map(previous_version::strip_input)
+                .collect()
         } else {
             batch
         };
@@ -250,8 +261,8 @@
         let span = tracing::info_span!("", n = node, t = self.now);
         let before = core.starts_held_back();
         let effects = span.in_scope(|| core.step(now, wall, batch));
-        let held_back = core.starts_held_back() > before;
-        if held_back {
+        let start_withheld = core.starts_held_back() > before;
+        if start_withheld {
             // The last guard kept the rule, but nothing should come to it.
             self.breaks(
                 "start_held_back",
@@ -286,24 +297,28 @@
 
     pub(super) fn effect(&mut self, node: usize, effect: Effect) {
         let epoch = self.nodes[node].epoch;
-        let me = Who::Node(node);
-        let old = self.old.contains(&node);
+        let me = Endpoint::Node(node);
+        let previous = self.previous_version_nodes.contains(&node);
         match effect {
             Effect::Answer(request, answer) => {
-                if let Some(asker) = self.nodes[node].asked.remove(&request) {
+                if let Some(asker) = self.nodes[node].pending_requests.remove(&request) {
                     self.answer_asker(node, asker, Some(answer), None);
                 }
             }
             Effect::MeshAnswer(request, mut reply) => {
-                if old {
-                    old::plain_reply(&mut reply);
+                if previous {
+                    previous_version::strip_reply(&mut reply);
                 }
-                if let Some(asker) = self.nodes[node].asked.remove(&request) {
+                if let Some(asker) = self.nodes[node].pending_requests.remove(&request) {
                     self.answer_asker(node, asker, None, Some(reply));
                 }
             }
             Effect::State(call, what) => {
-                let what = if old { old::writes(what) } else { what };
+                let what = if previous {
+                    previous_version::strip_write(what)
+                } else {
+                    what
+                };
                 self.work.state_requests += 1;
                 if let StoreCall::Commit(transaction) = &what {
                     let text = serde_json::to_string(transaction);
@@ -313,7 +328,7 @@
                 let unsent = Box::new(Input::State(call, StoreReply::Refused));
                 let commit = matches!(what, StoreCall::Commit(_));
                 let late = commit && self.late_commit(&what);
-                if commit && self.net.lost_answers() && self.rng.random_bool(0.3) {
+                if commit && self.network.lost_store_responses() && self.rng.random_bool(0.3) {
                     // Nobody is of this epoch, so the answer reaches nobody.
                     self.after(
                         0.002,
@@ -351,7 +366,15 @@
                         },
                     );
                 }
-                self.send(me, Who::State, LEASE_S / 12.0, event, node, lost, unsent);
+                self.send(
+                    me,
+                    Endpoint::State,
+                    LEASE_S / 12.0,
+                    event,
+                    node,
+                    lost,
+                    unsent,
+                );
             }
             Effect::Cloud(call, what) => {
                 let lost = Box::new(Input::Cloud(call, CloudReply::Unknown));
@@ -362,14 +385,22 @@
                     call,
                     what,
                 };
-                self.send(me, Who::Cloud, LEASE_S / 3.0, event, node, lost, unsent);
+                self.send(
+                    me,
+                    Endpoint::Cloud,
+                    LEASE_S / 3.0,
+                    event,
+                    node,
+                    lost,
+                    unsent,
+                );
             }
             Effect::Worker(call, address, commands) => {
                 self.send_direct_commands(node, call, address, commands)
             }
             Effect::Mesh(call, to, mut message) => {
-                if old {
-                    old::plain_message(&mut message);
+                if previous {
+                    previous_version::strip_message(&mut message);
                 }
                 let Some(to) = index(&to) else { return };
                 let mut body = Vec::new();
@@ -386,7 +417,15 @@
                     to,
                     message,
                 };
-                self.send(me, Who::Node(to), LEASE_S / 12.0, event, node, lost, unsent);
+                self.send(
+                    me,
+                    Endpoint::Node(to),
+                    LEASE_S / 12.0,
+                    event,
+                    node,
+                    lost,
+                    unsent,
+                );
             }
         }
     }
@@ -396,8 +435,8 @@
     #[allow(clippy::too_many_arguments)]
     pub(super) fn send(
         &mut self,
-        from: Who,
-        to: Who,
+        from: Endpoint,
+        to: Endpoint,
         deadline: f64,
         event: Event,
         node: usize,
@@ -405,7 +444,7 @@
         unsent: Box<Input>,
     ) {
         let epoch = self.nodes[node].epoch;
-        if self.net.passes(from.clone(), to.clone()) {
+        if self.network.passes(from.clone(), to.clone()) {
             let delay = self.latency();
             self.after(delay, event);
             return self.after(
@@ -417,7 +456,7 @@
                 },
             );
         }
-        match self.net.kept_from(&from, &to) {
+        match self.network.cut_manner(&from, &to) {
             Some(CutManner::Refused) => {
                 let delay = self.latency();
                 self.after(
@@ -441,7 +480,7 @@
                 );
             }
             Some(CutManner::Held) if self.rng.random_bool(0.5) => {
-                if let Some(end) = self.net.held_until(&from, &to) {
+                if let Some(end) = self.network.held_until(&from, &to) {
                     self.at(end + 0.01, event);
                 }
                 self.after(
@@ -466,12 +505,12 @@
 
     /// An overloaded process gets a turn only now and then.
     pub(super) fn pause_if_slow(&mut self, node: usize, epoch: u64) {
-        if let Some(pause) = self.net.slow(node)
+        if let Some(pause) = self.network.slow(node)
             && self.now >= self.nodes[node].frozen_until
         {
             let until = self.now + pause;
             self.nodes[node].frozen_until = self.nodes[node].frozen_until.max(until);
-            self.at(until, Event::Thaw { node, epoch });
+            self.at(until, Event::Resume { node, epoch });
         }
     }
 
@@ -483,8 +522,8 @@
         }
     }
 
-    pub(super) fn reply(&mut self, node: usize, epoch: u64, from: Who, input: Input) {
-        if self.net.passes(from, Who::Node(node)) {
+    pub(super) fn reply(&mut self, node: usize, epoch: u64, from: Endpoint, input: Input) {
+        if self.network.passes(from, Endpoint::Node(node)) {
             let delay = self.latency();
             self.after(
                 delay,
--- a/tests/world/event.rs
+++ b/tests/world/event.rs
@@ -54,7 +54,7 @@
         number: u64,
         answer: Option<Answer>,
     },
-    Worker {
+    WorkerTurn {
         machine: MachineId,
     },
     BootDone {
@@ -70,24 +70,24 @@
         job: usize,
     },
     /// A poll or repeat at this controller, whatever it is answered.
-    Look {
+    Probe {
         job: usize,
         node: usize,
-        ask: users::Ask,
+        kind: users::RequestKind,
     },
     /// By now nothing may be left of a cancelled job.
     CancelDue {
         job: usize,
     },
     /// Looks for jobs that are left waiting.
-    Watch,
+    CheckStarvation,
     /// What a scenario needs to have come about by now, or it proves nothing.
     Expect {
         job: usize,
         what: String,
     },
     /// Users send odd requests until then.
-    OddRequest {
+    UnusualRequest {
         until: f64,
     },
     /// The state service's next limits hold from now on.
@@ -95,7 +95,7 @@
     AskUnknown,
     UserAnswer {
         job: Option<usize>,
-        ask: users::Ask,
+        kind: users::RequestKind,
         asked: f64,
         answer: Option<Answer>,
     },
@@ -106,7 +106,7 @@
     Upgrade {
         node: usize,
     },
-    Thaw {
+    Resume {
         node: usize,
         epoch: u64,
     },
--- a/tests/world/faults.rs
+++ b/tests/world/faults.rs
@@ -1,13 +1,13 @@
 //! What goes wrong, and between whom.
 
-use super::commands::OrderFate;
+use super::commands::CommandFate;
 use super::{Event, LEASE_S, RESTART_S, World};
 use ochredrum::ids::MachineId;
 use rand::Rng;
 use std::collections::{BTreeMap, VecDeque};
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Who {
+pub enum Endpoint {
     Node(usize),
     /// Whoever leads when the fault begins.
     Leader,
@@ -24,11 +24,11 @@
 #[derive(Clone, Debug)]
 pub enum Fault {
     Crash {
-        who: Who,
+        who: Endpoint,
         back_after: Option<f64>,
     },
     /// Crashes one after the other.
-    Roll {
+    RollingRestart {
         every: f64,
     },
     Outage {
@@ -38,19 +38,19 @@
         seconds: f64,
     },
     Refuse {
-        who: Who,
+        who: Endpoint,
         seconds: f64,
     },
     Cut {
-        who: Who,
-        from: Who,
+        who: Endpoint,
+        from: Endpoint,
         seconds: f64,
         manner: CutManner,
         direction: Direction,
     },
     /// The process takes a turn only every `pause` seconds, as on an overloaded host.
     Slow {
-        who: Who,
+        who: Endpoint,
         pause: f64,
         seconds: f64,
     },
@@ -69,7 +69,7 @@
         seconds: f64,
     },
     /// Its reports arrive; answers and commands do not reach it.
-    MachineDeaf {
+    MachineInboundLost {
         which: usize,
         seconds: f64,
     },
@@ -78,7 +78,7 @@
         which: usize,
         seconds: f64,
     },
-    MachineNotice {
+    TerminationNotice {
         which: usize,
         seconds: f64,
     },
@@ -95,7 +95,7 @@
     },
     /// The process stands still while its clocks run on.
     Freeze {
-        who: Who,
+        who: Endpoint,
         seconds: f64,
     },
     /// Some transactions get no answer and are carried out seconds later.
@@ -103,59 +103,59 @@
         seconds: f64,
     },
     /// Something happens at the `nth` write of the map from now.
-    AtMapWrite {
+    AtShardMapWrite {
         nth: usize,
-        fault: MapFault,
+        fault: ShardMapFault,
     },
     /// Copies of reports arrive again, seconds to well over a lease later.
-    Copies {
+    DuplicateHeartbeats {
         seconds: f64,
     },
     /// Its reports reach no controller, direct commands reach it.
-    MachineMute {
+    MachineHeartbeatsLost {
         which: usize,
         seconds: f64,
     },
     /// Some transactions are carried out at once, but their answers are lost.
-    LostAnswers {
+    LostStoreResponses {
         seconds: f64,
     },
     /// What happens to the next messages of direct orders to a machine, one after the other.
-    NextOrders {
+    NextCommands {
         which: usize,
-        fates: Vec<OrderFate>,
+        fates: Vec<CommandFate>,
     },
     /// It refuses connections for direct orders at once; its reports arrive and are answered.
-    MachineRefuses {
+    MachineRefusesCommands {
         which: usize,
         seconds: f64,
     },
     /// Some direct orders are refused at once, whatever machine they are for.
-    RefusedOrders {
+    RefusedCommands {
         seconds: f64,
     },
     /// Some direct orders get no answer and are carried out later, perhaps after newer ones.
-    LateOrders {
+    LateCommands {
         seconds: f64,
     },
     /// Some direct orders are carried out at once, but their answers are lost.
-    LostOrderAnswers {
+    LostCommandResponses {
         seconds: f64,
     },
     /// Copies of reports are kept until another controller leads, and then reach every controller.
-    CopiesForNext {
+    ReplayToNextLeader {
         seconds: f64,
     },
     /// New machines are up within two seconds.
-    InstantBoots {
+    FastBoots {
         seconds: f64,
     },
     /// Users send requests that are malformed, impossible or odd in form.
-    OddRequests {
+    UnusualRequests {
         seconds: f64,
     },
     /// Users ask all controllers, and repeat their submissions, right after they were told anything.
-    CloseLooks {
+    LinearizabilityProbes {
         seconds: f64,
     },
     /// Crashes one after the other, which come back with the present version.
@@ -167,10 +167,10 @@
     },
     /// A crash of one, which comes back with the version before.
     Downgrade {
-        who: Who,
+        who: Endpoint,
     },
     /// Some jobs are called off at the moment of their end.
-    CancelAtEnd {
+    CancelAtCompletion {
         seconds: f64,
     },
 }
@@ -186,7 +186,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum MapFault {
+pub enum ShardMapFault {
     /// Its writer ends once it is carried out, before it hears so.
     Crash,
     /// It gets no answer and is carried out late, perhaps after newer ones.
@@ -215,13 +215,13 @@
 }
 
 #[derive(PartialEq)]
-enum Kind {
+enum ActiveFault {
     Outage,
     CloudOutage,
     Refuse(usize),
     Cut {
-        a: Who,
-        b: Who,
+        a: Endpoint,
+        b: Endpoint,
         manner: CutManner,
         direction: Direction,
     },
@@ -229,32 +229,32 @@
         node: usize,
         pause: f64,
     },
-    Deaf(MachineId),
+    InboundLost(MachineId),
     Faulty(MachineId),
-    Mute(MachineId),
-    Refuses(MachineId),
-    RefusedOrders,
-    LateOrders,
-    LostOrderAnswers,
-    Copies,
+    HeartbeatsLost(MachineId),
+    RefusesCommands(MachineId),
+    RefusedCommands,
+    LateCommands,
+    LostCommandResponses,
+    DuplicateHeartbeats,
     LateWrites,
-    LostAnswers,
-    CopiesForNext,
-    InstantBoots,
-    CloseLooks,
-    CancelAtEnd,
+    LostStoreResponses,
+    ReplayToNextLeader,
+    FastBoots,
+    LinearizabilityProbes,
+    CancelAtCompletion,
 }
 
 #[derive(Default)]
 pub struct Network {
-    faults: Vec<(u64, f64, Kind)>,
+    faults: Vec<(u64, f64, ActiveFault)>,
     next: u64,
     outage_began: Option<f64>,
-    order_fates: BTreeMap<MachineId, VecDeque<OrderFate>>,
+    command_fates: BTreeMap<MachineId, VecDeque<CommandFate>>,
 }
 
 impl Network {
-    fn add(&mut self, until: f64, kind: Kind) -> u64 {
+    fn add(&mut self, until: f64, kind: ActiveFault) -> u64 {
         self.next += 1;
         self.faults.push((self.next, until, kind));
         self.next
@@ -264,16 +264,16 @@
         self.faults.retain(|(other, _, _)| *other != id);
     }
 
-    fn cut_between(&self, from: &Who, to: &Who) -> Option<(f64, CutManner)> {
-        let covers = |group: &Who, who: &Who, other: &Who| match group {
-            Who::Everyone => who != other,
-            Who::Workers => matches!(who, Who::Machine(_)),
-            Who::AllNodes => matches!(who, Who::Node(_)),
-            Who::StateAndSiblings => matches!(who, Who::State | Who::Node(_)),
+    fn cut_between(&self, from: &Endpoint, to: &Endpoint) -> Option<(f64, CutManner)> {
+        let covers = |group: &Endpoint, who: &Endpoint, other: &Endpoint| match group {
+            Endpoint::Everyone => who != other,
+            Endpoint::Workers => matches!(who, Endpoint::Machine(_)),
+            Endpoint::AllNodes => matches!(who, Endpoint::Node(_)),
+            Endpoint::StateAndSiblings => matches!(who, Endpoint::State | Endpoint::Node(_)),
             one => one == who,
         };
         self.faults.iter().find_map(|(_, until, kind)| match kind {
-            Kind::Cut {
+            ActiveFault::Cut {
                 a,
                 b,
                 manner,
@@ -291,12 +291,12 @@
         })
     }
 
-    pub fn passes(&self, from: Who, to: Who) -> bool {
+    pub fn passes(&self, from: Endpoint, to: Endpoint) -> bool {
         self.cut_between(&from, &to).is_none()
     }
 
     /// When what is sent now will be delivered, if the cut holds packets.
-    pub fn held_until(&self, from: &Who, to: &Who) -> Option<f64> {
+    pub fn held_until(&self, from: &Endpoint, to: &Endpoint) -> Option<f64> {
         let held = self
             .cut_between(from, to)
             .filter(|(_, manner)| *manner == CutManner::Held);
@@ -304,27 +304,27 @@
     }
 
     /// How a message is kept from its way, if it is.
-    pub fn kept_from(&self, from: &Who, to: &Who) -> Option<CutManner> {
+    pub fn cut_manner(&self, from: &Endpoint, to: &Endpoint) -> Option<CutManner> {
         self.cut_between(from, to).map(|(_, manner)| manner)
     }
 
     /// Seconds between the turns of a controller that is slow.
     pub fn slow(&self, node: usize) -> Option<f64> {
         self.faults.iter().find_map(|(_, _, kind)| match kind {
-            Kind::Slow { node: slow, pause } if *slow == node => Some(*pause),
+            ActiveFault::Slow { node: slow, pause } if *slow == node => Some(*pause),
             _ => None,
         })
     }
 
-    pub fn deaf(&self, machine: &MachineId) -> bool {
-        self.on(&Kind::Deaf(machine.clone()))
+    pub fn inbound_lost(&self, machine: &MachineId) -> bool {
+        self.on(&ActiveFault::InboundLost(machine.clone()))
     }
 
     pub fn faulty(&self, machine: &MachineId) -> bool {
-        self.on(&Kind::Faulty(machine.clone()))
+        self.on(&ActiveFault::Faulty(machine.clone()))
     }
 
-    fn on(&self, wanted: &Kind) -> bool {
+    fn on(&self, wanted: &ActiveFault) -> bool {
         self.faults.iter().any(|(_, _, kind)| kind == wanted)
     }
 
@@ -332,68 +332,68 @@
         self.faults.is_empty()
     }
 
-    pub fn mute(&self, machine: &MachineId) -> bool {
-        self.on(&Kind::Mute(machine.clone()))
+    pub fn heartbeats_lost(&self, machine: &MachineId) -> bool {
+        self.on(&ActiveFault::HeartbeatsLost(machine.clone()))
     }
 
-    pub fn next_order_fate(&mut self, machine: &MachineId) -> Option<OrderFate> {
-        self.order_fates.get_mut(machine)?.pop_front()
+    pub fn next_command_fate(&mut self, machine: &MachineId) -> Option<CommandFate> {
+        self.command_fates.get_mut(machine)?.pop_front()
     }
 
-    pub fn refuses(&self, machine: &MachineId) -> bool {
-        self.on(&Kind::Refuses(machine.clone()))
+    pub fn refuses_commands(&self, machine: &MachineId) -> bool {
+        self.on(&ActiveFault::RefusesCommands(machine.clone()))
     }
 
-    pub fn refused_orders(&self) -> bool {
-        self.on(&Kind::RefusedOrders)
+    pub fn refused_commands(&self) -> bool {
+        self.on(&ActiveFault::RefusedCommands)
     }
 
-    pub fn late_orders(&self) -> bool {
-        self.on(&Kind::LateOrders)
+    pub fn late_commands(&self) -> bool {
+        self.on(&ActiveFault::LateCommands)
     }
 
-    pub fn lost_order_answers(&self) -> bool {
-        self.on(&Kind::LostOrderAnswers)
+    pub fn lost_command_responses(&self) -> bool {
+        self.on(&ActiveFault::LostCommandResponses)
     }
 
-    pub fn lost_answers(&self) -> bool {
-        self.on(&Kind::LostAnswers)
+    pub fn lost_store_responses(&self) -> bool {
+        self.on(&ActiveFault::LostStoreResponses)
     }
 
-    pub fn copies_for_next(&self) -> bool {
-        self.on(&Kind::CopiesForNext)
+    pub fn replay_to_next_leader(&self) -> bool {
+        self.on(&ActiveFault::ReplayToNextLeader)
     }
 
-    pub fn instant_boots(&self) -> bool {
-        self.on(&Kind::InstantBoots)
+    pub fn fast_boots(&self) -> bool {
+        self.on(&ActiveFault::FastBoots)
     }
 
-    pub fn close_looks(&self) -> bool {
-        self.on(&Kind::CloseLooks)
+    pub fn linearizability_probes(&self) -> bool {
+        self.on(&ActiveFault::LinearizabilityProbes)
     }
 
-    pub fn cancel_at_end(&self) -> bool {
-        self.on(&Kind::CancelAtEnd)
+    pub fn cancel_at_completion(&self) -> bool {
+        self.on(&ActiveFault::CancelAtCompletion)
     }
 
-    pub fn copies(&self) -> bool {
-        self.on(&Kind::Copies)
+    pub fn duplicate_heartbeats(&self) -> bool {
+        self.on(&ActiveFault::DuplicateHeartbeats)
     }
 
     pub fn late_writes(&self) -> bool {
-        self.on(&Kind::LateWrites)
+        self.on(&ActiveFault::LateWrites)
     }
 
     pub fn cloud_down(&self) -> bool {
-        self.on(&Kind::CloudOutage)
+        self.on(&ActiveFault::CloudOutage)
     }
 
     fn outage(&self) -> bool {
-        self.on(&Kind::Outage)
+        self.on(&ActiveFault::Outage)
     }
 
     pub fn state_refuses(&self, node: usize) -> bool {
-        self.outage() || self.on(&Kind::Refuse(node))
+        self.outage() || self.on(&ActiveFault::Refuse(node))
     }
 
     /// After an outage every lease has its full time again: when the last outage ended.
@@ -407,13 +407,13 @@
 }
 
 /// A cut of both directions.
-fn cut(a: Who, b: Who, hold: bool) -> Kind {
+fn cut(a: Endpoint, b: Endpoint, hold: bool) -> ActiveFault {
     let manner = if hold {
         CutManner::Held
     } else {
         CutManner::Silent
     };
-    Kind::Cut {
+    ActiveFault::Cut {
         a,
         b,
         manner,
@@ -422,10 +422,10 @@
 }
 
 impl World {
-    fn resolve(&self, who: &Who) -> Vec<usize> {
+    fn resolve(&self, who: &Endpoint) -> Vec<usize> {
         match who {
-            Who::Node(node) => vec![*node],
-            Who::Leader => self.leader().into_iter().collect(),
+            Endpoint::Node(node) => vec![*node],
+            Endpoint::Leader => self.leader().into_iter().collect(),
             _ => (0..self.nodes.len()).collect(),
         }
     }
@@ -453,16 +453,16 @@
     pub(super) fn fault(&mut self, fault: Fault) {
         self.note(format!("fault {fault:?}"));
         let now = self.now;
-        let mut lasting: Vec<(f64, Kind)> = Vec::new();
+        let mut lasting: Vec<(f64, ActiveFault)> = Vec::new();
         match fault {
             Fault::Crash { who, back_after } => {
                 for node in self.resolve(&who) {
                     self.crash(node, back_after.unwrap_or(RESTART_S));
                 }
             }
-            Fault::Roll { every } => {
+            Fault::RollingRestart { every } => {
                 for node in 0..self.nodes.len() {
-                    let who = Who::Node(node);
+                    let who = Endpoint::Node(node);
                     let crash = Fault::Crash {
                         who,
                         back_after: Some(RESTART_S),
@@ -471,13 +471,13 @@
                 }
             }
             Fault::Outage { seconds } => {
-                self.net.outage_began = Some(now);
-                lasting.push((seconds, Kind::Outage));
+                self.network.outage_began = Some(now);
+                lasting.push((seconds, ActiveFault::Outage));
             }
-            Fault::CloudOutage { seconds } => lasting.push((seconds, Kind::CloudOutage)),
+            Fault::CloudOutage { seconds } => lasting.push((seconds, ActiveFault::CloudOutage)),
             Fault::Refuse { who, seconds } => {
                 for node in self.resolve(&who) {
-                    lasting.push((seconds, Kind::Refuse(node)));
+                    lasting.push((seconds, ActiveFault::Refuse(node)));
                 }
             }
             Fault::Cut {
@@ -488,10 +488,10 @@
                 direction,
             } => {
                 for node in self.resolve(&who) {
-                    let (a, b) = (Who::Node(node), from.clone());
+                    let (a, b) = (Endpoint::Node(node), from.clone());
                     lasting.push((
                         seconds,
-                        Kind::Cut {
+                        ActiveFault::Cut {
                             a,
                             b,
                             manner,
@@ -506,12 +506,12 @@
                 seconds,
             } => {
                 for node in self.resolve(&who) {
-                    lasting.push((seconds, Kind::Slow { node, pause }));
+                    lasting.push((seconds, ActiveFault::Slow { node, pause }));
                 }
             }
             Fault::MachineDies { which } => {
                 if let Some(machine) = self.machine_at(which) {
-                    self.users.starts_gone += self.workers[&machine].starts;
+                    self.users.starts_on_removed += self.workers[&machine].starts;
                     self.workers.remove(&machine);
                     self.cloud.died(&machine, now + 30.0);
                 }
@@ -522,7 +522,10 @@
                 hold,
             } => {
                 if let Some(machine) = self.machine_at(which) {
-                    lasting.push((seconds, cut(Who::Machine(machine), Who::AllNodes, hold)));
+                    lasting.push((
+                        seconds,
+                        cut(Endpoint::Machine(machine), Endpoint::AllNodes, hold),
+                    ));
                 }
             }
             Fault::MachineCutFrom {
@@ -531,20 +534,23 @@
                 seconds,
             } => {
                 if let Some(machine) = self.machine_at(which) {
-                    lasting.push((seconds, cut(Who::Machine(machine), Who::Node(node), false)));
+                    lasting.push((
+                        seconds,
+                        cut(Endpoint::Machine(machine), Endpoint::Node(node), false),
+                    ));
                 }
             }
-            Fault::MachineDeaf { which, seconds } => {
+            Fault::MachineInboundLost { which, seconds } => {
                 if let Some(machine) = self.machine_at(which) {
-                    lasting.push((seconds, Kind::Deaf(machine)));
+                    lasting.push((seconds, ActiveFault::InboundLost(machine)));
                 }
             }
             Fault::MachineFaulty { which, seconds } => {
                 if let Some(machine) = self.machine_at(which) {
-                    lasting.push((seconds, Kind::Faulty(machine)));
+                    lasting.push((seconds, ActiveFault::Faulty(machine)));
                 }
             }
-            Fault::MachineNotice { which, seconds } => {
+            Fault::TerminationNotice { which, seconds } => {
                 if let Some(machine) = self.machine_at(which) {
                     self.notice(&machine, seconds);
                 }
@@ -567,7 +573,10 @@
                         .is_some_and(|owned| owned.zone.as_str() == zone)
                 });
                 for id in ids {
-                    lasting.push((seconds, cut(Who::Machine(id.clone()), Who::AllNodes, hold)));
+                    lasting.push((
+                        seconds,
+                        cut(Endpoint::Machine(id.clone()), Endpoint::AllNodes, hold),
+                    ));
                 }
             }
             Fault::Freeze { who, seconds } => {
@@ -575,15 +584,19 @@
                     let until = now + seconds;
                     self.nodes[node].frozen_until = until;
                     let epoch = self.nodes[node].epoch;
-                    self.at(until, Event::Thaw { node, epoch });
+                    self.at(until, Event::Resume { node, epoch });
                 }
             }
-            Fault::LateWrites { seconds } => lasting.push((seconds, Kind::LateWrites)),
-            Fault::AtMapWrite { nth, fault } => self.map_fault = Some((nth.max(1), fault)),
-            Fault::Copies { seconds } => lasting.push((seconds, Kind::Copies)),
-            Fault::MachineMute { which, seconds } => {
+            Fault::LateWrites { seconds } => lasting.push((seconds, ActiveFault::LateWrites)),
+            Fault::AtShardMapWrite { nth, fault } => {
+                self.shard_map_fault = Some((nth.max(1), fault))
+            }
+            Fault::DuplicateHeartbeats { seconds } => {
+                lasting.push((seconds, ActiveFault::DuplicateHeartbeats))
+            }
+            Fault::MachineHeartbeatsLost { which, seconds } => {
                 if let Some(machine) = self.machine_at(which) {
-                    lasting.push((seconds, Kind::Mute(machine)));
+                    lasting.push((seconds, ActiveFault::HeartbeatsLost(machine)));
                 }
             }
             Fault::Upgrade {
@@ -600,46 +613,58 @@
             }
             Fault::Downgrade { who } => {
                 for node in self.resolve(&who) {
-                    self.old.insert(node);
+                    self.previous_version_nodes.insert(node);
                     self.crash(node, RESTART_S);
                 }
             }
-            Fault::LostAnswers { seconds } => lasting.push((seconds, Kind::LostAnswers)),
-            Fault::NextOrders { which, fates } => {
+            Fault::LostStoreResponses { seconds } => {
+                lasting.push((seconds, ActiveFault::LostStoreResponses))
+            }
+            Fault::NextCommands { which, fates } => {
                 if let Some(machine) = self.machine_at(which) {
-                    self.net.order_fates.insert(machine, fates.into());
+                    self.network.command_fates.insert(machine, fates.into());
                 }
             }
-            Fault::MachineRefuses { which, seconds } => {
+            Fault::MachineRefusesCommands { which, seconds } => {
                 if let Some(machine) = self.machine_at(which) {
-                    lasting.push((seconds, Kind::Refuses(machine)));
+                    lasting.push((seconds, ActiveFault::RefusesCommands(machine)));
                 }
             }
-            Fault::RefusedOrders { seconds } => lasting.push((seconds, Kind::RefusedOrders)),
-            Fault::LateOrders { seconds } => lasting.push((seconds, Kind::LateOrders)),
-            Fault::LostOrderAnswers { seconds } => lasting.push((seconds, Kind::LostOrderAnswers)),
-            Fault::CopiesForNext { seconds } => lasting.push((seconds, Kind::CopiesForNext)),
-            Fault::InstantBoots { seconds } => lasting.push((seconds, Kind::InstantBoots)),
-            Fault::OddRequests { seconds } => {
+            Fault::RefusedCommands { seconds } => {
+                lasting.push((seconds, ActiveFault::RefusedCommands))
+            }
+            Fault::LateCommands { seconds } => lasting.push((seconds, ActiveFault::LateCommands)),
+            Fault::LostCommandResponses { seconds } => {
+                lasting.push((seconds, ActiveFault::LostCommandResponses))
+            }
+            Fault::ReplayToNextLeader { seconds } => {
+                lasting.push((seconds, ActiveFault::ReplayToNextLeader))
+            }
+            Fault::FastBoots { seconds } => lasting.push((seconds, ActiveFault::FastBoots)),
+            Fault::UnusualRequests { seconds } => {
                 self.after(
                     0.0,
-                    Event::OddRequest {
+                    Event::UnusualRequest {
                         until: now + seconds,
                     },
                 );
             }
-            Fault::CloseLooks { seconds } => lasting.push((seconds, Kind::CloseLooks)),
-            Fault::CancelAtEnd { seconds } => lasting.push((seconds, Kind::CancelAtEnd)),
+            Fault::LinearizabilityProbes { seconds } => {
+                lasting.push((seconds, ActiveFault::LinearizabilityProbes))
+            }
+            Fault::CancelAtCompletion { seconds } => {
+                lasting.push((seconds, ActiveFault::CancelAtCompletion))
+            }
         }
         for (seconds, kind) in lasting {
-            let id = self.net.add(now + seconds, kind);
+            let id = self.network.add(now + seconds, kind);
             self.after(seconds, Event::FaultEnds(id));
         }
     }
 
     /// Whether a copy of a report is to arrive again, and when.
-    pub(super) fn copy_delay(&mut self) -> Option<f64> {
-        (self.net.copies() && self.rng.random_bool(0.3))
+    pub(super) fn duplicate_delay(&mut self) -> Option<f64> {
+        (self.network.duplicate_heartbeats() && self.rng.random_bool(0.3))
             .then(|| self.rng.random_range(0.5..LEASE_S * 2.5))
     }
 }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -8,11 +8,11 @@
 mod effect_digest;
 mod event;
 mod faults;
-mod odd;
-mod old;
+mod previous_version;
 mod services;
 mod settings;
-mod state;
+mod store;
+mod unusual_requests;
 mod users;
 mod worker;
 
@@ -29,15 +29,15 @@
 use ochredrum::wire::{Heartbeat, JobSpec};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
-use state::State;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
+use store::Store;
 use users::Users;
 use worker::Worker;
 
-pub use commands::OrderFate;
+pub use commands::CommandFate;
 pub use event::Event;
-pub use faults::{CutManner, Direction, Fault, MapFault, UpgradeOrder, Who};
+pub use faults::{CutManner, Direction, Endpoint, Fault, ShardMapFault, UpgradeOrder};
 use settings::features_in_run;
 pub use settings::{Limits, grants_on};
 
@@ -49,7 +49,7 @@
 pub const GPUS_MAX: f64 = 24.0;
 const RESTART_S: f64 = 5.0;
 /// The run time of jobs that were submitted with a mistake: they fail on every machine.
-pub const FAILS_AT_ONCE: f64 = -1.0;
+pub const FAILS_IMMEDIATELY: f64 = -1.0;
 const TICK_S: f64 = 0.05;
 
 pub struct World {
@@ -58,11 +58,11 @@
     events: BinaryHeap<Reverse<Timed>>,
     rng: StdRng,
     nodes: Vec<Controller>,
-    state: State,
+    store: Store,
     cloud: Cloud,
     workers: BTreeMap<MachineId, Worker>,
     users: Users,
-    net: Network,
+    network: Network,
     pub broken: Vec<String>,
     pub log: Vec<String>,
     pub work: Work,
@@ -76,16 +76,16 @@
     /// What is switched on in all controllers but those of the version before.
     pub features: Features,
     /// Controllers of the version before; they come back so until they are upgraded.
-    pub old: BTreeSet<usize>,
+    pub previous_version_nodes: BTreeSet<usize>,
     /// Since when no trouble is on.
     calm_since: f64,
     /// When a controller last ended.
     crashed: f64,
     /// Reports kept for the next leader, and who led last.
-    kept: Vec<(MachineId, Heartbeat)>,
-    led: Option<usize>,
+    replay_buffer: Vec<(MachineId, Heartbeat)>,
+    last_leader: Option<usize>,
     /// What happens at the map write that comes after so many more.
-    map_fault: Option<(usize, MapFault)>,
+    shard_map_fault: Option<(usize, ShardMapFault)>,
 }
 
 /// What the controllers asked of others so far.
@@ -95,8 +95,8 @@
     /// Written to the state service.
     pub state_bytes: usize,
     /// Refused because the rate was used up.
-    pub state_busy: usize,
-    pub odd_requests: usize,
+    pub throttled_requests: usize,
+    pub unusual_requests: usize,
     /// Starts after their users were told that the job is cancelled.
     pub starts_after_cancel: usize,
     pub mesh_bytes: usize,
@@ -114,9 +114,9 @@
             started: 0.0,
             rate: 1.0 + (index as f64 - 1.0) * 0.0004,
             next_request: 0,
-            asked: BTreeMap::new(),
+            pending_requests: BTreeMap::new(),
             frozen_until: 0.0,
-            held: Vec::new(),
+            deferred_inputs: Vec::new(),
         });
         let mut world = Self {
             now: 0.0,
@@ -124,11 +124,11 @@
             events: BinaryHeap::new(),
             rng: StdRng::seed_from_u64(seed),
             nodes: nodes.collect(),
-            state: State::default(),
+            store: Store::default(),
             cloud: Cloud::default(),
             workers: BTreeMap::new(),
             users: Users::default(),
-            net: Network::default(),
+            network: Network::default(),
             broken: Vec::new(),
             log: Vec::new(),
             work: Work::default(),
@@ -142,18 +142,18 @@
             next_limits: None,
             allowance: Allowance::default(),
             features: features_in_run(),
-            old: BTreeSet::new(),
+            previous_version_nodes: BTreeSet::new(),
             calm_since: 0.0,
             crashed: 0.0,
-            kept: Vec::new(),
-            led: None,
-            map_fault: None,
+            replay_buffer: Vec::new(),
+            last_leader: None,
+            shard_map_fault: None,
         };
         for node in 0..controllers {
             world.at(0.1 * node as f64, Event::Restart { node });
         }
         world.at(7.0, Event::AskUnknown);
-        world.at(5.0, Event::Watch);
+        world.at(5.0, Event::CheckStarvation);
         world
     }
 
@@ -225,7 +225,7 @@
             Event::Tick { node, epoch } => {
                 if self.nodes[node].epoch == epoch && self.nodes[node].core.is_some() {
                     self.step(node, Vec::new());
-                    self.copies_to_new_leader();
+                    self.replay_to_new_leader();
                     self.after(TICK_S, Event::Tick { node, epoch });
                     self.pause_if_slow(node, epoch);
                 }
@@ -254,7 +254,7 @@
                 address,
                 commands,
             } => {
-                self.direct_orders(node, epoch, call, &address, commands);
+                self.receive_direct_commands(node, epoch, call, &address, commands);
             }
             Event::Mesh {
                 from,
@@ -284,53 +284,53 @@
                 number,
                 answer,
             } => {
-                self.report_answered(&machine, number, answer);
+                self.heartbeat_answered(&machine, number, answer);
             }
-            Event::Worker { machine } => self.worker_turn(&machine),
+            Event::WorkerTurn { machine } => self.worker_turn(&machine),
             Event::BootDone { machine } => self.boot(&machine),
-            Event::Submit { job } => self.user_asks(job, users::Ask::Submit),
-            Event::Cancel { job } => self.user_asks(job, users::Ask::Cancel),
-            Event::Poll { job } => self.user_asks(job, users::Ask::Poll),
-            Event::Look { job, node, ask } => self.look(job, node, ask),
+            Event::Submit { job } => self.user_asks(job, users::RequestKind::Submit),
+            Event::Cancel { job } => self.user_asks(job, users::RequestKind::Cancel),
+            Event::Poll { job } => self.user_asks(job, users::RequestKind::Poll),
+            Event::Probe { job, node, kind } => self.look(job, node, kind),
             Event::CancelDue { job } => self.cancel_due(job),
-            Event::Watch => self.watch(),
+            Event::CheckStarvation => self.watch(),
             Event::Expect { job, what } => self.expect(job, &what),
             Event::AskUnknown => self.ask_unknown(),
             Event::UserAnswer {
                 job,
-                ask,
+                kind,
                 asked,
                 answer,
             } => {
-                self.user_answered(job, ask, asked, answer);
+                self.user_answered(job, kind, asked, answer);
             }
             Event::Restart { node } => self.restart(node),
             Event::Upgrade { node } => {
-                self.old.remove(&node);
+                self.previous_version_nodes.remove(&node);
                 let leads = if self.leader() == Some(node) {
                     ", the leader"
                 } else {
                     ""
                 };
-                let old = self.old.len();
+                let previous = self.previous_version_nodes.len();
                 self.note(format!(
-                    "n{node}{leads} is upgraded, {old} of the version before are left"
+                    "n{node}{leads} is upgraded, {previous} of the version before are left"
                 ));
                 self.crash(node, RESTART_S);
             }
-            Event::Thaw { node, epoch } => {
+            Event::Resume { node, epoch } => {
                 if self.nodes[node].epoch == epoch {
-                    let held = std::mem::take(&mut self.nodes[node].held);
-                    self.step(node, held);
+                    let deferred = std::mem::take(&mut self.nodes[node].deferred_inputs);
+                    self.step(node, deferred);
                 }
             }
-            Event::OddRequest { until } => self.odd_request(until),
+            Event::UnusualRequest { until } => self.unusual_request(until),
             Event::LimitsFall => {
                 self.limits = self.next_limits.unwrap_or(self.limits);
                 self.note("the state service lowers its limits".into());
             }
             Event::Fault(fault) => self.fault(fault),
-            Event::FaultEnds(id) => self.net.end(id),
+            Event::FaultEnds(id) => self.network.end(id),
         }
     }
 
@@ -355,18 +355,18 @@
 
     /// How often a controller has begun to lead.
     pub fn leaderships(&self) -> usize {
-        self.state.puts_of("ochredrum/leader")
+        self.store.puts_of("ochredrum/leader")
     }
 
     /// How often a team's record of grants was written.
     pub fn grant_writes(&self, team: &str) -> usize {
-        self.state.puts_of(&format!("ochredrum/quota/{team}"))
+        self.store.puts_of(&format!("ochredrum/quota/{team}"))
     }
 
     /// The controller that owns a team, as the stored map has it.
     pub fn owner_of(&self, team: &str) -> Option<String> {
         let shares = self
-            .state
+            .store
             .values_under("ochredrum/map/")
             .flat_map(|chunk| chunk["shares"].as_array().cloned().unwrap_or_default());
         let of_team = |share: &serde_json::Value| {
@@ -380,10 +380,10 @@
 
     /// The value of a key of the state service as it is stored.
     pub fn stored(&self, key: &str) -> Option<serde_json::Value> {
-        self.state.values_under(key).next().cloned()
+        self.store.values_under(key).next().cloned()
     }
 
     pub fn starts(&self) -> u64 {
-        self.workers.values().map(|w| w.starts).sum::<u64>() + self.users.starts_gone
+        self.workers.values().map(|w| w.starts).sum::<u64>() + self.users.starts_on_removed
     }
 }
--- a/tests/world/old.rs
+++ b/tests/world/previous_version.rs
@@ -28,7 +28,7 @@
 }
 
 /// What an old controller sees of an input.
-pub fn sees(mut input: Input) -> Input {
+pub fn strip_input(mut input: Input) -> Input {
     match &mut input {
         Input::State(_, StoreReply::Listing(listing)) => {
             listing
@@ -42,15 +42,15 @@
                 strip(&key, &mut change.value);
             }
         }
-        Input::Mesh(_, message) => plain_message(message),
-        Input::MeshReply(_, Some(reply)) => plain_reply(reply),
+        Input::Mesh(_, message) => strip_message(message),
+        Input::MeshReply(_, Some(reply)) => strip_reply(reply),
         _ => {}
     }
     input
 }
 
 /// Whether an old controller can read a message at all.
-pub fn reads(input: &Input) -> bool {
+pub fn can_read(input: &Input) -> bool {
     !matches!(
         input,
         Input::Mesh(
@@ -61,7 +61,7 @@
 }
 
 /// What an old controller writes to the state service.
-pub fn writes(mut call: StoreCall) -> StoreCall {
+pub fn strip_write(mut call: StoreCall) -> StoreCall {
     if let StoreCall::Commit(transaction) = &mut call {
         for write in &mut transaction.writes {
             if let Write::Put { key, value, .. } = write {
@@ -72,7 +72,7 @@
     call
 }
 
-pub fn plain_message(message: &mut MeshMessage) {
+pub fn strip_message(message: &mut MeshMessage) {
     if let MeshMessage::Hello(hello) = message {
         hello.final_states_after = None;
         hello.authority_ends = false;
@@ -83,7 +83,7 @@
     }
 }
 
-pub fn plain_reply(reply: &mut MeshReply) {
+pub fn strip_reply(reply: &mut MeshReply) {
     if let MeshReply::Hello(reply) = reply {
         reply.final_states = None;
         reply.detection = None;
--- a/tests/world/services.rs
+++ b/tests/world/services.rs
@@ -1,6 +1,6 @@
 //! The state service and the cloud as controllers reach them.
 
-use super::faults::{MapFault, Who};
+use super::faults::{Endpoint, ShardMapFault};
 use super::{Event, RESTART_S, World};
 use ochredrum::core::effects::{CallId, CloudCall, CloudReply, Input, StoreCall, StoreReply};
 use ochredrum::wire::{Transaction, Write};
@@ -8,15 +8,15 @@
 
 impl World {
     pub(super) fn state_request(&mut self, node: usize, epoch: u64, call: CallId, what: StoreCall) {
-        let reply = if self.net.state_refuses(node) {
+        let reply = if self.network.state_refuses(node) {
             StoreReply::Refused
         } else {
             if !self.allowance.take(self.now, &self.limits, &what) {
-                self.work.state_busy += 1;
+                self.work.throttled_requests += 1;
                 return self.reply(
                     node,
                     epoch,
-                    Who::State,
+                    Endpoint::State,
                     Input::State(call, StoreReply::Busy),
                 );
             }
@@ -24,20 +24,20 @@
                 && self.over_limits(transaction)
             {
                 let rejected = Input::State(call, StoreReply::Rejected);
-                return self.reply(node, epoch, Who::State, rejected);
+                return self.reply(node, epoch, Endpoint::State, rejected);
             }
-            let down_for = self.net.take_outage_end(self.now);
-            let map = writes_map(&what);
-            let reply = self.state.call(self.now, what, down_for);
+            let down_for = self.network.take_outage_end(self.now);
+            let map = writes_shard_map(&what);
+            let reply = self.store.call(self.now, what, down_for);
             if map
                 && matches!(reply, StoreReply::Committed(_))
-                && self.map_fault_due(MapFault::Crash)
+                && self.shard_map_fault_due(ShardMapFault::Crash)
             {
                 return self.crash(node, RESTART_S);
             }
             reply
         };
-        self.reply(node, epoch, Who::State, Input::State(call, reply));
+        self.reply(node, epoch, Endpoint::State, Input::State(call, reply));
     }
 
     /// What the real service would refuse for ever, and so should never be asked.
@@ -64,32 +64,36 @@
     }
 
     /// Counts a write of the map; whether it is the one at which this fault happens.
-    pub(super) fn map_fault_due(&mut self, fault: MapFault) -> bool {
-        let Some((left, _)) = self.map_fault.as_mut().filter(|(_, due)| *due == fault) else {
+    pub(super) fn shard_map_fault_due(&mut self, fault: ShardMapFault) -> bool {
+        let Some((left, _)) = self
+            .shard_map_fault
+            .as_mut()
+            .filter(|(_, due)| *due == fault)
+        else {
             return false;
         };
         *left -= 1;
         let due = *left == 0;
         if due {
-            self.map_fault = None;
+            self.shard_map_fault = None;
         }
         due
     }
 
     /// Whether a transaction is to be carried out late, without an answer.
     pub(super) fn late_commit(&mut self, what: &StoreCall) -> bool {
-        (writes_map(what) && self.map_fault_due(MapFault::Late))
-            || (self.net.late_writes() && self.rng.random_bool(0.3))
+        (writes_shard_map(what) && self.shard_map_fault_due(ShardMapFault::Late))
+            || (self.network.late_writes() && self.rng.random_bool(0.3))
     }
 
     pub(super) fn cloud_request(&mut self, node: usize, epoch: u64, call: CallId, what: CloudCall) {
-        if self.net.cloud_down() {
+        if self.network.cloud_down() {
             let input = Input::Cloud(call, CloudReply::Refused);
-            return self.reply(node, epoch, Who::Cloud, input);
+            return self.reply(node, epoch, Endpoint::Cloud, input);
         }
         let (reply, booting) = self.cloud.call(self.now, what);
         for machine in booting {
-            let boot = if self.net.instant_boots() {
+            let boot = if self.network.fast_boots() {
                 0.3..2.0
             } else {
                 6.0..14.0
@@ -100,14 +104,14 @@
         for machine in self.cloud.take_deleted() {
             self.note(format!("{machine} deleted"));
             if let Some(worker) = self.workers.remove(&machine) {
-                self.users.starts_gone += worker.starts;
+                self.users.starts_on_removed += worker.starts;
             }
         }
-        self.reply(node, epoch, Who::Cloud, Input::Cloud(call, reply));
+        self.reply(node, epoch, Endpoint::Cloud, Input::Cloud(call, reply));
     }
 }
 
-fn writes_map(what: &StoreCall) -> bool {
+fn writes_shard_map(what: &StoreCall) -> bool {
     let of_map = |write: &Write| match write {
         Write::Put { key, .. } | Write::Delete { key } => key.starts_with("ochredrum/map/"),
     };
--- a/tests/world/state.rs
+++ b/tests/world/store.rs
@@ -17,11 +17,11 @@
 }
 
 /// Items in one page of a listing: few, so that controllers have to read several.
-const FEW_ITEMS: usize = 20;
+const DEFAULT_PAGE_SIZE: usize = 20;
 
-pub struct State {
+pub struct Store {
     /// Items in one page of a listing at most.
-    pub page: usize,
+    pub page_size: usize,
     keys: BTreeMap<String, Key>,
     leases: BTreeMap<u64, Lease>,
     revision: u64,
@@ -29,10 +29,10 @@
     next_lease: u64,
 }
 
-impl Default for State {
+impl Default for Store {
     fn default() -> Self {
         Self {
-            page: FEW_ITEMS,
+            page_size: DEFAULT_PAGE_SIZE,
             keys: BTreeMap::new(),
             leases: BTreeMap::new(),
             revision: 0,
@@ -42,7 +42,7 @@
     }
 }
 
-impl State {
+impl Store {
     /// `outage_ended`: leases have their full time again from then on.
     pub fn call(&mut self, now: f64, call: StoreCall, outage_ended: Option<f64>) -> StoreReply {
         if let Some(end) = outage_ended {
@@ -65,8 +65,8 @@
                         version: k.version,
                     })
                     .collect();
-                let more = entries.len() > self.page;
-                let entries = entries.into_iter().take(self.page).collect();
+                let more = entries.len() > self.page_size;
+                let entries = entries.into_iter().take(self.page_size).collect();
                 StoreReply::Listing(Listing {
                     entries,
                     more,
--- a/tests/world/odd.rs
+++ b/tests/world/unusual_requests.rs
@@ -1,7 +1,7 @@
 //! Requests that no well-behaved user sends, as bodies on the wire: fields that are missing, null or of
 //! the wrong type, and dependencies that were never accepted, are the job itself, or are hundreds.
 
-use super::users::Ask;
+use super::users::RequestKind;
 use super::{Asker, Event, World};
 use ochredrum::core::effects::{Input, RequestId, UserRequest};
 use ochredrum::ids::JobId;
@@ -31,7 +31,7 @@
 ];
 
 /// What becomes of an odd request.
-enum Odd {
+enum ExpectedOutcome {
     /// 400: it is not even a job.
     Malformed,
     /// Never accepted, nor refused as malformed.
@@ -48,63 +48,63 @@
 }
 
 impl World {
-    pub(super) fn odd_request(&mut self, until: f64) {
+    pub(super) fn unusual_request(&mut self, until: f64) {
         if self.now > until {
             return;
         }
-        self.after(EVERY_S, Event::OddRequest { until });
-        let id = self.users.next_odd_id();
+        self.after(EVERY_S, Event::UnusualRequest { until });
+        let id = self.users.next_unusual_id();
         let accepted = self.users.accepted_arrays();
         let mut body = plain(&id);
         let field = REQUIRED[self.rng.random_range(0..REQUIRED.len())];
         let expected = match self.rng.random_range(0..9) {
             0 => {
                 body.as_object_mut().map(|body| body.remove(field));
-                Odd::Malformed
+                ExpectedOutcome::Malformed
             }
             1 => {
                 body[field] = Value::Null;
-                Odd::Malformed
+                ExpectedOutcome::Malformed
             }
             2 => {
                 body[field] = json!([1, {"a": "b"}]);
-                Odd::Malformed
+                ExpectedOutcome::Malformed
             }
             3 => {
                 body["awaits"] = json!(["req-000001", 7]);
-                Odd::Malformed
+                ExpectedOutcome::Malformed
             }
             4 => {
                 body["awaits"] = json!(["req-899999"]);
-                Odd::Refused
+                ExpectedOutcome::Refused
             }
             5 => {
                 body["awaits"] = json!([id]);
-                Odd::Refused
+                ExpectedOutcome::Refused
             }
             6 => {
                 let never: Vec<String> = (0..700).map(|n| format!("req-8{n:05}")).collect();
                 body["awaits"] = json!(never);
-                Odd::Refused
+                ExpectedOutcome::Refused
             }
             7 => {
                 body["cards"] = json!(1000.0);
-                Odd::Refused
+                ExpectedOutcome::Refused
             }
             _ if accepted.is_empty() => return,
             _ => {
                 let needed: Vec<&JobId> = accepted.iter().cycle().take(500).collect();
                 body["awaits"] = json!(needed);
-                Odd::Accepted
+                ExpectedOutcome::Accepted
             }
         };
-        self.send_odd(&body, expected);
+        self.send_unusual(&body, expected);
     }
 
-    fn send_odd(&mut self, body: &Value, expected: Odd) {
+    fn send_unusual(&mut self, body: &Value, expected: ExpectedOutcome) {
         let parsed = parse_submission(&encode(body));
-        let malformed = matches!(expected, Odd::Malformed);
-        self.work.odd_requests += 1;
+        let malformed = matches!(expected, ExpectedOutcome::Malformed);
+        self.work.unusual_requests += 1;
         let Ok((id, spec)) = parsed else {
             if !malformed {
                 self.breaks("odd_refused", format!("{body} is called malformed"));
@@ -115,12 +115,12 @@
             return self.breaks("odd_accepted", format!("{body} is taken for a job"));
         }
         match expected {
-            Odd::Accepted => self.submit_odd(spec),
+            ExpectedOutcome::Accepted => self.submit_unusual(spec),
             _ => {
                 let node = self.rng.random_range(0..self.nodes.len());
                 let asker = Asker::User {
                     job: None,
-                    ask: Ask::Odd,
+                    kind: RequestKind::Unusual,
                     asked: self.now,
                 };
                 let what = UserRequest::Submit(id, Box::new(spec));
@@ -129,7 +129,7 @@
         }
     }
 
-    fn submit_odd(&mut self, spec: JobSpec) {
+    fn submit_unusual(&mut self, spec: JobSpec) {
         let run_s = self.rng.random_range(1.0..4.0);
         self.add_job(self.now, spec, run_s);
     }
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -8,15 +8,15 @@
 use std::collections::BTreeSet;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum RequestKind {
     Submit,
     Poll,
     Cancel,
     /// A poll or a repeat beside the usual ones, which nothing follows.
-    Look,
-    Repeat,
+    ProbePoll,
+    ProbeSubmit,
     /// An odd request, which must not be accepted.
-    Odd,
+    Unusual,
 }
 
 struct User {
@@ -24,27 +24,27 @@
     spec: JobSpec,
     run_s: f64,
     accepted: bool,
-    wants_cancel: bool,
-    told_done: Option<f64>,
-    told_cancelled: Option<f64>,
+    cancel_requested: bool,
+    done_reported_at: Option<f64>,
+    cancelled_reported_at: Option<f64>,
     /// When it was last answered.
     answered: f64,
     finished: BTreeSet<u32>,
     /// Starts of its tasks.
     begun: u32,
     /// Since when it waits though it could run.
-    waits_since: Option<f64>,
+    waiting_since: Option<f64>,
 }
 
 /// How long a job may wait in calm times beside a machine that has room for it.
-const STARVED_S: f64 = 90.0;
+const STARVATION_S: f64 = 90.0;
 
 #[derive(Default)]
 pub struct Users {
     jobs: Vec<User>,
-    odd_ids: u32,
+    unusual_ids: u32,
     /// Starts on machines that are gone.
-    pub starts_gone: u64,
+    pub starts_on_removed: u64,
 }
 
 impl Users {
@@ -55,13 +55,13 @@
             spec,
             run_s,
             accepted: false,
-            wants_cancel: false,
-            told_done: None,
-            told_cancelled: None,
+            cancel_requested: false,
+            done_reported_at: None,
+            cancelled_reported_at: None,
             answered: 0.0,
             finished: BTreeSet::new(),
             begun: 0,
-            waits_since: None,
+            waiting_since: None,
         });
         self.jobs.len() - 1
     }
@@ -71,21 +71,24 @@
     }
 
     /// A job id that no other user uses.
-    pub fn next_odd_id(&mut self) -> JobId {
-        self.odd_ids += 1;
-        JobId::from(format!("req-7{:05}", self.odd_ids))
+    pub fn next_unusual_id(&mut self) -> JobId {
+        self.unusual_ids += 1;
+        JobId::from(format!("req-7{:05}", self.unusual_ids))
     }
 
     /// Jobs that others may need, and that nobody will call off any more.
     pub fn accepted_arrays(&self) -> Vec<JobId> {
-        let done = self.jobs.iter().filter(|job| job.told_done.is_some());
+        let done = self
+            .jobs
+            .iter()
+            .filter(|job| job.done_reported_at.is_some());
         done.filter(|job| job.spec.kind == Kind::Array)
             .map(|job| job.id.clone())
             .collect()
     }
 
-    pub fn told_cancelled(&self, id: &JobId) -> Option<f64> {
-        self.find(id).and_then(|job| job.told_cancelled)
+    pub fn cancelled_reported_at(&self, id: &JobId) -> Option<f64> {
+        self.find(id).and_then(|job| job.cancelled_reported_at)
     }
 
     fn find(&self, id: &JobId) -> Option<&User> {
@@ -129,7 +132,7 @@
     }
 
     pub fn cancelled_for_long(&self, id: &JobId, now: f64) -> bool {
-        let told = self.find(id).and_then(|job| job.told_cancelled);
+        let told = self.find(id).and_then(|job| job.cancelled_reported_at);
         told.is_some_and(|at| now > at + CANCEL_S)
     }
 
@@ -149,16 +152,18 @@
     }
 
     /// Whether its user cancelled it, or one that it needs.
-    fn called_off(&self, id: &JobId) -> bool {
-        self.with_needed(id).iter().any(|user| user.wants_cancel)
+    fn is_cancel_requested(&self, id: &JobId) -> bool {
+        self.with_needed(id)
+            .iter()
+            .any(|user| user.cancel_requested)
     }
 
     /// When somebody was first told that a job that this one needs is cancelled.
-    fn orphan_since(&self, id: &JobId) -> Option<f64> {
+    fn dependency_cancelled_at(&self, id: &JobId) -> Option<f64> {
         let told = self
             .with_needed(id)
             .into_iter()
-            .filter_map(|user| user.told_cancelled);
+            .filter_map(|user| user.cancelled_reported_at);
         told.min_by(f64::total_cmp)
     }
 
@@ -175,23 +180,25 @@
 }
 
 impl World {
-    pub(super) fn user_asks(&mut self, job: usize, ask: Ask) {
-        self.user_asks_at(job, ask, None);
+    pub(super) fn user_asks(&mut self, job: usize, kind: RequestKind) {
+        self.user_asks_at(job, kind, None);
     }
 
-    pub(super) fn look(&mut self, job: usize, node: usize, ask: Ask) {
-        self.user_asks_at(job, ask, Some(node));
+    pub(super) fn look(&mut self, job: usize, node: usize, kind: RequestKind) {
+        self.user_asks_at(job, kind, Some(node));
     }
 
-    fn user_asks_at(&mut self, job: usize, ask: Ask, node: Option<usize>) {
+    fn user_asks_at(&mut self, job: usize, kind: RequestKind, node: Option<usize>) {
         let user = &mut self.users.jobs[job];
         let id = user.id.clone();
-        let what = match ask {
-            Ask::Submit => UserRequest::Submit(id, Box::new(user.spec.clone())),
-            Ask::Poll | Ask::Look => UserRequest::Poll(id),
-            Ask::Repeat | Ask::Odd => UserRequest::Submit(id, Box::new(user.spec.clone())),
-            Ask::Cancel => {
-                user.wants_cancel = true;
+        let what = match kind {
+            RequestKind::Submit => UserRequest::Submit(id, Box::new(user.spec.clone())),
+            RequestKind::Poll | RequestKind::ProbePoll => UserRequest::Poll(id),
+            RequestKind::ProbeSubmit | RequestKind::Unusual => {
+                UserRequest::Submit(id, Box::new(user.spec.clone()))
+            }
+            RequestKind::Cancel => {
+                user.cancel_requested = true;
                 UserRequest::Cancel(id)
             }
         };
@@ -200,7 +207,7 @@
             node,
             Asker::User {
                 job: Some(job),
-                ask,
+                kind,
                 asked: self.now,
             },
             Input::User(RequestId(0), what),
@@ -208,20 +215,24 @@
     }
 
     /// Right after a user was told something: at all controllers within milliseconds.
-    fn look_closely(&mut self, job: usize) {
-        if !self.net.close_looks() {
+    fn probe_all_controllers(&mut self, job: usize) {
+        if !self.network.linearizability_probes() {
             return;
         }
         for node in 0..self.nodes.len() {
-            for (delay, ask) in [(0.0005, Ask::Look), (0.003, Ask::Repeat), (0.02, Ask::Look)] {
-                self.after(delay, Event::Look { job, node, ask });
+            for (delay, kind) in [
+                (0.0005, RequestKind::ProbePoll),
+                (0.003, RequestKind::ProbeSubmit),
+                (0.02, RequestKind::ProbePoll),
+            ] {
+                self.after(delay, Event::Probe { job, node, kind });
             }
         }
     }
 
     /// A job is called off at the moment of its end.
-    pub(super) fn called_off_at_end(&mut self, id: &JobId) {
-        if !self.net.cancel_at_end() || !self.rng.random_bool(0.5) {
+    pub(super) fn cancel_at_completion(&mut self, id: &JobId) {
+        if !self.network.cancel_at_completion() || !self.rng.random_bool(0.5) {
             return;
         }
         let ended = |user: &User| user.id == *id && user.finished.len() as u32 == user.spec.tasks;
@@ -236,7 +247,7 @@
         let what = UserRequest::Poll("req-999999".into());
         let asker = Asker::User {
             job: None,
-            ask: Ask::Poll,
+            kind: RequestKind::Poll,
             asked: self.now,
         };
         self.ask_node(node, asker, Input::User(RequestId(0), what));
@@ -246,7 +257,7 @@
     pub(super) fn user_answered(
         &mut self,
         job: Option<usize>,
-        ask: Ask,
+        kind: RequestKind,
         asked: f64,
         answer: Option<Answer>,
     ) {
@@ -263,68 +274,70 @@
         };
         let user = &mut self.users.jobs[job];
         let id = user.id.clone();
-        match (ask, status) {
+        match (kind, status) {
             (_, Some(200 | 201)) => {
                 user.answered = self.now;
-                if ask == Ask::Submit && !user.accepted {
+                if kind == RequestKind::Submit && !user.accepted {
                     user.accepted = true;
                     self.after(1.0, Event::Poll { job });
-                    self.look_closely(job);
+                    self.probe_all_controllers(job);
                 }
-                return self.check_told(job, ask, asked, &job_status);
+                return self.check_told(job, kind, asked, &job_status);
             }
-            (Ask::Poll | Ask::Look, Some(404)) if user.accepted => {
+            (RequestKind::Poll | RequestKind::ProbePoll, Some(404)) if user.accepted => {
                 self.breaks("forgotten", format!("{id} is answered 404"));
             }
-            (Ask::Submit | Ask::Repeat, Some(status @ (400 | 422))) if user.accepted => {
+            (RequestKind::Submit | RequestKind::ProbeSubmit, Some(status @ (400 | 422)))
+                if user.accepted =>
+            {
                 self.breaks("forgotten", format!("{id} is answered {status}"));
             }
             _ => {}
         }
-        match ask {
-            Ask::Submit => self.after(1.0, Event::Submit { job }),
-            Ask::Cancel => self.after(1.0, Event::Cancel { job }),
-            Ask::Poll => self.after(5.0, Event::Poll { job }),
-            Ask::Look | Ask::Repeat | Ask::Odd => {}
+        match kind {
+            RequestKind::Submit => self.after(1.0, Event::Submit { job }),
+            RequestKind::Cancel => self.after(1.0, Event::Cancel { job }),
+            RequestKind::Poll => self.after(5.0, Event::Poll { job }),
+            RequestKind::ProbePoll | RequestKind::ProbeSubmit | RequestKind::Unusual => {}
         }
     }
 
     /// What was asked before something was told may still be answered without it: answers to
     /// questions that overlap come in any order (found by random day 1026).
-    fn check_told(&mut self, job: usize, ask: Ask, asked: f64, job_status: &str) {
+    fn check_told(&mut self, job: usize, kind: RequestKind, asked: f64, job_status: &str) {
         let now = self.now;
         let id = self.users.jobs[job].id.clone();
-        let called_off = self.users.called_off(&id);
+        let is_cancel_requested = self.users.is_cancel_requested(&id);
         let orphan = self
             .users
-            .orphan_since(&id)
+            .dependency_cancelled_at(&id)
             .is_some_and(|told| asked > told + CANCEL_S);
         let user = &mut self.users.jobs[job];
         let mut broken: Vec<(&str, String)> = Vec::new();
         let mut cancelled = false;
-        let ended_before = user.told_done.is_some() || user.told_cancelled.is_some();
+        let ended_before = user.done_reported_at.is_some() || user.cancelled_reported_at.is_some();
         match job_status {
             "done" => {
                 if (user.finished.len() as u32) < user.spec.tasks {
                     broken.push(("not_done", format!("{id} is called done")));
                 }
-                if user.told_cancelled.is_some() {
+                if user.cancelled_reported_at.is_some() {
                     // Both are final: the order of the questions does not matter.
                     broken.push(("went_back", format!("{id} was cancelled, is called done")));
                 }
-                user.told_done = user.told_done.or(Some(now));
+                user.done_reported_at = user.done_reported_at.or(Some(now));
             }
             "withdrawn" => {
-                if !called_off || user.told_done.is_some() {
+                if !is_cancel_requested || user.done_reported_at.is_some() {
                     broken.push(("went_back", format!("{id} is called cancelled")));
                 }
-                if user.told_cancelled.is_none() {
-                    user.told_cancelled = Some(now);
+                if user.cancelled_reported_at.is_none() {
+                    user.cancelled_reported_at = Some(now);
                     cancelled = true;
                 }
             }
             _ => {
-                let told = user.told_done.or(user.told_cancelled);
+                let told = user.done_reported_at.or(user.cancelled_reported_at);
                 if told.is_some_and(|told| told < asked) {
                     broken.push(("went_back", format!("{id} is called {job_status}")));
                 }
@@ -333,7 +346,7 @@
                 }
             }
         }
-        let over = user.told_done.is_some() || user.told_cancelled.is_some();
+        let over = user.done_reported_at.is_some() || user.cancelled_reported_at.is_some();
         for (rule, what) in broken {
             self.breaks(rule, what);
         }
@@ -341,9 +354,9 @@
             self.after(CANCEL_S + 0.01, Event::CancelDue { job });
         }
         if over && !ended_before {
-            self.look_closely(job);
+            self.probe_all_controllers(job);
         }
-        if matches!(ask, Ask::Look | Ask::Repeat) {
+        if matches!(kind, RequestKind::ProbePoll | RequestKind::ProbeSubmit) {
             return;
         }
         // Users may ask at any later time, only less often.
@@ -370,28 +383,28 @@
             .nodes
             .iter()
             .all(|node| node.core.is_some() && now >= node.frozen_until);
-        if !self.net.calm() || !all_up {
+        if !self.network.calm() || !all_up {
             self.calm_since = now;
         }
         for index in 0..self.users.jobs.len() {
             let user = &self.users.jobs[index];
             let waits = now > self.calm_since
                 && user.accepted
-                && user.told_done.is_none()
-                && self.users.orphan_since(&user.id).is_none()
+                && user.done_reported_at.is_none()
+                && self.users.dependency_cancelled_at(&user.id).is_none()
                 && self.users.not_ready(&user.id).is_none()
                 && (user.finished.len() as u32) < user.spec.tasks
                 && self.tasks_on(&user.id) == 0
                 && self.has_room(&user.spec);
             let id = user.id.clone();
-            let since = &mut self.users.jobs[index].waits_since;
+            let since = &mut self.users.jobs[index].waiting_since;
             *since = if waits { since.or(Some(now)) } else { None };
-            if since.is_some_and(|since| now > since + STARVED_S) {
+            if since.is_some_and(|since| now > since + STARVATION_S) {
                 *since = None;
                 self.breaks("starved", format!("{id} waits beside a machine with room"));
             }
         }
-        self.after(5.0, Event::Watch);
+        self.after(5.0, Event::CheckStarvation);
     }
 
     /// Checks that a scenario's troubles meet as it says.
@@ -400,8 +413,8 @@
         let id = user.id.clone();
         let met = match what {
             "accepted" => user.accepted,
-            "cancelled" => user.told_cancelled.is_some(),
-            "done" => user.told_done.is_some(),
+            "cancelled" => user.cancelled_reported_at.is_some(),
+            "done" => user.done_reported_at.is_some(),
             "running" => self.tasks_on(&id) > 0,
             "idle" => self.tasks_on(&id) == 0,
             // Each of its tasks has begun once at most.
@@ -409,7 +422,7 @@
             other => panic!("expect {other:?}?"),
         };
         if !met {
-            self.breaks("no_meeting", format!("{id} is not {what}"));
+            self.breaks("expectation_not_met", format!("{id} is not {what}"));
         }
     }
 
@@ -422,14 +435,16 @@
                 Some("nobody answers for it".to_owned())
             } else if !user.accepted {
                 Some("not accepted".to_owned())
-            } else if self.users.orphan_since(&user.id).is_some() && user.told_cancelled.is_none() {
+            } else if self.users.dependency_cancelled_at(&user.id).is_some()
+                && user.cancelled_reported_at.is_none()
+            {
                 Some("what it needs is cancelled, and it is not".to_owned())
-            } else if user.told_cancelled.is_some() {
+            } else if user.cancelled_reported_at.is_some() {
                 (on > 0).then(|| format!("cancelled, {on} tasks on machines"))
             } else if user.spec.kind == Kind::Service {
                 (on < user.spec.tasks as usize).then(|| format!("{on} of {} up", user.spec.tasks))
             } else {
-                user.told_done
+                user.done_reported_at
                     .is_none()
                     .then(|| format!("{} done, {on} on machines", user.finished.len()))
             };
--- a/tests/world/worker.rs
+++ b/tests/world/worker.rs
@@ -1,7 +1,9 @@
 //! Workers: reports, leases, sessions, tokens, and tasks as the protocol has them.
 
-use super::faults::{CutManner, Who};
-use super::{Event, FAILS_AT_ONCE, GANG_PEER_S, GANG_WAIT_S, GPUS_MAX, LEASE_S, REPORT_S, World};
+use super::faults::{CutManner, Endpoint};
+use super::{
+    Event, FAILS_IMMEDIATELY, GANG_PEER_S, GANG_WAIT_S, GPUS_MAX, LEASE_S, REPORT_S, World,
+};
 use ochredrum::core::effects::{Answer, Body, CallId, Input, WorkerReply};
 use ochredrum::ids::{Attempt, FencingToken, JobId, MachineId, TaskId};
 use ochredrum::wire::{
@@ -10,11 +12,11 @@
 use rand::Rng;
 use std::collections::BTreeMap;
 
-const ANSWER_WAIT: f64 = 4.0;
+const ANSWER_TIMEOUT_S: f64 = 4.0;
 /// How often a worker looks at its lease and its tasks.
 /// A start that was sent when its job was cancelled has begun by then.
 const IN_FLIGHT_S: f64 = 1.5;
-const TURN: f64 = 0.1;
+const TURN_S: f64 = 0.1;
 
 #[derive(Clone, Debug)]
 pub struct Running {
@@ -43,12 +45,12 @@
     /// When the last answered report was sent, or the session began.
     renewed: f64,
     node: usize,
-    out: Option<(u64, f64)>,
-    next_report: f64,
-    last_report: f64,
+    in_flight: Option<(u64, f64)>,
+    next_heartbeat: f64,
+    last_heartbeat: f64,
     changed: bool,
-    token_news: f64,
-    leaves: Option<f64>,
+    token_changed_at: f64,
+    leaves_at: Option<f64>,
     images: Vec<String>,
     pub hung_until: f64,
     pub tasks: BTreeMap<(TaskId, Attempt), Running>,
@@ -78,7 +80,7 @@
             agent_epoch: self.agent_epoch,
             sequence: self.sequence,
             token: self.token,
-            notice_s: self.leaves.map(|at| at - now),
+            notice_s: self.leaves_at.map(|at| at - now),
             tasks: tasks.collect(),
         }
     }
@@ -97,12 +99,12 @@
             token: FencingToken(0),
             renewed: self.now,
             node: self.rng.random_range(0..self.nodes.len()),
-            out: None,
-            next_report: self.now,
-            last_report: self.now,
+            in_flight: None,
+            next_heartbeat: self.now,
+            last_heartbeat: self.now,
             changed: false,
-            token_news: f64::NEG_INFINITY,
-            leaves: None,
+            token_changed_at: f64::NEG_INFINITY,
+            leaves_at: None,
             images: Vec::new(),
             hung_until: 0.0,
             tasks: BTreeMap::new(),
@@ -111,7 +113,7 @@
         self.workers.insert(machine.clone(), worker);
         self.after(
             0.0,
-            Event::Worker {
+            Event::WorkerTurn {
                 machine: machine.clone(),
             },
         );
@@ -120,7 +122,7 @@
     pub(super) fn notice(&mut self, machine: &MachineId, seconds: f64) {
         let now = self.now;
         if let Some(worker) = self.workers.get_mut(machine) {
-            worker.leaves = Some(now + seconds);
+            worker.leaves_at = Some(now + seconds);
             worker.changed = true;
         }
     }
@@ -130,8 +132,8 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        if worker.leaves.is_some_and(|at| now >= at) {
-            self.users.starts_gone += worker.starts;
+        if worker.leaves_at.is_some_and(|at| now >= at) {
+            self.users.starts_on_removed += worker.starts;
             self.workers.remove(id);
             self.cloud.call(now, release(id));
             self.cloud.take_deleted();
@@ -150,8 +152,8 @@
         // What hangs past its lease counts as ended with it: it could not go on.
         if now < worker.hung_until {
             return self.after(
-                TURN,
-                Event::Worker {
+                TURN_S,
+                Event::WorkerTurn {
                     machine: id.clone(),
                 },
             );
@@ -160,55 +162,58 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        if worker.out.is_some_and(|(_, sent)| now - sent > ANSWER_WAIT) {
-            worker.out = None;
+        if worker
+            .in_flight
+            .is_some_and(|(_, sent)| now - sent > ANSWER_TIMEOUT_S)
+        {
+            worker.in_flight = None;
             worker.node = (worker.node + 1) % nodes;
-            worker.next_report = now + 1.0;
+            worker.next_heartbeat = now + 1.0;
         }
-        let urgent = worker.changed && now >= worker.last_report + 0.5;
-        if worker.out.is_none() && (now >= worker.next_report || urgent) {
+        let urgent = worker.changed && now >= worker.last_heartbeat + 0.5;
+        if worker.in_flight.is_none() && (now >= worker.next_heartbeat || urgent) {
             worker.changed = false;
-            worker.last_report = now;
-            worker.next_report = now + REPORT_S * self.rng.random_range(0.75..1.25);
+            worker.last_heartbeat = now;
+            worker.next_heartbeat = now + REPORT_S * self.rng.random_range(0.75..1.25);
             let heartbeat = worker.heartbeat(now, &self.cloud);
             let node = worker.node;
-            worker.out = Some((heartbeat.sequence, now));
-            self.send_report(id, node, heartbeat);
+            worker.in_flight = Some((heartbeat.sequence, now));
+            self.send_heartbeat(id, node, heartbeat);
         }
         self.after(
-            TURN,
-            Event::Worker {
+            TURN_S,
+            Event::WorkerTurn {
                 machine: id.clone(),
             },
         );
     }
 
-    fn send_report(&mut self, id: &MachineId, node: usize, heartbeat: Heartbeat) {
-        let (me, to) = (Who::Machine(id.clone()), Who::Node(node));
+    fn send_heartbeat(&mut self, id: &MachineId, node: usize, heartbeat: Heartbeat) {
+        let (me, to) = (Endpoint::Machine(id.clone()), Endpoint::Node(node));
         let event = |heartbeat: &Heartbeat, live| Event::Heartbeat {
             machine: id.clone(),
             node,
             heartbeat: heartbeat.clone(),
             live,
         };
-        if self.net.copies_for_next() && self.rng.random_bool(0.3) {
-            self.kept.push((id.clone(), heartbeat.clone()));
+        if self.network.replay_to_next_leader() && self.rng.random_bool(0.3) {
+            self.replay_buffer.push((id.clone(), heartbeat.clone()));
         }
-        if self.net.mute(id) {
+        if self.network.heartbeats_lost(id) {
             return;
         }
-        if let Some(delay) = self.copy_delay() {
+        if let Some(delay) = self.duplicate_delay() {
             self.after(delay, event(&heartbeat, false));
         }
-        if self.net.passes(me.clone(), to.clone()) {
+        if self.network.passes(me.clone(), to.clone()) {
             let delay = self.latency();
             self.after(delay, event(&heartbeat, true));
             return;
         }
-        if let Some(end) = self.net.held_until(&me, &to) {
+        if let Some(end) = self.network.held_until(&me, &to) {
             self.at(end + 0.01, event(&heartbeat, false));
         }
-        if let Some(CutManner::Refused | CutManner::Reset) = self.net.kept_from(&me, &to) {
+        if let Some(CutManner::Refused | CutManner::Reset) = self.network.cut_manner(&me, &to) {
             let (machine, number) = (id.clone(), heartbeat.sequence);
             let delay = self.latency();
             self.after(
@@ -222,19 +227,24 @@
         }
     }
 
-    pub(super) fn report_answered(&mut self, id: &MachineId, number: u64, answer: Option<Answer>) {
+    pub(super) fn heartbeat_answered(
+        &mut self,
+        id: &MachineId,
+        number: u64,
+        answer: Option<Answer>,
+    ) {
         let now = self.now;
         let nodes = self.nodes.len();
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        let waited = |sent: f64| now < sent + ANSWER_WAIT && now >= worker.hung_until;
+        let waited = |sent: f64| now < sent + ANSWER_TIMEOUT_S && now >= worker.hung_until;
         let out = worker
-            .out
+            .in_flight
             .filter(|(out, sent)| *out == number && waited(*sent));
         let Some((out, sent)) = out else { return };
         debug_assert_eq!(out, number);
-        worker.out = None;
+        worker.in_flight = None;
         match answer {
             Some(Answer {
                 status: 200,
@@ -247,14 +257,14 @@
                 }
                 if answer.token > worker.token {
                     worker.token = answer.token;
-                    if now - worker.token_news > LEASE_S / 2.0 {
-                        worker.token_news = now;
+                    if now - worker.token_changed_at > LEASE_S / 2.0 {
+                        worker.token_changed_at = now;
                         worker.changed = true;
                     }
                 }
                 worker.renewed = sent;
-                for order in answer.commands {
-                    self.execute(id, order);
+                for command in answer.commands {
+                    self.execute(id, command);
                 }
             }
             Some(Answer {
@@ -269,22 +279,22 @@
                 {
                     Some(node) => {
                         worker.node = node;
-                        worker.next_report = now;
+                        worker.next_heartbeat = now;
                     }
                     None => {
                         worker.node = (worker.node + 1) % nodes;
-                        worker.next_report = now + 1.0;
+                        worker.next_heartbeat = now + 1.0;
                     }
                 }
             }
             _ => {
                 worker.node = (worker.node + 1) % nodes;
-                worker.next_report = now + 1.0;
+                worker.next_heartbeat = now + 1.0;
             }
         }
     }
 
-    pub(super) fn direct_orders(
+    pub(super) fn receive_direct_commands(
         &mut self,
         node: usize,
         epoch: u64,
@@ -293,7 +303,7 @@
         commands: DirectCommands,
     ) {
         let id = MachineId::from(address);
-        if self.net.deaf(&id) {
+        if self.network.inbound_lost(&id) {
             return;
         }
         let now = self.now;
@@ -302,7 +312,7 @@
         };
         if now < worker.hung_until {
             // Executed when it goes on, whoever still waits for it.
-            let (until, address) = (worker.hung_until + TURN * 1.5, address.to_owned());
+            let (until, address) = (worker.hung_until + TURN_S * 1.5, address.to_owned());
             return self.at(
                 until,
                 Event::DirectCommands {
@@ -317,8 +327,8 @@
         let fenced = commands.token < worker.token || commands.agent_epoch != worker.agent_epoch;
         if !fenced {
             worker.token = commands.token;
-            for order in commands.commands {
-                self.execute(&id, order);
+            for command in commands.commands {
+                self.execute(&id, command);
             }
         }
         let Some(worker) = self.workers.get_mut(&id) else {
@@ -330,12 +340,17 @@
         } else {
             WorkerReply::Executed(heartbeat)
         };
-        self.reply(node, epoch, Who::Machine(id), Input::Worker(call, reply));
+        self.reply(
+            node,
+            epoch,
+            Endpoint::Machine(id),
+            Input::Worker(call, reply),
+        );
     }
 
-    fn execute(&mut self, id: &MachineId, order: Command) {
+    fn execute(&mut self, id: &MachineId, command: Command) {
         let now = self.now;
-        match order {
+        match command {
             Command::Start { task, attempt } => {
                 let Some(task) = TaskId::parse(&task) else {
                     return self.breaks("bad_order", format!("start of {task:?}"));
@@ -463,7 +478,7 @@
                 continue;
             };
             let run_s = self.users.run_s(&task);
-            let faulty = self.net.faulty(id) || run_s == FAILS_AT_ONCE;
+            let faulty = self.network.faulty(id) || run_s == FAILS_IMMEDIATELY;
             let Some(worker) = self.workers.get_mut(id) else {
                 return;
             };
@@ -511,7 +526,7 @@
                     if spec.kind == Kind::Gang {
                         self.gang_completes(&task.job, attempt, spec.tasks);
                     }
-                    self.called_off_at_end(&task.job);
+                    self.cancel_at_completion(&task.job);
                 }
                 TaskState::Checkpointing => {
                     running.checkpointed = true;
@@ -648,12 +663,12 @@
         }
         if let Some(told) = self
             .users
-            .told_cancelled(&task.job)
+            .cancelled_reported_at(&task.job)
             .filter(|told| *told < self.now)
         {
             self.work.starts_after_cancel += 1;
             // With no trouble, what was under way then has been stopped by now. A machine that hung
-            // carries out what had reached it once it goes on (order day 28).
+            // carries out what had reached it once it goes on (command_faults day 28).
             let hung_until = self.workers.get(id).map_or(0.0, |worker| worker.hung_until);
             let arrived_by = told.max(hung_until) + IN_FLIGHT_S;
             if self.calm_for(told, LEASE_S * 2.0) && self.now > arrived_by {
@@ -712,7 +727,7 @@
     /// Tasks of a job that are on a machine by the rules.
     /// Whether there was no trouble from `before` seconds before a moment until now.
     fn calm_for(&self, since: f64, before: f64) -> bool {
-        self.net.calm() && self.calm_since.max(self.crashed) < since - before
+        self.network.calm() && self.calm_since.max(self.crashed) < since - before
     }
 
     pub(super) fn tasks_on(&self, job: &JobId) -> usize {
