--- a/tests/effect_digests/mod.rs
+++ b/tests/effect_digests/mod.rs
@@ -14,11 +14,11 @@
 
 const KINDS_OF_DAYS: [(&str, DayOf, u64); 6] = [
     ("random", days::random_day, 10),
-    ("rough", days::overlapping_faults_day, 8),
-    ("meeting", days::interacting_faults_day, 8),
-    ("order", days::command_faults_day, 8),
+    ("overlapping_faults", days::overlapping_faults_day, 8),
+    ("interacting_faults", days::interacting_faults_day, 8),
+    ("command_faults", days::command_faults_day, 8),
     ("upgrade", days::upgrade_day, 8),
-    ("crowded", days::many_machines_day, 3),
+    ("many_machines", days::many_machines_day, 3),
 ];
 
 #[test]
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -97,7 +97,7 @@
 /// What odd requests there were, and that cancelled jobs begin nothing beyond what was under way.
 #[test]
 fn odd_requests_come_and_cancelled_jobs_start_nothing_more() {
-    let world = play(include_str!("scenarios/odd_requests.txt"));
+    let world = play(include_str!("scenarios/unusual_requests.txt"));
     assert!(world.broken.is_empty(), "{:?}", world.broken);
     assert!(world.work.unusual_requests > 100, "{:?}", world.work);
     assert!(world.work.starts_after_cancel <= 8, "{:?}", world.work);
@@ -510,7 +510,7 @@
 /// gang held machines whole.
 #[test]
 fn jobs_that_fail_everywhere_are_only_probed() {
-    let world = play(include_str!("scenarios/broken_jobs.txt"));
+    let world = play(include_str!("scenarios/jobs_that_always_fail.txt"));
     let starts: Vec<u32> = (0..3).map(|job| world.begun(job)).collect();
     assert!(
         starts.iter().all(|starts| (3..=30).contains(starts)),
