--- a/tests/world/cloud.rs
+++ b/tests/world/cloud.rs
@@ -21,7 +21,7 @@
 
 pub struct Cloud {
     /// Of every fleet there are machines with GPUs; of some others as well.
-    kinds: Vec<MachineType>,
+    types: Vec<MachineType>,
     machines: BTreeMap<MachineId, Owned>,
     rentals: BTreeMap<String, MachineNames>,
     deleted: Vec<MachineId>,
@@ -31,7 +31,7 @@
 impl Default for Cloud {
     fn default() -> Self {
         Self {
-            kinds: vec![kind_with_gpus()],
+            types: vec![type_with_gpus()],
             machines: BTreeMap::new(),
             rentals: BTreeMap::new(),
             deleted: Vec::new(),
@@ -40,7 +40,7 @@
     }
 }
 
-fn kind_with_gpus() -> MachineType {
+fn type_with_gpus() -> MachineType {
     MachineType {
         name: "g8".into(),
         cpus: 64.0,
@@ -56,7 +56,7 @@
 }
 
 /// Small, cheap and slow to fetch.
-fn kind_without_gpus() -> MachineType {
+fn type_without_gpus() -> MachineType {
     MachineType {
         name: "c16".into(),
         cpus: 16.0,
@@ -66,21 +66,24 @@
         fetch_gb_per_s: 1.0,
         price: 0.5,
         spot_price: 0.2,
-        ..kind_with_gpus()
+        ..type_with_gpus()
     }
 }
 
 impl Cloud {
     /// From here on there is a second kind, without GPUs.
     pub fn offer_without_gpus(&mut self) {
-        self.kinds.push(kind_without_gpus());
+        self.types.push(type_without_gpus());
     }
 
     /// What kind of machine this is.
-    pub fn kind_of(&self, machine: &MachineId) -> MachineType {
+    pub fn type_of(&self, machine: &MachineId) -> MachineType {
         let name = self.machines.get(machine).map(|owned| &owned.type_name);
-        let kind = self.kinds.iter().find(|kind| Some(&kind.name) == name);
-        kind.cloned().unwrap_or_else(kind_with_gpus)
+        let machine_type = self
+            .types
+            .iter()
+            .find(|machine_type| Some(&machine_type.name) == name);
+        machine_type.cloned().unwrap_or_else(type_with_gpus)
     }
 
     pub fn count(&self) -> usize {
@@ -125,7 +128,7 @@
     pub fn call(&mut self, now: f64, call: CloudCall) -> (CloudReply, Vec<MachineId>) {
         let reply = match call {
             CloudCall::Types => CloudReply::Types(MachineTypes {
-                types: self.kinds.clone(),
+                types: self.types.clone(),
             }),
             CloudCall::List { .. } => {
                 let as_of = now - LIST_LAG;
--- /dev/null
+++ b/tests/world/start_rules.rs
@@ -0,0 +1,194 @@
+//! The rules that are checked when a task starts, and whether a job could start.
+
+use super::worker::Worker;
+use super::{GPUS_MAX, LEASE_S, World};
+use ochredrum::ids::{Attempt, JobId, MachineId, TaskId};
+use ochredrum::wire::{JobSpec, Kind, MachineType};
+use std::collections::BTreeMap;
+
+/// A start that was in flight when its job was cancelled has been executed within this many seconds.
+const IN_FLIGHT_S: f64 = 1.5;
+/// The team whose GPUs are limited to [`GPUS_MAX`].
+const LIMITED_TEAM: &str = "blue";
+/// Tolerance in comparisons of GPUs.
+const GPU_TOLERANCE: f64 = 1e-6;
+
+/// What is on the machines of the fleet when a task starts.
+#[derive(Default)]
+struct Survey {
+    /// Another machine, or another attempt, on which the same task is.
+    duplicate_on: Option<MachineId>,
+    /// GPUs that the limited team uses.
+    limited_gpus: f64,
+    /// Tasks of the same job by zone.
+    zones: BTreeMap<String, u32>,
+}
+
+/// What the tasks of a worker that have not exited use.
+#[derive(Default)]
+struct Usage {
+    gpus: f64,
+    cpus: f64,
+    memory_gb: f64,
+    limited_gpus: f64,
+}
+
+impl Usage {
+    /// Whether one more task fits on a machine.
+    fn leaves_room(&self, spec: &JobSpec, machine_type: &MachineType) -> bool {
+        self.gpus + spec.gpus <= machine_type.gpus
+            && self.cpus + spec.cpus <= machine_type.cpus
+            && self.memory_gb + spec.memory_gb <= machine_type.memory_gb
+    }
+}
+
+impl World {
+    fn survey(&self, id: &MachineId, task: &TaskId, attempt: Attempt) -> Survey {
+        let mut survey = Survey::default();
+        for worker in self.workers.values() {
+            let owned = self.cloud.get(&worker.id);
+            let zone = owned.map_or("?".into(), |owned| owned.zone.to_string());
+            for ((other, same), running) in &worker.tasks {
+                if !running.is_on_machine() {
+                    continue;
+                }
+                if other == task && (worker.id != *id || *same != attempt) {
+                    survey.duplicate_on = Some(worker.id.clone());
+                }
+                if other.job == task.job {
+                    *survey.zones.entry(zone.clone()).or_default() += 1;
+                }
+                if let Some(spec) = self.users.spec(&other.job)
+                    && spec.team.as_str() == LIMITED_TEAM
+                {
+                    survey.limited_gpus += spec.gpus;
+                }
+            }
+        }
+        survey
+    }
+
+    /// Checks the rules about a task that starts: it has its image from now on.
+    pub(super) fn check_start(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) {
+        let Some(spec) = self.users.spec(&task.job).cloned() else {
+            return;
+        };
+        if self.cloud.get(id).is_none() {
+            return;
+        }
+        let survey = self.survey(id, task, attempt);
+        if let Some(other) = &survey.duplicate_on {
+            self.record_violation("ran_twice", format!("{task} on {id} and {other}"));
+        }
+        let gpus = survey.limited_gpus;
+        if gpus > GPUS_MAX + GPU_TOLERANCE {
+            self.record_violation("quota", format!("{LIMITED_TEAM} uses {gpus} GPUs"));
+        }
+        self.check_place(id, task, &spec, &survey.zones);
+        if let Some(needed) = self.users.unfinished_dependency(&task.job) {
+            let what = format!("{task} starts on {id}, {needed} is not done");
+            self.record_violation("too_early", what);
+        }
+        self.check_not_cancelled(id, task);
+    }
+
+    /// A task starts only on a machine, and in a zone, that its job allows.
+    fn check_place(
+        &mut self,
+        id: &MachineId,
+        task: &TaskId,
+        spec: &JobSpec,
+        zones: &BTreeMap<String, u32>,
+    ) {
+        let Some(owned) = self.cloud.get(id) else {
+            return;
+        };
+        let zone = owned.zone.clone();
+        let half = spec.tasks.div_ceil(2);
+        let wrong_type = spec
+            .types
+            .as_ref()
+            .is_some_and(|types| !types.contains(&owned.type_name));
+        let misplaced = (owned.spot && !spec.spot)
+            || wrong_type
+            || spec.zone.as_ref().is_some_and(|only| *only != zone)
+            || (spec.one_zone && zones.len() > 1)
+            || (spec.spread && zones.get(zone.as_str()).copied().unwrap_or(0) > half);
+        if misplaced {
+            let what = format!("{task} on {id} in {zone}, job in {zones:?}");
+            self.record_violation("wrong_place", what);
+        }
+    }
+
+    /// No task of a cancelled job starts, but for starts that were in flight when its user was told.
+    fn check_not_cancelled(&mut self, id: &MachineId, task: &TaskId) {
+        let reported_at = self.users.cancelled_reported_at(&task.job);
+        if let Some(reported_at) = reported_at.filter(|at| *at < self.now) {
+            self.work.starts_after_cancel += 1;
+            // Without faults, what was in flight then has been stopped by now. A machine that hung executes what had
+            // reached it once it continues (command_faults day 28).
+            let hung_until = self.workers.get(id).map_or(0.0, |worker| worker.hung_until);
+            let executed_by = reported_at.max(hung_until) + IN_FLIGHT_S;
+            if self.has_been_calm(reported_at, LEASE_S * 2.0) && self.now > executed_by {
+                self.record_violation("started_cancelled", format!("{task} starts on {id}"));
+            }
+        }
+        if self.users.cancelled_for_long(&task.job, self.now) {
+            self.record_violation("ran_cancelled", format!("{task} starts on {id}"));
+        }
+    }
+
+    /// Whether no fault was in effect from `before` seconds before a moment until now.
+    fn has_been_calm(&self, since: f64, before: f64) -> bool {
+        self.network.is_calm() && self.calm_since.max(self.crashed) < since - before
+    }
+
+    fn usage(&self, worker: &Worker) -> Usage {
+        let occupying = worker
+            .tasks
+            .iter()
+            .filter(|(_, running)| !running.has_exited());
+        let specs = occupying.filter_map(|((task, _), _)| self.users.spec(&task.job));
+        specs.fold(Usage::default(), |sum, spec| Usage {
+            gpus: sum.gpus + spec.gpus,
+            cpus: sum.cpus + spec.cpus,
+            memory_gb: sum.memory_gb + spec.memory_gb,
+            limited_gpus: if spec.team.as_str() == LIMITED_TEAM {
+                sum.limited_gpus + spec.gpus
+            } else {
+                sum.limited_gpus
+            },
+        })
+    }
+
+    /// Whether some machine could run one task of a job, within its team's limit. Jobs whose tasks restrict one
+    /// another's places, or need more than one machine at once, are left out.
+    pub(super) fn has_room(&self, spec: &JobSpec) -> bool {
+        if spec.kind == Kind::Gang || spec.one_zone || spec.spread {
+            return false;
+        }
+        let workers = self.workers.values();
+        let limited_gpus: f64 = workers.map(|worker| self.usage(worker).limited_gpus).sum();
+        if spec.team.as_str() == LIMITED_TEAM && limited_gpus + spec.gpus > GPUS_MAX {
+            return false;
+        }
+        self.workers.values().any(|worker| {
+            let Some(owned) = self.cloud.get(&worker.id) else {
+                return false;
+            };
+            (spec.spot || !owned.spot)
+                && spec.zone.as_ref().is_none_or(|zone| *zone == owned.zone)
+                && self
+                    .usage(worker)
+                    .leaves_room(spec, &self.cloud.type_of(&worker.id))
+        })
+    }
+
+    /// Tasks of a job that are on machines.
+    pub(super) fn tasks_on(&self, job: &JobId) -> usize {
+        let tasks = self.workers.values().flat_map(|worker| &worker.tasks);
+        tasks
+            .filter(|((task, _), running)| task.job == *job && running.is_on_machine())
+            .count()
+    }
+}
--- /dev/null
+++ b/tests/world/tasks.rs
@@ -0,0 +1,318 @@
+//! Tasks on workers: they fetch their image, run, save checkpoints and exit.
+
+use super::cloud::Cloud;
+use super::faults::MachineCondition;
+use super::users::Users;
+use super::worker::Worker;
+use super::{FAILS_IMMEDIATELY, GANG_PEER_S, GANG_WAIT_S, World};
+use ochredrum::ids::{Attempt, JobId, MachineId, TaskId};
+use ochredrum::wire::{Command, Exit, JobSpec, Kind, TaskState};
+
+/// How long a worker takes to prepare an image that it has cached.
+const CACHED_FETCH_S: f64 = 0.05;
+/// Tolerance in comparisons of resources, which are sums of floating-point numbers.
+const RESOURCE_TOLERANCE: f64 = 1e-6;
+
+/// One attempt of a task on a worker.
+#[derive(Clone, Debug)]
+pub struct Running {
+    /// What the worker reports of it.
+    pub state: TaskState,
+    /// Why it exited, once it has.
+    pub exit: Option<Exit>,
+    /// Whether it saved a checkpoint when it was stopped.
+    pub checkpointed: bool,
+    /// When the present state ends by itself.
+    until: f64,
+}
+
+impl Running {
+    /// Whether it is on its machine as the protocol defines it: from when it has its image until it exits.
+    pub fn is_on_machine(&self) -> bool {
+        matches!(
+            self.state,
+            TaskState::Waiting | TaskState::Running | TaskState::Checkpointing
+        )
+    }
+
+    /// Whether it occupies resources of its machine.
+    pub fn has_exited(&self) -> bool {
+        self.state == TaskState::Exited
+    }
+
+    fn exit(&mut self, why: Exit) {
+        self.state = TaskState::Exited;
+        self.exit = Some(why);
+        self.until = f64::INFINITY;
+    }
+
+    /// Stops it; with enough time it saves a checkpoint first.
+    fn stop(&mut self, now: f64, grace_s: f64, spec: Option<&JobSpec>) {
+        let checkpoint_interval_s = spec.map_or(0.0, |spec| spec.checkpoint_interval_s);
+        let checkpoint_write_s = spec.map_or(0.0, |spec| spec.checkpoint_write_s);
+        let saves = checkpoint_interval_s > 0.0 && grace_s >= checkpoint_write_s;
+        if saves && self.state == TaskState::Running {
+            self.state = TaskState::Checkpointing;
+            self.until = now + checkpoint_write_s;
+        } else if self.state != TaskState::Checkpointing || grace_s == 0.0 {
+            self.exit(Exit::Stopped);
+        }
+    }
+}
+
+/// Whether a worker has the resources that one more task needs.
+fn has_resources(worker: &Worker, spec: &JobSpec, cloud: &Cloud, users: &Users) -> bool {
+    let machine_type = cloud.type_of(&worker.id);
+    let (mut gpus, mut cpus, mut memory_gb) =
+        (machine_type.gpus, machine_type.cpus, machine_type.memory_gb);
+    for ((task, _), running) in &worker.tasks {
+        if running.has_exited() {
+            continue;
+        }
+        if let Some(spec) = users.spec(&task.job) {
+            gpus -= spec.gpus;
+            cpus -= spec.cpus;
+            memory_gb -= spec.memory_gb;
+        }
+    }
+    gpus >= spec.gpus - RESOURCE_TOLERANCE
+        && cpus >= spec.cpus - RESOURCE_TOLERANCE
+        && memory_gb >= spec.memory_gb - RESOURCE_TOLERANCE
+}
+
+impl World {
+    /// A worker executes one command.
+    pub(super) fn execute(&mut self, id: &MachineId, command: Command) {
+        match command {
+            Command::Start { task, attempt } => match TaskId::parse(&task) {
+                Some(task) => self.execute_start(id, task, attempt),
+                None => self.record_violation("bad_order", format!("start of {task:?}")),
+            },
+            Command::Stop {
+                task,
+                attempt,
+                grace_s,
+            } => {
+                if let Some(task) = TaskId::parse(&task) {
+                    self.execute_stop(id, task, attempt, grace_s);
+                }
+            }
+            Command::Forget { task, attempt } => {
+                if let Some(task) = TaskId::parse(&task)
+                    && let Some(worker) = self.workers.get_mut(id)
+                {
+                    let key = (task, attempt);
+                    if worker.tasks.get(&key).is_some_and(Running::has_exited) {
+                        worker.tasks.remove(&key);
+                    }
+                }
+            }
+        }
+    }
+
+    fn execute_stop(&mut self, id: &MachineId, task: TaskId, attempt: Attempt, grace_s: f64) {
+        let now = self.now;
+        let spec = self.users.spec(&task.job).cloned();
+        let Some(worker) = self.workers.get_mut(id) else {
+            return;
+        };
+        let Some(running) = worker.tasks.get_mut(&(task, attempt)) else {
+            return;
+        };
+        if !running.has_exited() {
+            running.stop(now, grace_s, spec.as_ref());
+            worker.changed = true;
+        }
+    }
+
+    fn execute_start(&mut self, id: &MachineId, task: TaskId, attempt: Attempt) {
+        let now = self.now;
+        let Some(spec) = self.users.spec(&task.job).cloned() else {
+            return self.record_violation("bad_order", format!("start of unknown {task}"));
+        };
+        let fetch_gb_per_s = self.cloud.type_of(id).fetch_gb_per_s;
+        let Some(worker) = self.workers.get_mut(id) else {
+            return;
+        };
+        if worker.tasks.contains_key(&(task.clone(), attempt)) {
+            return;
+        }
+        worker.changed = true;
+        let mut others = worker.tasks.iter();
+        let busy = others.any(|((other, _), running)| !running.has_exited() && *other == task);
+        let full = !has_resources(worker, &spec, &self.cloud, &self.users);
+        let fetch_s = if worker.images.contains(&spec.image.to_string()) {
+            CACHED_FETCH_S
+        } else {
+            spec.image_gb / fetch_gb_per_s
+        };
+        let mut running = Running {
+            state: TaskState::Fetching,
+            exit: None,
+            checkpointed: false,
+            until: now + fetch_s,
+        };
+        if busy {
+            running.exit(Exit::Busy);
+        } else if full {
+            running.exit(Exit::NoRoom);
+            self.note(format!("{id} has no room for {task}"));
+        }
+        if let Some(worker) = self.workers.get_mut(id) {
+            worker.tasks.insert((task, attempt), running);
+        }
+    }
+
+    /// Lets the tasks of a worker proceed whose present state has ended.
+    pub(super) fn advance_tasks(&mut self, id: &MachineId) {
+        let now = self.now;
+        let Some(worker) = self.workers.get(id) else {
+            return;
+        };
+        let due: Vec<(TaskId, Attempt)> = worker
+            .tasks
+            .iter()
+            .filter(|(_, running)| !running.has_exited() && running.until <= now)
+            .map(|(key, _)| key.clone())
+            .collect();
+        for (task, attempt) in due {
+            if let Some(spec) = self.users.spec(&task.job).cloned() {
+                self.advance_task(id, &task, attempt, &spec);
+            }
+        }
+        self.exit_incomplete_gangs(id);
+    }
+
+    fn advance_task(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt, spec: &JobSpec) {
+        let run_s = self.users.run_s(task);
+        let fails =
+            self.network.machine_has(id, MachineCondition::Faulty) || run_s == FAILS_IMMEDIATELY;
+        let Some(worker) = self.workers.get_mut(id) else {
+            return;
+        };
+        let Some(running) = worker.tasks.get_mut(&(task.clone(), attempt)) else {
+            return;
+        };
+        worker.changed = true;
+        match running.state {
+            TaskState::Waiting if fails => running.exit(Exit::Error),
+            TaskState::Fetching => {
+                running.state = TaskState::Waiting;
+                running.until = self.now;
+                let image = spec.image.to_string();
+                if !worker.images.contains(&image) {
+                    worker.images.push(image);
+                }
+                worker.starts += 1;
+                self.users.task_started(task);
+                self.check_start(id, task, attempt);
+            }
+            TaskState::Waiting => self.leave_waiting(id, task, attempt, spec, run_s),
+            TaskState::Running => {
+                running.exit(Exit::Done);
+                self.users.task_finished(task);
+                if spec.kind == Kind::Gang {
+                    self.complete_gang(&task.job, attempt, spec.tasks);
+                }
+                self.cancel_at_completion(&task.job);
+            }
+            TaskState::Checkpointing => {
+                running.checkpointed = true;
+                running.exit(Exit::Stopped);
+            }
+            TaskState::Exited => {}
+        }
+    }
+
+    /// A task that has its image runs. A gang's task first waits for the others, and exits if it waits too long.
+    fn leave_waiting(
+        &mut self,
+        id: &MachineId,
+        task: &TaskId,
+        attempt: Attempt,
+        spec: &JobSpec,
+        run_s: f64,
+    ) {
+        let now = self.now;
+        let waits = spec.kind == Kind::Gang && !self.gang_is_complete(task, attempt, spec.tasks);
+        let Some(worker) = self.workers.get_mut(id) else {
+            return;
+        };
+        let Some(running) = worker.tasks.get_mut(&(task.clone(), attempt)) else {
+            return;
+        };
+        if waits {
+            if now > running.until + GANG_WAIT_S {
+                running.exit(Exit::Alone);
+            }
+            return;
+        }
+        running.state = TaskState::Running;
+        running.until = if spec.kind == Kind::Service {
+            f64::INFINITY
+        } else {
+            now + run_s
+        };
+    }
+
+    /// Whether all tasks of an attempt of a gang are on machines.
+    fn gang_is_complete(&self, task: &TaskId, attempt: Attempt, tasks: u32) -> bool {
+        let all = self.workers.values().flat_map(|worker| &worker.tasks);
+        let ready = all.filter(|((other, same), running)| {
+            other.job == task.job && *same == attempt && running.is_on_machine()
+        });
+        ready.count() >= tasks as usize
+    }
+
+    /// A gang's tasks complete together.
+    fn complete_gang(&mut self, job: &JobId, attempt: Attempt, tasks: u32) {
+        for index in 0..tasks {
+            let task = TaskId {
+                job: job.clone(),
+                index,
+            };
+            self.users.task_finished(&task);
+            for worker in self.workers.values_mut() {
+                if let Some(running) = worker.tasks.get_mut(&(task.clone(), attempt))
+                    && !running.has_exited()
+                {
+                    running.exit(Exit::Done);
+                    worker.changed = true;
+                }
+            }
+        }
+    }
+
+    /// Running gang tasks on a worker exit when another task of their attempt has been lost.
+    fn exit_incomplete_gangs(&mut self, id: &MachineId) {
+        let now = self.now;
+        let Some(worker) = self.workers.get(id) else {
+            return;
+        };
+        let lost_peers = |((task, attempt), running): &(&(TaskId, Attempt), &Running)| {
+            let Some(spec) = self.users.spec(&task.job) else {
+                return false;
+            };
+            spec.kind == Kind::Gang
+                && spec.tasks > 1
+                && running.state == TaskState::Running
+                && !self.users.has_finished_task(&task.job)
+                && !self.gang_is_complete(task, *attempt, spec.tasks)
+                && running.until > now + GANG_PEER_S
+        };
+        let incomplete: Vec<(TaskId, Attempt)> = worker
+            .tasks
+            .iter()
+            .filter(lost_peers)
+            .map(|(key, _)| key.clone())
+            .collect();
+        if let Some(worker) = self.workers.get_mut(id) {
+            for key in incomplete {
+                if let Some(running) = worker.tasks.get_mut(&key) {
+                    running.exit(Exit::PeersGone);
+                    worker.changed = true;
+                }
+            }
+        }
+    }
+}
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -32,7 +32,7 @@
     answered: f64,
     finished: BTreeSet<u32>,
     /// Starts of its tasks.
-    begun: u32,
+    starts: u32,
     /// Since when it waits though it could run.
     waiting_since: Option<f64>,
 }
@@ -61,14 +61,14 @@
             cancelled_reported_at: None,
             answered: 0.0,
             finished: BTreeSet::new(),
-            begun: 0,
+            starts: 0,
             waiting_since: None,
         });
         self.jobs.len() - 1
     }
 
     pub fn starts_of(&self, job: usize) -> u32 {
-        self.jobs[job].begun
+        self.jobs[job].starts
     }
 
     /// A job id that no other user uses.
@@ -116,19 +116,19 @@
         })
     }
 
-    pub fn begun(&mut self, task: &TaskId) {
+    pub fn task_started(&mut self, task: &TaskId) {
         if let Some(job) = self.jobs.iter_mut().find(|job| job.id == task.job) {
-            job.begun += 1;
+            job.starts += 1;
         }
     }
 
-    pub fn finished(&mut self, task: &TaskId) {
+    pub fn task_finished(&mut self, task: &TaskId) {
         if let Some(job) = self.jobs.iter_mut().find(|job| job.id == task.job) {
             job.finished.insert(task.index);
         }
     }
 
-    pub fn is_finished_any(&self, id: &JobId) -> bool {
+    pub fn has_finished_task(&self, id: &JobId) -> bool {
         self.find(id).is_some_and(|job| !job.finished.is_empty())
     }
 
@@ -169,7 +169,7 @@
     }
 
     /// What a job needs and is not done, if it may not start.
-    pub fn not_ready(&self, id: &JobId) -> Option<JobId> {
+    pub fn unfinished_dependency(&self, id: &JobId) -> Option<JobId> {
         let done = |user: &&&User| user.finished.len() as u32 == user.spec.tasks;
         let needed = self.with_needed(id);
         needed
@@ -393,7 +393,7 @@
                 && user.accepted
                 && user.done_reported_at.is_none()
                 && self.users.dependency_cancelled_at(&user.id).is_none()
-                && self.users.not_ready(&user.id).is_none()
+                && self.users.unfinished_dependency(&user.id).is_none()
                 && (user.finished.len() as u32) < user.spec.tasks
                 && self.tasks_on(&user.id) == 0
                 && self.has_room(&user.spec);
@@ -419,7 +419,7 @@
             "running" => self.tasks_on(&id) > 0,
             "idle" => self.tasks_on(&id) == 0,
             // Each of its tasks has begun once at most.
-            "undisturbed" => user.begun <= user.spec.tasks,
+            "undisturbed" => user.starts <= user.spec.tasks,
             other => panic!("expect {other:?}?"),
         };
         if !met {
--- a/tests/world/worker.rs
+++ b/tests/world/worker.rs
@@ -1,65 +1,65 @@
-//! Workers: reports, leases, sessions, tokens, and tasks as the protocol has them.
+//! Workers: heartbeats, leases, sessions and fencing tokens as the protocol defines them.
 
+use super::cloud::Cloud;
 use super::faults::{Condition, MachineCondition};
 use super::network::{CutManner, Endpoint};
-use super::{
-    Event, FAILS_IMMEDIATELY, GANG_PEER_S, GANG_WAIT_S, GPUS_MAX, LEASE_S, REPORT_S, World,
-};
-use ochredrum::core::effects::{Answer, Body, CallId, Input, WorkerReply};
-use ochredrum::ids::{Attempt, FencingToken, JobId, MachineId, TaskId};
-use ochredrum::wire::{
-    Command, DirectCommands, Exit, Heartbeat, JobSpec, Kind, ReportedTask, TaskState,
-};
+use super::tasks::Running;
+use super::{Event, LEASE_S, REPORT_S, World};
+use ochredrum::core::effects::{Answer, Body, CallId, CloudCall, Input, WorkerReply};
+use ochredrum::ids::{Attempt, FencingToken, MachineId, TaskId};
+use ochredrum::wire::{DirectCommands, Heartbeat, HeartbeatResponse, MachineNames, ReportedTask};
 use rand::Rng;
 use std::collections::BTreeMap;
 
+/// How long a worker waits for the answer to a heartbeat.
 const ANSWER_TIMEOUT_S: f64 = 4.0;
-/// How often a worker looks at its lease and its tasks.
-/// A start that was sent when its job was cancelled has begun by then.
-const IN_FLIGHT_S: f64 = 1.5;
+/// How long a worker waits before it reports to the next controller.
+const RETRY_S: f64 = 1.0;
+/// A change is reported this long after the heartbeat before, at the earliest.
+const CHANGE_REPORT_S: f64 = 0.5;
+/// How often a worker checks its lease and its tasks.
 const TURN_S: f64 = 0.1;
+/// Seconds from the end of a cut until the messages that it held are delivered.
+const HELD_DELIVERY_S: f64 = 0.01;
+/// Part of the heartbeats that are recorded for replay.
+const RECORDED_PART: f64 = 0.3;
+/// What a worker reports whose machine the cloud no longer has.
+const DEFAULT_TYPE: &str = "g8";
+const DEFAULT_ZONE: &str = "a";
 
-#[derive(Clone, Debug)]
-pub struct Running {
-    pub state: TaskState,
-    pub why: Option<Exit>,
-    pub checkpointed: bool,
-    /// When the present state ends by itself.
-    until: f64,
-}
-
-impl Running {
-    /// On its machine by the rules: from when it has its image until it exits.
-    pub fn on_machine(&self) -> bool {
-        matches!(
-            self.state,
-            TaskState::Waiting | TaskState::Running | TaskState::Checkpointing
-        )
-    }
-}
-
+/// A worker on its machine.
 pub struct Worker {
+    /// Its machine.
     pub id: MachineId,
     agent_epoch: u64,
     sequence: u64,
     token: FencingToken,
-    /// When the last answered report was sent, or the session began.
+    /// When the last answered heartbeat was sent, or the session began.
     renewed: f64,
+    /// The controller that it reports to.
     node: usize,
+    /// Sequence number and moment of the heartbeat that has no answer yet.
     in_flight: Option<(u64, f64)>,
     next_heartbeat: f64,
     last_heartbeat: f64,
-    changed: bool,
+    /// Whether there is something that the last heartbeat did not report.
+    pub changed: bool,
     token_changed_at: f64,
+    /// When its machine is taken away, after a termination notice.
     leaves_at: Option<f64>,
-    images: Vec<String>,
+    /// Cached images.
+    pub images: Vec<String>,
+    /// It executes nothing until then.
     pub hung_until: f64,
+    /// Attempts of tasks that it has been told to start and not yet to forget.
     pub tasks: BTreeMap<(TaskId, Attempt), Running>,
+    /// Tasks that have started on it.
     pub starts: u64,
 }
 
 impl Worker {
-    fn heartbeat(&mut self, now: f64, cloud: &super::cloud::Cloud) -> Heartbeat {
+    /// Its next heartbeat.
+    fn heartbeat(&mut self, now: f64, cloud: &Cloud) -> Heartbeat {
         self.sequence += 1;
         let owned = cloud.get(&self.id);
         let tasks = self
@@ -69,14 +69,14 @@
                 task: task.to_string(),
                 attempt: *attempt,
                 state: running.state,
-                why: running.why,
+                why: running.exit,
                 checkpointed: running.checkpointed.then_some(true),
             });
         Heartbeat {
             machine: self.id.clone(),
             address: self.id.to_string(),
-            type_name: owned.map_or("g8".into(), |o| o.type_name.clone()),
-            zone: owned.map_or("a".into(), |o| o.zone.clone()),
+            type_name: owned.map_or(DEFAULT_TYPE.into(), |o| o.type_name.clone()),
+            zone: owned.map_or(DEFAULT_ZONE.into(), |o| o.zone.clone()),
             spot: owned.is_some_and(|o| o.spot),
             agent_epoch: self.agent_epoch,
             sequence: self.sequence,
@@ -85,9 +85,54 @@
             tasks: tasks.collect(),
         }
     }
+
+    /// Reports to the next controller after a pause.
+    fn try_next_controller(&mut self, now: f64, controllers: usize) {
+        self.node = (self.node + 1) % controllers;
+        self.next_heartbeat = now + RETRY_S;
+    }
+
+    /// Ends its session: all tasks are gone, and the next heartbeat begins a new one.
+    fn begin_session(&mut self, now: f64) {
+        self.tasks.clear();
+        self.agent_epoch += 1;
+        self.renewed = now;
+        self.changed = true;
+    }
+
+    /// Whether its next heartbeat is due. Changes are reported sooner.
+    fn heartbeat_is_due(&self, now: f64) -> bool {
+        let urgent = self.changed && now >= self.last_heartbeat + CHANGE_REPORT_S;
+        self.in_flight.is_none() && (now >= self.next_heartbeat || urgent)
+    }
+
+    /// Takes a newer fencing token from an answered heartbeat.
+    ///
+    /// A new token is reported soon, but only once in half a lease.
+    fn take_token(&mut self, now: f64, token: FencingToken) {
+        if token > self.token {
+            self.token = token;
+            if now - self.token_changed_at > LEASE_S / 2.0 {
+                self.token_changed_at = now;
+                self.changed = true;
+            }
+        }
+    }
+
+    /// Follows a redirect to the controller that owns it, or tries the next one if it is there already.
+    fn follow_redirect(&mut self, now: f64, owner: Option<usize>, controllers: usize) {
+        match owner.filter(|owner| *owner != self.node) {
+            Some(owner) => {
+                self.node = owner;
+                self.next_heartbeat = now;
+            }
+            None => self.try_next_controller(now, controllers),
+        }
+    }
 }
 
 impl World {
+    /// Starts the worker of a machine that has booted, if the cloud still has the machine.
     pub(super) fn boot(&mut self, machine: &MachineId) {
         if self.cloud.get(machine).is_none() {
             return;
@@ -112,14 +157,15 @@
             starts: 0,
         };
         self.workers.insert(machine.clone(), worker);
-        self.after(
-            0.0,
-            Event::WorkerTurn {
-                machine: machine.clone(),
-            },
-        );
+        self.schedule_turn(machine, 0.0);
+    }
+
+    fn schedule_turn(&mut self, id: &MachineId, delay: f64) {
+        let machine = id.clone();
+        self.after(delay, Event::WorkerTurn { machine });
     }
 
+    /// A machine receives notice that it will be taken away.
     pub(super) fn notice(&mut self, machine: &MachineId, seconds: f64) {
         let now = self.now;
         if let Some(worker) = self.workers.get_mut(machine) {
@@ -128,51 +174,56 @@
         }
     }
 
+    /// One turn of a worker: it checks its lease, its tasks and its heartbeats.
     pub(super) fn worker_turn(&mut self, id: &MachineId) {
-        let (now, nodes) = (self.now, self.nodes.len());
+        let now = self.now;
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
         if worker.leaves_at.is_some_and(|at| now >= at) {
-            self.users.starts_on_removed += worker.starts;
-            self.workers.remove(id);
-            self.cloud.call(now, release(id));
-            self.cloud.take_deleted();
-            return;
+            return self.remove_worker(id);
         }
         if now - worker.renewed > LEASE_S {
+            // A worker that hangs past its lease could not have continued: its tasks do not count as lost.
             if now >= worker.hung_until {
-                let lost = worker.tasks.values().filter(|task| task.on_machine());
+                let lost = worker.tasks.values().filter(|task| task.is_on_machine());
                 self.work.lost_with_leases += lost.count();
             }
-            worker.tasks.clear();
-            worker.agent_epoch += 1;
-            worker.renewed = now;
-            worker.changed = true;
+            worker.begin_session(now);
         }
-        // What hangs past its lease counts as ended with it: it could not go on.
-        if now < worker.hung_until {
-            return self.after(
-                TURN_S,
-                Event::WorkerTurn {
-                    machine: id.clone(),
-                },
-            );
+        if now >= worker.hung_until {
+            self.advance_tasks(id);
+            self.report_if_due(id);
+        }
+        if self.workers.contains_key(id) {
+            self.schedule_turn(id, TURN_S);
+        }
+    }
+
+    /// The machine of a worker is taken away after its notice.
+    fn remove_worker(&mut self, id: &MachineId) {
+        if let Some(worker) = self.workers.remove(id) {
+            self.users.starts_on_removed += worker.starts;
         }
-        self.advance_tasks(id);
+        let machines = vec![id.clone()];
+        let release = CloudCall::Release(MachineNames { machines });
+        self.cloud.call(self.now, release);
+        // The worker is removed already.
+        self.cloud.take_deleted();
+    }
+
+    /// Sends a heartbeat if it is due, after giving up one that was not answered in time.
+    fn report_if_due(&mut self, id: &MachineId) {
+        let (now, controllers) = (self.now, self.nodes.len());
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        if worker
-            .in_flight
-            .is_some_and(|(_, sent)| now - sent > ANSWER_TIMEOUT_S)
-        {
+        let in_flight = worker.in_flight;
+        if in_flight.is_some_and(|(_, sent)| now - sent > ANSWER_TIMEOUT_S) {
             worker.in_flight = None;
-            worker.node = (worker.node + 1) % nodes;
-            worker.next_heartbeat = now + 1.0;
+            worker.try_next_controller(now, controllers);
         }
-        let urgent = worker.changed && now >= worker.last_heartbeat + 0.5;
-        if worker.in_flight.is_none() && (now >= worker.next_heartbeat || urgent) {
+        if worker.heartbeat_is_due(now) {
             worker.changed = false;
             worker.last_heartbeat = now;
             worker.next_heartbeat = now + REPORT_S * self.rng.random_range(0.75..1.25);
@@ -181,12 +232,6 @@
             worker.in_flight = Some((heartbeat.sequence, now));
             self.send_heartbeat(id, node, heartbeat);
         }
-        self.after(
-            TURN_S,
-            Event::WorkerTurn {
-                machine: id.clone(),
-            },
-        );
     }
 
     fn send_heartbeat(&mut self, id: &MachineId, node: usize, heartbeat: Heartbeat) {
@@ -197,7 +242,7 @@
             heartbeat: heartbeat.clone(),
             live,
         };
-        if self.network.has(Condition::ReplayToNextLeader) && self.rng.random_bool(0.3) {
+        if self.network.has(Condition::ReplayToNextLeader) && self.rng.random_bool(RECORDED_PART) {
             self.replay_buffer.push((id.clone(), heartbeat.clone()));
         }
         if self
@@ -215,7 +260,7 @@
             return;
         }
         if let Some(end) = self.network.held_until(&me, &to) {
-            self.at(end + 0.01, event(&heartbeat, false));
+            self.at(end + HELD_DELIVERY_S, event(&heartbeat, false));
         }
         if let Some(CutManner::Refused | CutManner::Reset) = self.network.cut_manner(&me, &to) {
             let (machine, number) = (id.clone(), heartbeat.sequence);
@@ -231,73 +276,60 @@
         }
     }
 
+    /// A heartbeat is answered. Only the answer to the heartbeat in flight counts, and only in time.
     pub(super) fn heartbeat_answered(
         &mut self,
         id: &MachineId,
         number: u64,
         answer: Option<Answer>,
     ) {
-        let now = self.now;
-        let nodes = self.nodes.len();
+        let (now, controllers) = (self.now, self.nodes.len());
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        let waited = |sent: f64| now < sent + ANSWER_TIMEOUT_S && now >= worker.hung_until;
-        let out = worker
+        let in_time = |sent: f64| now < sent + ANSWER_TIMEOUT_S && now >= worker.hung_until;
+        let awaited = worker
             .in_flight
-            .filter(|(out, sent)| *out == number && waited(*sent));
-        let Some((out, sent)) = out else { return };
-        debug_assert_eq!(out, number);
+            .filter(|(sequence, sent)| *sequence == number && in_time(*sent));
+        let Some((_, sent)) = awaited else { return };
         worker.in_flight = None;
         match answer {
             Some(Answer {
                 status: 200,
-                body: Body::HeartbeatResponse(answer),
+                body: Body::HeartbeatResponse(response),
                 ..
-            }) => {
-                // Answers to reports of an earlier session are dropped.
-                if answer.token < worker.token || sent < worker.renewed {
-                    return;
-                }
-                if answer.token > worker.token {
-                    worker.token = answer.token;
-                    if now - worker.token_changed_at > LEASE_S / 2.0 {
-                        worker.token_changed_at = now;
-                        worker.changed = true;
-                    }
-                }
-                worker.renewed = sent;
-                for command in answer.commands {
-                    self.execute(id, command);
-                }
-            }
+            }) => self.take_response(id, sent, response),
             Some(Answer {
                 status: 421,
                 body: Body::Value(body),
                 ..
             }) => {
                 let named = body["conductor"].as_str().and_then(|n| n.strip_prefix('n'));
-                match named
-                    .and_then(|n| n.parse::<usize>().ok())
-                    .filter(|n| *n != worker.node)
-                {
-                    Some(node) => {
-                        worker.node = node;
-                        worker.next_heartbeat = now;
-                    }
-                    None => {
-                        worker.node = (worker.node + 1) % nodes;
-                        worker.next_heartbeat = now + 1.0;
-                    }
-                }
-            }
-            _ => {
-                worker.node = (worker.node + 1) % nodes;
-                worker.next_heartbeat = now + 1.0;
+                let owner = named.and_then(|n| n.parse::<usize>().ok());
+                worker.follow_redirect(now, owner, controllers);
             }
+            _ => worker.try_next_controller(now, controllers),
         }
     }
 
+    /// An answered heartbeat renews the lease from the moment when it was sent, and its commands are executed.
+    fn take_response(&mut self, id: &MachineId, sent: f64, response: HeartbeatResponse) {
+        let now = self.now;
+        let Some(worker) = self.workers.get_mut(id) else {
+            return;
+        };
+        // Answers to heartbeats of an earlier session are dropped.
+        if response.token < worker.token || sent < worker.renewed {
+            return;
+        }
+        worker.take_token(now, response.token);
+        worker.renewed = sent;
+        for command in response.commands {
+            self.execute(id, command);
+        }
+    }
+
+    /// Direct commands reach a worker, which fences those with an old token or of another session.
     pub(super) fn receive_direct_commands(
         &mut self,
         node: usize,
@@ -315,7 +347,7 @@
             return;
         };
         if now < worker.hung_until {
-            // Executed when it goes on, whoever still waits for it.
+            // Executed when it continues, whether or not the sender still waits.
             let (until, address) = (worker.hung_until + TURN_S * 1.5, address.to_owned());
             return self.at(
                 until,
@@ -351,405 +383,4 @@
             Input::Worker(call, reply),
         );
     }
-
-    fn execute(&mut self, id: &MachineId, command: Command) {
-        let now = self.now;
-        match command {
-            Command::Start { task, attempt } => {
-                let Some(task) = TaskId::parse(&task) else {
-                    return self.record_violation("bad_order", format!("start of {task:?}"));
-                };
-                self.execute_start(id, task, attempt);
-            }
-            Command::Stop {
-                task,
-                attempt,
-                grace_s,
-            } => {
-                let Some(task) = TaskId::parse(&task) else {
-                    return;
-                };
-                let save = self
-                    .users
-                    .spec(&task.job)
-                    .map(|s| (s.checkpoint_interval_s, s.checkpoint_write_s));
-                let Some(worker) = self.workers.get_mut(id) else {
-                    return;
-                };
-                let Some(running) = worker.tasks.get_mut(&(task, attempt)) else {
-                    return;
-                };
-                if running.state == TaskState::Exited {
-                    return;
-                }
-                let (checkpoint, save) = save.unwrap_or((0.0, 0.0));
-                let saves = checkpoint > 0.0 && grace_s >= save;
-                if saves && running.state == TaskState::Running {
-                    running.state = TaskState::Checkpointing;
-                    running.until = now + save;
-                } else if running.state != TaskState::Checkpointing || grace_s == 0.0 {
-                    exit(running, Exit::Stopped);
-                }
-                worker.changed = true;
-            }
-            Command::Forget { task, attempt } => {
-                let Some(task) = TaskId::parse(&task) else {
-                    return;
-                };
-                if let Some(worker) = self.workers.get_mut(id) {
-                    let key = (task, attempt);
-                    if worker
-                        .tasks
-                        .get(&key)
-                        .is_some_and(|t| t.state == TaskState::Exited)
-                    {
-                        worker.tasks.remove(&key);
-                    }
-                }
-            }
-        }
-    }
-
-    fn execute_start(&mut self, id: &MachineId, task: TaskId, attempt: Attempt) {
-        let now = self.now;
-        let Some(spec) = self.users.spec(&task.job).cloned() else {
-            return self.record_violation("bad_order", format!("start of unknown {task}"));
-        };
-        let kind = self.cloud.kind_of(id);
-        let Some(worker) = self.workers.get_mut(id) else {
-            return;
-        };
-        if worker.tasks.contains_key(&(task.clone(), attempt)) {
-            return;
-        }
-        worker.changed = true;
-        let mut room = (kind.gpus, kind.cpus, kind.memory_gb);
-        let mut busy = false;
-        for ((other, _), running) in &worker.tasks {
-            if running.state == TaskState::Exited {
-                continue;
-            }
-            busy |= *other == task;
-            if let Some(spec) = self.users.spec(&other.job) {
-                room = (
-                    room.0 - spec.gpus,
-                    room.1 - spec.cpus,
-                    room.2 - spec.memory_gb,
-                );
-            }
-        }
-        let image = spec.image.to_string();
-        let cached = worker.images.contains(&image);
-        let fetch = if cached {
-            0.05
-        } else {
-            spec.image_gb / kind.fetch_gb_per_s
-        };
-        let mut running = Running {
-            state: TaskState::Fetching,
-            why: None,
-            checkpointed: false,
-            until: now + fetch,
-        };
-        let full = room.0 < spec.gpus - 1e-6
-            || room.1 < spec.cpus - 1e-6
-            || room.2 < spec.memory_gb - 1e-6;
-        if busy {
-            exit(&mut running, Exit::Busy);
-        } else if full {
-            exit(&mut running, Exit::NoRoom);
-            self.note(format!("{id} has no room for {task}"));
-        }
-        if let Some(worker) = self.workers.get_mut(id) {
-            worker.tasks.insert((task, attempt), running);
-        }
-    }
-
-    /// Tasks get their images, run, save and end.
-    fn advance_tasks(&mut self, id: &MachineId) {
-        let now = self.now;
-        let Some(worker) = self.workers.get(id) else {
-            return;
-        };
-        let due: Vec<(TaskId, Attempt)> = worker
-            .tasks
-            .iter()
-            .filter(|(_, t)| t.state != TaskState::Exited && t.until <= now)
-            .map(|(key, _)| key.clone())
-            .collect();
-        for (task, attempt) in due {
-            let Some(spec) = self.users.spec(&task.job).cloned() else {
-                continue;
-            };
-            let run_s = self.users.run_s(&task);
-            let faulty = self.network.machine_has(id, MachineCondition::Faulty)
-                || run_s == FAILS_IMMEDIATELY;
-            let Some(worker) = self.workers.get_mut(id) else {
-                return;
-            };
-            let Some(running) = worker.tasks.get_mut(&(task.clone(), attempt)) else {
-                continue;
-            };
-            worker.changed = true;
-            match running.state {
-                TaskState::Waiting if faulty => exit(running, Exit::Error),
-                TaskState::Fetching => {
-                    running.state = TaskState::Waiting;
-                    running.until = now;
-                    let image = spec.image.to_string();
-                    if !worker.images.contains(&image) {
-                        worker.images.push(image);
-                    }
-                    worker.starts += 1;
-                    self.users.begun(&task);
-                    self.check_start(id, &task, attempt);
-                }
-                TaskState::Waiting => {
-                    if spec.kind == Kind::Gang && !self.gang_complete(&task, attempt, spec.tasks) {
-                        if let Some(worker) = self.workers.get_mut(id)
-                            && let Some(running) = worker.tasks.get_mut(&(task.clone(), attempt))
-                            && now > running.until + GANG_WAIT_S
-                        {
-                            exit(running, Exit::Alone);
-                        }
-                        continue;
-                    }
-                    if let Some(worker) = self.workers.get_mut(id)
-                        && let Some(running) = worker.tasks.get_mut(&(task.clone(), attempt))
-                    {
-                        running.state = TaskState::Running;
-                        running.until = if spec.kind == Kind::Service {
-                            f64::INFINITY
-                        } else {
-                            now + run_s
-                        };
-                    }
-                }
-                TaskState::Running => {
-                    exit(running, Exit::Done);
-                    self.users.finished(&task);
-                    if spec.kind == Kind::Gang {
-                        self.gang_completes(&task.job, attempt, spec.tasks);
-                    }
-                    self.cancel_at_completion(&task.job);
-                }
-                TaskState::Checkpointing => {
-                    running.checkpointed = true;
-                    exit(running, Exit::Stopped);
-                }
-                TaskState::Exited => {}
-            }
-        }
-        self.gang_losses(id);
-    }
-
-    fn gang_complete(&self, task: &TaskId, attempt: Attempt, tasks: u32) -> bool {
-        let mut ready = 0;
-        for worker in self.workers.values() {
-            for ((other, same), running) in &worker.tasks {
-                if other.job == task.job && *same == attempt && running.on_machine() {
-                    ready += 1;
-                }
-            }
-        }
-        ready >= tasks
-    }
-
-    /// A gang's tasks complete together.
-    fn gang_completes(&mut self, job: &JobId, attempt: Attempt, tasks: u32) {
-        for index in 0..tasks {
-            let task = TaskId {
-                job: job.clone(),
-                index,
-            };
-            self.users.finished(&task);
-            for worker in self.workers.values_mut() {
-                if let Some(running) = worker.tasks.get_mut(&(task.clone(), attempt))
-                    && running.state != TaskState::Exited
-                {
-                    exit(running, Exit::Done);
-                    worker.changed = true;
-                }
-            }
-        }
-    }
-
-    /// Running gang tasks notice that another of their attempt is gone.
-    fn gang_losses(&mut self, id: &MachineId) {
-        let now = self.now;
-        let Some(worker) = self.workers.get(id) else {
-            return;
-        };
-        let mut lonely = Vec::new();
-        for ((task, attempt), running) in &worker.tasks {
-            let Some(spec) = self.users.spec(&task.job) else {
-                continue;
-            };
-            let gang = spec.kind == Kind::Gang && spec.tasks > 1;
-            if gang
-                && running.state == TaskState::Running
-                && !self.users.is_finished_any(&task.job)
-                && !self.gang_complete(task, *attempt, spec.tasks)
-                && running.until > now + GANG_PEER_S
-            {
-                lonely.push((task.clone(), *attempt));
-            }
-        }
-        if let Some(worker) = self.workers.get_mut(id) {
-            for key in lonely {
-                if let Some(running) = worker.tasks.get_mut(&key) {
-                    exit(running, Exit::PeersGone);
-                    worker.changed = true;
-                }
-            }
-        }
-    }
-
-    /// The rules about a task that starts: it has its image from now on.
-    fn check_start(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) {
-        let Some(spec) = self.users.spec(&task.job).cloned() else {
-            return;
-        };
-        let Some(owned) = self.cloud.get(id) else {
-            return;
-        };
-        let (zone, spot, type_name) = (owned.zone.clone(), owned.spot, owned.type_name.clone());
-        let mut twice = None;
-        let mut gpus = 0.0;
-        let mut zones: BTreeMap<String, u32> = BTreeMap::new();
-        for worker in self.workers.values() {
-            let at = self
-                .cloud
-                .get(&worker.id)
-                .map_or("?".into(), |o| o.zone.to_string());
-            for ((other, same), running) in &worker.tasks {
-                if !running.on_machine() {
-                    continue;
-                }
-                if other == task && (worker.id != *id || *same != attempt) {
-                    twice = Some(worker.id.clone());
-                }
-                if other.job == task.job {
-                    *zones.entry(at.clone()).or_default() += 1;
-                }
-                if let Some(theirs) = self.users.spec(&other.job)
-                    && theirs.team.as_str() == "blue"
-                {
-                    gpus += theirs.gpus;
-                }
-            }
-        }
-        if let Some(other) = twice {
-            self.record_violation("ran_twice", format!("{task} on {id} and {other}"));
-        }
-        if gpus > GPUS_MAX + 1e-6 {
-            self.record_violation("quota", format!("blue uses {gpus} GPUs"));
-        }
-        let half = spec.tasks.div_ceil(2);
-        let misplaced = (spot && !spec.spot)
-            || spec
-                .types
-                .as_ref()
-                .is_some_and(|types| !types.contains(&type_name))
-            || spec.zone.as_ref().is_some_and(|only| *only != zone)
-            || (spec.one_zone && zones.len() > 1)
-            || (spec.spread && zones.get(zone.as_str()).copied().unwrap_or(0) > half);
-        if misplaced {
-            self.record_violation(
-                "wrong_place",
-                format!("{task} on {id} in {zone}, job in {zones:?}"),
-            );
-        }
-        if let Some(needed) = self.users.not_ready(&task.job) {
-            self.record_violation(
-                "too_early",
-                format!("{task} starts on {id}, {needed} is not done"),
-            );
-        }
-        if let Some(told) = self
-            .users
-            .cancelled_reported_at(&task.job)
-            .filter(|told| *told < self.now)
-        {
-            self.work.starts_after_cancel += 1;
-            // With no trouble, what was under way then has been stopped by now. A machine that hung
-            // carries out what had reached it once it goes on (command_faults day 28).
-            let hung_until = self.workers.get(id).map_or(0.0, |worker| worker.hung_until);
-            let arrived_by = told.max(hung_until) + IN_FLIGHT_S;
-            if self.calm_for(told, LEASE_S * 2.0) && self.now > arrived_by {
-                self.record_violation("started_cancelled", format!("{task} starts on {id}"));
-            }
-        }
-        if self.users.cancelled_for_long(&task.job, self.now) {
-            self.record_violation("ran_cancelled", format!("{task} starts on {id}"));
-        }
-    }
-
-    /// Whether some machine could run one task of a job, within its team's limit. Jobs that are bound to
-    /// one another's places, or need more than one machine at once, are left out.
-    pub(super) fn has_room(&self, spec: &JobSpec) -> bool {
-        if spec.kind == Kind::Gang || spec.one_zone || spec.spread {
-            return false;
-        }
-        let used = |worker: &Worker| {
-            let running = worker
-                .tasks
-                .iter()
-                .filter(|(_, r)| r.state != TaskState::Exited);
-            let specs = running.filter_map(|((task, _), _)| self.users.spec(&task.job));
-            specs.fold((0.0, 0.0, 0.0, 0.0), |sum, s| {
-                let blue = if s.team.as_str() == "blue" {
-                    s.gpus
-                } else {
-                    0.0
-                };
-                (
-                    sum.0 + s.gpus,
-                    sum.1 + s.cpus,
-                    sum.2 + s.memory_gb,
-                    sum.3 + blue,
-                )
-            })
-        };
-        let blue: f64 = self.workers.values().map(|worker| used(worker).3).sum();
-        if spec.team.as_str() == "blue" && blue + spec.gpus > GPUS_MAX {
-            return false;
-        }
-        self.workers.values().any(|worker| {
-            let Some(owned) = self.cloud.get(&worker.id) else {
-                return false;
-            };
-            let kind = self.cloud.kind_of(&worker.id);
-            let used = used(worker);
-            (spec.spot || !owned.spot)
-                && spec.zone.as_ref().is_none_or(|zone| *zone == owned.zone)
-                && used.0 + spec.gpus <= kind.gpus
-                && used.1 + spec.cpus <= kind.cpus
-                && used.2 + spec.memory_gb <= kind.memory_gb
-        })
-    }
-
-    /// Tasks of a job that are on a machine by the rules.
-    /// Whether there was no trouble from `before` seconds before a moment until now.
-    fn calm_for(&self, since: f64, before: f64) -> bool {
-        self.network.is_calm() && self.calm_since.max(self.crashed) < since - before
-    }
-
-    pub(super) fn tasks_on(&self, job: &JobId) -> usize {
-        let tasks = self.workers.values().flat_map(|w| &w.tasks);
-        tasks
-            .filter(|((task, _), running)| task.job == *job && running.on_machine())
-            .count()
-    }
-}
-
-fn exit(running: &mut Running, why: Exit) {
-    running.state = TaskState::Exited;
-    running.why = Some(why);
-    running.until = f64::INFINITY;
-}
-
-fn release(id: &MachineId) -> ochredrum::core::effects::CloudCall {
-    let machines = vec![id.clone()];
-    ochredrum::core::effects::CloudCall::Release(ochredrum::wire::MachineNames { machines })
 }
