--- a/src/core/shard/sibling_updates.rs
+++ b/src/core/shard/sibling_updates.rs
@@ -297,7 +297,7 @@
                 task: task.to_string(),
                 attempt: *attempt,
                 state,
-                why,
+                exit: why,
                 checkpointed: None,
             }
         })
--- a/src/core/shard/tests.rs
+++ b/src/core/shard/tests.rs
@@ -125,7 +125,7 @@
         agent_epoch: 1,
         sequence,
         token: FencingToken(9),
-        notice_s: None,
+        reclaim_notice_s: None,
         tasks: Vec::new(),
     };
     let handle_heartbeat = |shard: &mut Shard, outbox: &mut Outbox, now, sequence| {
@@ -196,7 +196,7 @@
         task: task.to_string(),
         attempt: Attempt(1),
         state: crate::wire::TaskState::Running,
-        why: None,
+        exit: None,
         checkpointed: None,
     };
     shard.take_task(&mut outbox, &store, &id, task.clone(), &shown);
--- a/src/core/shard/tracking.rs
+++ b/src/core/shard/tracking.rs
@@ -130,7 +130,7 @@
         let Some(machine) = self.machines.get_mut(&id) else {
             return;
         };
-        machine.leaves = heartbeat.notice_s.map(|left| now + left);
+        machine.leaves = heartbeat.reclaim_notice_s.map(|left| now + left);
         self.changed |= machine.leaves.is_some();
         if heartbeat.token != machine.token {
             return;
@@ -212,7 +212,7 @@
         };
         let stored = store.job(&task.job).map(|stored| &stored.record);
         let phase = match reported.state {
-            TaskState::Exited => Phase::Exited(reported.why.unwrap_or(Exit::Other)),
+            TaskState::Exited => Phase::Exited(reported.exit.unwrap_or(Exit::Other)),
             state => Phase::Seen(state),
         };
         let tracked = machine
@@ -335,7 +335,7 @@
             Exit::NoRoom | Exit::Busy | Exit::UnknownJob => {
                 retry.not_before = now + self.config.deployment.workers.report_s * 0.5;
             }
-            Exit::Stopped | Exit::PeersGone | Exit::Alone | Exit::Done => {}
+            Exit::Stopped | Exit::PeersGone | Exit::GangIncomplete | Exit::Done => {}
         }
         self.attempt_lost(id, task, attempt);
     }
--- a/src/core/shard/tracking/tests.rs
+++ b/src/core/shard/tracking/tests.rs
@@ -83,7 +83,7 @@
             agent_epoch: 1,
             sequence: self.sequence,
             token: self.token,
-            notice_s: None,
+            reclaim_notice_s: None,
             tasks: tasks.to_vec(),
         }
     }
@@ -203,7 +203,7 @@
         task,
         attempt,
         state,
-        why,
+        exit: why,
         checkpointed: None,
     }
 }
--- a/src/core/test_support.rs
+++ b/src/core/test_support.rs
@@ -117,7 +117,7 @@
         agent_epoch,
         sequence,
         token,
-        notice_s: None,
+        reclaim_notice_s: None,
         tasks: Vec::new(),
     }
 }
--- a/src/state_client.rs
+++ b/src/state_client.rs
@@ -2,7 +2,7 @@
 
 use crate::core::effects::{StoreCall, StoreReply};
 use crate::http::{Client, Failure};
-use crate::wire::{Changes, LeaseId, LeaseLife, Listing, Revision, decode, encode};
+use crate::wire::{Changes, LeaseId, LeaseTtl, Listing, Revision, decode, encode};
 use hyper::Method;
 use std::time::Duration;
 
@@ -50,7 +50,7 @@
         StoreCall::LeaseCreate { ttl_ms } => (
             Method::POST,
             "/leases".into(),
-            encode(&LeaseLife { ttl_ms: *ttl_ms }),
+            encode(&LeaseTtl { ttl_ms: *ttl_ms }),
         ),
         StoreCall::LeaseRenew { lease } => {
             (Method::POST, format!("/leases/{lease}/renew"), Vec::new())
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,39 +1,44 @@
-//! The published protocol's messages, renamed to ordinary terms. MessagePack is spoken only here.
-
+//! The published protocol: every message that users, workers, the cloud and the key-value store
+//! exchange with a controller, as MessagePack.
+//!
+//! The protocol has a vocabulary of its own. Each of its words is mapped to the usual term once, in the
+//! serde attributes and constants of the modules below; the rest of the program uses the usual terms.
+//! Each module lists the words that it maps.
+
+mod answers;
 mod cloud;
-mod state;
-mod users;
+mod job_spec;
+mod store;
+mod submission;
 mod workers;
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-pub use cloud::*;
-pub use state::*;
-pub use users::*;
-pub use workers::*;
-
-/// The published limit on request bodies.
+pub use answers::{JobStatus, redirect_to, state_answer, status_answer};
+pub use cloud::{
+    ListedMachine, MachineList, MachineNames, MachineState, MachineType, MachineTypes, Rental,
+};
+pub use job_spec::{JobSpec, Kind, Priority};
+pub use store::{
+    Change, Changes, Entry, LeaseId, LeaseTtl, Listing, Precondition, Revision, Transaction, Write,
+};
+pub use submission::{SubmissionError, parse_submission, valid_job_id};
+pub use workers::{
+    Command, DirectCommands, Exit, Heartbeat, HeartbeatResponse, ReportedTask, TaskState,
+};
+
+/// The published limit on the size of a request body, in bytes.
 pub const BODY_LIMIT: usize = 64 * 1024;
 
-/// Why a body is not a submission.
-#[derive(Debug, thiserror::Error, PartialEq, Eq)]
-pub enum WireError {
-    #[error("not MessagePack")]
-    NotMessagePack,
-    #[error("not a map")]
-    NotMap,
-    #[error("{0}: missing or invalid")]
-    Field(&'static str),
-}
-
-/// A message as MessagePack.
+/// Encodes a message as MessagePack.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
-    // Our own types hold nothing that MessagePack cannot carry; an empty body is refused by peers.
+    // Our own types hold nothing that MessagePack cannot represent, so this does not fail; peers would
+    // reject an empty body.
     rmp_serde::to_vec_named(message).unwrap_or_default()
 }
 
-/// A message from MessagePack, if that is one.
+/// Decodes a message from MessagePack; `None` if the bytes are not such a message.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Option<T> {
     rmp_serde::from_slice(body).ok()
 }
--- /dev/null
+++ b/src/wire/job_spec.rs
@@ -0,0 +1,144 @@
+//! The description of a job, in the form in which job records store it.
+//!
+//! Protocol words: `sweep` (job array), `ensemble` (gang), `standing` (service); `best_effort`,
+//! `standard`, `high`, `critical` (priorities). The field names of submissions are mapped in
+//! [`super::submission`]; the short names here are those of stored records.
+
+use super::submission::JOB_ID_PREFIX;
+use crate::ids::{Image, JobId, Team, TypeName, Zone};
+use serde::{Deserialize, Deserializer, Serialize, Serializer};
+
+/// How the tasks of a job are scheduled.
+#[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
+pub enum Kind {
+    /// A job array: tasks are independent of one another.
+    #[serde(rename = "sweep")]
+    Array,
+    /// Gang scheduling: all tasks run at the same time or none does.
+    #[serde(rename = "ensemble")]
+    Gang,
+    /// Replicas that run until the job is cancelled.
+    #[serde(rename = "standing")]
+    Service,
+}
+
+/// The priority of a job; greater values are more urgent.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Serialize, Deserialize)]
+pub enum Priority {
+    /// Best effort.
+    #[serde(rename = "best_effort")]
+    Low,
+    /// Standard.
+    #[serde(rename = "standard")]
+    Normal,
+    /// Urgent.
+    #[serde(rename = "high")]
+    High,
+    /// Production services.
+    #[serde(rename = "critical")]
+    Production,
+}
+
+impl Priority {
+    /// Number of priorities.
+    pub const COUNT: usize = Self::Production as usize + 1;
+}
+
+/// What a user submitted. Job records hold it as it is, under short names to keep the records small.
+#[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
+pub struct JobSpec {
+    /// The workload class, which service-level objectives refer to.
+    #[serde(rename = "c")]
+    pub class: String,
+    /// The team that the job counts towards.
+    #[serde(rename = "t")]
+    pub team: Team,
+    /// How its tasks are scheduled.
+    #[serde(rename = "k")]
+    pub kind: Kind,
+    /// Its priority.
+    #[serde(rename = "p")]
+    pub priority: Priority,
+    /// Number of tasks, at least 1.
+    #[serde(rename = "n")]
+    pub tasks: u32,
+    /// CPUs of one task.
+    #[serde(rename = "cpu")]
+    pub cpus: f64,
+    /// GPUs of one task.
+    #[serde(rename = "gpu")]
+    pub gpus: f64,
+    /// Memory of one task, in GB.
+    #[serde(rename = "mem")]
+    pub memory_gb: f64,
+    /// The image that tasks run.
+    #[serde(rename = "img")]
+    pub image: Image,
+    /// Size of the image, in GB.
+    #[serde(rename = "igb")]
+    pub image_gb: f64,
+    /// The machine types that tasks may run on; `None` allows all.
+    #[serde(rename = "ty", default, skip_serializing_if = "Option::is_none")]
+    pub types: Option<Vec<TypeName>>,
+    /// The zone that tasks must run in; `None` allows all.
+    #[serde(rename = "z", default, skip_serializing_if = "Option::is_none")]
+    pub zone: Option<Zone>,
+    /// Whether all tasks must run in the same zone.
+    #[serde(rename = "oz", default, skip_serializing_if = "is_false")]
+    pub one_zone: bool,
+    /// Whether the tasks must be spread over zones: none may hold more than half of them (rounded up).
+    #[serde(rename = "sp", default, skip_serializing_if = "is_false")]
+    pub spread: bool,
+    /// Whether tasks may run on spot instances.
+    #[serde(default, skip_serializing_if = "is_false")]
+    pub spot: bool,
+    /// The user's estimate of how long a task runs, in seconds.
+    #[serde(rename = "est")]
+    pub estimate_s: f64,
+    /// Seconds between two checkpoints of a task; 0 if it writes none.
+    #[serde(rename = "ck")]
+    pub checkpoint_interval_s: f64,
+    /// Seconds that writing a checkpoint takes.
+    #[serde(rename = "sv")]
+    pub checkpoint_write_s: f64,
+    /// Seconds from the submission within which the job should complete.
+    #[serde(rename = "dl", default, skip_serializing_if = "Option::is_none")]
+    pub deadline_s: Option<f64>,
+    /// Jobs that must be done before any task of this one starts (the edges of the DAG).
+    #[serde(
+        rename = "aw",
+        default,
+        skip_serializing_if = "Vec::is_empty",
+        serialize_with = "serialize_dependencies",
+        deserialize_with = "deserialize_dependencies"
+    )]
+    pub dependencies: Vec<JobId>,
+}
+
+/// Writes job ids as one string without their common prefix, so that hundreds fit into a stored value.
+fn serialize_dependencies<S: Serializer>(
+    dependencies: &[JobId],
+    serializer: S,
+) -> Result<S::Ok, S::Error> {
+    let numbers = dependencies.iter().map(|id| {
+        id.as_str()
+            .strip_prefix(JOB_ID_PREFIX)
+            .unwrap_or(id.as_str())
+    });
+    serializer.serialize_str(&numbers.collect::<Vec<_>>().join(" "))
+}
+
+/// The inverse of [`serialize_dependencies`].
+fn deserialize_dependencies<'de, D: Deserializer<'de>>(
+    deserializer: D,
+) -> Result<Vec<JobId>, D::Error> {
+    let numbers = String::deserialize(deserializer)?;
+    let ids = numbers
+        .split_whitespace()
+        .map(|number| JobId::from(format!("{JOB_ID_PREFIX}{number}")));
+    Ok(ids.collect())
+}
+
+fn is_false(value: &bool) -> bool {
+    !value
+}
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -64,15 +64,22 @@
             .dependencies
             .is_empty()
     );
-    assert_eq!(parse_submission(&[0xc1]), Err(WireError::NotMessagePack));
+    assert_eq!(
+        parse_submission(&[0xc1]),
+        Err(SubmissionError::NotMessagePack)
+    );
     assert_eq!(
         parse_submission(b"\x93\x01\x02\x03"),
-        Err(WireError::NotMap)
+        Err(SubmissionError::NotMap)
     );
     // Not-a-number is a MessagePack float that no amount may be.
     let mut nan = rmp_serde::to_vec_named(&example()).unwrap();
-    let at = nan.windows(6).position(|w| w == b"\xa5cores").unwrap() + 6;
+    let at = nan
+        .windows(6)
+        .position(|bytes| bytes == b"\xa5cores")
+        .unwrap()
+        + 6;
     assert_eq!(nan[at], 0xcb);
     nan[at + 1..at + 9].copy_from_slice(&f64::NAN.to_be_bytes());
-    assert_eq!(parse_submission(&nan), Err(WireError::Field("cores")));
+    assert_eq!(parse_submission(&nan), Err(SubmissionError::Field("cores")));
 }
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -260,7 +260,7 @@
         "revision" => in_messagepack::<wire::Revision>,
         "listing" => in_messagepack::<wire::Listing>,
         "changes" => in_messagepack::<wire::Changes>,
-        "lease life" => in_messagepack::<wire::LeaseLife>,
+        "lease life" => in_messagepack::<wire::LeaseTtl>,
         "lease id" => in_messagepack::<wire::LeaseId>,
         "submission" => |text, _| {
             let body = wire::encode(&parsed::<Value>(text));
--- a/tests/loopback/fleet.rs
+++ b/tests/loopback/fleet.rs
@@ -93,7 +93,7 @@
                 task: task.clone(),
                 attempt: *attempt,
                 state: running.state,
-                why: running.why,
+                exit: running.why,
                 checkpointed: None,
             });
         let (agent_epoch, sequence, token) = (self.agent_epoch, self.sequence, self.token);
--- a/tests/loopback/worker.rs
+++ b/tests/loopback/worker.rs
@@ -55,7 +55,7 @@
         agent_epoch: 1,
         sequence: 1,
         token: FencingToken(0),
-        notice_s: None,
+        reclaim_notice_s: None,
         tasks: Vec::new(),
     }
 }
@@ -70,7 +70,7 @@
                 task: task.clone(),
                 attempt: *attempt,
                 state: *state,
-                why: (*state == TaskState::Exited).then_some(Exit::Stopped),
+                exit: (*state == TaskState::Exited).then_some(Exit::Stopped),
                 checkpointed: None,
             });
         let (agent_epoch, sequence, token) = (1, self.sequence, self.token);
--- a/tests/world/worker.rs
+++ b/tests/world/worker.rs
@@ -66,7 +66,7 @@
                 task: task.to_string(),
                 attempt: *attempt,
                 state: running.state,
-                why: running.why,
+                exit: running.why,
                 checkpointed: running.checkpointed.then_some(true),
             });
         Heartbeat {
@@ -78,7 +78,7 @@
             agent_epoch: self.agent_epoch,
             sequence: self.sequence,
             token: self.token,
-            notice_s: self.leaves.map(|at| at - now),
+            reclaim_notice_s: self.leaves.map(|at| at - now),
             tasks: tasks.collect(),
         }
     }
@@ -490,7 +490,7 @@
                             && let Some(running) = worker.tasks.get_mut(&(task.clone(), attempt))
                             && now > running.until + GANG_WAIT_S
                         {
-                            exit(running, Exit::Alone);
+                            exit(running, Exit::GangIncomplete);
                         }
                         continue;
                     }
