--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,10 +1,13 @@
-//! The command line.
+//! The command line: runs a controller, checks files, prints schemas and asks a running controller.
+//!
+//! The doc comments of arguments and commands are their `--help` texts.
 
 use crate::config::Config;
 use crate::features::Features;
-use crate::operator;
 use crate::status::Status;
-use clap::{Parser, Subcommand};
+use crate::{operator, service};
+use clap::{Parser, Subcommand, ValueEnum};
+use std::fmt::Display;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -46,7 +49,7 @@
 }
 
 /// What has a published schema.
-#[derive(Clone, Copy, clap::ValueEnum)]
+#[derive(Clone, Copy, ValueEnum)]
 enum SchemaOf {
     /// The features file.
     Features,
@@ -54,41 +57,41 @@
     Status,
 }
 
-/// What a wrong call or wrong settings end with.
-const USAGE: u8 = 2;
-/// What a question that got no answer ends with.
+/// Exit code if the controller could not start.
+const SERVICE_ERROR: u8 = 1;
+/// Exit code for wrong arguments and invalid files.
+const USAGE_ERROR: u8 = 2;
+/// Exit code if the controller that is asked gives no answer.
 const NO_ANSWER: u8 = 3;
 
+/// Runs the program with the process's arguments and returns its exit code.
 pub fn main() -> ExitCode {
     let args = Args::parse();
     match (args.command, args.config) {
-        (Some(Command::CheckConfig { file }), _) => checked(&file, Config::load(&file)),
-        (Some(Command::CheckFeatures { file }), _) => checked(&file, Features::load(&file)),
-        (Some(Command::Status { address, json }), _) => status(address, json),
+        (Some(Command::CheckConfig { file }), _) => report_check(&file, Config::load(&file)),
+        (Some(Command::CheckFeatures { file }), _) => report_check(&file, Features::load(&file)),
+        (Some(Command::Status { address, json }), _) => print_status(address, json),
         (Some(Command::Schema { of }), _) => print_schema(of),
         (None, Some(file)) => run(&file, args.features.as_deref()),
-        (None, None) => fail(&"--config FILE is needed (see --help)"),
+        (None, None) => usage_error(&"--config FILE is needed (see --help)"),
     }
 }
 
-/// Says whether a file is as it should be.
-fn checked<T, E: std::fmt::Display>(file: &Path, loaded: Result<T, E>) -> ExitCode {
+/// Reports whether a file is valid.
+fn report_check<T, E: Display>(file: &Path, loaded: Result<T, E>) -> ExitCode {
     match loaded {
         Ok(_) => {
             println!("{}: ok", file.display());
             ExitCode::SUCCESS
         }
-        Err(e) => fail(&e),
+        Err(error) => usage_error(&error),
     }
 }
 
-fn status(address: SocketAddr, json: bool) -> ExitCode {
+fn print_status(address: SocketAddr, json: bool) -> ExitCode {
     let status = match operator::status(address) {
         Ok(status) => status,
-        Err(e) => {
-            eprintln!("ochredrum: {e}");
-            return ExitCode::from(NO_ANSWER);
-        }
+        Err(error) => return fail_with(NO_ANSWER, &error),
     };
     if json {
         return print_json(&status);
@@ -98,10 +101,11 @@
 }
 
 fn print_schema(of: SchemaOf) -> ExitCode {
-    print_json(&match of {
+    let schema = match of {
         SchemaOf::Features => schemars::schema_for!(Features),
         SchemaOf::Status => schemars::schema_for!(Status),
-    })
+    };
+    print_json(&schema)
 }
 
 fn print_json(value: &impl serde::Serialize) -> ExitCode {
@@ -110,37 +114,39 @@
             println!("{text}");
             ExitCode::SUCCESS
         }
-        Err(e) => fail(&e),
+        Err(error) => usage_error(&error),
     }
 }
 
 fn run(file: &Path, features: Option<&Path>) -> ExitCode {
-    init_log();
+    init_logging();
     let mut config = match Config::load(file) {
         Ok(config) => config,
-        Err(e) => return fail(&e),
+        Err(error) => return usage_error(&error),
     };
     config.features = match features.map(Features::load).transpose() {
         Ok(features) => features.unwrap_or_default(),
-        Err(e) => return fail(&e),
+        Err(error) => return usage_error(&error),
     };
-    match crate::service::run(config) {
+    match service::run(config) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("ochredrum: {e}");
-            ExitCode::FAILURE
-        }
+        Err(error) => fail_with(SERVICE_ERROR, &error),
     }
 }
 
-fn fail(message: &dyn std::fmt::Display) -> ExitCode {
+fn usage_error(message: &dyn Display) -> ExitCode {
+    fail_with(USAGE_ERROR, message)
+}
+
+fn fail_with(code: u8, message: &dyn Display) -> ExitCode {
     eprintln!("ochredrum: {message}");
-    ExitCode::from(USAGE)
+    ExitCode::from(code)
 }
 
-fn init_log() {
-    let wanted = std::env::var("LOG_LEVEL").unwrap_or_else(|_| "info".into());
-    let level = match wanted.as_str() {
+/// Logs to standard error at the level that the environment variable `LOG_LEVEL` names.
+fn init_logging() {
+    let requested = std::env::var("LOG_LEVEL").unwrap_or_else(|_| "info".into());
+    let level = match requested.as_str() {
         "error" => Some(LevelFilter::ERROR),
         "info" => Some(LevelFilter::INFO),
         "debug" => Some(LevelFilter::DEBUG),
@@ -153,6 +159,6 @@
         .with_target(false)
         .init();
     if level.is_none() {
-        tracing::warn!("LOG_LEVEL={wanted:?} is not error, info or debug; using info");
+        tracing::warn!("LOG_LEVEL={requested:?} is not error, info or debug; using info");
     }
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,82 +1,127 @@
-//! The platform's settings file, checked before anything starts.
+//! The platform's settings file, validated before anything starts.
+//!
+//! Its words differ from ours in two places: `host_name` (name of a controller) and `area` (zone). The
+//! types below `Config` mirror the tables of the file.
 
 use crate::features::Features;
 use crate::ids::{Node, Team, Zone};
 use serde::Deserialize;
+use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::path::Path;
 
+/// The lowest limit on sockets with which all listeners and clients get some.
+const MIN_FD_LIMIT: usize = 32;
+/// The lowest limit on operations of a transaction with which guarded writes are possible.
+const MIN_TXN_OPS: usize = 2;
+
+/// Why a settings file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
+    /// The file can't be read.
     #[error("cannot read settings file {path}: {source}")]
     Read {
+        /// The file.
         path: String,
+        /// The system's error.
         source: std::io::Error,
     },
+    /// The file is not TOML, or a field is missing or has the wrong type. Holds the parser's message on one
+    /// line.
     #[error("settings: {0}")]
     Parse(String),
+    /// A value is out of its range.
     #[error("settings: {field}: {problem}")]
     Invalid {
+        /// The field's path in the file.
         field: String,
+        /// What is required of it.
         problem: &'static str,
     },
 }
 
+/// The settings of one controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Config {
+    /// This controller's name.
     #[serde(rename = "host_name")]
     pub node: Node,
+    /// The zone that it runs in.
     #[serde(rename = "area")]
     pub zone: Zone,
+    /// The address to listen on for users, workers and health checks.
     pub front: SocketAddr,
+    /// The address to listen on for other controllers and operators.
     #[serde(rename = "mesh_addr")]
     pub mesh: SocketAddr,
+    /// The other controllers of the fleet.
     #[serde(default)]
     pub siblings: Vec<Sibling>,
+    /// The services that controllers depend on.
     pub services: Services,
+    /// What is the same for all controllers of the fleet.
     pub deployment: Deployment,
     /// What the installation switches on, from a file of its own.
     #[serde(skip)]
     pub features: Features,
 }
 
+/// Another controller of the fleet.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Sibling {
+    /// Its name.
     #[serde(rename = "host_name")]
     pub node: Node,
+    /// The address on which it listens for controllers.
     pub addr: SocketAddr,
 }
 
+/// The services that controllers depend on.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Services {
+    /// Address of the cloud, which rents machines.
     pub cloud: SocketAddr,
+    /// Address of the key-value store.
     pub state: SocketAddr,
 }
 
+/// What is the same for all controllers of a fleet.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Deployment {
+    /// How far the wall clocks of two controllers may differ, in milliseconds.
     #[serde(default)]
     pub clock_error_ms: f64,
+    /// Guarantees and limits of teams.
     #[serde(default)]
     pub teams: Vec<TeamLimits>,
+    /// Service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
+    /// How workers behave.
     pub workers: Workers,
+    /// Limits of the key-value store.
     pub state: StateLimits,
+    /// Limits of the cloud.
     pub cloud: CloudLimits,
+    /// Limits of a controller's process.
     pub limits: ProcessLimits,
 }
 
 /// A team's guarantee and limit; 0 means none.
 #[derive(Debug, Clone, Deserialize)]
 pub struct TeamLimits {
+    /// The team.
     pub name: Team,
+    /// CPUs that it is guaranteed.
     #[serde(default)]
     pub cpus: f64,
+    /// CPUs that its tasks may use at most.
     #[serde(default)]
     pub cpus_max: f64,
+    /// GPUs that it is guaranteed.
     #[serde(default)]
     pub gpus: f64,
+    /// GPUs that its tasks may use at most.
     #[serde(default)]
     pub gpus_max: f64,
 }
@@ -84,41 +129,61 @@
 /// What is expected of a class; kinds that are not known are ignored.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
+    /// What is to happen in time: `wait` (the start of a task) or `finished` (the completion of a job).
     pub kind: String,
+    /// The workload class that it is for.
     pub class: Option<String>,
+    /// Seconds from the submission within which it is to happen.
     pub within_s: Option<f64>,
 }
 
+/// How workers behave.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
+    /// Seconds between two heartbeats of a worker.
     pub report_s: f64,
+    /// Seconds without an answer after which a worker stops all its tasks.
     pub lease_s: f64,
+    /// Seconds that a member of a gang waits for the others to be ready.
     pub gang_wait_s: f64,
+    /// Seconds after which the members of a gang notice that one of them is gone.
     pub gang_peer_s: f64,
+    /// Seconds within which a cancelled job has to have ended.
     pub cancel_s: f64,
 }
 
+/// Limits of the key-value store.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateLimits {
+    /// Requests per second.
     pub rps: f64,
+    /// Writing requests per second.
     pub write_rps: f64,
+    /// Size of a value, in KiB.
     pub value_kb: f64,
+    /// Preconditions and writes of one transaction.
     pub txn_ops: usize,
     /// Limits that hold from some moment on, which nobody is told.
     pub next: Option<NextLimits>,
 }
 
+/// Limits of the key-value store that replace the present ones at some time; those left out stay.
 #[derive(Debug, Clone, Deserialize)]
 pub struct NextLimits {
+    /// See [`StateLimits::rps`].
     pub rps: Option<f64>,
+    /// See [`StateLimits::write_rps`].
     pub write_rps: Option<f64>,
+    /// See [`StateLimits::value_kb`].
     pub value_kb: Option<f64>,
+    /// See [`StateLimits::txn_ops`].
     pub txn_ops: Option<usize>,
 }
 
 impl StateLimits {
-    /// As the moment is not told, the lower of both holds from the start.
-    fn lower(&mut self) {
+    /// Applies the lower of the present and the later limits from the start, since the settings do not say
+    /// when the later ones begin to hold.
+    fn apply_lower_limits(&mut self) {
         let Some(next) = self.next.take() else { return };
         self.rps = next.rps.map_or(self.rps, |rps| self.rps.min(rps));
         self.write_rps = next
@@ -133,19 +198,26 @@
     }
 }
 
+/// Limits of the cloud.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
+    /// Requests per second.
     pub rps: f64,
+    /// Seconds by which the list of machines may be out of date.
     pub list_lag_s: f64,
 }
 
+/// Limits of a controller's process.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ProcessLimits {
+    /// Memory, in MiB.
     pub mem_mb: f64,
+    /// Open sockets and files.
     pub fd_limit: usize,
 }
 
 impl Config {
+    /// Reads and validates a file.
     pub fn load(path: &Path) -> Result<Self, ConfigError> {
         let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Read {
             path: path.display().to_string(),
@@ -154,93 +226,37 @@
         Self::parse(&text)
     }
 
+    /// Parses and validates the text of a file.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let mut config: Self = toml::from_str(text)
-            .map_err(|e| ConfigError::Parse(e.to_string().trim().replace('\n', " | ")))?;
-        config.check()?;
-        config.deployment.state.lower();
+            .map_err(|error| ConfigError::Parse(error.to_string().trim().replace('\n', " | ")))?;
+        config.validate()?;
+        config.deployment.state.apply_lower_limits();
         Ok(config)
     }
 
-    fn check(&self) -> Result<(), ConfigError> {
-        let d = &self.deployment;
-        for (field, value) in [
-            ("deployment.workers.report_s", d.workers.report_s),
-            ("deployment.workers.lease_s", d.workers.lease_s),
-            ("deployment.workers.gang_wait_s", d.workers.gang_wait_s),
-            ("deployment.workers.gang_peer_s", d.workers.gang_peer_s),
-            ("deployment.workers.cancel_s", d.workers.cancel_s),
-            ("deployment.state.rps", d.state.rps),
-            ("deployment.state.write_rps", d.state.write_rps),
-            ("deployment.state.value_kb", d.state.value_kb),
-            ("deployment.cloud.rps", d.cloud.rps),
-            ("deployment.limits.mem_mb", d.limits.mem_mb),
-        ] {
-            if !(value.is_finite() && value > 0.0) {
-                return invalid(field, "must be a positive number");
-            }
-        }
-        for (field, value) in [
-            ("deployment.clock_error_ms", d.clock_error_ms),
-            ("deployment.cloud.list_lag_s", d.cloud.list_lag_s),
-        ] {
-            if !(value.is_finite() && value >= 0.0) {
-                return invalid(field, "must not be negative");
-            }
-        }
-        if let Some(next) = &d.state.next {
-            for (field, value) in [
-                ("deployment.state.next.rps", next.rps),
-                ("deployment.state.next.write_rps", next.write_rps),
-                ("deployment.state.next.value_kb", next.value_kb),
-            ] {
-                if value.is_some_and(|value| !(value.is_finite() && value > 0.0)) {
-                    return invalid(field, "must be a positive number");
-                }
-            }
-            if next.txn_ops.is_some_and(|ops| ops < 2) {
-                return invalid("deployment.state.next.txn_ops", "must be at least 2");
-            }
-        }
-        if d.state.txn_ops < 2 {
-            return invalid("deployment.state.txn_ops", "must be at least 2");
-        }
-        if d.limits.fd_limit < 32 {
-            return invalid("deployment.limits.fd_limit", "must be at least 32");
-        }
+    /// Checks what the types of the fields do not express.
+    fn validate(&self) -> Result<(), ConfigError> {
+        self.deployment.validate()?;
         if self.node.as_str().is_empty() {
             return invalid("host_name", "must not be empty");
         }
-        for (i, sibling) in self.siblings.iter().enumerate() {
-            if sibling.node == self.node
-                || self.siblings[..i]
-                    .iter()
-                    .any(|other| other.node == sibling.node)
-            {
+        self.validate_siblings()?;
+        self.deployment.validate_teams()?;
+        self.deployment.validate_objectives()
+    }
+
+    fn validate_siblings(&self) -> Result<(), ConfigError> {
+        let mut names = HashSet::from([&self.node]);
+        for sibling in &self.siblings {
+            if !names.insert(&sibling.node) {
                 return invalid("siblings.host_name", "each controller must be named once");
             }
         }
-        for team in &d.teams {
-            for amount in [team.cpus, team.cpus_max, team.gpus, team.gpus_max] {
-                if !(amount.is_finite() && amount >= 0.0) {
-                    return invalid("deployment.teams", "amounts must not be negative");
-                }
-            }
-        }
-        for objective in &d.objectives {
-            if objective
-                .within_s
-                .is_some_and(|s| !(s.is_finite() && s > 0.0))
-            {
-                return invalid(
-                    "deployment.objectives.within_s",
-                    "must be a positive number",
-                );
-            }
-        }
         Ok(())
     }
 
+    /// The number of controllers, this one included.
     pub fn controllers(&self) -> usize {
         self.siblings.len() + 1
     }
@@ -253,21 +269,116 @@
             .find(|limits| limits.name == *team)
     }
 
-    /// The tightest objective on a class's starts, if it has one.
+    /// The shortest objective on the starts of a class's tasks in seconds, if there is one.
     pub fn wait_objective(&self, class: &str) -> Option<f64> {
         self.objective("wait", class)
     }
 
-    /// The tightest objective on a class's completion, if it has one.
+    /// The shortest objective on the completion of a class's jobs in seconds, if there is one.
     pub fn finish_objective(&self, class: &str) -> Option<f64> {
         self.objective("finished", class)
     }
 
     fn objective(&self, kind: &str, class: &str) -> Option<f64> {
-        let of_class = |o: &&Objective| o.kind == kind && o.class.as_deref() == Some(class);
-        let all = self.deployment.objectives.iter().filter(of_class);
-        all.filter_map(|o| o.within_s).min_by(f64::total_cmp)
+        self.deployment
+            .objectives
+            .iter()
+            .filter(|each| each.kind == kind && each.class.as_deref() == Some(class))
+            .filter_map(|each| each.within_s)
+            .min_by(f64::total_cmp)
+    }
+}
+
+impl Deployment {
+    fn validate(&self) -> Result<(), ConfigError> {
+        for (field, value) in [
+            ("deployment.workers.report_s", self.workers.report_s),
+            ("deployment.workers.lease_s", self.workers.lease_s),
+            ("deployment.workers.gang_wait_s", self.workers.gang_wait_s),
+            ("deployment.workers.gang_peer_s", self.workers.gang_peer_s),
+            ("deployment.workers.cancel_s", self.workers.cancel_s),
+            ("deployment.state.rps", self.state.rps),
+            ("deployment.state.write_rps", self.state.write_rps),
+            ("deployment.state.value_kb", self.state.value_kb),
+            ("deployment.cloud.rps", self.cloud.rps),
+            ("deployment.limits.mem_mb", self.limits.mem_mb),
+        ] {
+            require_positive(field, value)?;
+        }
+        for (field, value) in [
+            ("deployment.clock_error_ms", self.clock_error_ms),
+            ("deployment.cloud.list_lag_s", self.cloud.list_lag_s),
+        ] {
+            if !is_amount(value) {
+                return invalid(field, "must not be negative");
+            }
+        }
+        if let Some(next) = &self.state.next {
+            next.validate()?;
+        }
+        require_txn_ops("deployment.state.txn_ops", self.state.txn_ops)?;
+        if self.limits.fd_limit < MIN_FD_LIMIT {
+            return invalid("deployment.limits.fd_limit", "must be at least 32");
+        }
+        Ok(())
     }
+
+    fn validate_teams(&self) -> Result<(), ConfigError> {
+        for team in &self.teams {
+            let amounts = [team.cpus, team.cpus_max, team.gpus, team.gpus_max];
+            if !amounts.into_iter().all(is_amount) {
+                return invalid("deployment.teams", "amounts must not be negative");
+            }
+        }
+        Ok(())
+    }
+
+    fn validate_objectives(&self) -> Result<(), ConfigError> {
+        for within_s in self.objectives.iter().filter_map(|each| each.within_s) {
+            require_positive("deployment.objectives.within_s", within_s)?;
+        }
+        Ok(())
+    }
+}
+
+impl NextLimits {
+    fn validate(&self) -> Result<(), ConfigError> {
+        for (field, value) in [
+            ("deployment.state.next.rps", self.rps),
+            ("deployment.state.next.write_rps", self.write_rps),
+            ("deployment.state.next.value_kb", self.value_kb),
+        ] {
+            if let Some(value) = value {
+                require_positive(field, value)?;
+            }
+        }
+        match self.txn_ops {
+            Some(operations) => require_txn_ops("deployment.state.next.txn_ops", operations),
+            None => Ok(()),
+        }
+    }
+}
+
+fn require_positive(field: &str, value: f64) -> Result<(), ConfigError> {
+    if value.is_finite() && value > 0.0 {
+        Ok(())
+    } else {
+        invalid(field, "must be a positive number")
+    }
+}
+
+/// A transaction needs at least one precondition and one write.
+fn require_txn_ops(field: &str, operations: usize) -> Result<(), ConfigError> {
+    if operations >= MIN_TXN_OPS {
+        Ok(())
+    } else {
+        invalid(field, "must be at least 2")
+    }
+}
+
+/// Whether a number is finite and not negative.
+fn is_amount(value: f64) -> bool {
+    value.is_finite() && value >= 0.0
 }
 
 fn invalid<T>(field: &str, problem: &'static str) -> Result<T, ConfigError> {
@@ -280,34 +391,5 @@
 #[cfg(test)]
 mod tests;
 
-/// Settings of one controller, for unit tests.
 #[cfg(test)]
-pub const TEST_SETTINGS: &str = r#"
-host_name = "n0"
-area = "a"
-front = "127.0.0.1:1"
-mesh_addr = "127.0.0.1:2"
-[services]
-cloud = "127.0.0.1:3"
-state = "127.0.0.1:4"
-[deployment]
-teams = [{ name = "red" }]
-objectives = [{ kind = "wait", class = "chat", within_s = 10.0 }]
-[deployment.workers]
-report_s = 1.0
-lease_s = 10.0
-gang_wait_s = 30.0
-gang_peer_s = 4.0
-cancel_s = 30.0
-[deployment.state]
-rps = 120.0
-write_rps = 25.0
-value_kb = 4.0
-txn_ops = 8
-[deployment.cloud]
-rps = 2.0
-list_lag_s = 5.0
-[deployment.limits]
-mem_mb = 56.0
-fd_limit = 700
-"#;
+pub use tests::TEST_SETTINGS;
--- a/src/features.rs
+++ b/src/features.rs
@@ -1,5 +1,7 @@
-//! What an installation switches on beyond the service as it was: a file of its own, named on the
-//! command line and checked as a whole before anything starts. Without it all is off.
+//! The optional features file, which enables features that are off by default. It is named on the command
+//! line and validated as a whole before anything starts.
+//!
+//! `ochredrum schema features` prints the JSON schema of the file, doc comments of its types included.
 
 use failure_detector::{LEAST_SUSPECT_HEARTBEATS, SUSPECT_HEARTBEATS};
 use garde::Validate;
@@ -8,18 +10,19 @@
 use serde::Deserialize;
 use std::path::Path;
 
-/// Why a file of features can't be used.
+/// Why a features file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum FeaturesError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("cannot read features file {path}: {source}")]
     Read {
         /// The file.
         path: String,
-        /// What the system says.
+        /// The system's error.
         source: std::io::Error,
     },
-    /// It is no TOML, a value has the wrong type, or a field is not known.
+    /// The file is not TOML, a value has the wrong type, or a field is unknown. Holds the parser's message on
+    /// one line.
     #[error("features: {0}")]
     Parse(String),
     /// A value is out of its range.
@@ -67,16 +70,17 @@
     pub give_back_leases: f64,
 }
 
-/// A range alone lets through what is no number.
+/// Rejects NaN, which a range check alone accepts.
 fn is_number(value: &f64, _: &()) -> garde::Result {
-    match value.is_nan() {
-        true => Err(garde::Error::new("not a number")),
-        false => Ok(()),
+    if value.is_nan() {
+        Err(garde::Error::new("not a number"))
+    } else {
+        Ok(())
     }
 }
 
 impl Features {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     pub fn load(path: &Path) -> Result<Self, FeaturesError> {
         let text = std::fs::read_to_string(path).map_err(|source| FeaturesError::Read {
             path: path.display().to_string(),
@@ -85,18 +89,19 @@
         Self::parse(&text)
     }
 
-    /// Reads and checks a text.
+    /// Parses and validates the text of a file.
     pub fn parse(text: &str) -> Result<Self, FeaturesError> {
         let one_line = |text: String| text.trim().replace('\n', " | ");
-        let features: Self =
-            toml::from_str(text).map_err(|e| FeaturesError::Parse(one_line(e.to_string())))?;
+        let features: Self = toml::from_str(text)
+            .map_err(|error| FeaturesError::Parse(one_line(error.to_string())))?;
         features
             .validate()
             .map_err(|report| FeaturesError::Invalid(one_line(report.to_string())))?;
         Ok(features)
     }
 
-    /// Heartbeats without an answer after which a controller is suspected.
+    /// Heartbeats without an answer after which a controller is suspected: the setting if failure detection is
+    /// enabled, else the default.
     pub fn suspect_heartbeats(&self) -> f64 {
         let detection = self
             .failure_detection
@@ -105,20 +110,20 @@
         detection.map_or(SUSPECT_HEARTBEATS, |detection| detection.suspect_heartbeats)
     }
 
-    /// Whether controllers act on what the detection of failures finds.
+    /// Whether controllers act on detected failures.
     pub fn acts_on_failures(&self) -> bool {
         self.failure_detection
             .as_ref()
             .is_some_and(|detection| detection.enabled)
     }
 
-    /// The rule by which grants of team limits grow and shrink, if they are on.
+    /// The rule by which grants of team limits grow and shrink; `None` if the quota ledger is not enabled.
+    /// `lease_s` is the workers' lease in seconds.
     pub fn headroom(&self, lease_s: f64) -> Option<Headroom> {
         let ledger = self.quota_ledger.as_ref().filter(|ledger| ledger.enabled)?;
-        let patience_s = ledger.give_back_leases * lease_s;
         Some(Headroom {
             part_of_limit: ledger.headroom,
-            patience_s,
+            patience_s: ledger.give_back_leases * lease_s,
         })
     }
 }
--- a/src/status.rs
+++ b/src/status.rs
@@ -1,13 +1,15 @@
-//! What a controller tells operators of team limits and of failed controllers: read-only, JSON on the
-//! listener between controllers, and tables on the command line.
+//! The status that a controller reports to operators: team limits, other controllers and failovers. It is
+//! read-only, served as JSON on the listener for controllers and printed as tables by the command line.
+//!
+//! `ochredrum schema status` prints the JSON schema, doc comments of the types included.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::fmt::Write;
 
-/// Where it is served.
+/// The path at which the status is served.
 pub const PATH: &str = "/status/v1";
-/// The form of answers.
+/// The content type of the status.
 pub const JSON: &str = "application/json";
 
 /// What one controller knows.
@@ -212,62 +214,62 @@
 }
 
 impl Status {
-    /// The table that the command line prints.
+    /// The tables that the command line prints: teams, then other controllers and failovers if there are
+    /// any.
     pub fn table(&self) -> String {
-        let mut text = format!(
-            "{} (process {}){}{}{}\n\n",
-            self.controller,
-            self.incarnation,
-            if self.leads { ", leads" } else { "" },
-            if self.entitled {
-                ""
-            } else {
-                ", may not act now"
-            },
-            if self.grants_on {
-                ""
-            } else {
-                ", keeps to no grants"
-            },
-        );
-        let header = [
-            "TEAM",
-            "OWNER",
-            "LIMIT",
-            "GUARANTEE",
-            "GRANTED",
-            "OTHERS",
-            "USED",
-            "UNKNOWN",
-            "STATE",
-        ];
-        let rows: Vec<[String; 9]> = self.teams.iter().map(TeamStatus::row).collect();
-        text.push_str(&aligned(header, &rows));
+        let teams: Vec<_> = self.teams.iter().map(TeamStatus::row).collect();
+        let mut text = format!("{}\n\n{}", self.summary(), table(TEAM_COLUMNS, &teams));
         if !self.siblings.is_empty() {
-            let header = [
-                "CONTROLLER",
-                "STAGE",
-                "SILENT",
-                "VOTES",
-                "KEY",
-                "OTHERS HEAR IT",
-            ];
-            let rows: Vec<[String; 6]> = self.siblings.iter().map(SiblingStatus::row).collect();
+            let rows: Vec<_> = self.siblings.iter().map(SiblingStatus::row).collect();
             text.push('\n');
-            text.push_str(&aligned(header, &rows));
+            text.push_str(&table(SIBLING_COLUMNS, &rows));
         }
         if !self.hand_overs.is_empty() {
-            let header = ["FAILED", "TEAMS", "MACHINES", "WAITS FOR"];
-            let rows: Vec<[String; 4]> = self.hand_overs.iter().map(HandOverStatus::row).collect();
+            let rows: Vec<_> = self.hand_overs.iter().map(HandOverStatus::row).collect();
             text.push('\n');
-            text.push_str(&aligned(header, &rows));
+            text.push_str(&table(HAND_OVER_COLUMNS, &rows));
+        }
+        text
+    }
+
+    fn summary(&self) -> String {
+        let mut text = format!("{} (process {})", self.controller, self.incarnation);
+        if self.leads {
+            text.push_str(", leads");
+        }
+        if !self.entitled {
+            text.push_str(", may not act now");
+        }
+        if !self.grants_on {
+            text.push_str(", keeps to no grants");
         }
         text
     }
 }
 
-/// Lines of columns, each as wide as its widest cell.
-fn aligned<const COLUMNS: usize>(header: [&str; COLUMNS], rows: &[[String; COLUMNS]]) -> String {
+const TEAM_COLUMNS: [&str; 9] = [
+    "TEAM",
+    "OWNER",
+    "LIMIT",
+    "GUARANTEE",
+    "GRANTED",
+    "OTHERS",
+    "USED",
+    "UNKNOWN",
+    "STATE",
+];
+const SIBLING_COLUMNS: [&str; 6] = [
+    "CONTROLLER",
+    "STAGE",
+    "SILENT",
+    "VOTES",
+    "KEY",
+    "OTHERS HEAR IT",
+];
+const HAND_OVER_COLUMNS: [&str; 4] = ["FAILED", "TEAMS", "MACHINES", "WAITS FOR"];
+
+/// A table whose columns are as wide as their widest cells.
+fn table<const COLUMNS: usize>(header: [&str; COLUMNS], rows: &[[String; COLUMNS]]) -> String {
     let width = |column: usize| {
         let cells = rows.iter().map(|row| row[column].chars().count());
         cells.chain([header[column].len()]).max().unwrap_or(0)
@@ -297,25 +299,18 @@
             StageStatus::Confirmed => "confirmed failed",
             StageStatus::HandedOver => "handed over",
         };
-        let told = self
-            .told
-            .iter()
-            .map(OpinionStatus::text)
-            .collect::<Vec<_>>();
+        let key = if self.key_gone { "gone" } else { "there" };
+        let opinions: Vec<String> = self.told.iter().map(OpinionStatus::text).collect();
         [
             self.controller.clone(),
             stage.into(),
             format!("{:.1} of {:.1} s", self.silence_s, self.threshold_s),
             self.votes.to_string(),
-            if self.key_gone {
-                "gone".into()
-            } else {
-                "there".into()
-            },
-            if told.is_empty() {
+            key.into(),
+            if opinions.is_empty() {
                 "-".into()
             } else {
-                told.join(", ")
+                opinions.join(", ")
             },
         ]
     }
@@ -335,32 +330,40 @@
             HandOverWait::Consents { given, needed } => format!("consents, {given} of {needed}"),
             HandOverWait::Leader => "the leader".into(),
         };
-        let (teams, machines) = (self.teams.to_string(), self.machines.to_string());
-        [self.controller.clone(), teams, machines, waits_for]
+        [
+            self.controller.clone(),
+            self.teams.to_string(),
+            self.machines.to_string(),
+            waits_for,
+        ]
     }
 }
 
 impl TeamStatus {
     fn row(&self) -> [String; 9] {
-        let sum = |current: bool| {
-            let grants = self.grants.iter().filter(|grant| grant.current == current);
-            let granted = grants.map(|grant| grant.granted);
-            granted.fold(Capacity::default(), Capacity::plus)
-        };
         let owned = self.owned.as_ref();
         [
             self.team.clone(),
             self.owner.clone().unwrap_or_else(|| "-".into()),
             self.limit.text(),
             self.guarantee.text(),
-            sum(true).text(),
-            sum(false).plus(self.folded).text(),
+            self.granted(true).text(),
+            self.granted(false).plus(self.folded).text(),
             owned.map_or_else(|| "?".into(), |owned| owned.used.text()),
             owned.map_or_else(|| "?".into(), |owned| owned.unknown_machines.to_string()),
             self.state().into(),
         ]
     }
 
+    /// The sum of the grants of the present owner (`current`), or of all former ones that are named.
+    fn granted(&self, current: bool) -> Capacity {
+        self.grants
+            .iter()
+            .filter(|grant| grant.current == current)
+            .map(|grant| grant.granted)
+            .fold(Capacity::default(), Capacity::plus)
+    }
+
     fn state(&self) -> &'static str {
         match (self.record, self.owned.as_ref().map(|owned| owned.basis)) {
             (RecordState::Damaged, _) => "damaged record",
