--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! ochredrum: a scheduler for fleets of machines that serve language models.
 //!
-//! The library is split in two. [`core`] decides everything and does no I/O; the other modules
-//! turn messages into its commands and its effects into requests. See `docs/design.md`.
+//! The library has two parts. [`core`] makes all decisions and does no I/O. The other modules turn
+//! messages into its inputs, and its effects into requests. See `docs/design.md`.
 
 pub mod cli;
 pub mod cloud_client;
@@ -15,7 +15,7 @@
 pub mod mesh;
 pub mod operator;
 pub mod service;
-pub mod state_client;
 pub mod status;
+pub mod store_client;
 pub mod wire;
 pub mod worker_client;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: everything it does is in the library.
+//! The program. Everything it does is in the library.
 
 fn main() -> std::process::ExitCode {
     ochredrum::cli::main()
--- a/src/mesh.rs
+++ b/src/mesh.rs
@@ -1,79 +1,92 @@
-//! The listener between controllers: their messages (CBOR over HTTP), and operators' questions (JSON).
+//! The listener for other controllers (CBOR over HTTP) and for operators (JSON), and the client for other
+//! controllers.
 
 use crate::config::ProcessLimits;
 use crate::core::effects::Body;
 use crate::core::messages::mesh::{MeshMessage, MeshReply};
 use crate::http::{self, Client, Reply};
-use crate::inbox::{Inbox, Question};
+use crate::inbox::{ExternalRequest, Inbox};
 use crate::status::{self, JSON};
 use hyper::body::Incoming;
 use hyper::{Method, Request};
+use serde::Serialize;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
 const CBOR: &str = "application/cbor";
 const PATH: &str = "/mesh/v1";
-/// Part of a process's memory that one message may take: a hello tells of every running job and machine.
-const MESSAGE_PART: f64 = 1.0 / 16.0;
-/// Bytes of a message that are always taken.
-const LEAST_MESSAGE_LIMIT: usize = 1024 * 1024;
+/// Connections to one sibling that are kept for later messages.
+const MAX_IDLE_CONNECTIONS: usize = 4;
+/// The part of a process's memory that one message may take: a hello lists every running job and machine.
+const MESSAGE_MEMORY_FRACTION: f64 = 1.0 / 16.0;
+/// The lowest limit on a message, in bytes, however little memory the process has.
+const MIN_MESSAGE_LIMIT: usize = 1024 * 1024;
+const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 
-/// Bytes of a message at most.
+/// The largest message that is accepted, in bytes.
 pub fn message_limit(limits: &ProcessLimits) -> usize {
-    let part = limits.mem_mb * 1024.0 * 1024.0 * MESSAGE_PART;
-    (part as usize).max(LEAST_MESSAGE_LIMIT)
+    let bytes = limits.mem_mb * BYTES_PER_MB * MESSAGE_MEMORY_FRACTION;
+    (bytes as usize).max(MIN_MESSAGE_LIMIT)
 }
 
-pub fn client(address: std::net::SocketAddr) -> Client {
-    Client::new(address, CBOR, 4)
+/// A client of the sibling at this address.
+pub fn client(address: SocketAddr) -> Client {
+    Client::new(address, CBOR, MAX_IDLE_CONNECTIONS)
 }
 
-pub async fn send(client: &Client, message: &MeshMessage, deadline: Duration) -> Option<MeshReply> {
-    let mut body = Vec::new();
-    ciborium::into_writer(message, &mut body).ok()?;
-    let (status, body) = client.send(Method::POST, PATH, body, deadline).await.ok()?;
+/// Makes one attempt to send a message; `None` without a valid reply in time.
+pub async fn send(client: &Client, message: &MeshMessage, timeout: Duration) -> Option<MeshReply> {
+    let body = encode(message)?;
+    let (status, body) = client.send(Method::POST, PATH, body, timeout).await.ok()?;
     (status == 200).then(|| ciborium::from_reader(body.as_ref()).ok())?
 }
 
+/// Answers one request. Its body has at most `message_limit` bytes and must arrive within `body_timeout`.
 pub async fn handle(
     inbox: Rc<Inbox>,
     request: Request<Incoming>,
-    limit: usize,
-    read: Duration,
+    message_limit: usize,
+    body_timeout: Duration,
 ) -> Reply {
-    if request.uri().path() == status::PATH {
-        return answer_status(&inbox, request.method()).await;
-    }
-    if request.uri().path() != PATH {
-        return http::reply(404, Vec::new(), CBOR);
+    match request.uri().path() {
+        status::PATH => answer_status(&inbox, request.method()).await,
+        PATH => answer_message(&inbox, request, message_limit, body_timeout).await,
+        _ => http::reply(404, Vec::new(), CBOR),
     }
+}
+
+/// Answers another controller's message.
+async fn answer_message(
+    inbox: &Inbox,
+    request: Request<Incoming>,
+    limit: usize,
+    body_timeout: Duration,
+) -> Reply {
     if request.method() != Method::POST {
         return http::reply(405, Vec::new(), CBOR);
     }
-    let Ok(body) = http::read_body(request.into_body(), limit, read).await else {
+    let Ok(body) = http::read_body(request.into_body(), limit, body_timeout).await else {
         return http::reply(400, Vec::new(), CBOR);
     };
     let Ok(message) = ciborium::from_reader::<MeshMessage, _>(body.as_ref()) else {
         return http::reply(400, Vec::new(), CBOR);
     };
-    match inbox.ask_mesh(message).await {
-        Some(reply) => {
-            let mut body = Vec::new();
-            match ciborium::into_writer(&reply, &mut body) {
-                Ok(()) => http::reply(200, body, CBOR),
-                Err(_) => http::reply(500, Vec::new(), CBOR),
-            }
-        }
-        None => http::reply(503, Vec::new(), CBOR),
+    let Some(reply) = inbox.mesh_request(message).await else {
+        return http::reply(503, Vec::new(), CBOR);
+    };
+    match encode(&reply) {
+        Some(body) => http::reply(200, body, CBOR),
+        None => http::reply(500, Vec::new(), CBOR),
     }
 }
 
-/// An operator's question, read-only.
+/// Answers an operator's request for the status, which changes nothing.
 async fn answer_status(inbox: &Inbox, method: &Method) -> Reply {
     if method != Method::GET {
         return http::reply(405, Vec::new(), JSON);
     }
-    let answer = inbox.ask(Question::Status).await;
+    let answer = inbox.request(ExternalRequest::Status).await;
     let Body::Status(status) = answer.body else {
         return http::reply(answer.status, Vec::new(), JSON);
     };
@@ -82,3 +95,9 @@
         Err(_) => http::reply(500, Vec::new(), JSON),
     }
 }
+
+fn encode(message: &impl Serialize) -> Option<Vec<u8>> {
+    let mut body = Vec::new();
+    ciborium::into_writer(message, &mut body).ok()?;
+    Some(body)
+}
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -1,55 +1,55 @@
-//! The operators' commands: they ask a running controller and print what it answers.
+//! The operators' client: it asks a running controller for its status.
 
-use crate::http::{Client, Failure};
+use crate::http::{Client, RequestError};
 use crate::status::{JSON, PATH, Status};
 use hyper::Method;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// How long an answer is waited for.
-const DEADLINE: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Why an operator gets no answer.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorError {
-    /// The runtime can't be had.
+    /// The runtime can't be started.
     #[error("cannot start the runtime: {0}")]
     Runtime(std::io::Error),
-    /// Nobody listens there.
+    /// No process listens at the address.
     #[error("{0} can't be reached (is it the address of mesh_addr?)")]
     Unreachable(SocketAddr),
-    /// It took too long, or the connection broke.
+    /// The answer took too long, or the connection failed. The number is the timeout in seconds.
     #[error("{0} gives no answer within {1} s")]
     NoAnswer(SocketAddr, u64),
-    /// It answers something else.
+    /// The answer is not a success.
     #[error("{address} answers with status {status}")]
     Refused {
-        /// Who was asked.
+        /// The address that was asked.
         address: SocketAddr,
-        /// What it answered.
+        /// The HTTP status of the answer.
         status: u16,
     },
-    /// The answer can't be read: another version, perhaps.
+    /// The answer can't be parsed; the controller may run another version.
     #[error("{0} answers what this version can't read: {1}")]
     Unreadable(SocketAddr, serde_json::Error),
 }
 
-/// Asks the controller whose `mesh_addr` this is.
+/// Asks the controller with this `mesh_addr` for its status.
 pub fn status(address: SocketAddr) -> Result<Status, OperatorError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(OperatorError::Runtime)?;
     let local = tokio::task::LocalSet::new();
-    local.block_on(&runtime, ask_status(address))
+    local.block_on(&runtime, request_status(address))
 }
 
-async fn ask_status(address: SocketAddr) -> Result<Status, OperatorError> {
+async fn request_status(address: SocketAddr) -> Result<Status, OperatorError> {
     let client = Client::new(address, JSON, 1);
-    let answer = client.send(Method::GET, PATH, Vec::new(), DEADLINE).await;
-    let (status, body) = answer.map_err(|failure| match failure {
-        Failure::NotSent => OperatorError::Unreachable(address),
-        Failure::Unknown => OperatorError::NoAnswer(address, DEADLINE.as_secs()),
+    let answer = client.send(Method::GET, PATH, Vec::new(), TIMEOUT).await;
+    let (status, body) = answer.map_err(|error| match error {
+        RequestError::NotSent => OperatorError::Unreachable(address),
+        RequestError::Unknown => OperatorError::NoAnswer(address, TIMEOUT.as_secs()),
     })?;
     if status != 200 {
         return Err(OperatorError::Refused { address, status });
--- a/src/service.rs
+++ b/src/service.rs
@@ -1,20 +1,18 @@
-//! The running process: listeners feed the queue of the one owner of all state, which works through
-//! it in batches and hands effects to the clients.
+//! The running process. One task owns the core: listeners and clients put inputs into its queue, it
+//! processes them in batches, and its effects go back to the listeners and clients. Everything runs on
+//! one thread.
 
-use crate::cloud_client::CloudClient;
-use crate::config::Config;
+mod clients;
+
+use crate::config::{Config, ProcessLimits};
 use crate::core::Core;
-use crate::core::effects::{CallId, Effect, Input};
-use crate::front::MESSAGE_PACK;
-use crate::http::{Bounds, Client};
-use crate::ids::Node;
+use crate::core::effects::{Effect, Input};
 use crate::inbox::Inbox;
-use crate::state_client::StateClient;
-use crate::{front, http, mesh, worker_client};
+use crate::{front, http, mesh};
+use clients::Clients;
 use rand::TryRngCore;
 use rand::rngs::OsRng;
-use std::collections::HashMap;
-use std::future::Future;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::net::TcpListener;
@@ -22,22 +20,38 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, timeout};
 
+/// Inputs that the core processes in one batch at most.
+const MAX_BATCH: usize = 256;
+/// Tenths of the process's sockets for users and workers, and for siblings. The rest is for this process's
+/// own calls.
+const FRONT_SOCKET_TENTHS: usize = 7;
+const MESH_SOCKET_TENTHS: usize = 1;
+/// The body of a request must arrive within the workers' lease divided by this.
+const BODY_TIMEOUTS_PER_LEASE: u32 = 4;
+/// Without inputs the core still runs this many times per workers' lease, since the time alone may require
+/// an action.
+const TICKS_PER_LEASE: u32 = 200;
+
+/// Why the process can't serve.
 #[derive(Debug, thiserror::Error)]
 pub enum ServiceError {
+    /// The runtime can't be started.
     #[error("cannot start the runtime: {0}")]
     Runtime(std::io::Error),
+    /// A listener's address can't be bound.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        address: std::net::SocketAddr,
+        /// The address.
+        address: SocketAddr,
+        /// The system's error.
         source: std::io::Error,
     },
+    /// The system provides no random numbers.
     #[error("no randomness: {0}")]
     Random(String),
 }
 
-/// Inputs worked through in one batch at most.
-const BATCH: usize = 256;
-
+/// Runs a controller until the process ends.
 pub fn run(config: Config) -> Result<(), ServiceError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -47,73 +61,95 @@
 }
 
 async fn serve(config: Config) -> Result<(), ServiceError> {
-    let front = listen(config.front).await?;
+    let front_listener = listen(config.front).await?;
     let mesh_listener = listen(config.mesh).await?;
     let (queue, inputs) = mpsc::unbounded_channel();
     let limits = &config.deployment.limits;
-    let lease = Duration::from_secs_f64(config.deployment.workers.lease_s);
+    let lease = lease(&config);
+    let body_timeout = lease / BODY_TIMEOUTS_PER_LEASE;
     let inbox = Rc::new(Inbox::new(queue.clone(), limits.fd_limit));
-    // Of the sockets, most are for users and workers, some for siblings, the rest for calls.
-    let read = lease / 4;
-    let front_bounds = Bounds {
-        connections: limits.fd_limit * 7 / 10,
-        read,
-    };
-    let mesh_bounds = Bounds {
-        connections: limits.fd_limit / 10,
-        read,
-    };
-    let at_front = inbox.clone();
-    spawn_local(http::serve(front, front_bounds, move |request| {
-        front::handle(at_front.clone(), request, read)
-    }));
-    let at_mesh = inbox.clone();
-    let message_limit = mesh::message_limit(limits);
-    spawn_local(http::serve(mesh_listener, mesh_bounds, move |request| {
-        mesh::handle(at_mesh.clone(), request, message_limit, read)
-    }));
-    let random = OsRng
-        .try_next_u64()
-        .map_err(|e| ServiceError::Random(e.to_string()))?;
-    // The time makes the incarnation differ from those before even where randomness repeats.
-    let seed = random ^ wall_ms();
+    serve_front(front_listener, limits, body_timeout, inbox.clone());
+    serve_mesh(mesh_listener, limits, body_timeout, inbox.clone());
+    let seed = random_seed()?;
     tracing::info!("{} serves on {}", config.node, config.front);
     let clients = Clients::new(&config, queue);
     let core = Core::new(config, seed);
-    own(core, inputs, clients, inbox).await;
+    run_core(core, inputs, lease / TICKS_PER_LEASE, clients, inbox).await;
     Ok(())
 }
 
-async fn listen(address: std::net::SocketAddr) -> Result<TcpListener, ServiceError> {
+/// How long a worker keeps running its tasks without an answer to its heartbeats. All timeouts are in
+/// proportion to it.
+fn lease(config: &Config) -> Duration {
+    Duration::from_secs_f64(config.deployment.workers.lease_s)
+}
+
+async fn listen(address: SocketAddr) -> Result<TcpListener, ServiceError> {
     TcpListener::bind(address)
         .await
         .map_err(|source| ServiceError::Listen { address, source })
 }
 
-fn wall_ms() -> u64 {
-    let since = SystemTime::now()
+fn serve_front(
+    listener: TcpListener,
+    limits: &ProcessLimits,
+    body_timeout: Duration,
+    inbox: Rc<Inbox>,
+) {
+    let max_connections = limits.fd_limit * FRONT_SOCKET_TENTHS / 10;
+    spawn_local(http::serve(listener, max_connections, move |request| {
+        front::handle(inbox.clone(), request, body_timeout)
+    }));
+}
+
+fn serve_mesh(
+    listener: TcpListener,
+    limits: &ProcessLimits,
+    body_timeout: Duration,
+    inbox: Rc<Inbox>,
+) {
+    let max_connections = limits.fd_limit * MESH_SOCKET_TENTHS / 10;
+    let message_limit = mesh::message_limit(limits);
+    spawn_local(http::serve(listener, max_connections, move |request| {
+        mesh::handle(inbox.clone(), request, message_limit, body_timeout)
+    }));
+}
+
+/// The seed of this process's random numbers, its incarnation among them.
+fn random_seed() -> Result<u64, ServiceError> {
+    let random = OsRng
+        .try_next_u64()
+        .map_err(|error| ServiceError::Random(error.to_string()))?;
+    // The time makes the incarnation differ from earlier ones even where the system's random numbers
+    // repeat, as after a restored snapshot.
+    Ok(random ^ unix_time_ms())
+}
+
+fn unix_time_ms() -> u64 {
+    let elapsed = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
-    u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+    u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// The owner's loop.
-async fn own(
+/// Runs the core on all inputs until the queue is closed.
+async fn run_core(
     mut core: Core,
     mut inputs: mpsc::UnboundedReceiver<Input>,
+    tick: Duration,
     clients: Rc<Clients>,
     inbox: Rc<Inbox>,
 ) {
     let start = Instant::now();
     let mut batch = Vec::new();
     loop {
-        // Whatever is there is one batch; without any, time itself may call for something.
-        if timeout(clients.tick, inputs.recv_many(&mut batch, BATCH)).await == Ok(0) {
+        // All queued inputs form one batch. Without any the core runs all the same after a tick.
+        if timeout(tick, inputs.recv_many(&mut batch, MAX_BATCH)).await == Ok(0) {
             return;
         }
-        inbox.taken(&batch);
+        inbox.batch_taken(&batch);
         let now = start.elapsed().as_secs_f64();
-        for effect in core.step(now, wall_ms(), std::mem::take(&mut batch)) {
+        for effect in core.step(now, unix_time_ms(), std::mem::take(&mut batch)) {
             match effect {
                 Effect::Answer(request, answer) => inbox.answer(request, answer),
                 Effect::MeshAnswer(request, reply) => inbox.answer_mesh(request, reply),
@@ -122,75 +158,3 @@
         }
     }
 }
-
-struct Clients {
-    queue: mpsc::UnboundedSender<Input>,
-    state: Rc<StateClient>,
-    cloud: Rc<CloudClient>,
-    siblings: HashMap<Node, Rc<Client>>,
-    tick: Duration,
-    worker_deadline: Duration,
-    mesh_deadline: Duration,
-}
-
-impl Clients {
-    fn new(config: &Config, queue: mpsc::UnboundedSender<Input>) -> Rc<Self> {
-        let services = &config.services;
-        let lease = Duration::from_secs_f64(config.deployment.workers.lease_s);
-        let state = Client::new(services.state, MESSAGE_PACK, 8);
-        let cloud = Client::new(services.cloud, MESSAGE_PACK, 2);
-        let siblings = config.siblings.iter();
-        Rc::new(Self {
-            queue,
-            state: Rc::new(StateClient::new(state, lease / 12)),
-            cloud: Rc::new(CloudClient::new(cloud, lease / 3)),
-            siblings: siblings
-                .map(|s| (s.node.clone(), Rc::new(mesh::client(s.addr))))
-                .collect(),
-            tick: lease / 200,
-            worker_deadline: lease / 10,
-            mesh_deadline: lease / 12,
-        })
-    }
-
-    /// Starts a call; its reply comes back through the queue.
-    fn call(&self, effect: Effect) {
-        match effect {
-            Effect::State(call, what) => {
-                let client = self.state.clone();
-                self.spawn(call, async move { client.call(what).await }, Input::State);
-            }
-            Effect::Cloud(call, what) => {
-                let client = self.cloud.clone();
-                self.spawn(call, async move { client.call(what).await }, Input::Cloud);
-            }
-            Effect::Worker(call, address, commands) => {
-                let deadline = self.worker_deadline;
-                let send = async move { worker_client::send(&address, &commands, deadline).await };
-                self.spawn(call, send, Input::Worker);
-            }
-            Effect::Mesh(call, node, message) => {
-                let Some(client) = self.siblings.get(&node).cloned() else {
-                    return;
-                };
-                let deadline = self.mesh_deadline;
-                let send = async move { mesh::send(&client, &message, deadline).await };
-                self.spawn(call, send, Input::MeshReply);
-            }
-            Effect::Answer(..) | Effect::MeshAnswer(..) => {}
-        }
-    }
-
-    fn spawn<R: 'static>(
-        &self,
-        call: CallId,
-        work: impl Future<Output = R> + 'static,
-        input: impl FnOnce(CallId, R) -> Input + 'static,
-    ) {
-        let queue = self.queue.clone();
-        spawn_local(async move {
-            // The owner is gone only when the process ends.
-            queue.send(input(call, work.await)).ok();
-        });
-    }
-}
--- a/src/state_client.rs
+++ b/src/store_client.rs
@@ -1,33 +1,40 @@
-//! Requests to the state service: one try each, with a deadline; the core decides on repeats.
+//! Requests to the key-value store: one attempt each, with a timeout. The core decides on retries.
+//!
+//! Protocol words: the store's paths (`/kv`, `/watch`, `/multi`, `/leases`) and query parameters.
 
 use crate::core::effects::{StoreCall, StoreReply};
-use crate::http::{Client, Failure};
+use crate::http::{Client, RequestError};
 use crate::wire::{Changes, LeaseId, LeaseTtl, Listing, Revision, decode, encode};
 use hyper::Method;
 use std::time::Duration;
 
-const PAGE: usize = 500;
+/// Entries that one page of a listing may hold.
+const PAGE_ENTRIES: usize = 500;
 
-pub struct StateClient {
+/// A client of the key-value store.
+pub struct StoreClient {
     client: Client,
-    deadline: Duration,
+    timeout: Duration,
 }
 
-impl StateClient {
-    pub fn new(client: Client, deadline: Duration) -> Self {
-        Self { client, deadline }
+impl StoreClient {
+    /// A client whose requests fail after `timeout`.
+    pub fn new(client: Client, timeout: Duration) -> Self {
+        Self { client, timeout }
     }
 
+    /// Makes one attempt at a call.
     pub async fn call(&self, call: StoreCall) -> StoreReply {
         let (method, path, body) = request(&call);
-        match self.client.send(method, &path, body, self.deadline).await {
+        match self.client.send(method, &path, body, self.timeout).await {
             Ok((status, body)) => reply(&call, status, &body),
-            Err(Failure::NotSent) => StoreReply::Refused,
-            Err(Failure::Unknown) => StoreReply::Unknown,
+            Err(RequestError::NotSent) => StoreReply::Refused,
+            Err(RequestError::Unknown) => StoreReply::Unknown,
         }
     }
 }
 
+/// The method, path and body of a call.
 fn request(call: &StoreCall) -> (Method, String, Vec<u8>) {
     match call {
         StoreCall::List { prefix, from } => {
@@ -35,23 +42,18 @@
                 .as_ref()
                 .map(|key| format!("&from={key}"))
                 .unwrap_or_default();
-            (
-                Method::GET,
-                format!("/kv?prefix={prefix}{from}&page={PAGE}"),
-                Vec::new(),
-            )
+            let path = format!("/kv?prefix={prefix}{from}&page={PAGE_ENTRIES}");
+            (Method::GET, path, Vec::new())
+        }
+        StoreCall::Changes { prefix, from } => {
+            let path = format!("/watch?prefix={prefix}&from={from}&waitMs=0");
+            (Method::GET, path, Vec::new())
         }
-        StoreCall::Changes { prefix, from } => (
-            Method::GET,
-            format!("/watch?prefix={prefix}&from={from}&waitMs=0"),
-            Vec::new(),
-        ),
         StoreCall::Commit(transaction) => (Method::POST, "/multi".into(), encode(transaction)),
-        StoreCall::LeaseCreate { ttl_ms } => (
-            Method::POST,
-            "/leases".into(),
-            encode(&LeaseTtl { ttl_ms: *ttl_ms }),
-        ),
+        StoreCall::LeaseCreate { ttl_ms } => {
+            let ttl = LeaseTtl { ttl_ms: *ttl_ms };
+            (Method::POST, "/leases".into(), encode(&ttl))
+        }
         StoreCall::LeaseRenew { lease } => {
             (Method::POST, format!("/leases/{lease}/renew"), Vec::new())
         }
@@ -59,6 +61,7 @@
     }
 }
 
+/// What the response to a call means.
 fn reply(call: &StoreCall, status: u16, body: &[u8]) -> StoreReply {
     match (status, call) {
         (429, _) => StoreReply::Busy,
@@ -75,7 +78,7 @@
                 StoreReply::Committed(answer.revision)
             }),
         (409, StoreCall::Commit(_)) => StoreReply::Conflict,
-        // The service names a lease that has ended and a broken limit alike.
+        // The store answers an expired lease and an exceeded limit with the same status.
         (400, StoreCall::Commit(transaction)) if transaction.has_lease() => StoreReply::LeaseGone,
         (400, StoreCall::Commit(_)) => StoreReply::Rejected,
         (200, StoreCall::LeaseCreate { .. }) => decode::<LeaseId>(body)
--- a/src/state_client/tests.rs
+++ b/src/store_client/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::wire::{Transaction, Write};
 
-/// The service answers 400 to a lease that has ended and to a broken limit alike.
+/// The store answers 400 both to an expired lease and to an exceeded limit.
 #[test]
-fn a_refused_transaction_is_told_from_an_ended_lease() {
+fn a_rejected_transaction_is_told_from_an_expired_lease() {
     let commit = |lease| {
         let write = Write::Put {
             key: "k".into(),
--- a/tests/loopback/fleet.rs
+++ b/tests/loopback/fleet.rs
@@ -2,7 +2,7 @@
 //! history of what truly ran.
 
 use super::worker::empty_report;
-use super::{BOUNDS, listen};
+use super::{MAX_CONNECTIONS, WAIT, listen};
 use hyper::body::Incoming;
 use hyper::{Method, Request};
 use ochredrum::front::MESSAGE_PACK;
@@ -197,7 +197,7 @@
             address.to_string(), "breed": "g8", "yard": "a", "loaners": false, "stance": "running",
             "heldS": 600.0}));
         let taking = machine.clone();
-        spawn_local(serve(listener, BOUNDS, move |request| {
+        spawn_local(serve(listener, MAX_CONNECTIONS, move |request| {
             take_request(taking.clone(), request)
         }));
         spawn_local(pass_time(machine.clone()));
@@ -214,7 +214,7 @@
 }
 
 async fn take_request(machine: Rc<RefCell<Machine>>, request: Request<Incoming>) -> Reply {
-    let Ok(body) = read_body(request.into_body(), BODY_LIMIT, BOUNDS.read).await else {
+    let Ok(body) = read_body(request.into_body(), BODY_LIMIT, WAIT).await else {
         return reply(400, Vec::new(), MESSAGE_PACK);
     };
     let mut machine = machine.borrow_mut();
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -11,7 +11,7 @@
 use hyper::{Method, Request};
 use ochredrum::core::effects::{StoreCall, StoreReply};
 use ochredrum::front::MESSAGE_PACK;
-use ochredrum::http::{Bounds, Client, Failure, Reply, read_body, reply, serve};
+use ochredrum::http::{Client, Reply, RequestError, read_body, reply, serve};
 use ochredrum::wire::{Transaction, decode, encode};
 use serde_json::{Value, json};
 use state::State;
@@ -225,7 +225,7 @@
     method: Method,
     path: &str,
     body: Vec<u8>,
-) -> Result<(u16, Value), Failure> {
+) -> Result<(u16, Value), RequestError> {
     let (status, body) = client
         .send(method, path, body, Duration::from_secs(3))
         .await?;
@@ -252,11 +252,8 @@
         "markEveryS": 3.0, "markS": 1.0})
 }
 
-/// How connections to stand-ins are bounded.
-pub const BOUNDS: Bounds = Bounds {
-    connections: 100,
-    read: WAIT,
-};
+/// How many connections a stand-in accepts.
+pub const MAX_CONNECTIONS: usize = 100;
 
 /// The addresses of one or more controllers, with a state service and a cloud to talk to.
 pub struct Deployment {
@@ -281,13 +278,13 @@
         let state = Rc::new(RefCell::new(state));
         let began = Instant::now();
         let (listener, state_at) = listen().await;
-        spawn_local(serve(listener, BOUNDS, move |request| {
+        spawn_local(serve(listener, MAX_CONNECTIONS, move |request| {
             state_service(state.clone(), began, request)
         }));
         let (listener, cloud_at) = listen().await;
         let listed = Rc::new(RefCell::new(Vec::new()));
         let at_cloud = listed.clone();
-        spawn_local(serve(listener, BOUNDS, move |request| {
+        spawn_local(serve(listener, MAX_CONNECTIONS, move |request| {
             cloud(at_cloud.clone(), request)
         }));
         let (mut fronts, mut meshes, mut held) = (Vec::new(), Vec::new(), Vec::new());
--- a/tests/loopback/worker.rs
+++ b/tests/loopback/worker.rs
@@ -1,6 +1,6 @@
 //! A worker that reports to the program and takes its direct messages, or keeps them.
 
-use super::{BOUNDS, WAIT, listen};
+use super::{MAX_CONNECTIONS, WAIT, listen};
 use hyper::body::Incoming;
 use hyper::{Method, Request};
 use ochredrum::front::MESSAGE_PACK;
@@ -129,7 +129,7 @@
             messages: Messages::Serve,
         }));
         let taking = machine.clone();
-        let listening = spawn_local(serve(listener, BOUNDS, move |request| {
+        let listening = spawn_local(serve(listener, MAX_CONNECTIONS, move |request| {
             take_request(taking.clone(), request)
         }));
         spawn_local(report_for_ever(machine.clone(), front));
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -5,7 +5,7 @@
 use hyper::Method;
 use loopback::{Deployment, StandInWorker, ask, job, settings, settings_file, start, until};
 use ochredrum::front::MESSAGE_PACK;
-use ochredrum::http::{Client, Failure};
+use ochredrum::http::{Client, RequestError};
 use ochredrum::wire::encode;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
@@ -38,7 +38,7 @@
         // Refused before it is read to its end: an answer, or a closed connection.
         assert!(matches!(
             post(encode(&large)).await,
-            Ok((400, _)) | Err(Failure::Unknown)
+            Ok((400, _)) | Err(RequestError::Unknown)
         ));
         for (field, value) in [
             ("crew", json!("nobody")),
