--- a/crates/failure-detector/src/detector.rs
+++ b/crates/failure-detector/src/detector.rs
@@ -1,25 +1,25 @@
 //! One observer, which judges all other controllers.
 
 use crate::local_health::LocalHealth;
-use crate::opinion::{Opinion, Received};
-use crate::peer::{Evidence, Peer, Stage};
+use crate::opinion::{Opinion, ReceivedOpinion, StoredOpinion};
+use crate::peer::{Evidence, Observation, Peer, Stage};
 use crate::{Incarnation, Seconds, Settings};
 use std::collections::BTreeMap;
 
-/// A controller is judged otherwise than before.
+/// A change in the judgement of a controller.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StageChange<C> {
     /// The controller.
     pub of: C,
-    /// The judgement until now.
+    /// The previous judgement.
     pub from: Stage,
     /// The new one.
     pub to: Stage,
-    /// Why.
+    /// What the new one is based on.
     pub evidence: Evidence,
 }
 
-/// Judges all other controllers, one observer's view.
+/// One observer's view of all other controllers.
 #[derive(Debug)]
 pub struct Detector<C> {
     settings: Settings,
@@ -28,7 +28,7 @@
 }
 
 impl<C: Ord + Clone> Detector<C> {
-    /// An observer of these controllers, all of them alive until they are silent for long enough.
+    /// An observer of these controllers. Each counts as alive until it has been silent for long enough.
     pub fn new(others: impl IntoIterator<Item = C>, settings: Settings) -> Self {
         let peers = others
             .into_iter()
@@ -41,18 +41,13 @@
         }
     }
 
-    /// The thresholds that it goes by.
-    pub fn settings(&self) -> &Settings {
-        &self.settings
-    }
-
-    /// A step of the observer begins; called before any evidence of that step. After a standstill of the
-    /// observer itself silence counts anew.
+    /// Records that a step of the observer begins; to be called before any evidence of that step. After a
+    /// pause of the observer itself, silence of others counts from this step.
     pub fn step(&mut self, now: Seconds) {
         self.health.step(&self.settings, now);
     }
 
-    /// A controller answered the heartbeat that was sent at `sent`.
+    /// Records that a controller answered the heartbeat that was sent at `sent`.
     pub fn heartbeat_answered(
         &mut self,
         of: &C,
@@ -61,164 +56,144 @@
         now: Seconds,
     ) {
         if let Some(peer) = self.peers.get_mut(of) {
-            peer.answered(incarnation, sent, now);
+            peer.heartbeat_answered(incarnation, sent, now);
         }
     }
 
-    /// A controller's own message arrived. That shows its outgoing direction only, so it is evidence for
-    /// operators and no answer.
+    /// Records that a message of a controller's own arrived. It shows only that messages from there arrive, so
+    /// it is information for operators and does not count as an answer.
     pub fn message_received(&mut self, of: &C, now: Seconds) {
         if let Some(peer) = self.peers.get_mut(of) {
-            peer.received(now);
+            peer.message_received(now);
         }
     }
 
-    /// A worker came here that has left this controller.
+    /// Records that a worker has left this controller and reached the observer.
     pub fn worker_left(&mut self, of: &C, now: Seconds) {
         if let Some(peer) = self.peers.get_mut(of) {
-            peer.workers_left(now);
+            peer.worker_left(now);
         }
     }
 
-    /// What another observer thinks of others.
-    pub fn opinions(&mut self, from: &C, opinions: Vec<Opinion<C>>, now: Seconds) {
-        for Opinion {
-            of,
-            incarnation,
-            silence_s,
-            suspects,
-        } in opinions
-        {
-            if let Some(peer) = self.peers.get_mut(&of) {
-                peer.opinion(
-                    from,
-                    Received {
-                        incarnation,
-                        suspects,
-                        silence_s,
-                        at: now,
-                    },
-                );
-            }
+    /// Records the opinions of another observer.
+    pub fn receive_opinions(&mut self, from: &C, opinions: Vec<Opinion<C>>, now: Seconds) {
+        for opinion in opinions {
+            let Some(peer) = self.peers.get_mut(&opinion.of) else {
+                continue;
+            };
+            let stored = StoredOpinion {
+                suspects: opinion.suspects,
+                silence_s: opinion.silence_s,
+                received_at: now,
+            };
+            peer.receive_opinion(from, stored);
         }
     }
 
-    /// Whether a controller's key in the state service has gone.
-    pub fn key_gone(&mut self, of: &C, gone: bool) {
+    /// Sets whether a controller's key in the key-value store is gone.
+    pub fn set_key_gone(&mut self, of: &C, gone: bool) {
         if let Some(peer) = self.peers.get_mut(of) {
-            peer.key_gone = gone;
+            peer.set_key_gone(gone);
         }
     }
 
-    /// Whether a controller owns nothing any more.
-    pub fn owns_nothing(&mut self, of: &C, nothing: bool) {
+    /// Sets whether a controller owns nothing any more.
+    pub fn set_owns_nothing(&mut self, of: &C, owns_nothing: bool) {
         if let Some(peer) = self.peers.get_mut(of) {
-            peer.owns_nothing = nothing;
+            peer.set_owns_nothing(owns_nothing);
         }
     }
 
-    /// Judges all anew. Each change is told once.
+    /// Judges all controllers again. Each change is returned once.
     pub fn judge(&mut self, now: Seconds) -> Vec<StageChange<C>> {
-        let (counts_from, stretch) = (self.health.counts_from, self.health.stretch());
+        let observation = Observation::new(&self.settings, &self.health, now);
         let mut changes = Vec::new();
         for (of, peer) in &mut self.peers {
-            let to = peer.judge(&self.settings, counts_from, stretch, now);
-            let from = std::mem::replace(&mut peer.stage, to);
+            let from = peer.stage();
+            let to = peer.judge(&observation);
             if from != to {
-                let evidence = peer.evidence(&self.settings, counts_from, stretch, now);
                 changes.push(StageChange {
                     of: of.clone(),
                     from,
                     to,
-                    evidence,
+                    evidence: peer.evidence(&observation),
                 });
             }
         }
         changes
     }
 
-    /// How a controller is judged; one that is not known is alive.
+    /// The judgement of a controller. An unknown one counts as alive.
     pub fn stage(&self, of: &C) -> Stage {
-        self.peers.get(of).map_or(Stage::Alive, |peer| peer.stage)
+        self.peers.get(of).map_or(Stage::Alive, Peer::stage)
     }
 
-    /// Whether a controller has answered lately. Unlike its stage this is false of one that was never heard.
+    /// Whether a controller has answered recently. Unlike [`Self::stage`] this is false of one that has never
+    /// answered.
     pub fn hears(&self, of: &C, now: Seconds) -> bool {
-        self.peers.get(of).is_some_and(|peer| {
-            let stretch = self.health.stretch();
-            let threshold = peer.threshold(&self.settings, stretch, now);
-            peer.heard_within(threshold, now)
-        })
+        let observation = Observation::new(&self.settings, &self.health, now);
+        self.peers
+            .get(of)
+            .is_some_and(|peer| peer.has_answered_recently(&observation))
     }
 
-    /// How long the answers of a controller have been missing; none of one that is not known.
+    /// How long the answers of a controller have been missing; 0 for an unknown one.
     pub fn silence(&self, of: &C, now: Seconds) -> Seconds {
+        let observation = Observation::new(&self.settings, &self.health, now);
         self.peers
             .get(of)
-            .map_or(0.0, |peer| peer.silence(self.health.counts_from, now))
+            .map_or(0.0, |peer| peer.silence(&observation))
     }
 
-    /// Whether any other controller has answered lately.
+    /// Whether any other controller has answered recently.
     pub fn hears_any(&self, now: Seconds) -> bool {
         self.peers.keys().any(|of| self.hears(of, now))
     }
 
-    /// The process of a controller that was heard last.
+    /// The process of a controller that last answered.
     pub fn incarnation(&self, of: &C) -> Option<Incarnation> {
         self.peers.get(of).and_then(Peer::incarnation)
     }
 
-    /// Whether the failure of a controller, as a whole, is confirmed.
+    /// Whether the failure of a controller is confirmed.
     pub fn has_failed(&self, of: &C) -> bool {
         self.stage(of) >= Stage::Confirmed
     }
 
-    /// What others are to be told. An observer that hears nobody tells nothing: its own incoming
-    /// direction may be what has failed.
-    pub fn opinions_to_tell(&self, now: Seconds) -> Vec<Opinion<C>> {
-        if !self.settings.alone_tells && !self.hears_any(now) {
+    /// The opinions to send to other observers. An observer that gets no answers from any other sends none:
+    /// the link to the observer itself may be what has failed.
+    pub fn opinions_to_send(&self, now: Seconds) -> Vec<Opinion<C>> {
+        if !self.settings.shares_opinions_when_isolated && !self.hears_any(now) {
             return Vec::new();
         }
-        let counts_from = self.health.counts_from;
+        let observation = Observation::new(&self.settings, &self.health, now);
         let opinion = |(of, peer): (&C, &Peer<C>)| Opinion {
             of: of.clone(),
             incarnation: peer.incarnation(),
-            silence_s: peer.silence(counts_from, now),
-            suspects: peer.stage >= Stage::Suspected,
+            silence_s: peer.silence(&observation),
+            suspects: peer.stage() >= Stage::Suspected,
         };
         self.peers.iter().map(opinion).collect()
     }
 
-    /// What other observers told last of a controller, and how long ago.
-    pub fn told_of(&self, of: &C, now: Seconds) -> Vec<(C, Opinion<C>, Seconds)> {
-        let told = self.peers.get(of).into_iter().flat_map(Peer::told);
-        let opinion = |(from, received): (&C, &Received)| {
-            let Received {
-                incarnation,
-                suspects,
-                silence_s,
-                at,
-            } = *received;
-            let opinion = Opinion {
-                of: of.clone(),
-                incarnation,
-                silence_s,
-                suspects,
-            };
-            (from.clone(), opinion, now - at)
+    /// The last opinion of each other observer on a controller.
+    pub fn received_opinions(&self, of: &C, now: Seconds) -> Vec<ReceivedOpinion<C>> {
+        let stored = self.peers.get(of).into_iter().flat_map(Peer::opinions);
+        let received = |(observer, opinion): (&C, &StoredOpinion)| ReceivedOpinion {
+            observer: observer.clone(),
+            suspects: opinion.suspects,
+            silence_s: opinion.silence_s,
+            age_s: now - opinion.received_at,
         };
-        told.map(opinion).collect()
+        stored.map(received).collect()
     }
 
-    /// Why each controller is judged as it is.
+    /// What the judgement of each controller is based on.
     pub fn evidence(&self, now: Seconds) -> BTreeMap<C, Evidence> {
-        let (counts_from, stretch) = (self.health.counts_from, self.health.stretch());
-        let of = |(of, peer): (&C, &Peer<C>)| {
-            (
-                of.clone(),
-                peer.evidence(&self.settings, counts_from, stretch, now),
-            )
-        };
-        self.peers.iter().map(of).collect()
+        let observation = Observation::new(&self.settings, &self.health, now);
+        self.peers
+            .iter()
+            .map(|(of, peer)| (of.clone(), peer.evidence(&observation)))
+            .collect()
     }
 }
--- a/crates/failure-detector/src/lib.rs
+++ b/crates/failure-detector/src/lib.rs
@@ -1,12 +1,12 @@
 //! Staged failure detection among the controllers of a fleet.
 //!
-//! Every controller runs one [`Detector`], which judges every other one: alive, suspected, confirmed
-//! failed, handed over. It does no I/O and reads no clock: evidence and the time come in, changes of stage
-//! come out, and the same inputs give the same judgements. Its memory is bounded by the square of the number
-//! of controllers.
+//! Every controller runs one [`Detector`], which judges every other controller: alive, suspected,
+//! confirmed failed, handed over. It does no I/O and reads no clock: evidence and the time are passed in,
+//! changes of stage are returned, and the same inputs give the same judgements. Its memory is bounded by
+//! the square of the number of controllers.
 //!
-//! A stage is a hint about who is worth asking. It gives nobody the right to act in place of another:
-//! that right has to come from elsewhere, such as a lease that has ended.
+//! A stage is a hint about which controllers are worth asking. It never authorizes one controller to act in
+//! place of another: that right must come from elsewhere, such as an expired lease.
 
 #![warn(missing_docs)]
 
@@ -19,17 +19,21 @@
 mod settings;
 
 pub use detector::{Detector, StageChange};
-pub use opinion::Opinion;
+pub use opinion::{Opinion, ReceivedOpinion};
 pub use partial::{OwnContact, PartialFailure};
 pub use peer::{Evidence, Stage};
-pub use settings::{LEAST_SUSPECT_HEARTBEATS, SUSPECT_HEARTBEATS, Settings};
+pub use settings::{MIN_SUSPECT_HEARTBEATS, SUSPECT_HEARTBEATS, Settings};
 
-/// Seconds on the observer's steady clock.
+/// Seconds on the observer's monotonic clock.
 pub type Seconds = f64;
 
-/// Tells one process of a controller from the next under the same address. Incarnations have no order.
+/// Distinguishes a process of a controller from earlier and later ones at the same address. Incarnations
+/// have no order.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 #[serde(transparent)]
-pub struct Incarnation(pub u64);
+pub struct Incarnation(
+    /// The number that messages carry.
+    pub u64,
+);
--- a/crates/failure-detector/src/peer.rs
+++ b/crates/failure-detector/src/peer.rs
@@ -1,210 +1,274 @@
 //! What one observer knows of one other controller.
 
-use crate::interval::UsualInterval;
-use crate::opinion::Received;
+use crate::interval::IntervalEstimate;
+use crate::local_health::LocalHealth;
+use crate::opinion::StoredOpinion;
 use crate::{Incarnation, Seconds, Settings};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
+/// Factor by which each refuted suspicion raises the threshold.
+const REFUTATION_FACTOR: f64 = 1.5;
+/// Refuted suspicions beyond this many raise the threshold no further.
+const MAX_REFUTATIONS: u32 = 8;
+
 /// How far the failure of a controller is established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// It has answered lately.
+    /// It has answered recently.
     Alive,
-    /// This observer does not hear it.
+    /// This observer gets no answers from it.
     Suspected,
-    /// A quorum of observers does not hear it, or this one does not and its key has gone.
+    /// A quorum of observers gets no answers from it, or this observer gets none and its key in the store is
+    /// gone.
     Confirmed,
-    /// Confirmed, and nothing is its own any more.
+    /// Confirmed, and it owns nothing any more.
     HandedOver,
 }
 
-/// Why a controller is judged as it is.
+/// What the judgement of a controller is based on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Evidence {
     /// The judgement.
     pub stage: Stage,
-    /// The process that was heard last.
+    /// The process that last answered.
     pub incarnation: Option<Incarnation>,
     /// How long its answers have been missing.
     pub silence_s: Seconds,
     /// The silence after which this observer suspects it.
     pub threshold_s: Seconds,
-    /// How long ago one of its own messages arrived, if one did.
+    /// How long ago a message of its own arrived, if one did.
     pub last_message_s: Option<Seconds>,
-    /// Observers that suspect it, the own one among them.
+    /// Observers that suspect it, this one included.
     pub votes: usize,
-    /// Whether its key in the state service has gone.
+    /// Whether its key in the key-value store is gone.
     pub key_gone: bool,
-    /// Workers that left it were here lately.
+    /// Whether workers that left it recently reached the observer.
     pub workers_left: bool,
 }
 
+/// The circumstances in which an observer judges its peers.
+#[derive(Debug)]
+pub struct Observation<'a> {
+    settings: &'a Settings,
+    /// The factor by which the observer's own slowness raises thresholds.
+    threshold_factor: f64,
+    /// Silence before this time does not count.
+    silence_counts_from: Seconds,
+    now: Seconds,
+}
+
+impl<'a> Observation<'a> {
+    /// The circumstances at the time `now`.
+    pub fn new(settings: &'a Settings, health: &LocalHealth, now: Seconds) -> Self {
+        Self {
+            settings,
+            threshold_factor: health.threshold_factor(),
+            silence_counts_from: health.silence_counts_from(),
+            now,
+        }
+    }
+}
+
 /// One controller, as an observer knows it.
 #[derive(Debug)]
 pub struct Peer<C> {
     incarnation: Option<Incarnation>,
-    /// When the heartbeat was sent that it answered last.
-    answered_sent: Seconds,
+    /// When the heartbeat was sent that it last answered.
+    last_answered_sent: Seconds,
     /// When its last answer arrived.
-    heard: Option<Seconds>,
-    /// When its last own message arrived.
-    received: Option<Seconds>,
-    usual: UsualInterval,
-    /// Suspicions of a process that turned out to live, and when the last one did.
-    refuted: u32,
-    refuted_at: Seconds,
-    pub key_gone: bool,
-    pub owns_nothing: bool,
-    workers_left: Option<Seconds>,
-    opinions: BTreeMap<C, Received>,
-    pub stage: Stage,
+    last_answer: Option<Seconds>,
+    /// When a message of its own last arrived.
+    last_message: Option<Seconds>,
+    answer_interval: IntervalEstimate,
+    /// Suspicions of the present process that turned out to be wrong.
+    refutations: u32,
+    last_refutation: Seconds,
+    key_gone: bool,
+    owns_nothing: bool,
+    last_worker_left: Option<Seconds>,
+    opinions: BTreeMap<C, StoredOpinion>,
+    stage: Stage,
 }
 
 impl<C: Ord + Clone> Peer<C> {
+    /// A controller of which nothing is known yet.
     pub fn new() -> Self {
         Self {
             incarnation: None,
-            answered_sent: Seconds::NEG_INFINITY,
-            heard: None,
-            received: None,
-            usual: UsualInterval::default(),
-            refuted: 0,
-            refuted_at: Seconds::NEG_INFINITY,
+            last_answered_sent: Seconds::NEG_INFINITY,
+            last_answer: None,
+            last_message: None,
+            answer_interval: IntervalEstimate::default(),
+            refutations: 0,
+            last_refutation: Seconds::NEG_INFINITY,
             key_gone: false,
             owns_nothing: false,
-            workers_left: None,
+            last_worker_left: None,
             opinions: BTreeMap::new(),
             stage: Stage::Alive,
         }
     }
 
-    /// It answered a heartbeat that was sent at `sent`. An answer to an earlier one than the last says
-    /// nothing: it may be of an earlier process.
-    pub fn answered(&mut self, incarnation: Incarnation, sent: Seconds, now: Seconds) {
-        if sent < self.answered_sent {
+    /// Records the answer to the heartbeat sent at `sent`. An answer to an earlier heartbeat than the last
+    /// answered one is ignored: it may be of an earlier process.
+    pub fn heartbeat_answered(&mut self, incarnation: Incarnation, sent: Seconds, now: Seconds) {
+        if sent < self.last_answered_sent {
             return;
         }
-        self.answered_sent = sent;
-        let same_process = self.incarnation == Some(incarnation);
-        if let Some(before) = self.heard.filter(|_| same_process) {
-            self.usual.add(now - before);
+        self.last_answered_sent = sent;
+        if self.incarnation == Some(incarnation) {
+            self.same_process_answered(now);
+        } else {
+            self.new_process_answered();
         }
-        if !same_process {
-            self.usual = UsualInterval::default();
-            self.workers_left = None;
-            self.refuted = 0;
+        self.incarnation = Some(incarnation);
+        self.last_answer = Some(now);
+    }
+
+    fn same_process_answered(&mut self, now: Seconds) {
+        if let Some(previous) = self.last_answer {
+            self.answer_interval.add(now - previous);
         }
-        if same_process && self.stage >= Stage::Suspected {
-            self.refuted += 1;
-            self.refuted_at = now;
+        if self.stage >= Stage::Suspected {
+            self.refutations += 1;
+            self.last_refutation = now;
         }
-        self.incarnation = Some(incarnation);
-        self.heard = Some(now);
     }
 
-    pub fn received(&mut self, now: Seconds) {
-        self.received = Some(now);
+    fn new_process_answered(&mut self) {
+        self.answer_interval = IntervalEstimate::default();
+        self.last_worker_left = None;
+        self.refutations = 0;
+    }
+
+    /// Records that a message of its own arrived.
+    pub fn message_received(&mut self, now: Seconds) {
+        self.last_message = Some(now);
     }
 
-    pub fn workers_left(&mut self, now: Seconds) {
-        self.workers_left = Some(now);
+    /// Records that a worker left it.
+    pub fn worker_left(&mut self, now: Seconds) {
+        self.last_worker_left = Some(now);
     }
 
-    pub fn opinion(&mut self, from: &C, opinion: Received) {
+    /// Records an observer's opinion in place of its previous one.
+    pub fn receive_opinion(&mut self, from: &C, opinion: StoredOpinion) {
         self.opinions.insert(from.clone(), opinion);
     }
 
-    pub fn told(&self) -> impl Iterator<Item = (&C, &Received)> {
+    /// Sets whether its key in the key-value store is gone.
+    pub fn set_key_gone(&mut self, gone: bool) {
+        self.key_gone = gone;
+    }
+
+    /// Sets whether it owns nothing any more.
+    pub fn set_owns_nothing(&mut self, owns_nothing: bool) {
+        self.owns_nothing = owns_nothing;
+    }
+
+    /// The last opinion of each other observer.
+    pub fn opinions(&self) -> impl Iterator<Item = (&C, &StoredOpinion)> {
         self.opinions.iter()
     }
 
+    /// The process that last answered.
     pub fn incarnation(&self) -> Option<Incarnation> {
         self.incarnation
     }
 
-    /// How long it has not answered, not counting the time before `counts_from`.
-    pub fn silence(&self, counts_from: Seconds, now: Seconds) -> Seconds {
-        now - self.heard.unwrap_or(counts_from).max(counts_from)
+    /// The last judgement.
+    pub fn stage(&self) -> Stage {
+        self.stage
+    }
+
+    /// How long its answers have been missing, as far as silence counts.
+    pub fn silence(&self, observation: &Observation) -> Seconds {
+        let counts_from = observation.silence_counts_from;
+        let last_answer = self.last_answer.unwrap_or(counts_from);
+        observation.now - last_answer.max(counts_from)
     }
 
-    /// Whether it answered within this time, whatever the observer did meanwhile.
-    pub fn heard_within(&self, time: Seconds, now: Seconds) -> bool {
-        self.heard.is_some_and(|heard| now - heard < time)
+    /// Whether it answered within its threshold, even if the observer has paused since.
+    pub fn has_answered_recently(&self, observation: &Observation) -> bool {
+        let threshold = self.threshold(observation);
+        self.last_answer
+            .is_some_and(|answer| observation.now - answer < threshold)
     }
 
     /// The silence after which it is suspected.
-    pub fn threshold(&self, settings: &Settings, observer_stretch: f64, now: Seconds) -> Seconds {
-        let least = match self.has_lost_workers(settings, now) {
-            true => settings.suspect_corroborated_after_s,
-            false => settings.suspect_after_s,
+    fn threshold(&self, observation: &Observation) -> Seconds {
+        let settings = observation.settings;
+        let least = if self.has_lost_workers(observation) {
+            settings.suspect_corroborated_after_s
+        } else {
+            settings.suspect_after_s
         };
-        let usual = least.max(self.usual.longest());
-        let stretched = usual * observer_stretch * self.damping(settings, now);
-        stretched.min(settings.suspect_at_most_s)
+        let usual = least.max(self.answer_interval.longest_usual());
+        let raised = usual * observation.threshold_factor * self.refutation_factor(observation);
+        raised.min(settings.max_suspect_after_s)
     }
 
-    fn has_lost_workers(&self, settings: &Settings, now: Seconds) -> bool {
-        self.workers_left
-            .is_some_and(|at| now - at < settings.suspect_after_s)
+    fn has_lost_workers(&self, observation: &Observation) -> bool {
+        self.last_worker_left
+            .is_some_and(|left| observation.now - left < observation.settings.suspect_after_s)
     }
 
-    /// Who was suspected wrongly is suspected more slowly for a while.
-    fn damping(&self, settings: &Settings, now: Seconds) -> f64 {
-        if now - self.refuted_at > settings.refuted_lasts_s {
+    /// The factor by which refuted suspicions raise the threshold: a controller that was suspected wrongly is
+    /// suspected more slowly for a while.
+    fn refutation_factor(&self, observation: &Observation) -> f64 {
+        let settings = observation.settings;
+        if observation.now - self.last_refutation > settings.refutation_ttl_s {
             return 1.0;
         }
-        1.5_f64
-            .powi(self.refuted.min(8) as i32)
-            .min(settings.stretch_at_most)
+        // The cap makes the conversion lossless.
+        REFUTATION_FACTOR
+            .powi(self.refutations.min(MAX_REFUTATIONS) as i32)
+            .min(settings.max_threshold_factor)
     }
 
-    /// Observers that hear no process of it, `own` if this one does not. What was said long ago does not
-    /// count. Which process an observer heard last does not matter: it may have been cut off while
-    /// the controller restarted.
-    pub fn votes(&self, own: bool, settings: &Settings, now: Seconds) -> usize {
-        let counts =
-            |opinion: &&Received| opinion.suspects && now - opinion.at < settings.opinion_lasts_s;
+    /// Observers that get no answers from any process of it; `own` says whether this one does not. Old
+    /// opinions do not count. Which process an observer heard last does not matter: it may have been cut off
+    /// while the controller restarted.
+    fn votes(&self, own: bool, observation: &Observation) -> usize {
+        let ttl = observation.settings.opinion_ttl_s;
+        let counts = |opinion: &&StoredOpinion| {
+            opinion.suspects && observation.now - opinion.received_at < ttl
+        };
         usize::from(own) + self.opinions.values().filter(counts).count()
     }
 
-    /// Judges it anew.
-    pub fn judge(
-        &self,
-        settings: &Settings,
-        counts_from: Seconds,
-        stretch: f64,
-        now: Seconds,
-    ) -> Stage {
-        let suspected = self.silence(counts_from, now) > self.threshold(settings, stretch, now);
-        if !suspected {
+    /// Judges it again and returns the new judgement.
+    pub fn judge(&mut self, observation: &Observation) -> Stage {
+        self.stage = self.judgement(observation);
+        self.stage
+    }
+
+    fn judgement(&self, observation: &Observation) -> Stage {
+        let is_suspected = self.silence(observation) > self.threshold(observation);
+        if !is_suspected {
             return Stage::Alive;
         }
-        let confirmed = self.key_gone || self.votes(true, settings, now) >= settings.quorum;
-        match (confirmed, self.owns_nothing) {
+        let has_quorum = self.votes(true, observation) >= observation.settings.quorum;
+        match (self.key_gone || has_quorum, self.owns_nothing) {
             (false, _) => Stage::Suspected,
             (true, false) => Stage::Confirmed,
             (true, true) => Stage::HandedOver,
         }
     }
 
-    pub fn evidence(
-        &self,
-        settings: &Settings,
-        counts_from: Seconds,
-        stretch: f64,
-        now: Seconds,
-    ) -> Evidence {
+    /// What the judgement is based on.
+    pub fn evidence(&self, observation: &Observation) -> Evidence {
         Evidence {
             stage: self.stage,
             incarnation: self.incarnation,
-            silence_s: self.silence(counts_from, now),
-            threshold_s: self.threshold(settings, stretch, now),
-            last_message_s: self.received.map(|at| now - at),
-            votes: self.votes(self.stage >= Stage::Suspected, settings, now),
+            silence_s: self.silence(observation),
+            threshold_s: self.threshold(observation),
+            last_message_s: self.last_message.map(|message| observation.now - message),
+            votes: self.votes(self.stage >= Stage::Suspected, observation),
             key_gone: self.key_gone,
-            workers_left: self.has_lost_workers(settings, now),
+            workers_left: self.has_lost_workers(observation),
         }
     }
 }
--- a/crates/failure-detector/tests/model.rs
+++ b/crates/failure-detector/tests/model.rs
@@ -1,12 +1,14 @@
-//! Three and five observers in a simulated network with delays, lost packets that are sent again, standstills, restarts and cuts in
-//! one direction, drawn from seeds. *Completeness*: who ends or stands still is confirmed within a stated
-//! time by everybody who is well. *Accuracy*: who lives and is reached by enough others never is.
+//! Simulations of three and five observers in a network with delays, retransmissions, pauses, restarts and
+//! cuts in one direction, drawn from seeds. *Completeness*: a controller that stops or pauses is confirmed
+//! failed within a stated time by every healthy observer. *Accuracy*: a controller that runs and is connected
+//! to enough others is never confirmed failed.
 //!
-//! Found by it: an observer that was cut off while a controller restarted kept to the process that it had heard
-//! last, took no vote about the next one, and never confirmed its failure.
+//! A fault that these simulations found: an observer that was cut off while a controller restarted kept the
+//! process that it had heard last, counted no votes about the next one, and never confirmed its failure.
 //!
-//! Guards that were taken out, each found by the test named for it: the quorum, the rule that who hears
-//! nobody tells nothing, the standstill of the observer, confirmation at all (a quorum nobody can reach).
+//! The last tests show that each rule is needed: they disable the quorum, the rule that isolated observers
+//! share no opinions, the observer's detection of its own pauses, and confirmation itself (with a quorum that
+//! can't be reached).
 
 use failure_detector::{Detector, Incarnation, Opinion, SUSPECT_HEARTBEATS, Settings, Stage};
 use rand::rngs::StdRng;
@@ -14,13 +16,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const HEARTBEAT_S: f64 = 0.5;
-const DEADLINE_S: f64 = 0.8;
+const TIMEOUT_S: f64 = 0.8;
 const STEP_S: f64 = 0.05;
-const PLAY_S: f64 = 60.0;
-/// Who has failed is confirmed within this time: 15 heartbeats.
+const DURATION_S: f64 = 60.0;
+/// A failure is confirmed within this time: 15 heartbeats.
 const CONFIRMED_WITHIN_S: f64 = 7.5;
-/// Judgements rest on what was so within this time.
-const REMEMBERED_S: f64 = 9.0;
+/// Judgements depend on no more than this time before them.
+const MEMORY_S: f64 = 9.0;
 
 enum Message {
     Heartbeat {
@@ -44,36 +46,36 @@
 struct Node {
     detector: Detector<usize>,
     incarnation: Incarnation,
-    down_until: f64,
-    still_until: f64,
+    stopped_until: f64,
+    paused_until: f64,
     next_heartbeat: BTreeMap<usize, f64>,
 }
 
-struct Play {
+struct Simulation {
     now: f64,
     rng: StdRng,
     settings: Settings,
     nodes: Vec<Node>,
     messages: Vec<Envelope>,
-    /// From whom to whom nothing passes, until when.
+    /// Links from one node to another that pass nothing, and until when.
     cuts: BTreeMap<(usize, usize), f64>,
     loss: f64,
-    /// When two of them last did not reach each other, or one of them did not run.
-    apart: Vec<Vec<f64>>,
-    /// Since when each has not run, if so.
-    stopped: Vec<Option<f64>>,
-    /// When each last stood still.
-    still: Vec<f64>,
-    found: BTreeSet<&'static str>,
+    /// When two nodes were last not connected, or one of them did not run.
+    last_apart: Vec<Vec<f64>>,
+    /// Since when each node has not run, if it does not.
+    not_running_since: Vec<Option<f64>>,
+    /// When each node last did not run.
+    last_paused: Vec<f64>,
+    violations: BTreeSet<&'static str>,
 }
 
-impl Play {
+impl Simulation {
     fn new(seed: u64, count: usize, settings: Settings) -> Self {
         let nodes = (0..count).map(|index| Node {
             detector: Detector::new((0..count).filter(|other| *other != index), settings),
             incarnation: Incarnation(100 + index as u64),
-            down_until: 0.0,
-            still_until: 0.0,
+            stopped_until: 0.0,
+            paused_until: 0.0,
             next_heartbeat: BTreeMap::new(),
         });
         Self {
@@ -84,15 +86,15 @@
             messages: Vec::new(),
             cuts: BTreeMap::new(),
             loss: 0.0,
-            apart: vec![vec![f64::NEG_INFINITY; count]; count],
-            stopped: vec![None; count],
-            still: vec![f64::NEG_INFINITY; count],
-            found: BTreeSet::new(),
+            last_apart: vec![vec![f64::NEG_INFINITY; count]; count],
+            not_running_since: vec![None; count],
+            last_paused: vec![f64::NEG_INFINITY; count],
+            violations: BTreeSet::new(),
         }
     }
 
     fn runs(&self, node: usize) -> bool {
-        self.now >= self.nodes[node].down_until && self.now >= self.nodes[node].still_until
+        self.now >= self.nodes[node].stopped_until && self.now >= self.nodes[node].paused_until
     }
 
     fn passes(&self, from: usize, to: usize) -> bool {
@@ -106,7 +108,7 @@
             return;
         }
         let mut delay = self.rng.random_range(0.001..0.02);
-        // A packet that is lost is sent again; an answer still comes within its deadline.
+        // A lost packet is retransmitted; an answer still arrives within the timeout.
         if self.rng.random_bool(self.loss) {
             delay += self.rng.random_range(0.2..0.37);
         }
@@ -119,18 +121,18 @@
         });
     }
 
-    fn trouble(&mut self) {
+    fn inject_fault(&mut self) {
         let count = self.nodes.len();
         let node = self.rng.random_range(0..count);
         let other = (node + self.rng.random_range(1..count)) % count;
         let until = self.now + self.rng.random_range(2.0..15.0);
         match self.rng.random_range(0..7) {
             0 => self.restart(node, until),
-            1 => self.nodes[node].still_until = until,
+            1 => self.nodes[node].paused_until = until,
             2 => self.cut(node, other, until),
             3 => (0..count).for_each(|from| self.cut(from, node, until)),
             4 => (0..count).for_each(|to| self.cut(node, to, until)),
-            5 => (0..count).for_each(|one| self.nodes[one].still_until = until),
+            5 => (0..count).for_each(|one| self.nodes[one].paused_until = until),
             _ => self.loss = self.rng.random_range(0.0..0.3),
         }
     }
@@ -147,8 +149,8 @@
         self.nodes[node] = Node {
             detector: fresh,
             incarnation,
-            down_until: back,
-            still_until: 0.0,
+            stopped_until: back,
+            paused_until: 0.0,
             next_heartbeat,
         };
         self.messages.retain(|envelope| envelope.to != node);
@@ -173,9 +175,9 @@
             match message {
                 Message::Heartbeat { opinions } => {
                     node.detector.message_received(&from, now);
-                    node.detector.opinions(&from, opinions, now);
+                    node.detector.receive_opinions(&from, opinions, now);
                     let incarnation = node.incarnation;
-                    let opinions = node.detector.opinions_to_tell(now);
+                    let opinions = node.detector.opinions_to_send(now);
                     let answer = Message::Answer {
                         incarnation,
                         sent,
@@ -187,10 +189,10 @@
                     incarnation,
                     sent,
                     opinions,
-                } if now - sent < DEADLINE_S => {
+                } if now - sent < TIMEOUT_S => {
                     node.detector
                         .heartbeat_answered(&from, incarnation, sent, now);
-                    node.detector.opinions(&from, opinions, now);
+                    node.detector.receive_opinions(&from, opinions, now);
                     let next = self.rng.random_range(0.75..1.25) * HEARTBEAT_S + sent;
                     node.next_heartbeat.insert(from, next);
                 }
@@ -205,49 +207,51 @@
             if self.now < *next {
                 continue;
             }
-            *next = self.now + DEADLINE_S;
-            let opinions = self.nodes[from].detector.opinions_to_tell(self.now);
+            *next = self.now + TIMEOUT_S;
+            let opinions = self.nodes[from].detector.opinions_to_send(self.now);
             self.send(from, to, self.now, Message::Heartbeat { opinions });
         }
     }
 
-    /// Whether two run and reach each other.
-    fn in_touch(&self, one: usize, other: usize) -> bool {
+    /// Whether two nodes run and reach each other.
+    fn are_connected(&self, one: usize, other: usize) -> bool {
         let runs = self.runs(one) && self.runs(other);
         runs && self.passes(one, other) && self.passes(other, one)
     }
 
-    /// Those that have been in touch with a node for long.
-    fn in_touch_for_long(&self, node: usize) -> usize {
+    /// The number of nodes that have been connected to a node for long.
+    fn connected_for_long(&self, node: usize) -> usize {
         let others = (0..self.nodes.len()).filter(|other| *other != node);
         others
-            .filter(|other| self.now - self.apart[node][*other] > REMEMBERED_S)
+            .filter(|other| self.now - self.last_apart[node][*other] > MEMORY_S)
             .count()
     }
 
-    /// Whether so many others have been in touch with it for long that the rest are no quorum.
-    fn is_well(&self, node: usize) -> bool {
+    /// Whether a node runs and the nodes not connected to it for long are no quorum.
+    fn is_healthy(&self, node: usize) -> bool {
         let enough = self.nodes.len() - (self.nodes.len() / 2 + 1);
-        self.runs(node) && self.in_touch_for_long(node) >= enough
+        self.runs(node) && self.connected_for_long(node) >= enough
     }
 
     fn check(&mut self, observer: usize, before: &[Stage]) {
         for of in (0..self.nodes.len()).filter(|of| *of != observer) {
             let stage = self.nodes[observer].detector.stage(&of);
             let newly = stage >= Stage::Confirmed && before[of] < Stage::Confirmed;
-            if newly && self.is_well(of) {
-                self.found.insert("confirmed though it is well");
+            if newly && self.is_healthy(of) {
+                self.violations.insert("confirmed though it is healthy");
             }
-            let stopped = self.stopped[of].filter(|since| self.now - since > CONFIRMED_WITHIN_S);
+            let stopped =
+                self.not_running_since[of].filter(|since| self.now - since > CONFIRMED_WITHIN_S);
             let quorum = self.nodes.len() / 2 + 1;
-            let has_quorum = self.in_touch_for_long(observer) + 1 >= quorum;
+            let has_quorum = self.connected_for_long(observer) + 1 >= quorum;
             if stopped.is_some() && has_quorum && stage < Stage::Confirmed {
-                self.found.insert("not confirmed in time");
+                self.violations.insert("not confirmed in time");
             }
             let direct = self.passes(of, observer) && self.passes(observer, of);
-            let woke = self.now - self.still[observer] < STEP_S * 1.5;
+            let woke = self.now - self.last_paused[observer] < STEP_S * 1.5;
             if stage >= Stage::Suspected && before[of] == Stage::Alive && woke && direct {
-                self.found.insert("suspected by who stood still");
+                self.violations
+                    .insert("suspected after the observer's own pause");
             }
         }
     }
@@ -257,13 +261,14 @@
         self.now += STEP_S;
         for node in 0..count {
             for other in (0..count).filter(|other| *other != node) {
-                if !self.in_touch(node, other) {
-                    self.apart[node][other] = self.now;
+                if !self.are_connected(node, other) {
+                    self.last_apart[node][other] = self.now;
                 }
             }
-            self.stopped[node] = (!self.runs(node)).then(|| self.stopped[node].unwrap_or(self.now));
+            self.not_running_since[node] =
+                (!self.runs(node)).then(|| self.not_running_since[node].unwrap_or(self.now));
             if !self.runs(node) {
-                self.still[node] = self.now;
+                self.last_paused[node] = self.now;
             } else {
                 let now = self.now;
                 self.nodes[node].detector.step(now);
@@ -284,15 +289,15 @@
     }
 
     fn run(mut self) -> BTreeSet<&'static str> {
-        let mut next_trouble = self.rng.random_range(5.0..12.0);
-        while self.now < PLAY_S {
-            if self.now >= next_trouble {
-                self.trouble();
-                next_trouble = self.now + self.rng.random_range(1.0..18.0);
+        let mut next_fault = self.rng.random_range(5.0..12.0);
+        while self.now < DURATION_S {
+            if self.now >= next_fault {
+                self.inject_fault();
+                next_fault = self.now + self.rng.random_range(1.0..18.0);
             }
             self.step();
         }
-        self.found
+        self.violations
     }
 }
 
@@ -300,8 +305,9 @@
     Settings::new(HEARTBEAT_S, SUSPECT_HEARTBEATS, controllers)
 }
 
-/// What a number of schedules find. More by hand: `DETECTOR_SCHEDULES=from-to`.
-fn found(change: impl Fn(&mut Settings)) -> BTreeMap<&'static str, usize> {
+/// The violations found by a number of schedules, and how often. The environment variable
+/// `DETECTOR_SCHEDULES=from-to` selects other schedules.
+fn violations(change: impl Fn(&mut Settings)) -> BTreeMap<&'static str, usize> {
     let schedules = std::env::var("DETECTOR_SCHEDULES").unwrap_or_else(|_| "1-300".into());
     let (from, to) = schedules.split_once('-').expect("from-to");
     let mut found = BTreeMap::new();
@@ -309,59 +315,61 @@
         let count = if seed % 2 == 0 { 3 } else { 5 };
         let mut settings = settings(count);
         change(&mut settings);
-        for what in Play::new(seed, count, settings).run() {
-            println!("schedule {seed}: {what}");
-            *found.entry(what).or_default() += 1;
+        for violation in Simulation::new(seed, count, settings).run() {
+            println!("schedule {seed}: {violation}");
+            *found.entry(violation).or_default() += 1;
         }
     }
     found
 }
 
 #[test]
-fn who_has_failed_is_confirmed_in_time_and_who_is_well_never() {
-    assert_eq!(found(|_| {}), BTreeMap::new());
+fn failures_are_confirmed_in_time_and_healthy_controllers_never_are() {
+    assert_eq!(violations(|_| {}), BTreeMap::new());
 }
 
 #[test]
 fn without_a_quorum_one_broken_link_confirms_a_failure() {
-    assert!(found(|settings| settings.quorum = 1).contains_key("confirmed though it is well"));
+    assert!(
+        violations(|settings| settings.quorum = 1).contains_key("confirmed though it is healthy")
+    );
 }
 
-/// Nothing reaches two of five, and one link between two others is cut: 0 must not confirm the failure of 1,
-/// which 2 hears.
+/// Two of five nodes receive nothing, and the link between two others is cut: 0 must not confirm the failure
+/// of 1, which 2 hears.
 #[test]
-fn if_those_who_hear_nobody_tell_their_opinions_they_confirm_a_failure() {
-    let confirmed = |alone_tells: bool| {
+fn isolated_observers_that_share_opinions_confirm_a_failure_wrongly() {
+    let confirmed = |shares_opinions_when_isolated: bool| {
         let settings = Settings {
-            alone_tells,
+            shares_opinions_when_isolated,
             ..settings(5)
         };
-        let mut play = Play::new(1, 5, settings);
+        let mut simulation = Simulation::new(1, 5, settings);
         for (from, to) in [(0, 1), (1, 0)] {
-            play.cut(from, to, PLAY_S);
+            simulation.cut(from, to, DURATION_S);
         }
         for deaf in [3, 4] {
-            (0..5).for_each(|from| play.cut(from, deaf, PLAY_S));
+            (0..5).for_each(|from| simulation.cut(from, deaf, DURATION_S));
         }
-        while play.now < 10.0 {
-            play.step();
+        while simulation.now < 10.0 {
+            simulation.step();
         }
-        play.nodes[0].detector.stage(&1) >= Stage::Confirmed
+        simulation.nodes[0].detector.stage(&1) >= Stage::Confirmed
     };
     assert!(confirmed(true));
     assert!(!confirmed(false));
 }
 
 #[test]
-fn without_noticing_its_own_standstill_an_observer_suspects_others() {
-    let found = found(|settings| settings.standstill_s = f64::INFINITY);
+fn an_observer_that_ignores_its_own_pause_suspects_others() {
+    let found = violations(|settings| settings.process_pause_s = f64::INFINITY);
     assert!(
-        found.contains_key("suspected by who stood still"),
+        found.contains_key("suspected after the observer's own pause"),
         "{found:?}"
     );
 }
 
 #[test]
-fn a_quorum_that_nobody_can_reach_confirms_nothing_in_time() {
-    assert!(found(|settings| settings.quorum = 6).contains_key("not confirmed in time"));
+fn a_quorum_that_cannot_be_reached_confirms_nothing_in_time() {
+    assert!(violations(|settings| settings.quorum = 6).contains_key("not confirmed in time"));
 }
--- a/crates/failure-detector/tests/unit.rs
+++ b/crates/failure-detector/tests/unit.rs
@@ -1,7 +1,7 @@
-//! Single guards of the detector and of a controller's judgement of itself.
+//! Single rules of the detector and of the detection of partial failures.
 
 use failure_detector::{
-    Detector, Incarnation, LEAST_SUSPECT_HEARTBEATS, Opinion, OwnContact, PartialFailure,
+    Detector, Incarnation, MIN_SUSPECT_HEARTBEATS, Opinion, OwnContact, PartialFailure,
     SUSPECT_HEARTBEATS, Settings, Stage,
 };
 
@@ -13,7 +13,8 @@
     Settings::new(HEARTBEAT_S, SUSPECT_HEARTBEATS, controllers)
 }
 
-/// An observer that steps twenty times a second until `until`; `answers` answer as often.
+/// Steps the observer 20 times per second from `from` to `until`; the controllers in `answers` answer each
+/// time.
 fn advance(detector: &mut Detector<u8>, from: f64, until: f64, answers: &[u8]) {
     let mut now = from;
     while now < until {
@@ -38,10 +39,7 @@
 #[test]
 fn suspicion_allows_for_one_lost_message() {
     let hasty = Settings::new(HEARTBEAT_S, 0.5, 3);
-    assert_eq!(
-        hasty.suspect_after_s,
-        HEARTBEAT_S * LEAST_SUSPECT_HEARTBEATS
-    );
+    assert_eq!(hasty.suspect_after_s, HEARTBEAT_S * MIN_SUSPECT_HEARTBEATS);
     assert_eq!(
         (settings(3).quorum, settings(4).quorum, settings(5).quorum),
         (2, 3, 3)
@@ -49,29 +47,29 @@
 }
 
 #[test]
-fn silence_is_suspected_then_confirmed_by_a_quorum_then_handed_over() {
+fn silence_leads_to_suspicion_then_confirmation_by_a_quorum_then_hand_over() {
     let mut detector = Detector::new([1, 2, 3, 4], settings(5));
     advance(&mut detector, 0.0, 5.0, &[1, 2, 3, 4]);
     advance(&mut detector, 5.0, 6.5, &[2, 3, 4]);
     assert_eq!(detector.stage(&1), Stage::Alive);
     advance(&mut detector, 6.5, 7.2, &[2, 3, 4]);
     assert_eq!(detector.stage(&1), Stage::Suspected);
-    detector.opinions(&2, suspicion(1, FIRST), 7.2);
+    detector.receive_opinions(&2, suspicion(1, FIRST), 7.2);
     detector.judge(7.2);
     assert_eq!(
         detector.stage(&1),
         Stage::Suspected,
         "two of five are no quorum"
     );
-    detector.opinions(&3, suspicion(1, SECOND), 7.2);
+    detector.receive_opinions(&3, suspicion(1, SECOND), 7.2);
     let changes = detector.judge(7.2);
     assert_eq!(
         (changes.len(), changes[0].to, changes[0].evidence.votes),
         (1, Stage::Confirmed, 3)
     );
-    assert!(detector.judge(7.2).is_empty(), "told once");
+    assert!(detector.judge(7.2).is_empty(), "returned once");
     assert!(detector.has_failed(&1) && !detector.has_failed(&2));
-    detector.owns_nothing(&1, true);
+    detector.set_owns_nothing(&1, true);
     detector.judge(7.2);
     assert_eq!(detector.stage(&1), Stage::HandedOver);
     detector.heartbeat_answered(&1, SECOND, 7.3, 7.3);
@@ -80,20 +78,20 @@
 }
 
 #[test]
-fn opinions_grow_old() {
+fn old_opinions_do_not_count() {
     let mut detector = Detector::new([1, 2], settings(3));
     advance(&mut detector, 0.0, 5.0, &[1, 2]);
-    detector.opinions(&2, suspicion(1, FIRST), 5.0);
+    detector.receive_opinions(&2, suspicion(1, FIRST), 5.0);
     advance(&mut detector, 5.0, 7.5, &[2]);
     assert_eq!(
         detector.stage(&1),
         Stage::Suspected,
-        "what was said 2.5 s ago does not count"
+        "an opinion received 2.5 s ago does not count"
     );
 }
 
 #[test]
-fn a_late_answer_of_an_earlier_process_changes_nothing() {
+fn a_late_answer_of_an_earlier_process_is_ignored() {
     let mut detector = Detector::new([1, 2], settings(3));
     detector.step(1.0);
     detector.heartbeat_answered(&1, SECOND, 1.0, 1.0);
@@ -102,7 +100,7 @@
 }
 
 #[test]
-fn an_observer_that_stood_still_suspects_nobody_for_that() {
+fn an_observer_does_not_suspect_others_for_its_own_pause() {
     let mut detector = Detector::new([1, 2], settings(3));
     advance(&mut detector, 0.0, 5.0, &[1, 2]);
     advance(&mut detector, 25.0, 26.0, &[]);
@@ -118,7 +116,7 @@
 }
 
 #[test]
-fn a_refuted_suspicion_makes_the_next_slower_but_not_for_ever() {
+fn a_refuted_suspicion_delays_the_next_for_a_limited_time() {
     let mut detector = Detector::new([1, 2], settings(3));
     let suspected_after = |detector: &mut Detector<u8>, mut now: f64| {
         let began = now;
@@ -139,7 +137,7 @@
 }
 
 #[test]
-fn who_is_slow_itself_waits_longer() {
+fn a_slow_observer_has_higher_thresholds() {
     let mut detector = Detector::new([1, 2], settings(3));
     advance(&mut detector, 0.0, 5.0, &[1, 2]);
     let mut now = 5.0;
@@ -166,7 +164,7 @@
 }
 
 #[test]
-fn workers_that_left_make_suspicion_quicker() {
+fn workers_that_left_lower_the_threshold() {
     let mut detector = Detector::new([1, 2], settings(3));
     advance(&mut detector, 0.0, 5.0, &[1, 2]);
     detector.worker_left(&1, 6.0);
@@ -175,13 +173,13 @@
 }
 
 #[test]
-fn who_hears_nobody_tells_nothing() {
+fn an_isolated_observer_sends_no_opinions() {
     let mut detector = Detector::new([1, 2], settings(3));
     advance(&mut detector, 0.0, 5.0, &[1, 2]);
-    assert_eq!(detector.opinions_to_tell(5.0).len(), 2);
+    assert_eq!(detector.opinions_to_send(5.0).len(), 2);
     advance(&mut detector, 5.0, 9.0, &[]);
     assert_eq!(detector.stage(&1), Stage::Suspected);
-    assert!(detector.opinions_to_tell(9.0).is_empty());
+    assert!(detector.opinions_to_send(9.0).is_empty());
 }
 
 fn contact() -> OwnContact {
@@ -196,7 +194,7 @@
 }
 
 #[test]
-fn a_cut_from_the_workers_needs_that_others_hear_them() {
+fn a_cut_from_workers_requires_that_others_reach_them() {
     let silent = OwnContact {
         workers_silent_s: 5.0,
         ..contact()
@@ -223,7 +221,7 @@
     assert_eq!(
         just_now.partial_failure(),
         None,
-        "workers report every 3 s, give or take"
+        "workers send heartbeats about every 3 s"
     );
     let some = OwnContact {
         others_get_workers: true,
@@ -246,13 +244,13 @@
         machines: 0,
         ..most
     };
-    assert_eq!(without.partial_failure(), None, "nobody to hear from");
+    assert_eq!(without.partial_failure(), None, "it has no workers");
 }
 
 #[test]
-fn an_outage_for_all_is_no_refusal_of_one() {
+fn an_outage_of_the_store_is_no_partial_failure() {
     let refused = OwnContact {
-        state_silent_s: 3.0,
+        store_silent_s: 3.0,
         refusals: 3,
         ..contact()
     };
@@ -272,11 +270,15 @@
     assert_eq!(
         half.partial_failure(),
         None,
-        "the service may be failing for all"
+        "the store may be failing for all"
     );
     let slow = OwnContact {
         refusals: 0,
         ..others_served
     };
-    assert_eq!(slow.partial_failure(), None, "no answer is no refusal");
+    assert_eq!(
+        slow.partial_failure(),
+        None,
+        "a missing answer is no refusal"
+    );
 }
--- a/src/core/controller/failure_detection.rs
+++ b/src/core/controller/failure_detection.rs
@@ -76,10 +76,10 @@
         for sibling in &self.config.siblings {
             let node = &sibling.node;
             let detector = self.peers.detector_mut();
-            detector.key_gone(node, self.store.node(node).is_none());
+            detector.set_key_gone(node, self.store.node(node).is_none());
             if map_changed {
                 let mut all = owners.teams.values().chain(owners.machines.values());
-                detector.owns_nothing(node, all.all(|owner| owner.node != *node));
+                detector.set_owns_nothing(node, all.all(|owner| owner.node != *node));
             }
         }
     }
@@ -88,7 +88,7 @@
     pub(crate) fn own_detection(&self) -> Option<Detection> {
         let now = self.outbox.now;
         self.acts_on_failures().then(|| Detection {
-            opinions: self.peers.detector().opinions_to_tell(now),
+            opinions: self.peers.detector().opinions_to_send(now),
             state_age: self.store.state_silence(now).min(f64::MAX),
             resignation: self
                 .detection
@@ -105,7 +105,7 @@
         }
         self.peers
             .detector_mut()
-            .opinions(from, detection.opinions, self.outbox.now);
+            .receive_opinions(from, detection.opinions, self.outbox.now);
         if let Some(resignation) = detection
             .resignation
             .filter(|r| r.incarnation != incarnation)
@@ -189,7 +189,7 @@
         if self.acts_on_failures() && self.detection.refusals > 0 {
             let state_silent_s = self.store.state_silence(now);
             let later = now - state_silent_s + self.ownership.ttl() * SERVED_LATER_LIFETIMES;
-            contact.state_silent_s = state_silent_s;
+            contact.store_silent_s = state_silent_s;
             contact.refusals = self.detection.refusals;
             contact.others_heard = self.peers.heard(now).count();
             contact.others_served = self.peers.served_since(later, now);
--- a/src/core/controller/status.rs
+++ b/src/core/controller/status.rs
@@ -56,12 +56,12 @@
         let now = self.outbox.now;
         let detector = self.peers.detector();
         let status = |(node, evidence): (Node, Evidence)| {
-            let told = detector.told_of(&node, now).into_iter();
-            let told = told.map(|(observer, opinion, age_s)| OpinionStatus {
-                observer: observer.to_string(),
+            let told = detector.received_opinions(&node, now).into_iter();
+            let told = told.map(|opinion| OpinionStatus {
+                observer: opinion.observer.to_string(),
                 suspects: opinion.suspects,
                 silence_s: opinion.silence_s,
-                age_s,
+                age_s: opinion.age_s,
             });
             SiblingStatus {
                 controller: node.to_string(),
--- a/src/features.rs
+++ b/src/features.rs
@@ -3,7 +3,7 @@
 //!
 //! `ochredrum schema features` prints the JSON schema of the file, doc comments of its types included.
 
-use failure_detector::{LEAST_SUSPECT_HEARTBEATS, SUSPECT_HEARTBEATS};
+use failure_detector::{MIN_SUSPECT_HEARTBEATS, SUSPECT_HEARTBEATS};
 use garde::Validate;
 use quota_ledger::Headroom;
 use schemars::JsonSchema;
@@ -50,7 +50,7 @@
     #[garde(skip)]
     pub enabled: bool,
     /// Heartbeats (twentieths of `lease_s`) without an answer after which a controller is suspected.
-    #[garde(custom(is_number), range(min = LEAST_SUSPECT_HEARTBEATS, max = 8.0))]
+    #[garde(custom(is_number), range(min = MIN_SUSPECT_HEARTBEATS, max = 8.0))]
     pub suspect_heartbeats: f64,
 }
 
