--- a/crates/quota-ledger/src/headroom.rs
+++ b/crates/quota-ledger/src/headroom.rs
@@ -1,38 +1,43 @@
-//! How much more than it uses a holder asks for, so that ordinary starts wait for no write, and
-//! when it gives back what it does not use, so that writes stay few.
+//! How much more than it uses a holder asks for, so that ordinary starts need not wait for a write, and
+//! when it returns a surplus, so that writes stay rare.
 
 use crate::amount::{Amount, Limit};
 
-/// Part of the headroom below which more is asked for.
+/// Fraction of the headroom below which a holder asks for more.
 const LOW_WATER: f64 = 0.5;
-/// Times the headroom above which some is given back.
+/// Multiple of the headroom above which a holder returns some.
 const HIGH_WATER: f64 = 2.0;
 
 /// The rule by which grants grow and shrink.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Headroom {
-    /// Part of the limit that is held beyond what is used.
-    pub part_of_limit: f64,
-    /// Seconds for which there has to be too much before some is given back.
-    pub patience_s: f64,
+    /// Fraction of the limit that a holder holds beyond what it uses.
+    pub limit_fraction: f64,
+    /// Seconds for which a surplus must last before it is returned.
+    pub surplus_delay_s: f64,
 }
 
 /// What a grant should become.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
-    /// It is as it should be.
+    /// No change.
     Keep,
-    /// Starts wait or soon will: more, at once.
+    /// Starts wait or soon will: grow at once to this amount.
     Grow(Amount),
-    /// More than is needed: less, after a while.
+    /// There is a surplus: shrink to this amount if it lasts.
     ShrinkLater(Amount),
-    /// Others lack what is not used here: less, at once.
+    /// Others lack what is not used here: shrink at once to this amount.
     ShrinkNow(Amount),
 }
 
 impl Headroom {
-    /// What a grant should become, given what runs or waits to be started under it, and whether
-    /// others lack something.
+    /// The part of the limit that a holder holds beyond what it uses.
+    pub(crate) fn amount(&self, limit: &Limit) -> Amount {
+        limit.amount().scaled(self.limit_fraction)
+    }
+
+    /// What a grant should become. `needed` is what runs under it or waits to be started under it;
+    /// `others_lack` says whether other holders lack something.
     pub fn target(
         &self,
         limit: &Limit,
@@ -41,25 +46,28 @@
         others_lack: bool,
     ) -> Target {
         if others_lack {
-            return match (grant.covers(needed), needed.covers(grant)) {
-                (true, true) => Target::Keep,
-                (true, false) => Target::ShrinkNow(*needed),
-                (false, _) => Target::Grow(needed.max(grant)),
-            };
+            return Self::target_without_headroom(grant, needed);
         }
-        let headroom = limit.amount().part(self.part_of_limit);
-        let with = |times: f64| {
-            limit
-                .amount()
-                .min(&needed.plus(&headroom.part(times)))
-                .max(needed)
+        let headroom = self.amount(limit);
+        let needed_with = |multiple: f64| {
+            let with_headroom = needed.plus(&headroom.scaled(multiple));
+            limit.amount().min(&with_headroom).max(needed)
         };
-        if !grant.covers(&with(LOW_WATER)) {
-            Target::Grow(with(1.0).max(grant))
-        } else if !needed.plus(&headroom.part(HIGH_WATER)).covers(grant) {
-            Target::ShrinkLater(with(1.0).min(grant))
+        if !grant.covers(&needed_with(LOW_WATER)) {
+            Target::Grow(needed_with(1.0).max(grant))
+        } else if !needed.plus(&headroom.scaled(HIGH_WATER)).covers(grant) {
+            Target::ShrinkLater(needed_with(1.0).min(grant))
         } else {
             Target::Keep
         }
     }
+
+    /// While others lack something, exactly what is needed.
+    fn target_without_headroom(grant: &Amount, needed: &Amount) -> Target {
+        match (grant.covers(needed), needed.covers(grant)) {
+            (true, true) => Target::Keep,
+            (true, false) => Target::ShrinkNow(*needed),
+            (false, _) => Target::Grow(needed.max(grant)),
+        }
+    }
 }
--- a/crates/quota-ledger/src/holder.rs
+++ b/crates/quota-ledger/src/holder.rs
@@ -1,67 +1,67 @@
-//! One controller's side of a team's ledger: what it may use at this moment, and which change of
-//! the record it asks for next.
+//! One controller's side of a team's ledger: what it may use now, and which change of the record it requests
+//! next.
 //!
-//! A grant grows only once the store has confirmed it, and shrinks from the moment on at which that
-//! is asked for: an answer that is lost, or a write that is carried out late, leaves the holder with
-//! less than the record says and never with more.
+//! A grant grows only once the store has confirmed the write, and shrinks as soon as the write is requested.
+//! If an answer is lost or a write is executed late, the holder counts with less than the record says, never
+//! with more.
 
 use crate::amount::{Amount, Limit};
 use crate::headroom::{Headroom, Target};
-use crate::record::{HolderId, Refusal, TeamLedger};
+use crate::record::{HolderId, TeamLedger};
 
-/// Holders of whom there is evidence that nothing can be started under their grants any more.
+/// Former holders that provably can't start anything under their grants any more.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Ended {
-    /// There is no such evidence.
+    /// None is known.
     #[default]
-    Nobody,
-    /// These.
-    These(Vec<HolderId>),
-    /// Everybody but the holder itself.
+    None,
+    /// The listed ones.
+    Holders(Vec<HolderId>),
+    /// All holders except the one that asks.
     AllOthers,
 }
 
 /// What a holder needs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Demand {
-    /// What its own grant covers: everything that it started and that may be running, starts under
-    /// way among it, and what it has inherited before.
+    /// What the holder's own grant must cover: everything that it started and that may be running, starts in
+    /// flight included, and what it has inherited before.
     pub used: Amount,
-    /// What waits beyond that and could be started at once if it were granted.
+    /// What waits in addition and could be started at once if it were granted.
     pub waiting: Amount,
-    /// Of that, what is to be started first.
+    /// The part of `waiting` that is to be started first.
     pub next: Amount,
-    /// Whose grants are to pass to this holder.
+    /// Holders whose grants are to be transferred to this one.
     pub ended: Ended,
-    /// What may still run of what those started.
+    /// What may still run of the tasks that those started.
     pub inherited: Amount,
 }
 
-/// A change of the record to be written.
+/// A change of the record to be written as a compare-and-swap.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Proposal {
-    /// The version that the record must have; 0 if there is none.
-    pub guard: u64,
-    /// The next record.
+    /// The version that the stored record must have; 0 if it must not exist.
+    pub expected_version: u64,
+    /// The new record.
     pub ledger: TeamLedger,
 }
 
-/// What became of a proposal.
+/// The outcome of writing a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The record now has this version.
+    /// It was written; the record now has this version.
     Committed(u64),
-    /// It was not and never will be carried out.
+    /// It was not written and never will be.
     NotExecuted,
-    /// It may have been carried out, or may be later.
+    /// It may have been written, or may be later.
     Unknown,
 }
 
-/// A write of which it is not known whether it was carried out.
+/// Writes of which it is not known whether they were executed, all with the same expected version.
 #[derive(Clone, Copy, Debug)]
 struct InDoubt {
-    guard: u64,
-    /// The holder's own grant in it.
+    expected_version: u64,
+    /// The smallest of the holder's own grants in these writes.
     amount: Amount,
 }
 
@@ -71,17 +71,18 @@
     id: HolderId,
     limit: Limit,
     headroom: Headroom,
+    /// Version of the record as it is known; 0 if there is none.
     version: u64,
     ledger: Option<TeamLedger>,
-    /// The least that the writes with an unknown outcome leave, all guarded by the same version.
     in_doubt: Option<InDoubt>,
-    /// The write under way.
+    /// The write in flight.
     writing: Option<Proposal>,
+    /// Since when there has been a surplus.
     surplus_since: Option<f64>,
 }
 
 impl Holder {
-    /// A holder that knows nothing of the record yet.
+    /// A holder that has not read the record yet.
     pub fn new(id: HolderId, limit: Limit, headroom: Headroom) -> Self {
         Self {
             id,
@@ -95,21 +96,22 @@
         }
     }
 
-    /// Who it is.
+    /// Its id.
     pub fn id(&self) -> &HolderId {
         &self.id
     }
 
-    /// Takes up the record as the store has it; `version` is 0 if there is none. Records older than
-    /// what is known are passed over.
+    /// Records the stored record and its version, or `None` and 0 if there is none. Versions older than the
+    /// known one are ignored.
     pub fn observe(&mut self, version: u64, ledger: Option<TeamLedger>) {
         if version != 0 && version <= self.version {
             return;
         }
         self.version = version;
         self.ledger = ledger;
-        // A write guarded by an earlier version can't be carried out any more.
-        self.in_doubt.take_if(|in_doubt| in_doubt.guard != version);
+        // A write that expects an earlier version can't be executed any more.
+        self.in_doubt
+            .take_if(|in_doubt| in_doubt.expected_version != version);
     }
 
     /// The record as it is known.
@@ -117,41 +119,42 @@
         self.ledger.as_ref()
     }
 
-    /// What may be running at most under this holder's grant.
+    /// The most that may be running under this holder's grant.
     pub fn grant(&self) -> Amount {
         let stored = self
             .ledger
             .as_ref()
-            .and_then(|ledger| ledger.grant(&self.id));
-        let stored = stored.map_or(Amount::ZERO, |grant| grant.amount);
+            .map_or(Amount::ZERO, |ledger| self.amount_in(ledger));
         match &self.in_doubt {
             Some(in_doubt) => stored.min(&in_doubt.amount),
             None => stored,
         }
     }
 
-    /// What a record that this holder asked to begin would cover at least. Until it is known whether
-    /// that was carried out, no more may be started than that.
-    pub fn beginning(&self) -> Option<Amount> {
+    /// The least that the first record grants if this holder has requested to create it and the outcome is
+    /// unknown. Until it is known, no more than that may be started.
+    pub fn first_grant_in_doubt(&self) -> Option<Amount> {
         self.in_doubt
             .filter(|_| self.ledger.is_none())
             .map(|in_doubt| in_doubt.amount)
     }
 
-    /// What may be running at most that others started.
+    /// The most that may be running of what other holders started.
     pub fn outstanding(&self) -> Amount {
-        let of = |ledger: &TeamLedger| ledger.outstanding(&self.id);
-        self.ledger.as_ref().map(of).unwrap_or_default()
+        self.ledger
+            .as_ref()
+            .map(|ledger| ledger.outstanding(&self.id))
+            .unwrap_or_default()
     }
 
-    /// The next change to be written, if one is due and none is under way.
+    /// The next change to write, if one is due and no write is in flight.
     pub fn propose(&mut self, now: f64, demand: &Demand) -> Option<Proposal> {
         if self.writing.is_some() {
             return None;
         }
         let ledger = self.next_ledger(now, demand)?;
         let proposal = Proposal {
-            guard: self.version,
+            expected_version: self.version,
             ledger,
         };
         self.count_as_in_doubt(&proposal);
@@ -159,66 +162,77 @@
         Some(proposal)
     }
 
-    /// What became of the proposal under way.
-    pub fn answered(&mut self, outcome: Outcome) {
+    /// Records the outcome of the write in flight.
+    pub fn record_outcome(&mut self, outcome: Outcome) {
         let Some(proposal) = self.writing.take() else {
             return;
         };
         match outcome {
             Outcome::Committed(version) => self.observe(version, Some(proposal.ledger)),
-            // It may have stood beside an earlier one in doubt, which is then still counted.
+            // Also a write that was not executed keeps counting as in doubt: an earlier one that expects the
+            // same version may be, and both share one amount.
             Outcome::NotExecuted | Outcome::Unknown => {}
         }
     }
 
-    /// The last change, as the holder gives the team away: only what may still run stays granted.
+    /// The last change, with which the holder gives the team to another controller: only `still_used`, what
+    /// may still run, stays granted. `None` if nothing changes.
     pub fn release(&self, still_used: Amount) -> Option<Proposal> {
         let ledger = self.ledger.as_ref()?;
         let still_used = self.limit.limited(&still_used);
         let next = ledger.release(&self.id, still_used).ok()?;
         (next != *ledger).then_some(Proposal {
-            guard: self.version,
+            expected_version: self.version,
             ledger: next,
         })
     }
 
-    fn count_as_in_doubt(&mut self, proposal: &Proposal) {
-        let granted = proposal
-            .ledger
+    /// This holder's grant in a record.
+    fn amount_in(&self, ledger: &TeamLedger) -> Amount {
+        ledger
             .grant(&self.id)
-            .map_or(Amount::ZERO, |grant| grant.amount);
-        let before = self
+            .map_or(Amount::ZERO, |grant| grant.amount)
+    }
+
+    fn count_as_in_doubt(&mut self, proposal: &Proposal) {
+        let granted = self.amount_in(&proposal.ledger);
+        let expected_version = proposal.expected_version;
+        let earlier = self
             .in_doubt
-            .filter(|in_doubt| in_doubt.guard == proposal.guard);
-        let amount = before.map_or(granted, |before| before.amount.min(&granted));
+            .filter(|in_doubt| in_doubt.expected_version == expected_version);
+        let amount = earlier.map_or(granted, |earlier| earlier.amount.min(&granted));
         self.in_doubt = Some(InDoubt {
-            guard: proposal.guard,
+            expected_version,
             amount,
         });
     }
 
     fn next_ledger(&mut self, now: f64, demand: &Demand) -> Option<TeamLedger> {
         let Some(ledger) = self.ledger.clone() else {
-            // Without a record only one who knows all that runs may begin it.
-            let begins = demand.ended == Ended::AllOthers;
-            return begins.then(|| TeamLedger::begin(&self.id, self.first_amount(demand)));
+            return self.first_ledger(demand);
         };
         if let Some(absorbed) = self.absorbed(&ledger, demand) {
             return Some(absorbed);
         }
         let needed = self.needed(&ledger, demand);
         if ledger.grant(&self.id).is_none() {
-            let headroom = self.limit.amount().part(self.headroom.part_of_limit);
-            return Some(self.resized(&ledger.join(&self.id), needed.plus(&headroom), needed));
+            let wanted = needed.plus(&self.headroom.amount(&self.limit));
+            return Some(self.resized(&ledger.join(&self.id), wanted, needed));
         }
         let wanted = self.target(now, &ledger, needed)?;
         let next = self.resized(&ledger, wanted, needed);
         (next != ledger).then_some(next)
     }
 
-    /// What this holder may ask for, beside what others lack.
+    /// A new record. Only a holder that knows everything that runs may create it.
+    fn first_ledger(&self, demand: &Demand) -> Option<TeamLedger> {
+        let knows_all = demand.ended == Ended::AllOthers;
+        knows_all.then(|| TeamLedger::begin(&self.id, self.first_amount(demand)))
+    }
+
+    /// What this holder may ask for, given what others lack.
     fn needed(&self, ledger: &TeamLedger, demand: &Demand) -> Amount {
-        let waiting = if ledger.yields(&self.id) {
+        let waiting = if ledger.must_yield(&self.id) {
             Amount::ZERO
         } else if ledger.wanted_by_others(&self.id).is_zero() {
             demand.waiting
@@ -228,78 +242,77 @@
         self.limit.limited(&demand.used.plus(&waiting))
     }
 
-    /// The record with the grants of those who have ended in this holder's; None if there are none.
+    /// The record after the grants of ended holders were transferred to this one; `None` if there are none.
     fn absorbed(&self, ledger: &TeamLedger, demand: &Demand) -> Option<TeamLedger> {
         let inherited = self.limit.limited(&demand.inherited);
         match &demand.ended {
-            Ended::Nobody => None,
-            Ended::These(former) => {
-                let named = former.iter().any(|former| ledger.grant(former).is_some());
+            Ended::None => None,
+            Ended::Holders(former) => {
+                let have_grants = former.iter().any(|former| ledger.grant(former).is_some());
                 let absorb = || {
-                    ledger
-                        .join(&self.id)
-                        .absorb(&self.id, former, inherited)
-                        .ok()
+                    let joined = ledger.join(&self.id);
+                    joined.absorb(&self.id, former, inherited).ok()
                 };
-                named.then(absorb)?
+                have_grants.then(absorb)?
             }
             Ended::AllOthers => {
-                let others = !ledger.outstanding(&self.id).is_zero();
+                let have_grants = !ledger.outstanding(&self.id).is_zero();
                 let absorb = || ledger.join(&self.id).absorb_all(&self.id, inherited).ok();
-                others.then(absorb)?
+                have_grants.then(absorb)?
             }
         }
     }
 
-    /// What a record begins with: all that runs, and room for more within the limit.
+    /// The grant in a new record: everything that runs, and room for more within the limit.
     fn first_amount(&self, demand: &Demand) -> Amount {
         let running = self.limit.limited(&demand.used.plus(&demand.inherited));
         let waiting = self.limit.limited(&demand.waiting);
-        let headroom = self.limit.amount().part(self.headroom.part_of_limit);
-        running.max(
-            &self
-                .limit
-                .amount()
-                .min(&running.plus(&waiting).plus(&headroom)),
-        )
+        let headroom = self.headroom.amount(&self.limit);
+        let wanted = running.plus(&waiting).plus(&headroom);
+        running.max(&self.limit.amount().min(&wanted))
     }
 
-    /// What the grant should become; None if nothing is to be written now.
+    /// What the grant should become; `None` if nothing is to be written now.
     fn target(&mut self, now: f64, ledger: &TeamLedger, needed: Amount) -> Option<Amount> {
         let grant = ledger.grant(&self.id)?;
         let others_lack = !ledger.wanted_by_others(&self.id).is_zero();
         let target = self
             .headroom
             .target(&self.limit, &grant.amount, &needed, others_lack);
-        let Target::ShrinkLater(less) = target else {
+        let Target::ShrinkLater(smaller) = target else {
             self.surplus_since = None;
             return match target {
                 Target::Grow(amount) | Target::ShrinkNow(amount) => Some(amount),
-                // A recall that was met is taken back.
+                // Writing the same amount again withdraws a recall that has been met.
                 _ => (!grant.wanted.is_zero()).then_some(grant.amount),
             };
         };
         let since = *self.surplus_since.get_or_insert(now);
-        let due = now - since >= self.headroom.patience_s;
-        due.then(|| self.surplus_since.take()).map(|_| less)
+        let is_due = now - since >= self.headroom.surplus_delay_s;
+        if !is_due {
+            return None;
+        }
+        self.surplus_since = None;
+        Some(smaller)
     }
 
-    /// The record with as much of `wanted` granted as there is, and a recall of what starts lack.
+    /// The record with as much of `wanted` granted as is available, and a recall of what starts lack.
     fn resized(&self, ledger: &TeamLedger, wanted: Amount, needed: Amount) -> TeamLedger {
         let grant = ledger.grant(&self.id);
         let held = grant.map_or(Amount::ZERO, |grant| grant.amount);
         let recalled = grant.map_or(Amount::ZERO, |grant| grant.wanted);
-        // A limit that was lowered takes nothing away from what runs.
+        // A limit that was lowered does not reduce what is held already.
         let amount = wanted.min(&ledger.available(&self.id, &self.limit).max(&held));
         let lacking = needed.less(&amount);
-        // One recall is enough for as long as something is lacking.
+        // While something is lacking the recall never shrinks, so that it need not be written again.
         let lacking = if lacking.is_zero() {
             lacking
         } else {
             lacking.max(&recalled)
         };
-        let resized = ledger.resize(&self.id, amount, &self.limit);
-        let next = resized.and_then(|resized| resized.recall(&self.id, lacking));
-        next.unwrap_or_else(|_: Refusal| ledger.clone())
+        ledger
+            .resize(&self.id, amount, &self.limit)
+            .and_then(|resized| resized.recall(&self.id, lacking))
+            .unwrap_or_else(|_| ledger.clone())
     }
 }
--- a/crates/quota-ledger/src/record.rs
+++ b/crates/quota-ledger/src/record.rs
@@ -1,24 +1,26 @@
 //! The stored record of a team's grants, and its changes.
 //!
-//! Every change is a pure function from one record to the next. The caller writes the next one
-//! guarded by the version of the record that it was made from, so two controllers that grant the
-//! same share in the same moment can't both succeed.
+//! Every change is a pure function from one record to the next. The caller writes the next record on
+//! condition that the stored one still has the version from which the change was computed. So two
+//! controllers that grant the same capacity at the same time can't both succeed.
 
 use crate::amount::{Amount, Limit};
 use garde::Validate;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
+use std::collections::BTreeSet;
 
 /// The format of records that this version writes and reads.
 const FORMAT: u32 = 1;
-/// Grants named one by one. The oldest beyond that are folded into one sum, so that a record keeps
-/// its size however often a team changes hands before its machines have told what they hold.
-pub const MOST_GRANTS: usize = 8;
-/// Bytes that a controller's name may have in a record.
-const LONGEST_NAME: usize = 100;
+/// The most grants that a record lists one by one. Older ones are folded into one sum, so that the size of a
+/// record stays bounded however often a team's owner changes before all machines have reported what they
+/// run.
+pub const MAX_GRANTS: usize = 8;
+/// The longest name of a controller in a record, in bytes.
+const MAX_NAME_BYTES: usize = 100;
 
-/// Who holds a grant: a controller's process, and the term under which it owns the team. A term is
-/// never used twice, so neither is a holder.
+/// The holder of a grant: a controller's process and the term under which it owns the team. No term is used
+/// twice, so holders are unique.
 #[derive(
     Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, Validate, JsonSchema,
 )]
@@ -27,29 +29,28 @@
     #[serde(rename = "t")]
     #[garde(skip)]
     pub term: u64,
-    /// The process of the controller.
+    /// The controller's process.
     #[serde(rename = "i")]
     #[garde(skip)]
     pub incarnation: u64,
-    /// The controller.
+    /// The controller's name.
     #[serde(rename = "n")]
-    #[garde(length(bytes, min = 1, max = LONGEST_NAME))]
+    #[garde(length(bytes, min = 1, max = MAX_NAME_BYTES))]
     pub node: String,
 }
 
 /// What one holder may use of the team's limit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Validate, JsonSchema)]
 pub struct Grant {
-    /// Who holds it.
+    /// The holder.
     #[serde(rename = "h")]
     #[garde(dive)]
     pub holder: HolderId,
-    /// How much.
+    /// How much it may use.
     #[serde(rename = "a")]
     #[garde(dive)]
     pub amount: Amount,
-    /// What the holder lacks because others hold it: a recall, upon which they give back what they
-    /// do not use.
+    /// A recall: what the holder lacks because others hold it. They then return what they do not use.
     #[serde(rename = "w", default, skip_serializing_if = "Amount::is_zero")]
     #[garde(dive)]
     pub wanted: Amount,
@@ -58,69 +59,68 @@
 /// All grants of one team.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Validate, JsonSchema)]
 pub struct TeamLedger {
+    /// The format of the record.
     #[serde(rename = "v")]
     #[garde(range(min = FORMAT, max = FORMAT))]
     format: u32,
-    /// The term of the holder that began it. Everything that was started before then was counted.
+    /// The term of the holder that created the record. It counted everything that had been started before.
     #[serde(rename = "b")]
     #[garde(skip)]
     began: u64,
+    /// The grants, ordered by holder and so by term.
     #[serde(rename = "g")]
-    #[garde(length(max = MOST_GRANTS), custom(each_holder_once), dive)]
+    #[garde(length(max = MAX_GRANTS), custom(each_holder_once), dive)]
     grants: Vec<Grant>,
-    /// Grants of former holders that are no longer named.
+    /// The sum of the grants of former holders that are no longer listed.
     #[serde(rename = "f", default, skip_serializing_if = "Amount::is_zero")]
     #[garde(dive)]
     folded: Amount,
 }
 
-/// Why a stored value is not a record.
+/// Why a stored value is not a valid record.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// Not of the form of a record.
+    /// It does not have the form of a record.
     #[error("not a record of grants: {0}")]
     Malformed(String),
-    /// Of the form, but with values that no record has.
+    /// It has the form of a record, but values out of range.
     #[error("an invalid record of grants: {0}")]
     Invalid(String),
 }
 
-/// Why a change is not possible.
+/// Why a record can't be changed as requested.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
-    /// Others hold what is asked for.
+pub enum ChangeError {
+    /// Others hold what the holder asks for.
     #[error("others hold what is left of the limit")]
     LimitReached,
-    /// The holder has no grant that could be changed.
+    /// The record has no grant of the holder.
     #[error("the holder has no grant in the record")]
     NotAHolder,
 }
 
 fn each_holder_once(grants: &[Grant], _: &()) -> garde::Result {
-    let twice = |(index, grant): (usize, &Grant)| {
-        grants[..index]
-            .iter()
-            .any(|other| other.holder == grant.holder)
-    };
-    match grants.iter().enumerate().any(twice) {
-        true => Err(garde::Error::new("a holder has two grants")),
-        false => Ok(()),
+    let holders: BTreeSet<&HolderId> = grants.iter().map(|grant| &grant.holder).collect();
+    if holders.len() == grants.len() {
+        Ok(())
+    } else {
+        Err(garde::Error::new("a holder has two grants"))
     }
 }
 
 impl TeamLedger {
-    /// Reads a stored value and checks all of it.
+    /// Parses and validates a stored value.
     pub fn decode(value: &serde_json::Value) -> Result<Self, RecordError> {
-        let ledger = Self::deserialize(value).map_err(|e| RecordError::Malformed(e.to_string()))?;
-        match ledger.validate() {
-            Ok(()) => Ok(ledger),
-            Err(report) => Err(RecordError::Invalid(
-                report.to_string().trim().replace('\n', "; "),
-            )),
-        }
+        let ledger =
+            Self::deserialize(value).map_err(|error| RecordError::Malformed(error.to_string()))?;
+        ledger.validate().map_err(|report| {
+            let problems = report.to_string();
+            RecordError::Invalid(problems.trim().replace('\n', "; "))
+        })?;
+        Ok(ledger)
     }
 
-    /// A new record. Its holder vouches that `amount` covers all that may run of the team.
+    /// Creates a record. Its holder asserts that `amount` covers all tasks of the team that may run.
     pub fn begin(holder: &HolderId, amount: Amount) -> Self {
         let grant = Grant {
             holder: holder.clone(),
@@ -135,7 +135,7 @@
         }
     }
 
-    /// The term of the holder that began the record.
+    /// The term of the holder that created the record.
     pub fn began(&self) -> u64 {
         self.began
     }
@@ -145,7 +145,7 @@
         &self.grants
     }
 
-    /// The sum of the grants of former holders that are no longer named.
+    /// The sum of the grants of former holders that are no longer listed.
     pub fn folded(&self) -> Amount {
         self.folded
     }
@@ -155,23 +155,23 @@
         self.grants.iter().find(|grant| grant.holder == *holder)
     }
 
-    /// Everything that is granted to others: what may run of the team and was not started by
+    /// The sum of all grants of others, which covers every task of the team that may run and was not started by
     /// `holder`.
     pub fn outstanding(&self, holder: &HolderId) -> Amount {
         let others = self.grants.iter().filter(|grant| grant.holder != *holder);
         others.fold(self.folded, |sum, grant| sum.plus(&grant.amount))
     }
 
-    /// What others lack that want more than they have.
+    /// The sum of what others lack.
     pub fn wanted_by_others(&self, holder: &HolderId) -> Amount {
         let others = self.grants.iter().filter(|grant| grant.holder != *holder);
         others.fold(Amount::ZERO, |sum, grant| sum.plus(&grant.wanted))
     }
 
-    /// Whether another holder comes first among those that lack something: the one with the least.
-    /// The others then keep only what runs, so that of two which each hold half of what the other
-    /// needs one gets the whole, and none is passed over for long.
-    pub fn yields(&self, holder: &HolderId) -> bool {
+    /// Whether `holder` must yield to another one that lacks something: of those the holder with the smallest
+    /// grant takes precedence. The others then keep only what runs. So if two each hold half of what the other
+    /// needs, one of them gets the whole, and no holder waits for long.
+    pub fn must_yield(&self, holder: &HolderId) -> bool {
         let rank = |grant: &Grant| {
             let Amount {
                 gpu_thousandths,
@@ -184,60 +184,58 @@
         own.is_some_and(|own| lacking.map(rank).any(|other| other < own))
     }
 
-    /// What `holder` could have at most: the limit less what others hold.
+    /// The most that `holder` may be granted: the limit less the grants of others.
     pub fn available(&self, holder: &HolderId, limit: &Limit) -> Amount {
         limit.amount().less(&self.outstanding(holder))
     }
 
-    /// A new holder, so far with nothing.
+    /// Adds a holder with an empty grant.
     pub fn join(&self, holder: &HolderId) -> Self {
         let mut next = self.clone();
         if self.grant(holder).is_none() {
-            let (amount, wanted) = (Amount::ZERO, Amount::ZERO);
             next.grants.push(Grant {
                 holder: holder.clone(),
-                amount,
-                wanted,
+                amount: Amount::ZERO,
+                wanted: Amount::ZERO,
             });
-            next.grants.sort_by(|a, b| a.holder.cmp(&b.holder));
+            next.grants
+                .sort_by(|one, other| one.holder.cmp(&other.holder));
             next.fold_oldest(holder);
         }
         next
     }
 
-    /// A holder's grant becomes `amount`. It may always shrink; it grows only within the limit.
+    /// Changes a holder's grant to `amount`. A grant may always shrink; it grows only within the limit.
     pub fn resize(
         &self,
         holder: &HolderId,
         amount: Amount,
         limit: &Limit,
-    ) -> Result<Self, Refusal> {
-        let held = self.grant(holder).ok_or(Refusal::NotAHolder)?.amount;
-        if !held
-            .max(&self.available(holder, limit))
-            .covers(&limit.limited(&amount))
-        {
-            return Err(Refusal::LimitReached);
+    ) -> Result<Self, ChangeError> {
+        let held = self.grant(holder).ok_or(ChangeError::NotAHolder)?.amount;
+        let most = held.max(&self.available(holder, limit));
+        if !most.covers(&limit.limited(&amount)) {
+            return Err(ChangeError::LimitReached);
         }
         Ok(self.with(holder, |grant| grant.amount = amount))
     }
 
-    /// A holder lacks this much that others hold.
-    pub fn recall(&self, holder: &HolderId, wanted: Amount) -> Result<Self, Refusal> {
-        self.grant(holder).ok_or(Refusal::NotAHolder)?;
+    /// Records that a holder lacks `wanted` because others hold it.
+    pub fn recall(&self, holder: &HolderId, wanted: Amount) -> Result<Self, ChangeError> {
+        self.grant(holder).ok_or(ChangeError::NotAHolder)?;
         Ok(self.with(holder, |grant| grant.wanted = wanted))
     }
 
-    /// The grants of `former` holders end, and what may still run of their tasks passes to
-    /// `holder`: its grant grows by `inherited`, and at most by what they had. The caller has
-    /// evidence that nothing can be started under those grants any more, and that no more than
-    /// `inherited` is left of what was. The limit doesn't matter, for nothing is granted anew.
+    /// Removes the grants of `former` holders and transfers what may still run of their tasks to `holder`: its
+    /// grant grows by `inherited`, and at most by what they had. The caller has evidence that nothing can be
+    /// started under the former grants any more, and that at most `inherited` still runs of what was. The limit
+    /// is not checked, since the sum of all grants does not grow.
     pub fn absorb(
         &self,
         holder: &HolderId,
         former: &[HolderId],
         inherited: Amount,
-    ) -> Result<Self, Refusal> {
+    ) -> Result<Self, ChangeError> {
         let mut next = self.clone();
         next.grants
             .retain(|grant| !former.contains(&grant.holder) || grant.holder == *holder);
@@ -245,22 +243,23 @@
         next.inherit(holder, inherited.min(&ended))
     }
 
-    /// As [`Self::absorb`], of all others, those that are no longer named among them.
-    pub fn absorb_all(&self, holder: &HolderId, inherited: Amount) -> Result<Self, Refusal> {
+    /// As [`Self::absorb`] for all other holders, including those that are no longer listed.
+    pub fn absorb_all(&self, holder: &HolderId, inherited: Amount) -> Result<Self, ChangeError> {
         let mut next = self.clone();
         next.grants.retain(|grant| grant.holder == *holder);
         next.folded = Amount::ZERO;
         next.inherit(holder, inherited.min(&self.outstanding(holder)))
     }
 
-    fn inherit(&self, holder: &HolderId, inherited: Amount) -> Result<Self, Refusal> {
-        self.grant(holder).ok_or(Refusal::NotAHolder)?;
+    fn inherit(&self, holder: &HolderId, inherited: Amount) -> Result<Self, ChangeError> {
+        self.grant(holder).ok_or(ChangeError::NotAHolder)?;
         Ok(self.with(holder, |grant| grant.amount = grant.amount.plus(&inherited)))
     }
 
-    /// A holder that starts nothing any more keeps only what may still run of its tasks.
-    pub fn release(&self, holder: &HolderId, still_used: Amount) -> Result<Self, Refusal> {
-        self.grant(holder).ok_or(Refusal::NotAHolder)?;
+    /// Reduces the grant of a holder that starts nothing any more to what may still run of its tasks. An empty
+    /// grant is removed.
+    pub fn release(&self, holder: &HolderId, still_used: Amount) -> Result<Self, ChangeError> {
+        self.grant(holder).ok_or(ChangeError::NotAHolder)?;
         let mut next = self.with(holder, |grant| {
             grant.amount = grant.amount.min(&still_used);
             grant.wanted = Amount::ZERO;
@@ -278,10 +277,10 @@
         next
     }
 
-    /// Keeps the number of grants within bounds. A holder that is folded can change its grant no
-    /// more; what it had stays counted in the sum.
+    /// Folds the oldest grants into the sum until at most [`MAX_GRANTS`] are listed. A folded holder can't
+    /// change its grant any more, but the grant still counts.
     fn fold_oldest(&mut self, joining: &HolderId) {
-        while self.grants.len() > MOST_GRANTS {
+        while self.grants.len() > MAX_GRANTS {
             let oldest = self
                 .grants
                 .iter()
--- a/crates/quota-ledger/tests/interleaving.rs
+++ b/crates/quota-ledger/tests/interleaving.rs
@@ -1,14 +1,14 @@
-//! Seeded schedules of grants, recalls, losses, freezes and restarts: the limit is never passed, and
-//! each guard is needed for that.
+//! Seeded schedules of grants, recalls, lost messages, process pauses and restarts: the limit is never
+//! exceeded, and each safety rule is needed for that.
 
 mod model;
 
 use model::{LIMIT_GPUS, Model, Removed};
 
-/// Schedules that CI plays; more by hand: `LEDGER_SCHEDULES=from-to`.
+/// Schedules that CI runs. The environment variable `LEDGER_SCHEDULES=from-to` selects others.
 const SCHEDULES: std::ops::Range<u64> = 0..2000;
 const THREADS: usize = 4;
-/// Schedules within which a missing guard has to show.
+/// Schedules within which a missing safety rule must lead to a violation.
 const TRIES: u64 = 1000;
 
 fn schedules() -> std::ops::Range<u64> {
@@ -20,10 +20,10 @@
 }
 
 #[test]
-fn the_limit_is_never_passed_and_everything_is_served() {
+fn the_limit_is_never_exceeded_and_everything_is_served() {
     let counts = std::thread::scope(|scope| {
         let parts: Vec<_> = (0..THREADS)
-            .map(|part| scope.spawn(move || play_part(part)))
+            .map(|part| scope.spawn(move || run_part(part)))
             .collect();
         parts
             .into_iter()
@@ -34,7 +34,7 @@
     assert!(counts.starts > 0 && counts.crashes > 0 && counts.limit_reached > 0);
 }
 
-/// What happened in some schedules.
+/// Totals over some schedules.
 #[derive(Debug, Default)]
 struct Counts {
     starts: usize,
@@ -55,13 +55,13 @@
     }
 }
 
-/// Plays every so many-th schedule.
-fn play_part(part: usize) -> Counts {
+/// Runs every `THREADS`-th schedule, beginning with `part`.
+fn run_part(part: usize) -> Counts {
     let mut counts = Counts::default();
     for seed in schedules().skip(part).step_by(THREADS) {
         let mut model = Model::new(seed, Removed::Nothing);
         model
-            .play()
+            .run()
             .unwrap_or_else(|overshoot| panic!("schedule {seed}: {overshoot}"));
         assert_eq!(model.unsettled(), None, "schedule {seed}");
         counts = counts.plus(Counts {
@@ -74,37 +74,37 @@
     counts
 }
 
-/// The first schedule in which the limit is passed without a guard.
+/// The first schedule in which the limit is exceeded without a safety rule.
 fn found_without(removed: Removed) -> Option<u64> {
-    (0..TRIES).find(|seed| Model::new(*seed, removed).play().is_err())
+    (0..TRIES).find(|seed| Model::new(*seed, removed).run().is_err())
 }
 
 #[test]
-fn without_version_guards_the_limit_is_passed() {
-    assert!(found_without(Removed::VersionGuard).is_some());
+fn without_compare_and_swap_the_limit_is_exceeded() {
+    assert!(found_without(Removed::CompareAndSwap).is_some());
 }
 
 #[test]
-fn without_confirmation_the_limit_is_passed() {
+fn without_confirmation_the_limit_is_exceeded() {
     assert!(found_without(Removed::Confirmation).is_some());
 }
 
 #[test]
-fn without_counting_writes_in_doubt_the_limit_is_passed() {
+fn without_counting_writes_in_doubt_the_limit_is_exceeded() {
     assert!(found_without(Removed::Doubt).is_some());
 }
 
 #[test]
-fn without_evidence_the_limit_is_passed() {
+fn without_evidence_the_limit_is_exceeded() {
     assert!(found_without(Removed::Evidence).is_some());
 }
 
 #[test]
-fn without_fenced_workers_the_limit_is_passed() {
+fn without_fenced_workers_the_limit_is_exceeded() {
     assert!(found_without(Removed::Fencing).is_some());
 }
 
 #[test]
-fn without_counting_starts_under_way_the_limit_is_passed() {
-    assert!(found_without(Removed::StartsUnderWay).is_some());
+fn without_counting_starts_in_flight_the_limit_is_exceeded() {
+    assert!(found_without(Removed::StartsInFlight).is_some());
 }
--- a/crates/quota-ledger/tests/model/mod.rs
+++ b/crates/quota-ledger/tests/model/mod.rs
@@ -1,5 +1,5 @@
-//! Five controllers that share one team's limit, in virtual time, with everything that may go wrong
-//! between them, the store and the workers. After each event the checker adds up what truly runs.
+//! A simulation of five controllers that share one team's limit, in virtual time, with faults of the
+//! controllers, the store and the links to workers. After each event it checks the sum of what runs.
 
 use quota_ledger::{
     Amount, Demand, Ended, Headroom, Holder, HolderId, Limit, Outcome, Proposal, TeamLedger,
@@ -11,30 +11,32 @@
 pub const CONTROLLERS: usize = 5;
 const MACHINES: usize = 10;
 pub const LIMIT_GPUS: f64 = 24.0;
-/// Seconds between two turns of a controller.
-const TURN_S: f64 = 0.25;
-/// Seconds after which a silent controller's machines are given to another.
-const LAPSE_S: f64 = 6.0;
-/// Seconds of trouble, and of quiet after it.
-pub const TROUBLE_S: f64 = 240.0;
+/// Seconds between two steps of a controller.
+const STEP_S: f64 = 0.25;
+/// Seconds of silence after which a controller's machines are given to another.
+const FAILOVER_S: f64 = 6.0;
+/// Seconds with faults.
+const FAULTY_S: f64 = 240.0;
+/// Seconds without faults after them.
 const QUIET_S: f64 = 200.0;
 
-/// A guard that is taken out, to show that the checker sees what it is for.
+/// A safety rule that is disabled, to show that the check notices what it prevents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Removed {
+    /// All rules are in force.
     Nothing,
     /// The store does not compare versions.
-    VersionGuard,
+    CompareAndSwap,
     /// A grant counts before the store has confirmed it.
     Confirmation,
-    /// Writes of unknown outcome are forgotten.
+    /// Writes with an unknown outcome are not counted.
     Doubt,
-    /// The grants of an ended controller are taken over before its machines have told.
+    /// The grants of an ended process are absorbed before all its machines have reported.
     Evidence,
-    /// Workers carry out commands of former owners.
+    /// Workers execute commands of former owners.
     Fencing,
     /// Starts count only once their worker has confirmed them.
-    StartsUnderWay,
+    StartsInFlight,
 }
 
 #[derive(Clone)]
@@ -46,34 +48,36 @@
 
 struct Machine {
     owner: usize,
-    /// The token of the owner, as the map has it, and the highest that the worker has seen.
+    /// The owner's fencing token in the shard map.
     term: u64,
+    /// The highest token that the worker has seen.
     seen: u64,
+    /// GPUs and duration of the tasks that run.
     running: BTreeMap<u64, (f64, f64)>,
 }
 
 struct Controller {
     alive: bool,
-    frozen_until: f64,
+    paused_until: f64,
     heard: f64,
     term: u64,
     holder: Holder,
-    /// Its machines with their tokens, as it last read the map.
+    /// Its machines with their fencing tokens, as it last read the shard map.
     machines: BTreeMap<usize, u64>,
     /// Whether it ever had one.
     had_machines: bool,
-    /// What it started, or has inherited, with whether the worker has confirmed it.
+    /// GPUs of the tasks that it started or has inherited, and whether the worker has confirmed them.
     tasks: BTreeMap<u64, (f64, bool)>,
-    /// What it found on machines of others, still covered by their grants.
+    /// GPUs of tasks that it found on machines, which are still covered by others' grants.
     found: BTreeMap<u64, f64>,
-    /// Former holders of its machines, with the machines that have not told yet.
+    /// Former holders of its machines, with the machines that have not reported yet.
     former: Vec<(HolderId, BTreeSet<usize>)>,
     waiting: Vec<Task>,
     unconfirmed: Amount,
 }
 
 enum Action {
-    Turn(usize),
+    Step(usize),
     Write {
         node: usize,
         term: u64,
@@ -102,7 +106,7 @@
         machine: usize,
         task: u64,
     },
-    Told {
+    Reported {
         node: usize,
         term: u64,
         machine: usize,
@@ -110,7 +114,7 @@
     },
     Crash(usize),
     Return(usize),
-    Freeze(usize, f64),
+    Pause(usize, f64),
 }
 
 pub struct Model {
@@ -142,8 +146,8 @@
         id,
         limit,
         Headroom {
-            part_of_limit: 0.125,
-            patience_s: 5.0,
+            limit_fraction: 0.125,
+            surplus_delay_s: 5.0,
         },
     )
 }
@@ -156,7 +160,7 @@
             let term = node as u64 + 1;
             Controller {
                 alive: true,
-                frozen_until: 0.0,
+                paused_until: 0.0,
                 heard: 0.0,
                 term,
                 holder: holder(node, term, limit),
@@ -178,12 +182,8 @@
                 running: BTreeMap::new(),
             }
         });
-        let outages = (0..2).map(|_| {
-            (
-                rng.random_range(0.0..TROUBLE_S),
-                rng.random_range(1.0..40.0),
-            )
-        });
+        let outages =
+            (0..2).map(|_| (rng.random_range(0.0..FAULTY_S), rng.random_range(1.0..40.0)));
         let outages: Vec<(f64, f64)> = outages.collect();
         let first = HolderId {
             term: 0,
@@ -209,21 +209,21 @@
             crashes: 0,
         };
         for node in 0..CONTROLLERS {
-            model.after(0.01 * node as f64, Action::Turn(node));
+            model.after(0.01 * node as f64, Action::Step(node));
         }
-        model.plan_troubles();
+        model.plan_faults();
         model
     }
 
-    fn plan_troubles(&mut self) {
+    fn plan_faults(&mut self) {
         for _ in 0..self.rng.random_range(2..8) {
-            let at = self.rng.random_range(5.0..TROUBLE_S);
+            let at = self.rng.random_range(5.0..FAULTY_S);
             let node = self.rng.random_range(0..CONTROLLERS);
             if self.rng.random_bool(0.5) {
                 let pause = *[0.5, 3.0, 7.0, 25.0]
                     .get(self.rng.random_range(0..4))
                     .unwrap_or(&1.0);
-                self.after(at, Action::Freeze(node, pause));
+                self.after(at, Action::Pause(node, pause));
             } else {
                 let back = self.rng.random_range(0.3..30.0);
                 self.after(at, Action::Crash(node));
@@ -238,18 +238,18 @@
         self.actions.insert((micros, self.sequence), action);
     }
 
-    fn troubled(&self) -> bool {
-        self.now < TROUBLE_S
+    fn is_faulty(&self) -> bool {
+        self.now < FAULTY_S
     }
 
-    /// Plays to the end; an error tells of the first moment at which the limit was passed.
-    pub fn play(&mut self) -> Result<(), String> {
+    /// Runs to the end. The error names the first time at which the limit was exceeded.
+    pub fn run(&mut self) -> Result<(), String> {
         while let Some(((micros, _), action)) = self.actions.pop_first() {
             self.now = micros as f64 / 1e6;
-            if self.now > TROUBLE_S + QUIET_S {
+            if self.now > FAULTY_S + QUIET_S {
                 break;
             }
-            self.happen(action);
+            self.execute(action);
             let running = self
                 .machines
                 .iter()
@@ -263,7 +263,7 @@
         Ok(())
     }
 
-    /// What is still wrong after a time without trouble.
+    /// What is still wrong after the time without faults.
     pub fn unsettled(&self) -> Option<String> {
         let (_, ledger) = &self.store;
         let ledger = ledger.as_ref()?;
@@ -275,13 +275,13 @@
         let waits = self.controllers.iter().position(|c| {
             c.alive && !c.machines.is_empty() && c.waiting.iter().any(|task| task.id > 0)
         });
-        left.map(|grant| format!("{grant:?} was never taken over"))
+        left.map(|grant| format!("{grant:?} was never absorbed"))
             .or(waits.map(|node| format!("tasks wait at n{node}: {ledger:?}")))
     }
 
-    fn happen(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
-            Action::Turn(node) => self.turn(node),
+            Action::Step(node) => self.step(node),
             Action::Write {
                 node,
                 term,
@@ -307,7 +307,7 @@
             } => {
                 let controller = &mut self.controllers[node];
                 if controller.alive && controller.term == term {
-                    controller.holder.answered(outcome);
+                    controller.holder.record_outcome(outcome);
                     controller.unconfirmed = Amount::ZERO;
                 }
             }
@@ -342,32 +342,32 @@
                 self.controllers[node].tasks.remove(&task);
                 self.controllers[node].found.remove(&task);
             }
-            Action::Told {
+            Action::Reported {
                 node,
                 term,
                 machine,
                 token,
-            } => self.told(node, term, machine, token),
+            } => self.reported(node, term, machine, token),
             Action::Crash(node) => {
                 let controller = &mut self.controllers[node];
                 self.crashes += usize::from(controller.alive);
                 controller.alive = false;
             }
-            Action::Return(node) => self.begin_anew(node),
-            Action::Freeze(node, pause) => self.controllers[node].frozen_until = self.now + pause,
+            Action::Return(node) => self.restart(node),
+            Action::Pause(node, pause) => self.controllers[node].paused_until = self.now + pause,
         }
     }
 
-    /// A process of this controller begins, with nothing but what it reads.
-    fn begin_anew(&mut self, node: usize) {
+    /// Starts a new process of a controller, which knows only what it reads.
+    fn restart(&mut self, node: usize) {
         let term = self.next_term;
         self.next_term += 1;
         let ended = self.controllers[node].holder.id().clone();
         let held: BTreeSet<usize> = self.owned_by(node);
         let controller = &mut self.controllers[node];
-        // Without a machine it started nothing; with some that are gone their new owner takes over.
+        // Without a machine it started nothing. Machines that it lost are the concern of their new owner.
         let idle = !controller.had_machines;
-        // Whoever its machines were taken over from before has ended as well.
+        // The former holders of its machines have ended as well.
         let mut former: Vec<(HolderId, BTreeSet<usize>)> = controller.former.clone();
         former
             .iter_mut()
@@ -375,7 +375,7 @@
         former.push((ended, held.clone()));
         *controller = Controller {
             alive: true,
-            frozen_until: 0.0,
+            paused_until: 0.0,
             heard: self.now,
             term,
             holder: holder(node, term, self.limit),
@@ -404,17 +404,17 @@
             .collect()
     }
 
-    /// The leader gives the machines of controllers that have lapsed to another, under a new term.
-    fn hand_over(&mut self) {
+    /// Failover: the leader gives the machines of silent controllers to another, under a new term.
+    fn fail_over(&mut self) {
         for node in 0..CONTROLLERS {
             let controller = &self.controllers[node];
             let held = self.owned_by(node);
-            if self.now - controller.heard < LAPSE_S || held.is_empty() {
+            if self.now - controller.heard < FAILOVER_S || held.is_empty() {
                 continue;
             }
             let now = self.now;
             let lives = |other: &usize| {
-                self.controllers[*other].alive && now - self.controllers[*other].heard < LAPSE_S
+                self.controllers[*other].alive && now - self.controllers[*other].heard < FAILOVER_S
             };
             let successor = (0..CONTROLLERS)
                 .filter(lives)
@@ -436,27 +436,27 @@
         }
     }
 
-    fn turn(&mut self, node: usize) {
-        let pause = TURN_S * self.rng.random_range(0.8..1.2);
-        self.after(pause, Action::Turn(node));
-        self.hand_over();
+    fn step(&mut self, node: usize) {
+        let pause = STEP_S * self.rng.random_range(0.8..1.2);
+        self.after(pause, Action::Step(node));
+        self.fail_over();
         let controller = &self.controllers[node];
-        if !controller.alive || self.now < controller.frozen_until {
+        if !controller.alive || self.now < controller.paused_until {
             return;
         }
-        // The first thing after a pause is still done with what was known before it.
-        let stale = self.now - controller.heard > LAPSE_S;
+        // The first action after a pause is still based on what was known before it.
+        let stale = self.now - controller.heard > FAILOVER_S;
         self.start_waiting(node);
         let lost = self.owned_by(node).is_empty() && !self.controllers[node].machines.is_empty();
         if stale && lost {
-            return self.begin_anew(node);
+            return self.restart(node);
         }
         self.controllers[node].heard = self.now;
         if !self.in_outage() {
             self.read(node);
         }
         self.write_when_due(node);
-        if self.rng.random_bool(0.025) && self.troubled() {
+        if self.rng.random_bool(0.025) && self.is_faulty() {
             self.next_task += 1;
             let (gpus, run_s) = (
                 f64::from(self.rng.random_range(1..4)),
@@ -492,7 +492,7 @@
             let delay = self.rng.random_range(0.01..1.5);
             self.after(
                 delay,
-                Action::Told {
+                Action::Reported {
                     node,
                     term,
                     machine,
@@ -502,8 +502,8 @@
         }
     }
 
-    /// A worker has shown its owner's token, and all that it runs.
-    fn told(&mut self, node: usize, term: u64, machine: usize, token: u64) {
+    /// A worker has reported its owner's token and everything that it runs.
+    fn reported(&mut self, node: usize, term: u64, machine: usize, token: u64) {
         if self.machines[machine].term != token {
             return;
         }
@@ -514,7 +514,7 @@
             .map(|(id, (gpus, _))| (*id, *gpus))
             .collect();
         let controller = &mut self.controllers[node];
-        if !controller.alive || controller.term != term || self.now < controller.frozen_until {
+        if !controller.alive || controller.term != term || self.now < controller.paused_until {
             return;
         }
         for (id, gpus) in found {
@@ -533,12 +533,12 @@
         let counted = controller
             .tasks
             .values()
-            .filter(|(_, confirmed)| *confirmed || self.removed != Removed::StartsUnderWay);
+            .filter(|(_, confirmed)| *confirmed || self.removed != Removed::StartsInFlight);
         Amount::covering(0.0, counted.map(|(gpus, _)| gpus).sum())
     }
 
-    /// Grants that have passed over: what was found counts towards the own grant from then on.
-    fn take_over(&mut self, node: usize) {
+    /// Once grants have been absorbed, the tasks found count towards the own grant.
+    fn count_absorbed(&mut self, node: usize) {
         let controller = &mut self.controllers[node];
         let Some(ledger) = controller.holder.ledger() else {
             return;
@@ -554,14 +554,14 @@
                 .map(|(id, gpus)| (*id, (*gpus, true)));
             controller.tasks.extend(found);
         }
-        // Whose the rest is can't be told, so it counts for every other former holder as well.
+        // Which former holder started the rest is unknown, so it counts for every other one as well.
         if controller.former.is_empty() {
             controller.found.clear();
         }
     }
 
     fn start_waiting(&mut self, node: usize) {
-        self.take_over(node);
+        self.count_absorbed(node);
         let mut used = self.used(node);
         let controller = &mut self.controllers[node];
         let machines: Vec<(usize, u64)> = controller.machines.clone().into_iter().collect();
@@ -592,7 +592,7 @@
                 .tasks
                 .insert(task.id, (task.gpus, false));
             let (machine, token) = machines[self.rng.random_range(0..machines.len())];
-            let late = self.troubled() && self.rng.random_bool(0.1);
+            let late = self.is_faulty() && self.rng.random_bool(0.1);
             let delay = if late {
                 self.rng.random_range(1.0..30.0)
             } else {
@@ -648,7 +648,7 @@
             .iter()
             .filter(|(_, machines)| evidence || machines.is_empty());
         let ended: Vec<HolderId> = ended.map(|(id, _)| id.clone()).collect();
-        // Who has no machine can start nothing, and so asks for nothing.
+        // A controller without machines can start nothing, so it requests nothing.
         let startable = if controller.machines.is_empty() {
             &[][..]
         } else {
@@ -662,9 +662,9 @@
             waiting: Amount::covering(0.0, waiting),
             inherited: Amount::covering(0.0, controller.found.values().sum()),
             ended: if ended.is_empty() {
-                Ended::Nobody
+                Ended::None
             } else {
-                Ended::These(ended)
+                Ended::Holders(ended)
             },
         };
         let Some(proposal) = controller.holder.propose(now, &demand) else {
@@ -673,7 +673,7 @@
         let granted = proposal.ledger.grant(controller.holder.id());
         controller.unconfirmed = granted.map_or(Amount::ZERO, |grant| grant.amount);
         let term = controller.term;
-        let fate = if self.troubled() {
+        let fate = if self.is_faulty() {
             self.rng.random_range(0..10)
         } else {
             0
@@ -706,8 +706,8 @@
     }
 
     fn write(&mut self, proposal: Proposal) -> Outcome {
-        let unguarded = self.removed == Removed::VersionGuard;
-        if self.in_outage() || (proposal.guard != self.store.0 && !unguarded) {
+        let unconditional = self.removed == Removed::CompareAndSwap;
+        if self.in_outage() || (proposal.expected_version != self.store.0 && !unconditional) {
             return Outcome::NotExecuted;
         }
         self.writes += 1;
--- a/crates/quota-ledger/tests/record.rs
+++ b/crates/quota-ledger/tests/record.rs
@@ -1,8 +1,8 @@
-//! The record's changes, its checks, and how a holder asks for them.
+//! Changes and validation of the record, and how a holder requests changes.
 
-use quota_ledger::record::MOST_GRANTS;
+use quota_ledger::record::MAX_GRANTS;
 use quota_ledger::{
-    Amount, Demand, Ended, Headroom, Holder, HolderId, Limit, Outcome, RecordError, Refusal,
+    Amount, ChangeError, Demand, Ended, Headroom, Holder, HolderId, Limit, Outcome, RecordError,
     TeamLedger,
 };
 use serde_json::json;
@@ -28,8 +28,8 @@
         id(term),
         limit(),
         Headroom {
-            part_of_limit: 0.125,
-            patience_s: 5.0,
+            limit_fraction: 0.125,
+            surplus_delay_s: 5.0,
         },
     )
 }
@@ -44,28 +44,28 @@
 }
 
 #[test]
-fn grants_grow_within_the_limit_only_and_shrink_always() {
+fn grants_grow_only_within_the_limit_and_may_always_shrink() {
     let ledger = TeamLedger::begin(&id(1), gpus(10.0)).join(&id(2));
     assert_eq!(
         ledger.resize(&id(2), gpus(6.5), &limit()),
-        Err(Refusal::LimitReached)
+        Err(ChangeError::LimitReached)
     );
     let ledger = ledger.resize(&id(2), gpus(6.0), &limit()).unwrap();
     assert_eq!(
         ledger.resize(&id(3), gpus(1.0), &limit()),
-        Err(Refusal::NotAHolder)
+        Err(ChangeError::NotAHolder)
     );
-    // The limit was lowered: what runs goes on, nothing grows.
+    // After the limit was lowered grants may stay as they are, but not grow.
     let lowered = Limit::new(0.0, 8.0);
     assert!(ledger.resize(&id(1), gpus(9.0), &lowered).is_ok());
     assert_eq!(
         ledger.resize(&id(2), gpus(7.0), &lowered),
-        Err(Refusal::LimitReached)
+        Err(ChangeError::LimitReached)
     );
 }
 
 #[test]
-fn what_passes_over_is_at_most_what_was_granted() {
+fn a_transfer_is_at_most_what_was_granted() {
     let ledger = TeamLedger::begin(&id(1), gpus(5.0))
         .join(&id(2))
         .join(&id(3));
@@ -80,12 +80,12 @@
     );
     assert_eq!(
         ledger.absorb_all(&id(4), gpus(1.0)),
-        Err(Refusal::NotAHolder)
+        Err(ChangeError::NotAHolder)
     );
 }
 
 #[test]
-fn however_often_a_team_changes_hands_the_record_keeps_its_size_and_its_sum() {
+fn the_record_keeps_its_size_and_sum_over_many_changes_of_the_owner() {
     let mut ledger = TeamLedger::begin(&id(1), gpus(1.0));
     for term in 2..200 {
         let before = ledger.outstanding(&id(term));
@@ -95,19 +95,19 @@
             .resize(&id(term), gpus(0.1), &limit())
             .map(|next| ledger = next);
     }
-    assert_eq!(ledger.grants().len(), MOST_GRANTS);
+    assert_eq!(ledger.grants().len(), MAX_GRANTS);
     let stored = serde_json::to_value(&ledger).unwrap();
     assert!(stored.to_string().len() < 1024, "{stored}");
     assert_eq!(TeamLedger::decode(&stored).unwrap(), ledger);
     assert_eq!(
         ledger.release(&id(2), gpus(0.0)),
-        Err(Refusal::NotAHolder),
+        Err(ChangeError::NotAHolder),
         "folded"
     );
 }
 
 #[test]
-fn what_is_no_record_is_refused_with_the_reason() {
+fn an_invalid_record_is_rejected_with_the_reason() {
     let grant = json!({"h": {"t": 1, "i": 1, "n": "n1"}, "a": {"g": 1000}});
     for (value, reason) in [
         (json!(7), "invalid type"),
@@ -135,46 +135,46 @@
 }
 
 #[test]
-fn a_holder_counts_growth_when_confirmed_and_shrinking_at_once() {
+fn a_holder_counts_growth_once_confirmed_and_shrinking_at_once() {
     let mut holder = holder(1);
     holder.observe(5, Some(TeamLedger::begin(&id(1), gpus(4.0))));
     let proposal = holder.propose(0.0, &demand(4.0, 2.0)).unwrap();
-    assert_eq!((proposal.guard, holder.grant()), (5, gpus(4.0)));
+    assert_eq!((proposal.expected_version, holder.grant()), (5, gpus(4.0)));
     assert!(
         holder.propose(0.0, &demand(4.0, 2.0)).is_none(),
         "one write at a time"
     );
-    holder.answered(Outcome::Committed(6));
+    holder.record_outcome(Outcome::Committed(6));
     assert_eq!(holder.grant(), gpus(8.0), "with headroom");
-    // After its patience it gives back, and doesn't know whether that was carried out.
+    // After the delay it returns the surplus, and does not learn whether that was written.
     assert!(holder.propose(10.0, &demand(1.0, 0.0)).is_none());
     assert!(holder.propose(15.0, &demand(1.0, 0.0)).is_some());
-    holder.answered(Outcome::Unknown);
+    holder.record_outcome(Outcome::Unknown);
     assert_eq!(holder.grant(), gpus(3.0));
-    // Anybody's later write shows that it was not, and can't be any more.
+    // A later write of another holder shows that it was not, and can't be any more.
     let others = TeamLedger::begin(&id(1), gpus(8.0)).join(&id(2));
     holder.observe(7, Some(others));
     assert_eq!(holder.grant(), gpus(8.0));
 }
 
 #[test]
-fn a_recall_brings_back_what_is_not_used() {
+fn a_recall_returns_what_is_not_used() {
     let (mut first, mut second) = (holder(1), holder(2));
     let stored = TeamLedger::begin(&id(1), gpus(16.0));
     second.observe(5, Some(stored));
     let proposal = second.propose(0.0, &demand(0.0, 3.0)).unwrap();
-    second.answered(Outcome::Committed(6));
+    second.record_outcome(Outcome::Committed(6));
     assert_eq!(
         (second.grant(), second.outstanding()),
         (gpus(0.0), gpus(16.0))
     );
     first.observe(6, Some(proposal.ledger));
     let proposal = first.propose(0.0, &demand(10.0, 0.0)).unwrap();
-    first.answered(Outcome::Committed(7));
+    first.record_outcome(Outcome::Committed(7));
     assert_eq!(first.grant(), gpus(10.0));
     second.observe(7, Some(proposal.ledger));
     let proposal = second.propose(0.0, &demand(0.0, 3.0)).unwrap();
-    second.answered(Outcome::Committed(8));
+    second.record_outcome(Outcome::Committed(8));
     assert!(second.grant().covers(&gpus(3.0)), "{:?}", proposal.ledger);
     assert!(
         proposal.ledger.wanted_by_others(&id(1)).is_zero(),
@@ -183,19 +183,19 @@
 }
 
 #[test]
-fn a_new_holder_takes_over_what_is_left_once_all_is_known() {
+fn a_new_holder_absorbs_former_grants_once_everything_that_runs_is_known() {
     let mut holder = holder(2);
     holder.observe(5, Some(TeamLedger::begin(&id(1), gpus(9.0))));
     let joined = holder.propose(0.0, &demand(0.0, 0.0)).unwrap();
     assert_eq!(joined.ledger.outstanding(&id(2)), gpus(9.0));
-    holder.answered(Outcome::Committed(6));
+    holder.record_outcome(Outcome::Committed(6));
     let known = Demand {
         ended: Ended::AllOthers,
         inherited: gpus(6.0),
         ..demand(1.0, 0.0)
     };
     holder.propose(1.0, &known).unwrap();
-    holder.answered(Outcome::Committed(7));
+    holder.record_outcome(Outcome::Committed(7));
     assert_eq!(
         (holder.outstanding(), holder.grant()),
         (Amount::ZERO, gpus(8.0))
--- a/src/core/shard/grants.rs
+++ b/src/core/shard/grants.rs
@@ -90,7 +90,7 @@
             Basis::Granted { own, outstanding }
         } else {
             Basis::Counting {
-                beginning: self.holder.beginning(),
+                beginning: self.holder.first_grant_in_doubt(),
             }
         };
     }
@@ -159,7 +159,7 @@
             let ended = if reconciled {
                 Ended::AllOthers
             } else {
-                Ended::Nobody
+                Ended::None
             };
             let demand = Demand {
                 used,
@@ -214,7 +214,7 @@
             return;
         };
         let write = put(&key, &proposal.ledger, None);
-        let mut preconditions = vec![precondition(&key, proposal.guard)];
+        let mut preconditions = vec![precondition(&key, proposal.expected_version)];
         if proposed {
             preconditions.push(precondition(&teams_key(), teams_version(store)));
         }
@@ -299,7 +299,7 @@
         if !written.proposed {
             return;
         }
-        grant.holder.answered(match reply {
+        grant.holder.record_outcome(match reply {
             StoreReply::Committed(version) => Outcome::Committed(version),
             StoreReply::Unknown => Outcome::Unknown,
             _ => Outcome::NotExecuted,
--- a/src/features.rs
+++ b/src/features.rs
@@ -122,8 +122,8 @@
     pub fn headroom(&self, lease_s: f64) -> Option<Headroom> {
         let ledger = self.quota_ledger.as_ref().filter(|ledger| ledger.enabled)?;
         Some(Headroom {
-            part_of_limit: ledger.headroom,
-            patience_s: ledger.give_back_leases * lease_s,
+            limit_fraction: ledger.headroom,
+            surplus_delay_s: ledger.give_back_leases * lease_s,
         })
     }
 }
