--- a/src/core/controller/failure_detection.rs
+++ b/src/core/controller/failure_detection.rs
@@ -74,9 +74,9 @@
         for sibling in &self.config.siblings {
             let node = &sibling.node;
             let detector = self.peers.detector_mut();
-            detector.key_gone(node, self.store.node(node).is_none());
+            detector.set_key_gone(node, self.store.node(node).is_none());
             if let Some(owning_nodes) = &owning_nodes {
-                detector.owns_nothing(node, !owning_nodes.contains(node));
+                detector.set_owns_nothing(node, !owning_nodes.contains(node));
             }
         }
     }
@@ -105,7 +105,7 @@
     pub(crate) fn detection_report(&self) -> Option<DetectionReport> {
         let now = self.outbox.now;
         self.acts_on_failures().then(|| DetectionReport {
-            opinions: self.peers.detector().opinions_to_tell(now),
+            opinions: self.peers.detector().opinions_to_send(now),
             store_silence: self.store.state_silence(now).min(f64::MAX),
             abandoned_lease: self
                 .detection
@@ -121,7 +121,7 @@
         }
         self.peers
             .detector_mut()
-            .opinions(&from.node, report.opinions, self.outbox.now);
+            .receive_opinions(&from.node, report.opinions, self.outbox.now);
         if let Some(abandoned) = report
             .abandoned_lease
             .filter(|abandoned| abandoned.incarnation != from.incarnation)
@@ -209,7 +209,7 @@
         let now = self.outbox.now;
         let silence = self.store.state_silence(now);
         let later = now - silence + self.ownership.ttl() * LATER_CONTACT_TTLS;
-        contact.state_silent_s = silence;
+        contact.store_silent_s = silence;
         contact.refusals = self.detection.refusals();
         contact.others_heard = self.peers.heard(now).count();
         contact.others_served = self.peers.count_with_store_contact(later, now);
--- a/tests/loopback/worker.rs
+++ b/tests/loopback/worker.rs
@@ -1,6 +1,6 @@
 //! A worker that reports to the program and takes its direct messages, or keeps them.
 
-use super::{BOUNDS, WAIT, listen};
+use super::{MAX_CONNECTIONS, WAIT, listen};
 use hyper::body::Incoming;
 use hyper::{Method, Request};
 use ochredrum::front::MESSAGE_PACK;
@@ -55,7 +55,7 @@
         agent_epoch: 1,
         sequence: 1,
         token: FencingToken(0),
-        notice_s: None,
+        reclaim_notice_s: None,
         tasks: Vec::new(),
     }
 }
@@ -70,7 +70,7 @@
                 task: task.clone(),
                 attempt: *attempt,
                 state: *state,
-                why: (*state == TaskState::Exited).then_some(Exit::Stopped),
+                exit: (*state == TaskState::Exited).then_some(Exit::Stopped),
                 checkpointed: None,
             });
         let (agent_epoch, sequence, token) = (1, self.sequence, self.token);
@@ -129,7 +129,7 @@
             messages: Messages::Serve,
         }));
         let taking = machine.clone();
-        let listening = spawn_local(serve(listener, BOUNDS, move |request| {
+        let listening = spawn_local(serve(listener, MAX_CONNECTIONS, move |request| {
             take_request(taking.clone(), request)
         }));
         spawn_local(report_for_ever(machine.clone(), front));
