--- /dev/null
+++ b/tests/world/calls.rs
@@ -0,0 +1,225 @@
+//! What controllers ask of others, and how those calls and their answers cross the network.
+
+use super::faults::Condition;
+use super::network::{CutManner, Endpoint};
+use super::{Event, LEASE_S, World, previous_version};
+use ochredrum::core::effects::{
+    CallId, CloudCall, CloudReply, Effect, Input, RequestId, StoreCall, StoreReply,
+};
+use ochredrum::core::messages::mesh::MeshMessage;
+use ochredrum::ids::Node;
+use rand::Rng;
+
+/// How long a controller waits for the store and for its siblings.
+const SHORT_TIMEOUT_S: f64 = LEASE_S / 12.0;
+/// How long a controller waits for the cloud.
+const CLOUD_TIMEOUT_S: f64 = LEASE_S / 3.0;
+/// An epoch that no controller has: answers that are addressed to it reach no controller.
+pub(super) const NO_EPOCH: u64 = u64::MAX;
+/// Part of the transactions whose responses are lost while store responses get lost.
+const LOST_PART: f64 = 0.3;
+/// Seconds until a transaction takes effect whose response is lost.
+const LOST_RESPONSE_DELAY_S: f64 = 0.002;
+/// Part of the messages that are delivered later when a cut holds messages.
+const HELD_PART: f64 = 0.5;
+/// Seconds from the end of a cut until the messages that it held are delivered.
+const HELD_DELIVERY_S: f64 = 0.01;
+/// Part of the messages that are slow.
+const SLOW_PART: f64 = 0.01;
+
+/// A call of a controller on its way.
+pub(super) struct Call {
+    /// The controller that calls.
+    pub node: usize,
+    /// The participant that it calls.
+    pub to: Endpoint,
+    /// How long the controller waits for the answer.
+    pub timeout: f64,
+    /// What happens when the call arrives.
+    pub event: Event,
+    /// The controller's input if it cannot know whether the call arrived.
+    pub lost: Input,
+    /// The controller's input if the call certainly did not arrive.
+    pub unsent: Input,
+}
+
+impl World {
+    /// Carries out one effect of a controller.
+    pub(super) fn effect(&mut self, node: usize, effect: Effect) {
+        let epoch = self.nodes[node].epoch;
+        let previous = self.previous_version_nodes.contains(&node);
+        match effect {
+            Effect::Answer(request, answer) => {
+                if let Some(asker) = self.nodes[node].pending_requests.remove(&request) {
+                    self.answer_asker(node, asker, Some(answer), None);
+                }
+            }
+            Effect::MeshAnswer(request, mut reply) => {
+                if previous {
+                    previous_version::strip_reply(&mut reply);
+                }
+                if let Some(asker) = self.nodes[node].pending_requests.remove(&request) {
+                    self.answer_asker(node, asker, None, Some(reply));
+                }
+            }
+            Effect::State(call, what) => {
+                let what = if previous {
+                    previous_version::strip_write(what)
+                } else {
+                    what
+                };
+                self.call_store(node, call, what);
+            }
+            Effect::Cloud(call, what) => self.call_cloud(node, epoch, call, what),
+            Effect::Worker(call, address, commands) => {
+                self.send_direct_commands(node, call, address, commands);
+            }
+            Effect::Mesh(call, to, mut message) => {
+                if previous {
+                    previous_version::strip_message(&mut message);
+                }
+                self.call_sibling(node, call, &to, message);
+            }
+        }
+    }
+
+    fn call_store(&mut self, node: usize, call: CallId, what: StoreCall) {
+        let epoch = self.nodes[node].epoch;
+        self.work.store_requests += 1;
+        if let StoreCall::Commit(transaction) = &what {
+            let text = serde_json::to_string(transaction);
+            self.work.store_bytes_written += text.map_or(0, |text| text.len());
+        }
+        let lost = Input::State(call, StoreReply::Unknown);
+        let commit = matches!(what, StoreCall::Commit(_));
+        let late = commit && self.late_commit(&what);
+        let event = |epoch| Event::State {
+            node,
+            epoch,
+            call,
+            what,
+        };
+        let responses_get_lost = self.network.has(Condition::LostStoreResponses);
+        if commit && responses_get_lost && self.rng.random_bool(LOST_PART) {
+            self.after(LOST_RESPONSE_DELAY_S, event(NO_EPOCH));
+            return self.input_after(SHORT_TIMEOUT_S, node, epoch, lost);
+        }
+        if late {
+            let delay = self.rng.random_range(1.5..LEASE_S * 1.5);
+            self.after(delay, event(epoch));
+            return self.input_after(SHORT_TIMEOUT_S, node, epoch, lost);
+        }
+        self.send(Call {
+            node,
+            to: Endpoint::State,
+            timeout: SHORT_TIMEOUT_S,
+            event: event(epoch),
+            lost,
+            unsent: Input::State(call, StoreReply::Refused),
+        });
+    }
+
+    fn call_cloud(&mut self, node: usize, epoch: u64, call: CallId, what: CloudCall) {
+        let event = Event::Cloud {
+            node,
+            epoch,
+            call,
+            what,
+        };
+        self.send(Call {
+            node,
+            to: Endpoint::Cloud,
+            timeout: CLOUD_TIMEOUT_S,
+            event,
+            lost: Input::Cloud(call, CloudReply::Unknown),
+            unsent: Input::Cloud(call, CloudReply::Refused),
+        });
+    }
+
+    fn call_sibling(&mut self, node: usize, call: CallId, to: &Node, message: MeshMessage) {
+        let Some(to) = index(to) else { return };
+        let mut body = Vec::new();
+        ciborium::into_writer(&message, &mut body).ok();
+        self.work.mesh_bytes += body.len();
+        self.work.largest_message = self.work.largest_message.max(body.len());
+        let event = Event::Mesh {
+            from: node,
+            epoch: self.nodes[node].epoch,
+            call,
+            to,
+            message: Box::new(Input::Mesh(RequestId(0), message)),
+        };
+        self.send(Call {
+            node,
+            to: Endpoint::Node(to),
+            timeout: SHORT_TIMEOUT_S,
+            event,
+            lost: Input::MeshReply(call, None),
+            unsent: Input::MeshReply(call, None),
+        });
+    }
+
+    /// Sends a call over the network. The caller gives up at its timeout; a cut drops the call, or holds it and
+    /// delivers it when the cut ends.
+    pub(super) fn send(&mut self, call: Call) {
+        let Call {
+            node,
+            to,
+            timeout,
+            event,
+            lost,
+            unsent,
+        } = call;
+        let from = Endpoint::Node(node);
+        let epoch = self.nodes[node].epoch;
+        if self.network.passes(&from, &to) {
+            let delay = self.latency();
+            self.after(delay, event);
+            return self.input_after(timeout, node, epoch, lost);
+        }
+        match self.network.cut_manner(&from, &to) {
+            Some(CutManner::Refused) => {
+                let delay = self.latency();
+                self.input_after(delay, node, epoch, unsent);
+            }
+            Some(CutManner::Reset) => {
+                let delay = self.latency();
+                self.input_after(delay, node, epoch, lost);
+            }
+            Some(CutManner::Held) if self.rng.random_bool(HELD_PART) => {
+                if let Some(end) = self.network.held_until(&from, &to) {
+                    self.at(end + HELD_DELIVERY_S, event);
+                }
+                self.input_after(timeout, node, epoch, lost);
+            }
+            _ => self.input_after(timeout, node, epoch, unsent),
+        }
+    }
+
+    /// Gives a controller an input later, unless it has crashed by then.
+    pub(super) fn input_after(&mut self, delay: f64, node: usize, epoch: u64, input: Input) {
+        let input = Box::new(input);
+        self.after(delay, Event::Input { node, epoch, input });
+    }
+
+    /// Draws how long a message takes, in seconds.
+    pub(super) fn latency(&mut self) -> f64 {
+        if self.rng.random_bool(SLOW_PART) {
+            self.rng.random_range(0.05..0.4)
+        } else {
+            self.rng.random_range(0.001..0.006)
+        }
+    }
+
+    /// Sends the answer to a call back to its controller, if the network lets it pass.
+    pub(super) fn reply(&mut self, node: usize, epoch: u64, from: Endpoint, input: Input) {
+        if self.network.passes(&from, &Endpoint::Node(node)) {
+            let delay = self.latency();
+            self.input_after(delay, node, epoch, input);
+        }
+    }
+}
+
+fn index(node: &Node) -> Option<usize> {
+    node.as_str().strip_prefix('n')?.parse().ok()
+}
--- a/tests/world/commands.rs
+++ b/tests/world/commands.rs
@@ -1,5 +1,6 @@
-//! Direct orders on their way to workers: refused, held up, carried out, answered or not.
+//! Direct commands on their way to workers: served, refused, delayed or unanswered.
 
+use super::calls::{Call, NO_EPOCH};
 use super::faults::{Condition, MachineCondition};
 use super::network::Endpoint;
 use super::{Event, LEASE_S, World};
@@ -8,27 +9,26 @@
 use ochredrum::wire::DirectCommands;
 use rand::Rng;
 
-/// How long a controller waits for the answer to direct orders.
-const ANSWER_DEADLINE_S: f64 = LEASE_S / 10.0;
-/// Part of the direct orders that a trouble with them concerns.
-const SHARE_IN_TROUBLE: f64 = 0.4;
-/// An epoch that no controller has: what is answered to it reaches nobody.
-const NOBODY: u64 = u64::MAX;
+/// How long a controller waits for the response to direct commands.
+const RESPONSE_TIMEOUT_S: f64 = LEASE_S / 10.0;
+/// Part of the direct commands that a condition concerns.
+const AFFECTED_PART: f64 = 0.4;
 
-/// What happens to one message of direct orders.
+/// What happens to one message of direct commands.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CommandFate {
+    /// Executed and answered.
     Served,
     /// The connection is refused at once.
     Refused,
-    /// Carried out so many seconds later, without an answer.
+    /// Executed so many seconds later, without a response.
     Late(f64),
-    /// Carried out at once, but the answer is lost.
+    /// Executed at once, but the response is lost.
     Unanswered,
 }
 
 impl World {
-    /// A controller sends direct orders, each message on a connection of its own.
+    /// A controller sends direct commands, each message on a connection of its own.
     pub(super) fn send_direct_commands(
         &mut self,
         node: usize,
@@ -39,13 +39,13 @@
         self.work.commands += 1;
         let epoch = self.nodes[node].epoch;
         let machine = MachineId::from(address.as_str());
-        let reply = |reply| Box::new(Input::Worker(call, reply));
-        let (lost, unsent) = (reply(WorkerReply::Unknown), reply(WorkerReply::NotSent));
+        let lost = Input::Worker(call, WorkerReply::Unknown);
+        let unsent = Input::Worker(call, WorkerReply::NotSent);
         let fate = self.command_fate(&machine);
         let answer_to = if fate == CommandFate::Served {
             epoch
         } else {
-            NOBODY
+            NO_EPOCH
         };
         let event = Event::DirectCommands {
             node,
@@ -57,33 +57,24 @@
         match fate {
             CommandFate::Refused => {
                 let delay = self.latency();
-                return self.after(
-                    delay,
-                    Event::Input {
-                        node,
-                        epoch,
-                        input: unsent,
-                    },
-                );
+                self.input_after(delay, node, epoch, unsent);
             }
             CommandFate::Late(delay) => {
                 self.after(delay, event);
-                return self.after(
-                    ANSWER_DEADLINE_S,
-                    Event::Input {
-                        node,
-                        epoch,
-                        input: lost,
-                    },
-                );
+                self.input_after(RESPONSE_TIMEOUT_S, node, epoch, lost);
             }
-            CommandFate::Served | CommandFate::Unanswered => {}
+            CommandFate::Served | CommandFate::Unanswered => self.send(Call {
+                node,
+                to: Endpoint::Machine(machine),
+                timeout: RESPONSE_TIMEOUT_S,
+                event,
+                lost,
+                unsent,
+            }),
         }
-        let (me, to) = (Endpoint::Node(node), Endpoint::Machine(machine));
-        self.send(me, to, ANSWER_DEADLINE_S, event, node, lost, unsent);
     }
 
-    /// As a scenario has it for the next messages to this machine, or as the present troubles draw it.
+    /// The fate that the scenario has set for the next message to this machine, or one drawn by the present conditions.
     fn command_fate(&mut self, machine: &MachineId) -> CommandFate {
         if let Some(fate) = self.network.next_command_fate(machine) {
             return fate;
@@ -91,20 +82,21 @@
         if self
             .network
             .machine_has(machine, MachineCondition::RefusesCommands)
-            || (self.network.has(Condition::RefusedCommands) && self.in_trouble())
+            || (self.network.has(Condition::RefusedCommands) && self.is_affected())
         {
             return CommandFate::Refused;
         }
-        if self.network.has(Condition::LateCommands) && self.in_trouble() {
+        if self.network.has(Condition::LateCommands) && self.is_affected() {
             return CommandFate::Late(self.rng.random_range(0.05..16.0));
         }
-        if self.network.has(Condition::LostCommandResponses) && self.in_trouble() {
+        if self.network.has(Condition::LostCommandResponses) && self.is_affected() {
             return CommandFate::Unanswered;
         }
         CommandFate::Served
     }
 
-    fn in_trouble(&mut self) -> bool {
-        self.rng.random_bool(SHARE_IN_TROUBLE)
+    /// Draws whether a condition concerns a message.
+    fn is_affected(&mut self) -> bool {
+        self.rng.random_bool(AFFECTED_PART)
     }
 }
--- a/tests/world/controllers.rs
+++ b/tests/world/controllers.rs
@@ -1,44 +1,82 @@
-//! Controllers: what reaches them, and what they ask of others.
+//! Controllers: their processes, the requests that reach them, and the inputs that they process.
 
-use super::faults::{Condition, MachineCondition};
-use super::network::{CutManner, Endpoint};
+use super::faults::MachineCondition;
+use super::network::Endpoint;
 use super::settings::settings;
-use super::{Event, LEASE_S, World, previous_version, users};
+use super::{Event, World, previous_version, users};
 use failure_detector::Stage;
 use ochredrum::config::Config;
 use ochredrum::core::Core;
-use ochredrum::core::effects::{
-    Answer, CallId, CloudReply, Effect, Input, RequestId, StoreCall, StoreReply,
-};
+use ochredrum::core::effects::{Answer, CallId, Input, RequestId};
 use ochredrum::core::messages::mesh::MeshReply;
 use ochredrum::ids::{MachineId, Node};
 use rand::Rng;
 use std::collections::BTreeMap;
 
+/// How long users wait for the answer to a poll.
+const POLL_TIMEOUT_S: f64 = 2.0;
+/// How long users wait for the answer to a submission or a cancellation.
+const SUBMIT_TIMEOUT_S: f64 = 5.0;
+/// Difference between the rates of the clocks of neighbouring controllers.
+const CLOCK_DRIFT: f64 = 0.0004;
+/// Seconds until a replayed heartbeat arrives.
+const REPLAY_DELAY_S: f64 = 0.01;
+/// The wall clock at the beginning of the simulation, in milliseconds since 1970.
+const WALL_CLOCK_START_MS: u64 = 1_700_000_000_000;
+
+/// The process of a controller, running or not.
 pub struct Controller {
+    /// The state machine; absent while the process does not run.
     pub core: Option<Core>,
+    /// Counts starts and crashes, so that what was meant for an earlier process is dropped.
     pub epoch: u64,
-    pub started: f64,
-    /// Clocks run at slightly different rates.
-    pub rate: f64,
-    pub next_request: u64,
+    started: f64,
+    /// Its clock runs slightly faster or slower than virtual time.
+    clock_rate: f64,
+    next_request: u64,
+    /// Requests that it has not answered yet.
     pub pending_requests: BTreeMap<RequestId, Asker>,
-    /// Stands still until then; what arrives meanwhile waits.
+    /// The process is paused until then; its inputs are deferred.
     pub frozen_until: f64,
+    /// Inputs that arrived while it was paused.
     pub deferred_inputs: Vec<Input>,
 }
 
+impl Controller {
+    /// A controller that has not started yet.
+    pub fn new(index: usize) -> Self {
+        Self {
+            core: None,
+            epoch: 0,
+            started: 0.0,
+            clock_rate: 1.0 + (index as f64 - 1.0) * CLOCK_DRIFT,
+            next_request: 0,
+            pending_requests: BTreeMap::new(),
+            frozen_until: 0.0,
+            deferred_inputs: Vec::new(),
+        }
+    }
+}
+
+/// The sender of a request to a controller.
 pub enum Asker {
+    /// A user.
     User {
+        /// The job, unless the request concerns none that was submitted as usual.
         job: Option<usize>,
         kind: users::RequestKind,
+        /// When the request was sent.
         asked: f64,
     },
+    /// A worker that sent a heartbeat.
     Worker {
         machine: MachineId,
+        /// The sequence number of the heartbeat.
         number: u64,
+        /// Whether the worker waits for the answer; duplicates have no connection.
         live: bool,
     },
+    /// Another controller.
     Sibling {
         from: usize,
         epoch: u64,
@@ -47,6 +85,7 @@
 }
 
 impl World {
+    /// Starts the process of a controller, unless it runs already.
     pub(super) fn restart(&mut self, node: usize) {
         let next = self
             .next_limits
@@ -73,10 +112,11 @@
         self.at(self.now, Event::Tick { node, epoch });
     }
 
+    /// Ends the process of a controller, which is restarted after so many seconds.
     pub(super) fn crash(&mut self, node: usize, back_after: f64) {
         if self.nodes[node].core.take().is_some() {
             self.nodes[node].epoch += 1;
-            // Whoever asked sees the connection break.
+            // Users see their connections break.
             for (_, asker) in std::mem::take(&mut self.nodes[node].pending_requests) {
                 if let Asker::User { job, kind, asked } = asker {
                     self.after(
@@ -96,11 +136,12 @@
         }
     }
 
+    /// The time that a controller's own clock shows, in seconds since its start.
     pub(super) fn clock(&self, node: usize) -> f64 {
-        (self.now - self.nodes[node].started) * self.nodes[node].rate
+        (self.now - self.nodes[node].started) * self.nodes[node].clock_rate
     }
 
-    /// Kept copies of reports reach every controller as another one begins to lead.
+    /// Recorded heartbeats reach every controller once another one leads.
     pub(super) fn replay_to_new_leader(&mut self) {
         let leader = self.leader();
         if self.replay_buffer.is_empty() || leader.is_none() || leader == self.last_leader {
@@ -112,7 +153,7 @@
             for node in 0..self.nodes.len() {
                 let (machine, heartbeat) = (machine.clone(), heartbeat.clone());
                 self.after(
-                    0.01,
+                    REPLAY_DELAY_S,
                     Event::Heartbeat {
                         machine,
                         node,
@@ -124,7 +165,7 @@
         }
     }
 
-    /// The controller that acts, if one does.
+    /// The controller that leads, if one does.
     pub fn leader(&self) -> Option<usize> {
         (0..self.nodes.len()).find(|node| {
             self.nodes[*node]
@@ -134,7 +175,7 @@
         })
     }
 
-    /// Whether a controller that runs, other than `node`, suspects it to have failed.
+    /// Whether a running controller other than `node` suspects `node` to have failed.
     pub fn is_suspected(&self, node: usize) -> bool {
         let name = Node::from(format!("n{node}"));
         let others = (0..self.nodes.len()).filter(|other| *other != node);
@@ -156,6 +197,7 @@
         })
     }
 
+    /// A request reaches a controller.
     pub(super) fn ask_node(&mut self, node: usize, asker: Asker, input: Input) {
         if self.nodes[node].core.is_none() {
             return self.answer_asker(node, asker, None, None);
@@ -176,6 +218,7 @@
         self.step(node, vec![input]);
     }
 
+    /// Sends an answer back to whoever asked, if the network lets it pass; `None` for a broken connection.
     pub(super) fn answer_asker(
         &mut self,
         node: usize,
@@ -186,13 +229,17 @@
         let delay = self.latency();
         match asker {
             Asker::User { job, kind, asked } => {
-                // Users wait for 2 or 5 s; what comes later they never see.
+                // Answers after the timeout reach no user.
                 let poll = matches!(
                     kind,
                     users::RequestKind::Poll | users::RequestKind::ProbePoll
                 );
-                let patience = if poll { 2.0 } else { 5.0 };
-                let answer = answer.filter(|_| self.now < asked + patience);
+                let timeout = if poll {
+                    POLL_TIMEOUT_S
+                } else {
+                    SUBMIT_TIMEOUT_S
+                };
+                let answer = answer.filter(|_| self.now < asked + timeout);
                 self.after(
                     delay,
                     Event::UserAnswer {
@@ -232,26 +279,20 @@
                     .network
                     .passes(&Endpoint::Node(node), &Endpoint::Node(from))
                 {
-                    let input = Box::new(Input::MeshReply(call, mesh));
-                    self.after(
-                        delay,
-                        Event::Input {
-                            node: from,
-                            epoch,
-                            input,
-                        },
-                    );
+                    let input = Input::MeshReply(call, mesh);
+                    self.input_after(delay, from, epoch, input);
                 }
             }
         }
     }
 
+    /// A controller processes inputs, and its effects are carried out; while it is paused they are deferred.
     pub(super) fn step(&mut self, node: usize, batch: Vec<Input>) {
         if self.now < self.nodes[node].frozen_until {
             return self.nodes[node].deferred_inputs.extend(batch);
         }
         let now = self.clock(node);
-        let wall = 1_700_000_000_000 + (self.now * 1e3) as u64;
+        let wall = WALL_CLOCK_START_MS + (self.now * 1e3) as u64;
         let previous = self.previous_version_nodes.contains(&node);
         let batch = if previous {
             batch
@@ -269,7 +310,7 @@
         let effects = span.in_scope(|| core.step(now, wall, batch));
         let start_withheld = core.starts_held_back() > before;
         if start_withheld {
-            // The last guard kept the rule, but nothing should come to it.
+            // The last guard kept the rule, but no start should reach it.
             self.record_violation(
                 "start_held_back",
                 format!("n{node} was about to start a task twice"),
@@ -279,11 +320,11 @@
             self.effect_digest.add(self.now, node, &effect);
             self.effect(node, effect);
         }
-        self.one_owner();
+        self.check_single_owner();
     }
 
-    /// Never may two controllers be entitled to start a team's tasks.
-    pub(super) fn one_owner(&mut self) {
+    /// Checks that no two controllers may start tasks of the same team.
+    pub(super) fn check_single_owner(&mut self) {
         let mut owners: BTreeMap<String, usize> = BTreeMap::new();
         for node in 0..self.nodes.len() {
             let clock = self.clock(node);
@@ -301,218 +342,7 @@
         }
     }
 
-    pub(super) fn effect(&mut self, node: usize, effect: Effect) {
-        let epoch = self.nodes[node].epoch;
-        let me = Endpoint::Node(node);
-        let previous = self.previous_version_nodes.contains(&node);
-        match effect {
-            Effect::Answer(request, answer) => {
-                if let Some(asker) = self.nodes[node].pending_requests.remove(&request) {
-                    self.answer_asker(node, asker, Some(answer), None);
-                }
-            }
-            Effect::MeshAnswer(request, mut reply) => {
-                if previous {
-                    previous_version::strip_reply(&mut reply);
-                }
-                if let Some(asker) = self.nodes[node].pending_requests.remove(&request) {
-                    self.answer_asker(node, asker, None, Some(reply));
-                }
-            }
-            Effect::State(call, what) => {
-                let what = if previous {
-                    previous_version::strip_write(what)
-                } else {
-                    what
-                };
-                self.work.store_requests += 1;
-                if let StoreCall::Commit(transaction) = &what {
-                    let text = serde_json::to_string(transaction);
-                    self.work.store_bytes_written += text.map_or(0, |text| text.len());
-                }
-                let lost = Box::new(Input::State(call, StoreReply::Unknown));
-                let unsent = Box::new(Input::State(call, StoreReply::Refused));
-                let commit = matches!(what, StoreCall::Commit(_));
-                let late = commit && self.late_commit(&what);
-                if commit
-                    && self.network.has(Condition::LostStoreResponses)
-                    && self.rng.random_bool(0.3)
-                {
-                    // Nobody is of this epoch, so the answer reaches nobody.
-                    self.after(
-                        0.002,
-                        Event::State {
-                            node,
-                            epoch: u64::MAX,
-                            call,
-                            what,
-                        },
-                    );
-                    return self.after(
-                        LEASE_S / 12.0,
-                        Event::Input {
-                            node,
-                            epoch,
-                            input: lost,
-                        },
-                    );
-                }
-                let event = Event::State {
-                    node,
-                    epoch,
-                    call,
-                    what,
-                };
-                if late {
-                    let delay = self.rng.random_range(1.5..LEASE_S * 1.5);
-                    self.after(delay, event);
-                    return self.after(
-                        LEASE_S / 12.0,
-                        Event::Input {
-                            node,
-                            epoch,
-                            input: lost,
-                        },
-                    );
-                }
-                self.send(
-                    me,
-                    Endpoint::State,
-                    LEASE_S / 12.0,
-                    event,
-                    node,
-                    lost,
-                    unsent,
-                );
-            }
-            Effect::Cloud(call, what) => {
-                let lost = Box::new(Input::Cloud(call, CloudReply::Unknown));
-                let unsent = Box::new(Input::Cloud(call, CloudReply::Refused));
-                let event = Event::Cloud {
-                    node,
-                    epoch,
-                    call,
-                    what,
-                };
-                self.send(
-                    me,
-                    Endpoint::Cloud,
-                    LEASE_S / 3.0,
-                    event,
-                    node,
-                    lost,
-                    unsent,
-                );
-            }
-            Effect::Worker(call, address, commands) => {
-                self.send_direct_commands(node, call, address, commands)
-            }
-            Effect::Mesh(call, to, mut message) => {
-                if previous {
-                    previous_version::strip_message(&mut message);
-                }
-                let Some(to) = index(&to) else { return };
-                let mut body = Vec::new();
-                ciborium::into_writer(&message, &mut body).ok();
-                self.work.mesh_bytes += body.len();
-                self.work.largest_message = self.work.largest_message.max(body.len());
-                let lost = Box::new(Input::MeshReply(call, None));
-                let unsent = Box::new(Input::MeshReply(call, None));
-                let message = Box::new(Input::Mesh(RequestId(0), message));
-                let event = Event::Mesh {
-                    from: node,
-                    epoch,
-                    call,
-                    to,
-                    message,
-                };
-                self.send(
-                    me,
-                    Endpoint::Node(to),
-                    LEASE_S / 12.0,
-                    event,
-                    node,
-                    lost,
-                    unsent,
-                );
-            }
-        }
-    }
-
-    /// Sends a call over the network. The caller gives up at its deadline; a cut drops the call,
-    /// or holds it and delivers it when the cut ends.
-    #[allow(clippy::too_many_arguments)]
-    pub(super) fn send(
-        &mut self,
-        from: Endpoint,
-        to: Endpoint,
-        deadline: f64,
-        event: Event,
-        node: usize,
-        lost: Box<Input>,
-        unsent: Box<Input>,
-    ) {
-        let epoch = self.nodes[node].epoch;
-        if self.network.passes(&from, &to) {
-            let delay = self.latency();
-            self.after(delay, event);
-            return self.after(
-                deadline,
-                Event::Input {
-                    node,
-                    epoch,
-                    input: lost,
-                },
-            );
-        }
-        match self.network.cut_manner(&from, &to) {
-            Some(CutManner::Refused) => {
-                let delay = self.latency();
-                self.after(
-                    delay,
-                    Event::Input {
-                        node,
-                        epoch,
-                        input: unsent,
-                    },
-                );
-            }
-            Some(CutManner::Reset) => {
-                let delay = self.latency();
-                self.after(
-                    delay,
-                    Event::Input {
-                        node,
-                        epoch,
-                        input: lost,
-                    },
-                );
-            }
-            Some(CutManner::Held) if self.rng.random_bool(0.5) => {
-                if let Some(end) = self.network.held_until(&from, &to) {
-                    self.at(end + 0.01, event);
-                }
-                self.after(
-                    deadline,
-                    Event::Input {
-                        node,
-                        epoch,
-                        input: lost,
-                    },
-                );
-            }
-            _ => self.after(
-                deadline,
-                Event::Input {
-                    node,
-                    epoch,
-                    input: unsent,
-                },
-            ),
-        }
-    }
-
-    /// An overloaded process gets a turn only now and then.
+    /// Pauses an overloaded process after its turn.
     pub(super) fn pause_if_slow(&mut self, node: usize, epoch: u64) {
         if let Some(pause) = self.network.pause_between_turns(node)
             && self.now >= self.nodes[node].frozen_until
@@ -522,30 +352,4 @@
             self.at(until, Event::Resume { node, epoch });
         }
     }
-
-    pub(super) fn latency(&mut self) -> f64 {
-        if self.rng.random_bool(0.01) {
-            self.rng.random_range(0.05..0.4)
-        } else {
-            self.rng.random_range(0.001..0.006)
-        }
-    }
-
-    pub(super) fn reply(&mut self, node: usize, epoch: u64, from: Endpoint, input: Input) {
-        if self.network.passes(&from, &Endpoint::Node(node)) {
-            let delay = self.latency();
-            self.after(
-                delay,
-                Event::Input {
-                    node,
-                    epoch,
-                    input: Box::new(input),
-                },
-            );
-        }
-    }
-}
-
-fn index(node: &Node) -> Option<usize> {
-    node.as_str().strip_prefix('n')?.parse().ok()
 }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -2,6 +2,7 @@
 //! network with faults, all by the published protocol. Every rule is checked as things happen.
 
 mod allowance;
+mod calls;
 mod cloud;
 mod commands;
 mod controllers;
@@ -122,16 +123,7 @@
 impl World {
     /// A world with this many controllers, none of which has started yet.
     pub fn new(seed: u64, controllers: usize) -> Self {
-        let nodes = (0..controllers).map(|index| Controller {
-            core: None,
-            epoch: 0,
-            started: 0.0,
-            rate: 1.0 + (index as f64 - 1.0) * 0.0004,
-            next_request: 0,
-            pending_requests: BTreeMap::new(),
-            frozen_until: 0.0,
-            deferred_inputs: Vec::new(),
-        });
+        let nodes = (0..controllers).map(Controller::new);
         let mut world = Self {
             now: 0.0,
             sequence: 0,
