--- a/tests/days/command_faults.rs
+++ b/tests/days/command_faults.rs
@@ -1,11 +1,11 @@
-//! Days on which direct orders to workers go wrong.
+//! Days on which direct commands to workers are refused, late or unanswered.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// Many short tasks on few machines, more than have room, urgent ones among them; notices and
-/// cancellations; direct orders that are refused, late or unanswered, machines that hang for less
-/// than a lease, and controllers that end.
+/// A day with more short tasks than the few machines can run at once, some of high priority, with termination notices and
+/// cancellations, direct commands that are refused, late or unanswered, machines that hang for less than a lease, and
+/// controllers that crash.
 pub fn command_faults_day(seed: u64) -> String {
     let mut rng = StdRng::seed_from_u64(seed);
     let controllers = if seed.is_multiple_of(2) { 5 } else { 3 };
@@ -26,12 +26,12 @@
     }
     for _ in 0..rng.random_range(8..20) {
         let at = f64::from(rng.random_range(50..1300)) / 10.0;
-        day += &format!("at {at} {}\n", trouble(&mut rng, machines + 2));
+        day += &format!("at {at} {}\n", fault(&mut rng, machines + 2));
     }
     day + "until 330\n"
 }
 
-/// That many jobs of short tasks; a part of them is cancelled, at most so many seconds after it came.
+/// This many jobs of short tasks. A part of them, `cancelled`, is cancelled at most `within_s` seconds after submission.
 pub fn short_jobs(rng: &mut StdRng, jobs: u32, cancelled: f64, within_s: f64) -> String {
     let mut lines = String::new();
     for job in 1..=jobs {
@@ -61,7 +61,7 @@
     }
 }
 
-fn trouble(rng: &mut StdRng, machines: usize) -> String {
+fn fault(rng: &mut StdRng, machines: usize) -> String {
     let which = rng.random_range(0..machines);
     let moment = f64::from(rng.random_range(2..60)) / 10.0;
     let spell = rng.random_range(2..20);
--- a/tests/days/interacting_faults.rs
+++ b/tests/days/interacting_faults.rs
@@ -1,10 +1,10 @@
-//! Days on which two or three troubles meet.
+//! Days on which two or three faults interact.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// A day of meetings: two or three troubles begin within seconds of one another, while jobs are
-/// cancelled and the limited team has as much to run as it may.
+/// A day on which, several times, two or three faults begin within seconds of one another, while jobs are cancelled and
+/// the limited team is at its limit.
 pub fn interacting_faults_day(seed: u64) -> String {
     let mut rng = StdRng::seed_from_u64(seed);
     let controllers = if seed.is_multiple_of(2) { 5 } else { 3 };
@@ -12,7 +12,7 @@
     let mut day = format!("seed {seed}\ncontrollers {controllers}\nmachines {machines}\nspot 2\n");
     let mut jobs = 0;
     let mut ending: Vec<u32> = Vec::new();
-    // One in three is upgraded meanwhile; then nothing new is asked for before the end.
+    // On one day in three the controllers are upgraded; jobs then have no dependencies.
     let upgraded = seed.is_multiple_of(3);
     if upgraded {
         let (at, every) = (rng.random_range(10..60), rng.random_range(4..12));
@@ -48,7 +48,7 @@
         };
         day += &format!("at {at} job {job}{after}\n");
         jobs += 1;
-        // Services are never named.
+        // No job depends on a service, because services do not end.
         ending.extend((!job.starts_with("service")).then_some(jobs));
     }
     for _ in 0..rng.random_range(2..5) {
@@ -92,7 +92,7 @@
             day += &format!("at {at} unusual_requests 20\n");
         }
         if rng.random_bool(0.4) {
-            // One controller is refused, others confirm cancellations, then the service is out for all.
+            // The store refuses one controller, others confirm cancellations, then the store has an outage.
             let who = ["leader", "n0", "n1"][rng.random_range(0..3)];
             let out = at + f64::from(rng.random_range(10..30)) / 10.0;
             day += &format!(
--- a/tests/days/many_machines.rs
+++ b/tests/days/many_machines.rs
@@ -1,12 +1,12 @@
-//! Days on tens of machines on which every kind of trouble overlaps with direct orders that go wrong.
+//! Days on tens of machines on which every kind of fault overlaps with faults of direct commands.
 
 use super::command_faults::short_jobs;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// Many short tasks on tens of machines, cancelled, stopped and drained, while controllers end, stand
-/// still and are cut off, the state service is late, machines hang, are cut off or hear nothing, and
-/// direct orders are refused, late or unanswered. On every third day they are upgraded meanwhile.
+/// A day with many short tasks on tens of machines, some of which are cancelled, stopped and drained, while controllers
+/// crash, are paused and are cut off, the store is late, machines hang, are cut off or receive nothing, and direct
+/// commands are refused, late or unanswered. On every third day the controllers are upgraded as well.
 pub fn many_machines_day(seed: u64) -> String {
     let mut rng = StdRng::seed_from_u64(seed);
     let controllers = if seed.is_multiple_of(2) { 5 } else { 3 };
@@ -25,7 +25,7 @@
     }
     for _ in 0..rng.random_range(12..26) {
         let at = f64::from(rng.random_range(50..1300)) / 10.0;
-        day += &format!("at {at} {}\n", trouble(&mut rng, machines + 4));
+        day += &format!("at {at} {}\n", fault(&mut rng, machines + 4));
     }
     if seed.is_multiple_of(3) {
         day += &upgrade(&mut rng);
@@ -33,14 +33,14 @@
     day + "until 360\n"
 }
 
-/// All controllers begin with the version before and are upgraded one after the other.
+/// All controllers start with the previous version and are upgraded one after the other.
 fn upgrade(rng: &mut StdRng) -> String {
     let (at, every) = (rng.random_range(15..60), rng.random_range(3..12));
     let order = ["", "last_first", "leader_first", "leader_last"][rng.random_range(0..4)];
     format!("previous_version\nat {at} upgrade {every} {order}\n")
 }
 
-fn trouble(rng: &mut StdRng, machines: usize) -> String {
+fn fault(rng: &mut StdRng, machines: usize) -> String {
     let which = rng.random_range(0..machines);
     let moment = f64::from(rng.random_range(2..80)) / 10.0;
     let spell = rng.random_range(2..25);
--- a/tests/days/overlapping_faults.rs
+++ b/tests/days/overlapping_faults.rs
@@ -1,9 +1,9 @@
-//! Days on which everything that the protocol names may overlap.
+//! Days on which all faults that the protocol names may overlap.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// A day on which everything that the protocol names may overlap, on a map of several values.
+/// A day on which all faults that the protocol names may overlap, on a shard map of several values.
 pub fn overlapping_faults_day(seed: u64) -> String {
     let mut rng = StdRng::seed_from_u64(seed);
     let controllers = if seed.is_multiple_of(2) { 5 } else { 3 };
--- a/tests/days/random.rs
+++ b/tests/days/random.rs
@@ -1,13 +1,13 @@
-//! Days of random work and overlapping faults.
+//! Days of random jobs and overlapping faults.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// A day of random work and overlapping faults, calm in its last part.
+/// A day of random jobs and overlapping faults, without faults in its last part.
 pub fn random_day(seed: u64) -> String {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut day = format!("seed {seed}\nmachines {}\nspot 2\n", rng.random_range(4..7));
-    // Two days in five as a larger deployment has it.
+    // Two days in five have the controllers of a larger deployment.
     let controllers = if matches!(seed % 5, 2 | 4) { 5 } else { 3 };
     day += &format!("controllers {controllers}\n");
     for _ in 0..rng.random_range(6..12) {
@@ -18,7 +18,7 @@
         } else {
             rng.random_range(1..7)
         };
-        // Services of the limited team would keep its other work from ever running.
+        // Services of the limited team would keep its other jobs from running.
         let team = if kind == "service" {
             "red"
         } else {
--- a/tests/days/upgrade.rs
+++ b/tests/days/upgrade.rs
@@ -3,6 +3,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
+/// All orders of three controllers.
 const ORDERS_OF_THREE: [&str; 6] = ["0,1,2", "0,2,1", "1,0,2", "1,2,0", "2,0,1", "2,1,0"];
 
 /// The order of an upgrade: each of three controllers in turn; of five the leader first or last, or
@@ -24,14 +25,15 @@
     order.join(",")
 }
 
-/// What goes wrong beside an upgrade that begins at `at`; the cancelled job is the first.
-const UPGRADE_TROUBLES: [&str; 7] = [
+/// The faults during an upgrade.
+const UPGRADE_FAULTS: [&str; 7] = [
     "none", "outage", "refused", "zone", "cancel", "limits", "all",
 ];
 
-fn upgrade_trouble(trouble: &str, at: f64, all_new: f64, rng: &mut StdRng) -> String {
+/// The statements of a fault during an upgrade that begins at `at`; the cancelled job is the first.
+fn upgrade_fault(fault: &str, at: f64, all_new: f64, rng: &mut StdRng) -> String {
     let during = at + f64::from(rng.random_range(0..100)) / 10.0;
-    match trouble {
+    match fault {
         "outage" => format!("at {during} outage {}\n", rng.random_range(5..25)),
         "refused" => format!("at {during} refuse leader {}\n", rng.random_range(4..14)),
         "zone" => format!("at {during} zone_cut b {} hold\n", rng.random_range(5..20)),
@@ -55,9 +57,8 @@
     }
 }
 
-/// A day on which the controllers are upgraded one after the other or two at a time, some are killed
-/// again, and jobs that need others follow; on some days one goes back to the version before while
-/// those jobs wait, run, are done and are cancelled, and forward again.
+/// A day on which the controllers are upgraded one or two at a time, some crash again, and jobs with dependencies follow.
+/// On some days one controller is downgraded while those jobs wait, run, finish and are cancelled, and is upgraded again.
 pub fn upgrade_day(seed: u64) -> String {
     let mut rng = StdRng::seed_from_u64(seed);
     let controllers = if seed.is_multiple_of(2) { 3 } else { 5 };
@@ -72,14 +73,14 @@
     };
     // The last is back 5 s after its turn, and all are killed once more on some days.
     let all_new = at + f64::from(every) * turns as f64 + 12.0;
-    let trouble = UPGRADE_TROUBLES[seed as usize % UPGRADE_TROUBLES.len()];
+    let fault = UPGRADE_FAULTS[seed as usize % UPGRADE_FAULTS.len()];
     let mut day =
         format!("seed {seed}\nprevious_version\ncontrollers {controllers}\nmachines 10\nspot 2\n");
     day += "at 2 job array 6 run=40\nat 3 job service 4 spread\n";
     day += "at 4 job gang 2 onezone run=30 team=blue\nat 5 job array 12 run=15 spot\n";
     day += &format!("at {at} job array 8 run=12 team=blue\n");
     day += &format!("at {at} upgrade {every} {order} {pairs}\n");
-    // One of the version before dies before its turn, and comes back as it was.
+    // One of the previous version crashes before its turn, and returns with the same version.
     if let Some(last) = order
         .rsplit(',')
         .next()
@@ -96,9 +97,9 @@
             again + 2.0
         );
     }
-    day += &upgrade_trouble(trouble, at, all_new, &mut rng);
+    day += &upgrade_fault(fault, at, all_new, &mut rng);
     day += &pipelines(all_new, rng.random_range(4..9));
-    if trouble != "limits" && rng.random_bool(0.6) {
+    if fault != "limits" && rng.random_bool(0.6) {
         let (back, who) = (all_new + 16.0, rng.random_range(0..controllers));
         let again = back + f64::from(rng.random_range(8..25));
         day += &format!("at {back} downgrade n{who}\n");
--- a/tests/effect_digests/mod.rs
+++ b/tests/effect_digests/mod.rs
@@ -1,5 +1,5 @@
-//! The same inputs give the same effects as before a change of names or structure: the digests of all scenarios and of
-//! days with fixed seeds are compared with recorded ones.
+//! A change of names or structure leaves all effects as they were: the digests of all scenarios and of generated days with
+//! fixed seeds are compared with recorded ones.
 //!
 //! `EFFECT_DIGESTS=file` writes the digests to a file instead. A commit that has to change the recorded ones says why.
 
@@ -7,11 +7,13 @@
 use super::script::{play, scenario_files};
 use std::fmt::Write;
 
+/// The recorded digests.
 const RECORDED: &str = include_str!("recorded.txt");
 
-/// Days of one kind, by seed.
+/// Generates a day of one kind from a seed.
 type DayOf = fn(u64) -> String;
 
+/// The kinds of generated days: name, generator, and the last of the seeds that begin with 1.
 const KINDS_OF_DAYS: [(&str, DayOf, u64); 6] = [
     ("random", days::random_day, 10),
     ("overlapping_faults", days::overlapping_faults_day, 8),
--- a/tests/failures/load.rs
+++ b/tests/failures/load.rs
@@ -1,16 +1,19 @@
-//! Under load nobody who lives is suspected: users ask all controllers again and again, jobs come and go, answers of the
-//! state service get lost, and one packet in a hundred is late.
+//! Under load no running controller is suspected: users poll all controllers again and again, jobs start and end, responses
+//! of the store are lost, and one message in a hundred is late.
 
 use crate::script::{assert_no_violations, play};
 
+/// Controllers in the simulation.
 const CONTROLLERS: usize = 5;
+/// When suspicions begin to count.
 const LOADED_FROM_S: f64 = 30.0;
 /// An hour by hand: `FAILURE_LOAD_SECONDS=3600`.
 const LOADED_FOR_S: f64 = 300.0;
+/// How often suspicions are checked.
 const STEP_S: f64 = 0.05;
 
 #[test]
-fn nobody_is_suspected_for_load() {
+fn no_controller_is_suspected_under_load() {
     let seconds = std::env::var("FAILURE_LOAD_SECONDS")
         .ok()
         .and_then(|text| text.parse().ok());
--- a/tests/failures/measure.rs
+++ b/tests/failures/measure.rs
@@ -1,46 +1,51 @@
-//! Plays one failure of a share's owner and takes the times of what follows.
+//! Simulates one failure of a shard's owner and measures when what follows takes place.
 
 use crate::script::{default_job, play};
 use crate::world::{CutManner, Direction, Endpoint, Event, Fault, World};
 use ochredrum::wire::{JobSpec, Kind};
 
 /// When the failure begins at the earliest.
-pub const FAILS_AT: f64 = 40.0;
-/// Seeds spread its beginning evenly over this time, in which every lease of a key is renewed.
+const FAILS_AT: f64 = 40.0;
+/// Seeds spread its beginning evenly over this time, within which the lease of every key is renewed.
 const PHASES_S: f64 = 4.0;
+/// Beginnings within that time.
 const PHASES: u64 = 20;
-/// Prime to the number of phases, so that seeds that follow one another are far apart.
+/// Coprime to the number of phases, so that consecutive seeds are far apart.
 const PHASE_STRIDE: u64 = 7;
 /// How long a failure is followed.
 const FOLLOWED_S: f64 = 45.0;
-/// How often the world is looked at.
+/// How often the simulation is inspected.
 const STEP_S: f64 = 0.05;
-/// A key outlasts failures that are shorter than this.
+/// The key of a controller survives failures that are shorter than this.
 const KEY_LASTS_S: f64 = 4.0;
-/// What those that end stay away for, and what cuts last.
+/// How long crashed controllers stay away, and how long cuts last.
 const LASTS_S: f64 = 40.0;
-/// When a further job of the failed controller's share is submitted.
+/// Seconds after the failure when another job of the failed controller's shard is submitted.
 const SUBMITTED_AFTER_S: f64 = 0.5;
 
 /// A kind of failure of one controller.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Failure {
+    /// Crashes.
     Ends,
-    /// Ends, and is back after so many seconds.
+    /// Crashes, and is restarted after so many seconds.
     Restarts(f64),
-    /// Stands still for so many seconds while its clocks run on.
+    /// Is paused for so many seconds while its clocks continue.
     StandsStill(f64),
+    /// Is cut from all workers.
     CutFromWorkers(CutManner),
+    /// Is refused by the store, unlike the others.
     RefusedAlone,
+    /// Is cut from the store and its siblings.
     CutFromStateAndSiblings,
     /// What it sends, or what is sent to it, is lost.
     OneDirection(Direction),
-    /// It gets a turn only every so many seconds.
+    /// It runs only once every so many seconds.
     Slow(f64),
 }
 
 impl Failure {
-    /// Whether it lasts for so long that the share has to go to another controller.
+    /// Whether it lasts long enough for the shard to fail over.
     pub fn ends_ownership(self) -> bool {
         match self {
             Self::Restarts(seconds) | Self::StandsStill(seconds) => seconds >= KEY_LASTS_S,
@@ -49,7 +54,7 @@
         }
     }
 
-    /// Whether a worker that reports there gets no answer and waits for it in vain.
+    /// Whether workers that report to it wait for an answer until their timeout.
     pub fn keeps_workers_waiting(self) -> bool {
         matches!(
             self,
@@ -57,7 +62,7 @@
         )
     }
 
-    /// Lets it happen to a controller.
+    /// Schedules it for a controller.
     pub fn happen(self, world: &mut World, at: f64, node: usize) {
         let who = Endpoint::Node(node);
         let cut = |from: Endpoint, manner: CutManner, direction: Direction| {
@@ -101,33 +106,34 @@
     }
 }
 
-/// Seconds from the failure until something came about, if it did; and what was lost.
+/// Seconds from the failure until something took place, if it did, and what was lost.
 #[derive(Clone, Debug, Default)]
 pub struct Measured {
-    /// Another controller has noticed.
+    /// Another controller suspects the failed one.
     pub noticed: Option<f64>,
-    /// The failed process's key has gone or is another process's.
+    /// The key of the failed process was removed, or belongs to another process.
     pub released: Option<f64>,
-    /// The stored map names another owner.
+    /// The stored shard map names another owner.
     pub handed_on: Option<f64>,
-    /// Another process may start all of the share's tasks, for it knows what runs.
+    /// Another process may start all tasks of the shard, because it knows what runs.
     pub settled: Option<f64>,
-    /// A job of the share that was submitted half a second after the failure has begun.
+    /// A job of the shard that was submitted half a second after the failure has started.
     pub started: Option<f64>,
-    /// Tasks that ended with the leases of workers.
+    /// Tasks that were lost with the leases of workers.
     pub lost: usize,
+    /// Rules that were violated.
     pub violations: Vec<String>,
 }
 
-/// A fleet on which two teams' services and arrays run.
-pub fn day(seed: u64, controllers: usize) -> String {
+/// A day on which services and arrays of two teams run.
+fn day(seed: u64, controllers: usize) -> String {
     format!(
         "seed {seed}\ncontrollers {controllers}\nmachines 16\nat 2 job service 20 spread\n\
          at 3 job array 12 run=300\nat 4 job service 4 team=blue\nat 10 cloud_outage 200\n"
     )
 }
 
-/// The world just before the failure, and when that begins.
+/// The simulation just before the failure, and the moment of the failure.
 pub fn before_failure(seed: u64, controllers: usize) -> (World, f64) {
     let fails_at = FAILS_AT + (seed * PHASE_STRIDE % PHASES) as f64 / PHASES as f64 * PHASES_S;
     let mut world = play(&format!("{}until {fails_at}\n", day(seed, controllers)));
@@ -135,7 +141,7 @@
     (world, fails_at)
 }
 
-/// The controller that owns the busiest share.
+/// The controller that owns the busiest shard.
 pub fn busiest_owner(world: &World) -> usize {
     let owner = world
         .owner_of("red")
@@ -143,7 +149,7 @@
     owner.expect("a team has an owner by now")
 }
 
-/// Follows what comes of the failure of `node`.
+/// Measures what follows the failure of `node`.
 pub fn follow(world: &mut World, fails_at: f64, node: usize) -> Measured {
     let key = format!("ochredrum/node/n{node}");
     let (process, owner) = (world.stored(&key), world.owner_of("red"));
@@ -181,7 +187,7 @@
     measured
 }
 
-/// Whether two values of a controller's key are of one process. What else stands there may change.
+/// Whether two values of a controller's key belong to the same process. Other fields may change.
 fn same_process(a: &Option<serde_json::Value>, b: &Option<serde_json::Value>) -> bool {
     let lease = |value: &Option<serde_json::Value>| value.as_ref().map(|v| v["lease"].clone());
     lease(a) == lease(b)
--- a/tests/failures/mod.rs
+++ b/tests/failures/mod.rs
@@ -1,5 +1,5 @@
-//! What a failed controller costs: how soon it is noticed and its share handed on, and how many tasks end
-//! with the leases of workers whose machines are well.
+//! What a failed controller costs: how soon it is suspected and its shard fails over, and how many tasks are lost with
+//! the leases of workers on healthy machines.
 
 mod load;
 mod measure;
--- a/tests/failures/pairs.rs
+++ b/tests/failures/pairs.rs
@@ -1,12 +1,15 @@
-//! Two of five controllers fail seconds apart: the owner of the busiest share and another, which may lead or
-//! be about to take over.
+//! Two of five controllers fail seconds apart: the owner of the busiest shard and another, which may lead or be about to
+//! take over.
 
 use super::measure::{Failure, before_failure, busiest_owner, follow};
 use super::table::seeds;
 use crate::world::CutManner;
 
+/// Controllers in the simulation.
 const CONTROLLERS: usize = 5;
+/// How long a paused controller is paused.
 const STANDSTILL_S: f64 = 20.0;
+/// The failures that are combined.
 const FAILURES: [Failure; 5] = [
     Failure::Ends,
     Failure::StandsStill(STANDSTILL_S),
@@ -14,12 +17,14 @@
     Failure::RefusedAlone,
     Failure::CutFromStateAndSiblings,
 ];
-/// Seconds between the two.
+/// Seconds between the two failures.
 const APART_S: [f64; 4] = [2.0, 3.5, 5.0, 8.0];
 
-/// Part of the plays that may lose tasks. A worker waits 4 s for an answer, then 1 s, and lives for 10 s since its last
-/// answered report was sent: whoever meets two controllers that keep it waiting is lost, whatever the others do. That
-/// happens where the second is the next that it tries, or the one to which the share has just gone.
+/// Part of the runs that may lose tasks.
+///
+/// A worker waits 4 s for an answer, then 1 s, and its lease lasts 10 s from when its last answered heartbeat was sent. A
+/// worker that tries two controllers which keep it waiting is lost, whatever the others do. This happens where the second
+/// controller is the next that the worker tries, or the new owner of the shard.
 fn losing_part(first: Failure, second: Failure) -> f64 {
     match (
         first.keeps_workers_waiting(),
@@ -31,7 +36,7 @@
     }
 }
 
-/// One play: tasks that were lost, and rules that were broken.
+/// One run: how many tasks were lost, and which rules were violated.
 fn play_pair(
     seed: u64,
     pair: (Failure, Failure),
--- a/tests/failures/table.rs
+++ b/tests/failures/table.rs
@@ -1,4 +1,4 @@
-//! Each kind of failure of the busiest share's owner.
+//! Each kind of failure of the owner of the busiest shard.
 
 use super::measure::{Failure, Measured, before_failure, busiest_owner, follow};
 use crate::days::seed_range;
@@ -40,7 +40,7 @@
     seed_range("FAILURE_SEEDS", "1-2")
 }
 
-/// Median and largest of the times that there are, and how many there are of all.
+/// Median and maximum of the times that were measured, and how many of all runs have one.
 fn spread(times: impl Iterator<Item = Option<f64>>) -> String {
     let all: Vec<Option<f64>> = times.collect();
     let mut times: Vec<f64> = all.iter().flatten().copied().collect();
@@ -57,6 +57,7 @@
     format!("{median:.1} / {largest:.1}{part}")
 }
 
+/// One row of the table.
 fn row(name: &str, controllers: usize, measured: &[Measured]) -> String {
     let of = |time: fn(&Measured) -> Option<f64>| spread(measured.iter().map(time));
     let lost: Vec<usize> = measured.iter().map(|m| m.lost).collect();
@@ -73,13 +74,13 @@
     )
 }
 
-/// Seconds within which the map names another owner of a share that has to be handed on. A silent cut from the workers
-/// takes longest: they wait for an answer for 4 s before anybody else hears them.
+/// Seconds within which the shard map names another owner of a shard that has to fail over. A silent cut from the workers
+/// takes longest: they wait 4 s for an answer before they report to another controller.
 const HANDED_ON_WITHIN_S: f64 = 8.0;
-/// Seconds from then until the new owner may start all tasks of the share: three report times.
+/// Seconds from then until the new owner may start all tasks of the shard: three heartbeat intervals.
 const SETTLED_WITHIN_S: f64 = 3.0;
 
-/// What came about too late, or should not have.
+/// What took place too late, or should not have.
 fn too_late(failure: Failure, measured: &Measured) -> Option<String> {
     if measured.lost > 0 {
         return Some(format!(
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,8 +1,9 @@
-//! How CI judges a run in which tests fail that are known to: `.ci/known-red`.
+//! How CI judges a run with known failing tests: the script `.ci/known-red`.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
+/// Runs the script on the output and exit status of a test run, with a list of known failures.
 fn judge(name: &str, status: &str, output: &str, list: Option<&str>) -> Output {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::create_dir_all(&folder).unwrap();
--- a/tests/loopback/failures.rs
+++ b/tests/loopback/failures.rs
@@ -1,7 +1,7 @@
-//! Five controllers as real processes; the owner of a team is frozen by a signal and woken, and one is killed and
-//! started again, while users submit jobs. What ran is taken from the workers' own history.
+//! Five controllers as real processes. The owner of a team is paused by a signal and continued, or killed and restarted,
+//! while users submit jobs. What ran is taken from the workers' own history.
 //!
-//! A few steps in CI; by hand more: `FAILURE_STEPS=100`.
+//! A few steps run in CI, more by hand: `FAILURE_STEPS=100`.
 
 use super::{Deployment, Program, WAIT, ask, job, settings_file, start_with, until};
 use hyper::Method;
@@ -19,14 +19,14 @@
 /// Longer than a worker waits for an answer.
 const LEASE: Duration = Duration::from_secs(8);
 const STEPS_IN_CI: usize = 3;
-/// Of so many steps one kills its controller instead of freezing it.
+/// One in this many steps kills its controller instead of pausing it.
 const KILL_EVERY: usize = 3;
-/// How long a controller stays frozen or away.
+/// How long a controller stays paused or away.
 const AWAY: Duration = Duration::from_secs(6);
-const HANDED_ON_WITHIN: Duration = Duration::from_secs(30);
+const FAILOVER_WITHIN: Duration = Duration::from_secs(30);
 const PAUSE: Duration = Duration::from_millis(200);
 
-/// What the tests of failures hold.
+/// A deployment with its programs.
 struct Fleet {
     deployment: Deployment,
     programs: Vec<Option<Program>>,
@@ -64,7 +64,7 @@
         start_with(&self.files[node], Some(&features))
     }
 
-    /// What a controller tells operators, if it answers.
+    /// The status of a controller, if it answers.
     async fn status(&self, node: usize) -> Option<Status> {
         let client = Client::new(self.deployment.mesh_of(node), JSON, 1);
         let answer = client
@@ -74,7 +74,7 @@
         serde_json::from_slice(&body).ok()
     }
 
-    /// Everybody is asked for a job; some are away.
+    /// Submits one job to each controller, some of which may be away.
     fn submit(&mut self) {
         for front in self.deployment.fronts.clone() {
             self.jobs += 1;
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Submits until what `node` tells is as it should be; how long that took.
+    /// Submits jobs until the status of `node` is as expected, and returns how long that took.
     async fn wait_until(
         &mut self,
         node: usize,
@@ -102,7 +102,7 @@
             if status.as_ref().is_some_and(&what) {
                 return began.elapsed();
             }
-            assert!(began.elapsed() < within, "n{node} tells {status:?}");
+            assert!(began.elapsed() < within, "n{node} has status {status:?}");
             self.submit();
             tokio::time::sleep(PAUSE).await;
         }
@@ -118,7 +118,7 @@
     }
 }
 
-fn is_handed_on(status: &Status, from: &str) -> bool {
+fn has_failed_over(status: &Status, from: &str) -> bool {
     let sibling = status
         .siblings
         .iter()
@@ -131,7 +131,7 @@
             .is_some_and(|owner| owner != from)
 }
 
-fn hears_everybody(status: &Status) -> bool {
+fn hears_all_siblings(status: &Status) -> bool {
     status
         .siblings
         .iter()
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn frozen_and_killed_controllers_lose_their_shares_and_take_nothing_back() {
+fn paused_and_killed_controllers_lose_their_shards_and_do_not_reclaim_them() {
     let steps = std::env::var("FAILURE_STEPS")
         .ok()
         .and_then(|text| text.parse().ok());
@@ -153,7 +153,7 @@
         for step in 1..=steps.unwrap_or(STEPS_IN_CI) {
             let asked = step % CONTROLLERS;
             let all_well =
-                |status: &Status| hears_everybody(status) && status.teams[0].owner.is_some();
+                |status: &Status| hears_all_siblings(status) && status.teams[0].owner.is_some();
             fleet.wait_until(asked, WAIT, all_well).await;
             let owner = fleet.owner(asked).await;
             let (failed, other) = (format!("n{owner}"), (owner + 1) % CONTROLLERS);
@@ -163,10 +163,10 @@
                 false => fleet.programs[owner].as_ref().unwrap().signal("STOP"),
             }
             let began = Instant::now();
-            let handed_on = |status: &Status| is_handed_on(status, &failed);
-            let took = fleet.wait_until(other, HANDED_ON_WITHIN, handed_on).await;
+            let failed_over = |status: &Status| has_failed_over(status, &failed);
+            let took = fleet.wait_until(other, FAILOVER_WITHIN, failed_over).await;
             println!(
-                "step {step}: {failed} fails, handed on after {:.1} s",
+                "step {step}: {failed} fails, failed over after {:.1} s",
                 took.as_secs_f64()
             );
             tokio::time::sleep(AWAY.saturating_sub(began.elapsed())).await;
@@ -174,12 +174,12 @@
                 true => fleet.programs[owner] = Some(fleet.run(owner)),
                 false => fleet.programs[owner].as_ref().unwrap().signal("CONT"),
             }
-            let took_nothing_back = |status: &Status| {
+            let did_not_reclaim = |status: &Status| {
                 let owner = status.teams[0].owner.as_deref();
-                hears_everybody(status) && owner.is_some_and(|owner| owner != failed)
+                hears_all_siblings(status) && owner.is_some_and(|owner| owner != failed)
             };
             fleet
-                .wait_until(owner, HANDED_ON_WITHIN, took_nothing_back)
+                .wait_until(owner, FAILOVER_WITHIN, did_not_reclaim)
                 .await;
         }
         let history = history.borrow();
--- a/tests/loopback/fleet.rs
+++ b/tests/loopback/fleet.rs
@@ -1,7 +1,7 @@
-//! Workers that follow the controllers, end their tasks by themselves, keep to their leases, and keep one
-//! history of what truly ran.
+//! Workers that follow redirects of the controllers, end their tasks by themselves, respect their leases, and record one
+//! history of what ran.
 
-use super::worker::empty_report;
+use super::worker::empty_heartbeat;
 use super::{BOUNDS, listen};
 use hyper::body::Incoming;
 use hyper::{Method, Request};
@@ -20,9 +20,11 @@
 use std::time::{Duration, Instant};
 use tokio::task::spawn_local;
 
+/// How often a worker sends a heartbeat.
 const REPORT_EVERY: Duration = Duration::from_millis(500);
+/// How often a worker checks its lease and its tasks.
 const TURN: Duration = Duration::from_millis(50);
-/// How long tasks run, one after the other.
+/// How long tasks run, in turn.
 const RUNS: [Duration; 4] = [
     Duration::from_millis(300),
     Duration::from_millis(900),
@@ -30,16 +32,20 @@
     Duration::from_millis(3100),
 ];
 
-/// What truly ran, as the workers have it.
+/// What ran, as the workers recorded it.
 #[derive(Debug, Default)]
 pub struct History {
+    /// Copies of each task that run now.
     pub running: BTreeMap<String, usize>,
+    /// Tasks that were started.
     pub starts: usize,
+    /// The largest number of tasks that ran at once.
     pub most_at_once: usize,
     /// Moments at which more ran than the limit allows.
     pub overshoots: usize,
     /// Starts of a task that ran on another machine.
     pub ran_twice: usize,
+    /// The largest number of tasks that may run at once.
     pub limit: usize,
 }
 
@@ -84,7 +90,7 @@
 }
 
 impl Machine {
-    fn report(&mut self) -> Heartbeat {
+    fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
         let tasks = self
             .tasks
@@ -102,13 +108,13 @@
             sequence,
             token,
             tasks: tasks.collect(),
-            ..empty_report(&self.id, self.address)
+            ..empty_heartbeat(&self.id, self.address)
         }
     }
 
     fn execute(&mut self, commands: Vec<Command>) {
-        for order in commands {
-            match order {
+        for command in commands {
+            match command {
                 Command::Start { task, attempt } => self.start(task, attempt),
                 Command::Stop { task, attempt, .. } => self.exit(&(task, attempt), Exit::Stopped),
                 Command::Forget { task, attempt } => {
@@ -167,7 +173,8 @@
     }
 }
 
-/// Starts workers that report to the controllers at `fronts`, and says how the cloud lists them.
+/// Starts workers that report to the controllers at `fronts`. Returns their history and their entries in the listing of
+/// the cloud.
 pub async fn start_fleet(
     machines: usize,
     fronts: &[(String, SocketAddr)],
@@ -201,7 +208,7 @@
             take_request(taking.clone(), request)
         }));
         spawn_local(pass_time(machine.clone()));
-        spawn_local(report_for_ever(machine, fronts.to_vec(), number));
+        spawn_local(send_heartbeats(machine, fronts.to_vec(), number));
     }
     (history, listed)
 }
@@ -231,10 +238,10 @@
             200
         }
     };
-    reply(status, encode(&machine.report()), MESSAGE_PACK)
+    reply(status, encode(&machine.heartbeat()), MESSAGE_PACK)
 }
 
-async fn report_for_ever(
+async fn send_heartbeats(
     machine: Rc<RefCell<Machine>>,
     fronts: Vec<(String, SocketAddr)>,
     first: usize,
@@ -253,13 +260,13 @@
     }
 }
 
-/// Reports to one controller until that sends the worker away; whom it names.
+/// Sends heartbeats to one controller until it redirects the worker, and returns the controller that it names.
 async fn redirect_to(machine: &Rc<RefCell<Machine>>, client: &Client) -> Option<String> {
     loop {
         let sent = Instant::now();
         let (body, agent_epoch) = {
             let mut machine = machine.borrow_mut();
-            (encode(&machine.report()), machine.agent_epoch)
+            (encode(&machine.heartbeat()), machine.agent_epoch)
         };
         let answer = client
             .send(Method::POST, "/checkin", body, Duration::from_secs(4))
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -1,4 +1,4 @@
-//! What tests of the real program stand on: stand-ins that speak HTTP over loopback.
+//! Support for tests of the real program: stand-ins for the store, the cloud and workers that speak HTTP over loopback.
 
 mod failures;
 mod fleet;
@@ -34,11 +34,12 @@
 /// The limit of the team in the settings.
 pub const LIMIT_GPUS: usize = 16;
 
+/// How long a test waits for something before it fails.
 pub const WAIT: Duration = Duration::from_secs(10);
 
-/// Answers requests as the state service's pages say.
-async fn state_service(
-    state: Rc<RefCell<Store>>,
+/// Answers requests as the store's documentation specifies.
+async fn store_service(
+    store: Rc<RefCell<Store>>,
     began: Instant,
     request: Request<Incoming>,
 ) -> Reply {
@@ -84,7 +85,7 @@
         _ => return reply(400, Vec::new(), MESSAGE_PACK),
     };
     let now = began.elapsed().as_secs_f64();
-    let (status, body) = match state.borrow_mut().call(now, call, None) {
+    let (status, body) = match store.borrow_mut().call(now, call, None) {
         StoreReply::Listing(listing) => (200, encode(&listing)),
         StoreReply::Changes(changes) => (200, encode(&changes)),
         StoreReply::Committed(revision) => (200, encode(&json!({"ledger": revision}))),
@@ -96,6 +97,7 @@
     reply(status, body, MESSAGE_PACK)
 }
 
+/// Answers requests for machine types and machines; no machine can be rented.
 async fn cloud(listed: Rc<RefCell<Vec<Value>>>, request: Request<Incoming>) -> Reply {
     let body = match request.uri().path() {
         "/flavors" => json!({"breeds": [{"label": "g8", "cores": 96, "cards": 8, "memGb": 768,
@@ -112,6 +114,7 @@
     reply(200, encode(&body), MESSAGE_PACK)
 }
 
+/// Listens on a free port of the usual loopback address.
 pub async fn listen() -> (TcpListener, SocketAddr) {
     listen_at(IpAddr::V4(Ipv4Addr::LOCALHOST)).await
 }
@@ -122,8 +125,8 @@
     (listener, address)
 }
 
-/// A loopback address of its own for each deployment. Its programs listen on ports that were free a moment
-/// before; on the usual address a connection of another test could take one meanwhile, and the program ended.
+/// A separate loopback address for each deployment. Its programs listen on ports that were free a moment before; on a
+/// shared address a connection of another test could occupy such a port first, and the program would exit.
 fn address_of_next_deployment() -> IpAddr {
     static DEPLOYMENTS: AtomicU8 = AtomicU8::new(1);
     let process = std::process::id().to_be_bytes();
@@ -131,11 +134,12 @@
     IpAddr::V4(Ipv4Addr::new(127, process[2] | 1, process[3], deployment))
 }
 
+/// The settings file of a single controller.
 pub fn settings(
     front: SocketAddr,
     mesh: SocketAddr,
     cloud: SocketAddr,
-    state: SocketAddr,
+    store: SocketAddr,
 ) -> String {
     format!(
         r#"
@@ -146,7 +150,7 @@
 something_new = 7
 [services]
 cloud = "{cloud}"
-state = "{state}"
+state = "{store}"
 [deployment]
 [[deployment.teams]]
 name = "vision"
@@ -172,7 +176,7 @@
     )
 }
 
-/// The program, ended with the test.
+/// A running program, killed when dropped.
 pub struct Program(Child);
 
 impl Program {
@@ -191,16 +195,18 @@
 
 impl Drop for Program {
     fn drop(&mut self) {
-        // It may have ended already.
+        // It may have exited already.
         self.0.kill().ok();
         self.0.wait().ok();
     }
 }
 
+/// Starts the program with a settings file.
 pub fn start(settings: &std::path::Path) -> Program {
     start_with(settings, None)
 }
 
+/// Starts the program with a settings file and perhaps a features file.
 pub fn start_with(settings: &std::path::Path, features: Option<&std::path::Path>) -> Program {
     let program = env!("CARGO_BIN_EXE_ochredrum");
     let mut command = Command::new(program);
@@ -211,6 +217,7 @@
     Program(command.spawn().unwrap())
 }
 
+/// Writes a settings file and returns its path.
 pub fn settings_file(name: &str, text: &str) -> std::path::PathBuf {
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::File::create(&path)
@@ -220,6 +227,7 @@
     path
 }
 
+/// Sends a request and returns the status and the decoded body.
 pub async fn ask(
     client: &Client,
     method: Method,
@@ -232,7 +240,7 @@
     Ok((status, decode(&body).unwrap_or_default()))
 }
 
-/// Asks until the status is the one waited for.
+/// Repeats a request until it has the expected status.
 pub async fn until(client: &Client, method: Method, path: &str, body: &[u8], status: u16) -> Value {
     let began = Instant::now();
     loop {
@@ -245,6 +253,7 @@
     }
 }
 
+/// A submission of two tasks.
 pub fn job(id: &str) -> Value {
     json!({"nameId": id, "herd": "train", "crew": "vision", "shape": "sweep", "urgency": "high",
         "beats": 2, "cores": 8.0, "cards": 1.0, "memGb": 64.0, "pressing": "img", "sizeGb": 6.2,
@@ -252,37 +261,39 @@
         "markEveryS": 3.0, "markS": 1.0})
 }
 
-/// How connections to stand-ins are bounded.
+/// The bounds of connections to stand-ins.
 pub const BOUNDS: Bounds = Bounds {
     connections: 100,
     read: WAIT,
 };
 
-/// The addresses of one or more controllers, with a state service and a cloud to talk to.
+/// The addresses of one or more controllers, with running stand-ins for the store and the cloud.
 pub struct Deployment {
-    /// Of the first controller.
+    /// The address for users and workers of the first controller.
     pub front: SocketAddr,
+    /// The addresses for users and workers of all controllers.
     pub fronts: Vec<SocketAddr>,
     meshes: Vec<SocketAddr>,
     cloud: SocketAddr,
-    state: SocketAddr,
+    store: SocketAddr,
     listed: Rc<RefCell<Vec<Value>>>,
 }
 
 impl Deployment {
-    /// One controller. The stand-ins serve from now on.
+    /// A deployment of one controller.
     pub async fn new() -> Self {
         Self::of(1).await
     }
 
+    /// A deployment of this many controllers. The stand-ins run from now on.
     pub async fn of(controllers: usize) -> Self {
         let mut store = Store::default();
         store.page_size = ITEMS_IN_PAGE;
-        let state = Rc::new(RefCell::new(store));
+        let store = Rc::new(RefCell::new(store));
         let began = Instant::now();
-        let (listener, state_at) = listen().await;
+        let (listener, store_at) = listen().await;
         spawn_local(serve(listener, BOUNDS, move |request| {
-            state_service(state.clone(), began, request)
+            store_service(store.clone(), began, request)
         }));
         let (listener, cloud_at) = listen().await;
         let listed = Rc::new(RefCell::new(Vec::new()));
@@ -290,36 +301,39 @@
         spawn_local(serve(listener, BOUNDS, move |request| {
             cloud(at_cloud.clone(), request)
         }));
-        let (mut fronts, mut meshes, mut held) = (Vec::new(), Vec::new(), Vec::new());
+        let (mut fronts, mut meshes, mut listeners) = (Vec::new(), Vec::new(), Vec::new());
         let address = address_of_next_deployment();
         for _ in 0..controllers {
             let (front, front_at) = listen_at(address).await;
             let (mesh, mesh_at) = listen_at(address).await;
-            held.extend([front, mesh]);
+            listeners.extend([front, mesh]);
             fronts.push(front_at);
             meshes.push(mesh_at);
         }
-        drop(held);
+        drop(listeners);
         Self {
             front: fronts[0],
             fronts,
             meshes,
             cloud: cloud_at,
-            state: state_at,
+            store: store_at,
             listed,
         }
     }
 
+    /// The settings of the first controller.
     pub fn settings(&self) -> String {
         self.settings_of(0)
     }
 
+    /// The address of a controller for its siblings.
     pub fn mesh_of(&self, node: usize) -> SocketAddr {
         self.meshes[node]
     }
 
+    /// The settings of a controller.
     pub fn settings_of(&self, node: usize) -> String {
-        let text = settings(self.fronts[node], self.meshes[node], self.cloud, self.state);
+        let text = settings(self.fronts[node], self.meshes[node], self.cloud, self.store);
         let others = (0..self.meshes.len()).filter(|other| *other != node);
         let siblings: String = others
             .map(|other| {
@@ -331,7 +345,7 @@
         text.replace("[services]", &format!("{siblings}[services]"))
     }
 
-    /// Workers that report to all controllers and are listed by the cloud; what they run.
+    /// Starts workers that report to the controllers and are listed by the cloud, and returns the history of their tasks.
     pub async fn start_fleet(&self, machines: usize, lease: Duration) -> Rc<RefCell<History>> {
         let nodes = (0..self.fronts.len()).map(|node| (format!("n{node}"), self.fronts[node]));
         let nodes: Vec<(String, SocketAddr)> = nodes.collect();
--- a/tests/loopback/team_limits.rs
+++ b/tests/loopback/team_limits.rs
@@ -1,7 +1,7 @@
-//! Five controllers as real processes share one team's limit while users ask all of them at once and
+//! Five controllers as real processes share the limit of one team while users submit to all of them at once and
 //! controllers are killed. What ran at once is taken from the workers' own history.
 //!
-//! A few seconds in CI; by hand for longer: `TEAM_LIMITS_SECONDS=3600`.
+//! It runs some seconds in CI, longer by hand: `TEAM_LIMITS_SECONDS=3600`.
 
 use super::{
     Deployment, History, LIMIT_GPUS, Program, WAIT, ask, job, settings_file, start_with, until,
@@ -23,7 +23,7 @@
 const MACHINES: usize = 6;
 const LEASE: Duration = Duration::from_secs(4);
 const SECONDS_IN_CI: u64 = 20;
-/// Pause between the moments at which all controllers are asked at once.
+/// Pause between the rounds in which a job is submitted to every controller.
 const ROUND: Duration = Duration::from_millis(400);
 /// Rounds between two kills of a controller.
 const KILL_EVERY: usize = 12;
@@ -37,14 +37,14 @@
     let client = Client::new(front, MESSAGE_PACK, 1);
     let mut wanted = job(&format!("req-{number:06}"));
     wanted["beats"] = json!(1 + number % 3);
-    // Refused or unanswered: a controller may be away. Other rounds come.
+    // It may be refused or unanswered, because a controller may be away; there are other rounds.
     ask(&client, Method::POST, "/v1/jobs", encode(&wanted))
         .await
         .ok();
 }
 
 #[test]
-fn five_controllers_never_pass_a_teams_limit() {
+fn five_controllers_never_exceed_a_team_limit() {
     let seconds = std::env::var("TEAM_LIMITS_SECONDS")
         .ok()
         .and_then(|s| s.parse().ok());
@@ -153,9 +153,12 @@
         granted + json.teams[0].folded.gpus <= LIMIT_GPUS as f64,
         "{json:?}"
     );
-    let nobody = status(&["--address", "127.0.0.1:1"]);
-    assert_eq!(nobody.status.code(), Some(3));
-    assert_eq!(String::from_utf8_lossy(&nobody.stderr).lines().count(), 1);
+    let unreachable = status(&["--address", "127.0.0.1:1"]);
+    assert_eq!(unreachable.status.code(), Some(3));
+    assert_eq!(
+        String::from_utf8_lossy(&unreachable.stderr).lines().count(),
+        1
+    );
     assert_eq!(status(&["--address", "nowhere"]).status.code(), Some(2));
 }
 
@@ -167,7 +170,7 @@
         .await
         .is_err()
     {
-        assert!(began.elapsed() < WAIT, "nobody listens");
+        assert!(began.elapsed() < WAIT, "no controller listens");
         tokio::time::sleep(ROUND).await;
     }
 }
--- a/tests/loopback/worker.rs
+++ b/tests/loopback/worker.rs
@@ -1,4 +1,4 @@
-//! A worker that reports to the program and takes its direct messages, or keeps them.
+//! A worker that sends heartbeats to the program and executes its direct commands, or holds them.
 
 use super::{BOUNDS, WAIT, listen};
 use hyper::body::Incoming;
@@ -17,13 +17,19 @@
 use std::time::{Duration, Instant};
 use tokio::task::{AbortHandle, spawn_local};
 
+/// How often the worker sends a heartbeat.
 const REPORT_EVERY: Duration = Duration::from_millis(500);
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+/// How often a test checks what it waits for.
+const POLL_EVERY: Duration = Duration::from_millis(10);
 
+/// What happens to messages of direct commands.
 #[derive(PartialEq)]
 enum Messages {
+    /// They are executed and answered.
     Serve,
+    /// The next one is held: neither executed nor answered.
     HoldNext,
+    /// This one is held.
     Held(DirectCommands),
 }
 
@@ -38,14 +44,14 @@
     messages: Messages,
 }
 
-/// One worker. While it holds a message it does not report.
+/// A worker. While it holds a message it sends no heartbeats.
 pub struct StandInWorker {
     machine: Rc<RefCell<Machine>>,
     listening: AbortHandle,
 }
 
-/// The first report of a machine that holds nothing.
-pub fn empty_report(machine: &MachineId, address: SocketAddr) -> Heartbeat {
+/// The first heartbeat of a machine without tasks.
+pub fn empty_heartbeat(machine: &MachineId, address: SocketAddr) -> Heartbeat {
     Heartbeat {
         machine: machine.clone(),
         address: address.to_string(),
@@ -61,7 +67,7 @@
 }
 
 impl Machine {
-    fn report(&mut self) -> Heartbeat {
+    fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
         let tasks = self
             .tasks
@@ -79,13 +85,13 @@
             sequence,
             token,
             tasks: tasks.collect(),
-            ..empty_report(&self.id, self.address)
+            ..empty_heartbeat(&self.id, self.address)
         }
     }
 
     fn execute(&mut self, commands: Vec<Command>) {
-        for order in commands {
-            match order {
+        for command in commands {
+            match command {
                 Command::Start { task, attempt } => {
                     self.ran.insert(task.clone());
                     self.tasks
@@ -132,37 +138,42 @@
         let listening = spawn_local(serve(listener, BOUNDS, move |request| {
             take_request(taking.clone(), request)
         }));
-        spawn_local(report_for_ever(machine.clone(), front));
+        spawn_local(send_heartbeats(machine.clone(), front));
         Self {
             machine,
             listening: listening.abort_handle(),
         }
     }
 
-    /// The next direct message is kept: neither executed nor answered.
+    /// Holds the next message of direct commands: it is neither executed nor answered.
     pub fn hold_next_message(&self) {
         self.machine.borrow_mut().messages = Messages::HoldNext;
     }
 
+    /// Executes and answers messages of direct commands again.
     pub fn serve_messages(&self) {
         self.machine.borrow_mut().messages = Messages::Serve;
     }
 
+    /// Whether a message is held.
     pub fn holds_message(&self) -> bool {
         matches!(self.machine.borrow().messages, Messages::Held(_))
     }
 
+    /// Accepts no more connections.
     pub fn refuse_connections(&self) {
         self.listening.abort();
     }
 
-    pub fn carry_out_held_message(&self) {
+    /// Executes the message that is held.
+    pub fn execute_held_message(&self) {
         let mut machine = self.machine.borrow_mut();
         if let Messages::Held(message) = std::mem::replace(&mut machine.messages, Messages::Serve) {
             machine.take_message(message);
         }
     }
 
+    /// Whether a task runs on this worker.
     pub fn runs(&self, task: &str) -> bool {
         let running = |(key, state): (&(String, Attempt), &TaskState)| {
             key.0 == task && *state == TaskState::Running
@@ -170,12 +181,13 @@
         self.machine.borrow().tasks.iter().any(running)
     }
 
+    /// Whether a task ever ran on this worker.
     pub fn ran(&self, task: &str) -> bool {
         self.machine.borrow().ran.contains(task)
     }
 
-    /// Waits until it has shown a token.
-    pub async fn trusted(&self) {
+    /// Waits until its heartbeats show a fencing token.
+    pub async fn has_token(&self) {
         wait_for(|| self.machine.borrow().token > FencingToken(0)).await;
         tokio::time::sleep(REPORT_EVERY * 2).await;
     }
@@ -186,11 +198,11 @@
     }
 }
 
-async fn wait_for(come: impl Fn() -> bool) {
+async fn wait_for(condition: impl Fn() -> bool) {
     let began = Instant::now();
-    while !come() {
-        assert!(began.elapsed() < WAIT, "it did not come about");
-        tokio::time::sleep(LOOK_EVERY).await;
+    while !condition() {
+        assert!(began.elapsed() < WAIT, "the condition was not met in time");
+        tokio::time::sleep(POLL_EVERY).await;
     }
 }
 
@@ -208,17 +220,17 @@
     }
     let mut machine = machine.borrow_mut();
     let status = machine.take_message(message);
-    reply(status, encode(&machine.report()), MESSAGE_PACK)
+    reply(status, encode(&machine.heartbeat()), MESSAGE_PACK)
 }
 
-async fn report_for_ever(machine: Rc<RefCell<Machine>>, front: SocketAddr) {
+async fn send_heartbeats(machine: Rc<RefCell<Machine>>, front: SocketAddr) {
     let client = Client::new(front, MESSAGE_PACK, 1);
     loop {
         tokio::time::sleep(REPORT_EVERY).await;
         if matches!(machine.borrow().messages, Messages::Held(_)) {
             continue;
         }
-        let body = encode(&machine.borrow_mut().report());
+        let body = encode(&machine.borrow_mut().heartbeat());
         let sent = client
             .send(Method::POST, "/checkin", body, Duration::from_secs(4))
             .await;
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -1,4 +1,4 @@
-//! The real program over loopback, against stand-ins that speak HTTP.
+//! The real program over loopback, with stand-ins that speak HTTP.
 
 mod loopback;
 
@@ -135,17 +135,17 @@
     });
 }
 
-/// A direct message is held up at its worker, the next to the same worker is refused at once, and then
-/// the first is carried out: its task runs there, and nowhere else.
+/// A direct message is delayed at its worker, the next one to the same worker is refused at once, and then the first is
+/// executed: its task runs there and on no other worker.
 #[test]
-fn a_start_held_up_beside_a_refused_message_runs_once() {
+fn a_delayed_start_beside_a_refused_message_runs_once() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
     LocalSet::new().block_on(&runtime, async {
         let deployment = Deployment::new().await;
-        // Long enough for both messages to be under way at once, also on a busy machine.
+        // Long enough for both messages to be in flight at once, even on a busy machine.
         let text = deployment
             .settings()
             .replace("lease_s = 4.0", "lease_s = 20.0");
@@ -162,11 +162,11 @@
             until(&client, Method::POST, "/v1/jobs", &encode(&job), 201).await
         };
         for worker in &workers {
-            worker.trusted().await;
+            worker.has_token().await;
             worker.hold_next_message();
         }
         submit("req-000001").await;
-        let (held_up, other) = loop {
+        let (delayed, other) = loop {
             tokio::time::sleep(Duration::from_millis(5)).await;
             match workers
                 .iter()
@@ -179,15 +179,15 @@
             }
         };
         other.serve_messages();
-        held_up.refuse_connections();
+        delayed.refuse_connections();
         submit("req-000002").await;
         other.has_task("req-000002/0").await;
-        held_up.carry_out_held_message();
-        held_up.has_task("req-000001/0").await;
-        // Long enough for anything that was started beside it to have been told of.
+        delayed.execute_held_message();
+        delayed.has_task("req-000001/0").await;
+        // Long enough for any duplicate start to have reached a worker.
         tokio::time::sleep(Duration::from_secs(3)).await;
-        assert!(held_up.runs("req-000001/0") && !other.ran("req-000001/0"));
-        assert!(!held_up.ran("req-000002/0") && other.runs("req-000002/0"));
+        assert!(delayed.runs("req-000001/0") && !other.ran("req-000001/0"));
+        assert!(!delayed.ran("req-000002/0") && other.runs("req-000002/0"));
     });
 }
 
--- a/tests/world/allowance.rs
+++ b/tests/world/allowance.rs
@@ -1,18 +1,19 @@
-//! The state service's rates of requests and of changes, each with one second's worth of burst.
+//! The rate limits of the store for requests and for writes, each with a burst of one second.
 
 use super::Limits;
 use ochredrum::core::effects::StoreCall;
 
+/// Requests and writes that the store still accepts at this moment.
 #[derive(Default)]
 pub struct Allowance {
     requests: f64,
     writes: f64,
-    /// When it was last filled up.
+    /// When it was last refilled.
     filled: Option<f64>,
 }
 
 impl Allowance {
-    /// Whether a request is still within the rates; then it is counted.
+    /// Whether a request is within the limits; if so it is counted.
     pub fn take(&mut self, now: f64, limits: &Limits, call: &StoreCall) -> bool {
         let passed = self.filled.replace(now).map_or(1.0, |filled| now - filled);
         self.requests = (self.requests + passed * limits.rps).min(limits.rps);
--- a/tests/world/cloud.rs
+++ b/tests/world/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud's stand-in.
+//! A stand-in for the cloud: machine types, rented machines, and a listing that lags behind.
 
 use ochredrum::core::effects::{CloudCall, CloudReply};
 use ochredrum::ids::{MachineId, TypeName, Zone};
@@ -7,20 +7,27 @@
 };
 use std::collections::BTreeMap;
 
-const LIST_LAG: f64 = 5.0;
+/// Seconds by which the listing lags behind.
+const LIST_LAG_S: f64 = 5.0;
+/// Machines that there may be at once before requests for more are refused.
 const CAPACITY: usize = 24;
 
+/// A machine that has been rented.
 pub struct Owned {
+    /// Its type.
     pub type_name: TypeName,
+    /// Its zone.
     pub zone: Zone,
+    /// Whether it is a spot instance.
     pub spot: bool,
     created: f64,
     running: Option<f64>,
     unlisted_from: Option<f64>,
 }
 
+/// The machines and types of the cloud.
 pub struct Cloud {
-    /// Of every fleet there are machines with GPUs; of some others as well.
+    /// Machines with GPUs are offered in every simulation, others in some.
     types: Vec<MachineType>,
     machines: BTreeMap<MachineId, Owned>,
     rentals: BTreeMap<String, MachineNames>,
@@ -55,7 +62,7 @@
     }
 }
 
-/// Small, cheap and slow to fetch.
+/// Small and cheap; it fetches images slowly.
 fn type_without_gpus() -> MachineType {
     MachineType {
         name: "c16".into(),
@@ -71,12 +78,12 @@
 }
 
 impl Cloud {
-    /// From here on there is a second kind, without GPUs.
+    /// Offers a second machine type, without GPUs.
     pub fn offer_without_gpus(&mut self) {
         self.types.push(type_without_gpus());
     }
 
-    /// What kind of machine this is.
+    /// The type of a machine; the type with GPUs if the machine is unknown.
     pub fn type_of(&self, machine: &MachineId) -> MachineType {
         let name = self.machines.get(machine).map(|owned| &owned.type_name);
         let machine_type = self
@@ -86,14 +93,17 @@
         machine_type.cloned().unwrap_or_else(type_with_gpus)
     }
 
+    /// Machines that were ever created.
     pub fn count(&self) -> usize {
         self.created
     }
 
+    /// A machine that has not been released.
     pub fn get(&self, machine: &MachineId) -> Option<&Owned> {
         self.machines.get(machine)
     }
 
+    /// Creates a machine, which boots from `created` on.
     pub fn create(&mut self, type_name: &str, zone: &str, spot: bool, created: f64) -> MachineId {
         self.created += 1;
         let machine = MachineId::from(format!("m-{:06}", self.created));
@@ -109,29 +119,33 @@
         machine
     }
 
+    /// A machine has booted.
     pub fn up(&mut self, machine: &MachineId, now: f64) {
         if let Some(owned) = self.machines.get_mut(machine) {
             owned.running = Some(now);
         }
     }
 
+    /// A machine died: from then on it is no longer listed.
     pub fn died(&mut self, machine: &MachineId, unlisted_from: f64) {
         if let Some(owned) = self.machines.get_mut(machine) {
             owned.unlisted_from = Some(unlisted_from);
         }
     }
 
+    /// Machines that were released since the last call.
     pub fn take_deleted(&mut self) -> Vec<MachineId> {
         std::mem::take(&mut self.deleted)
     }
 
+    /// Answers a request; also returns the machines that begin to boot.
     pub fn call(&mut self, now: f64, call: CloudCall) -> (CloudReply, Vec<MachineId>) {
         let reply = match call {
             CloudCall::Types => CloudReply::Types(MachineTypes {
                 types: self.types.clone(),
             }),
             CloudCall::List { .. } => {
-                let as_of = now - LIST_LAG;
+                let as_of = now - LIST_LAG_S;
                 let listed = |o: &&Owned| {
                     o.created <= as_of && o.unlisted_from.is_none_or(|from| from > as_of)
                 };
--- a/tests/world/effect_digest.rs
+++ b/tests/world/effect_digest.rs
@@ -1,5 +1,5 @@
-//! A digest of everything that the controllers of a world ask and answer: order, moment and content, in
-//! serialized form, so that it does not depend on how anything is named in the code.
+//! A digest of all effects of the controllers of a simulation: their order, moments and contents in serialized form, so
+//! that it does not depend on names in the code.
 
 use ochredrum::core::effects::{Answer, Body, CloudCall, Effect, StoreCall};
 use serde::Serialize;
@@ -25,7 +25,7 @@
 }
 
 impl EffectDigest {
-    /// Takes up one effect of a controller.
+    /// Adds one effect of a controller.
     pub fn add(&mut self, now: f64, node: usize, effect: &Effect) {
         self.effects += 1;
         self.add_json(&json!([now, node]));
--- a/tests/world/event.rs
+++ b/tests/world/event.rs
@@ -1,4 +1,4 @@
-//! What happens at a moment.
+//! The events of a simulation, in the order of virtual time.
 
 use super::faults::Fault;
 use super::users;
@@ -7,28 +7,32 @@
 use ochredrum::wire::{DirectCommands, Heartbeat};
 
 /// What happens at a moment.
+///
+/// Events that name a controller with an `epoch` are dropped if that process no longer runs.
 pub enum Event {
-    Tick {
-        node: usize,
-        epoch: u64,
-    },
+    /// A controller gets a turn without input.
+    Tick { node: usize, epoch: u64 },
+    /// A controller receives an input.
     Input {
         node: usize,
         epoch: u64,
         input: Box<Input>,
     },
+    /// A request reaches the store.
     State {
         node: usize,
         epoch: u64,
         call: CallId,
         what: StoreCall,
     },
+    /// A request reaches the cloud's interface.
     Cloud {
         node: usize,
         epoch: u64,
         call: CallId,
         what: CloudCall,
     },
+    /// Direct commands reach a worker.
     DirectCommands {
         node: usize,
         epoch: u64,
@@ -36,6 +40,7 @@
         address: String,
         commands: DirectCommands,
     },
+    /// A message between controllers arrives.
     Mesh {
         from: usize,
         epoch: u64,
@@ -43,77 +48,67 @@
         to: usize,
         message: Box<Input>,
     },
+    /// A heartbeat reaches a controller; `live` if its worker waits for the answer.
     Heartbeat {
         machine: MachineId,
         node: usize,
         heartbeat: Heartbeat,
         live: bool,
     },
+    /// The answer to a heartbeat reaches its worker; none if the connection broke.
     HeartbeatResponse {
         machine: MachineId,
         number: u64,
         answer: Option<Answer>,
     },
-    WorkerTurn {
-        machine: MachineId,
-    },
-    BootDone {
-        machine: MachineId,
-    },
-    Submit {
-        job: usize,
-    },
-    Cancel {
-        job: usize,
-    },
-    Poll {
-        job: usize,
-    },
-    /// A poll or repeat at this controller, whatever it is answered.
+    /// A worker checks its lease, its tasks and its heartbeats.
+    WorkerTurn { machine: MachineId },
+    /// A rented machine has booted.
+    BootDone { machine: MachineId },
+    /// A user submits a job.
+    Submit { job: usize },
+    /// A user cancels a job.
+    Cancel { job: usize },
+    /// A user polls a job.
+    Poll { job: usize },
+    /// A poll or a repeated submission at one controller, which no other request follows.
     Probe {
         job: usize,
         node: usize,
         kind: users::RequestKind,
     },
-    /// By now nothing may be left of a cancelled job.
-    CancelDue {
-        job: usize,
-    },
-    /// Looks for jobs that are left waiting.
+    /// By now no task of a cancelled job may be left.
+    CancelDue { job: usize },
+    /// Checks for jobs that wait although they could run.
     CheckStarvation,
-    /// What a scenario needs to have come about by now, or it proves nothing.
-    Expect {
-        job: usize,
-        what: String,
-    },
-    /// Users send odd requests until then.
-    UnusualRequest {
-        until: f64,
-    },
-    /// The state service's next limits hold from now on.
+    /// Checks what a scenario expects of a job by now, without which it would show nothing.
+    Expect { job: usize, what: String },
+    /// A user sends an unusual request, and more until then.
+    UnusualRequest { until: f64 },
+    /// The store's next limits apply from now on.
     LimitsFall,
+    /// A user polls a job that was never submitted.
     AskUnknown,
+    /// An answer reaches a user; none if the connection broke or the request timed out.
     UserAnswer {
         job: Option<usize>,
         kind: users::RequestKind,
         asked: f64,
         answer: Option<Answer>,
     },
-    Restart {
-        node: usize,
-    },
-    /// Ends, and comes back with the present version.
-    Upgrade {
-        node: usize,
-    },
-    Resume {
-        node: usize,
-        epoch: u64,
-    },
+    /// A controller is started.
+    Restart { node: usize },
+    /// A controller crashes and returns with the present version.
+    Upgrade { node: usize },
+    /// A paused controller continues.
+    Resume { node: usize, epoch: u64 },
+    /// A fault begins.
     Fault(Fault),
+    /// The lasting fault with this id ends.
     FaultEnds(u64),
 }
 
+/// An event with its moment and its sequence number, which orders events of the same moment.
 pub struct Timed(pub f64, pub u64, pub Event);
 
 impl PartialEq for Timed {
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -1,5 +1,5 @@
-//! A small world in virtual time around real [`Core`]s: state service, cloud, workers, users and a
-//! network with faults, all by the published protocol. Every rule is checked as things happen.
+//! A simulated fleet in virtual time around real [`Core`]s: store, cloud, workers, users and a network with faults, all
+//! by the published protocol. The rules are checked while it runs.
 
 mod allowance;
 mod calls;
@@ -17,6 +17,7 @@
 mod store;
 mod tasks;
 mod unusual_requests;
+mod user_checks;
 mod users;
 mod worker;
 
@@ -46,18 +47,28 @@
 use settings::features_in_run;
 pub use settings::{Limits, grants_on};
 
+/// Seconds between the heartbeats of a worker.
 pub const REPORT_S: f64 = 1.0;
+/// Seconds that a lease lasts.
 pub const LEASE_S: f64 = 10.0;
+/// Seconds that a gang's task waits for the others.
 pub const GANG_WAIT_S: f64 = 30.0;
+/// Seconds within which a gang's task notices that another one was lost.
 pub const GANG_PEER_S: f64 = 4.0;
+/// Seconds within which no task of a cancelled job may be left.
 pub const CANCEL_S: f64 = 30.0;
+/// The limit of the limited team.
 pub const GPUS_MAX: f64 = 24.0;
+/// Seconds until a crashed controller is restarted, unless a scenario says otherwise.
 const RESTART_S: f64 = 5.0;
-/// The run time of jobs that were submitted with a mistake: they fail on every machine.
+/// The run time of jobs that fail on every machine.
 pub const FAILS_IMMEDIATELY: f64 = -1.0;
+/// Seconds between the turns of a controller.
 const TICK_S: f64 = 0.05;
 
+/// A simulated fleet.
 pub struct World {
+    /// Virtual time in seconds.
     pub now: f64,
     sequence: u64,
     events: BinaryHeap<Reverse<Timed>>,
@@ -68,46 +79,56 @@
     workers: BTreeMap<MachineId, Worker>,
     users: Users,
     network: Network,
+    /// Violations of rules so far, each beginning with the name of its rule.
     pub violations: Vec<String>,
+    /// Notable events so far.
     pub log: Vec<String>,
+    /// Counters of requests and messages.
     pub work: Work,
-    /// What the controllers asked and answered so far.
+    /// A digest of all effects of the controllers so far.
     pub effect_digest: EffectDigest,
+    /// The limits of the store.
     pub limits: Limits,
-    /// The limits that hold from some moment on.
+    /// The limits of the store that apply from a later moment on.
     pub next_limits: Option<Limits>,
-    /// Requests and changes that the state service takes at this moment.
+    /// Requests and writes that the store still accepts at this moment.
     allowance: Allowance,
-    /// What is switched on in all controllers but those of the version before.
+    /// The features of all controllers but those of the previous version.
     pub features: Features,
-    /// Controllers of the version before; they come back so until they are upgraded.
+    /// Controllers of the previous version; they are restarted with it until they are upgraded.
     pub previous_version_nodes: BTreeSet<usize>,
-    /// Since when no trouble is on.
+    /// When a fault was last seen in effect.
     calm_since: f64,
-    /// When a controller last ended.
+    /// When a controller last crashed.
     crashed: f64,
-    /// Reports kept for the next leader, and who led last.
+    /// Heartbeats recorded for replay to the next leader.
     replay_buffer: Vec<(MachineId, Heartbeat)>,
+    /// The controller that led last.
     last_leader: Option<usize>,
-    /// What happens at the map write that comes after so many more.
+    /// The fault at a write of the shard map, and how many writes are left until then.
     shard_map_fault: Option<(usize, ShardMapFault)>,
 }
 
-/// What the controllers asked of others so far.
+/// Counters of what the controllers and users have done so far.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Work {
+    /// Requests to the store.
     pub store_requests: usize,
-    /// Written to the state service.
+    /// Bytes of transactions sent to the store.
     pub store_bytes_written: usize,
-    /// Refused because the rate was used up.
+    /// Requests that the store refused for its rate limits.
     pub throttled_requests: usize,
+    /// Unusual requests of users.
     pub unusual_requests: usize,
-    /// Starts after their users were told that the job is cancelled.
+    /// Starts of tasks after a user was told that their job is cancelled.
     pub starts_after_cancel: usize,
+    /// Bytes of messages between controllers.
     pub mesh_bytes: usize,
+    /// Bytes of the largest message between controllers.
     pub largest_message: usize,
+    /// Messages of direct commands.
     pub commands: usize,
-    /// Tasks that ended since the leases of their workers ran out, hung ones left out.
+    /// Tasks that were lost because the leases of their workers expired, without workers that hung.
     pub lost_with_leases: usize,
 }
 
@@ -163,19 +184,23 @@
         world
     }
 
+    /// Schedules an event.
     pub fn at(&mut self, time: f64, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse(Timed(time, self.sequence, event)));
     }
 
+    /// Schedules an event so many seconds from now.
     fn after(&mut self, delay: f64, event: Event) {
         self.at(self.now + delay, event);
     }
 
+    /// Adds a line to the log.
     fn note(&mut self, text: String) {
         self.log.push(format!("{:8.3} {text}", self.now));
     }
 
+    /// Records that a rule was violated.
     pub fn record_violation(&mut self, rule: &str, what: String) {
         let text = format!("{rule} at {:.3}: {what}", self.now);
         self.note(text.clone());
@@ -188,12 +213,12 @@
             .retain(|violation| !violation.starts_with(rule));
     }
 
-    /// Machines that are up at the start.
+    /// Adds machines with GPUs that have booted.
     pub fn add_machines(&mut self, count: usize, spot: bool) {
         self.add_machines_of("g8", count, spot);
     }
 
-    /// Machines without GPUs that are up at the start; more of them are to be had.
+    /// Adds machines without GPUs that have booted; the cloud offers more of them.
     pub fn add_machines_without_gpus(&mut self, count: usize) {
         self.cloud.offer_without_gpus();
         self.add_machines_of("c16", count, false);
@@ -207,6 +232,7 @@
         }
     }
 
+    /// Adds a job that is submitted at a moment, and returns its number.
     pub fn add_job(&mut self, at: f64, spec: JobSpec, run_s: f64) -> usize {
         let job = self.users.add(spec, run_s);
         self.at(at, Event::Submit { job });
@@ -218,6 +244,7 @@
         self.users.starts_of(job)
     }
 
+    /// Runs the simulation until a moment.
     pub fn run(&mut self, until: f64) {
         while let Some(Reverse(Timed(time, _, _))) = self.events.peek() {
             if *time > until {
@@ -227,12 +254,13 @@
                 break;
             };
             self.now = self.now.max(time);
-            self.happen(event);
+            self.handle(event);
         }
         self.now = until;
     }
 
-    fn happen(&mut self, event: Event) {
+    /// Handles one event.
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Tick { node, epoch } => {
                 if self.nodes[node].epoch == epoch && self.nodes[node].core.is_some() {
@@ -303,9 +331,9 @@
             Event::Submit { job } => self.user_asks(job, users::RequestKind::Submit),
             Event::Cancel { job } => self.user_asks(job, users::RequestKind::Cancel),
             Event::Poll { job } => self.user_asks(job, users::RequestKind::Poll),
-            Event::Probe { job, node, kind } => self.look(job, node, kind),
+            Event::Probe { job, node, kind } => self.probe(job, node, kind),
             Event::CancelDue { job } => self.cancel_due(job),
-            Event::CheckStarvation => self.watch(),
+            Event::CheckStarvation => self.check_starvation(),
             Event::Expect { job, what } => self.expect(job, &what),
             Event::AskUnknown => self.ask_unknown(),
             Event::UserAnswer {
@@ -346,13 +374,14 @@
         }
     }
 
-    /// Everything that was asked for is served, now that all troubles are over.
+    /// Checks that every request was served, once all faults are over.
     pub fn check_served(&mut self) {
         for (id, problem) in self.unserved() {
             self.record_violation("not_served", format!("{id}: {problem}"));
         }
     }
 
+    /// The id of a job.
     pub fn job_id(&self, job: usize) -> JobId {
         self.users.id(job)
     }
@@ -368,7 +397,7 @@
         sum
     }
 
-    /// How often a controller has begun to lead.
+    /// How often a controller has become leader.
     pub fn leaderships(&self) -> usize {
         self.store.puts_of("ochredrum/leader")
     }
@@ -378,7 +407,7 @@
         self.store.puts_of(&format!("ochredrum/quota/{team}"))
     }
 
-    /// The controller that owns a team, as the stored map has it.
+    /// The controller that owns a team according to the stored shard map.
     pub fn owner_of(&self, team: &str) -> Option<String> {
         let shares = self
             .store
@@ -393,11 +422,12 @@
         owner["o"]["n"].as_str().map(str::to_owned)
     }
 
-    /// The value of a key of the state service as it is stored.
+    /// The stored value of a key.
     pub fn stored(&self, key: &str) -> Option<serde_json::Value> {
         self.store.values_under(key).next().cloned()
     }
 
+    /// How many tasks have started so far, restarts included.
     pub fn starts(&self) -> u64 {
         self.workers.values().map(|w| w.starts).sum::<u64>() + self.users.starts_on_removed
     }
--- a/tests/world/previous_version.rs
+++ b/tests/world/previous_version.rs
@@ -1,17 +1,18 @@
-//! Controllers of the version before dependencies, as far as others can tell: what that version does
-//! not know it neither reads nor writes nor sends. The core itself is the present one, so that an old
-//! controller's faults that have been mended since don't show; see also `tests/compatibility.rs`.
+//! Controllers of the previous version, as far as others can observe them: they neither read nor write nor send what
+//! that version does not know. The core is the present one, so faults of the previous version that have been fixed
+//! since do not show; see also `tests/compatibility.rs`.
 
 use ochredrum::core::effects::{Input, StoreCall, StoreReply};
 use ochredrum::core::messages::mesh::{MeshMessage, MeshReply};
 use ochredrum::wire::Write;
 use serde_json::Value;
 
-/// Fields of a job's record that are new since.
+/// Fields of a job's record that the previous version does not know.
 const NEW_FIELDS: [&str; 3] = ["jd", "e", "x"];
-/// Fields of a process's record that are new since.
+/// Fields of a process's record that the previous version does not know.
 const NEW_PROCESS_FIELDS: [&str; 2] = ["consents", "claims"];
 
+/// Removes the fields that the previous version does not know from the value of a key.
 fn strip(key: &str, value: &mut Value) {
     let Value::Object(record) = value else { return };
     if key.starts_with("ochredrum/job/") {
@@ -27,7 +28,7 @@
     }
 }
 
-/// What an old controller sees of an input.
+/// What a controller of the previous version reads of an input.
 pub fn strip_input(mut input: Input) -> Input {
     match &mut input {
         Input::State(_, StoreReply::Listing(listing)) => {
@@ -49,7 +50,7 @@
     input
 }
 
-/// Whether an old controller can read a message at all.
+/// Whether a controller of the previous version can read a message at all.
 pub fn can_read(input: &Input) -> bool {
     !matches!(
         input,
@@ -60,7 +61,7 @@
     )
 }
 
-/// What an old controller writes to the state service.
+/// What a controller of the previous version writes to the store.
 pub fn strip_write(mut call: StoreCall) -> StoreCall {
     if let StoreCall::Commit(transaction) = &mut call {
         for write in &mut transaction.writes {
@@ -72,6 +73,7 @@
     call
 }
 
+/// Removes what the previous version does not send in a message.
 pub fn strip_message(message: &mut MeshMessage) {
     if let MeshMessage::Hello(hello) = message {
         hello.final_states_after = None;
@@ -83,6 +85,7 @@
     }
 }
 
+/// Removes what the previous version does not send in a reply.
 pub fn strip_reply(reply: &mut MeshReply) {
     if let MeshReply::Hello(reply) = reply {
         reply.final_states = None;
--- a/tests/world/services.rs
+++ b/tests/world/services.rs
@@ -1,4 +1,4 @@
-//! The state service and the cloud as controllers reach them.
+//! The store and the cloud as controllers reach them: limits, outages and faults at single writes.
 
 use super::faults::{Condition, ShardMapFault};
 use super::network::Endpoint;
@@ -8,6 +8,7 @@
 use rand::Rng;
 
 impl World {
+    /// A request reaches the store.
     pub(super) fn store_request(&mut self, node: usize, epoch: u64, call: CallId, what: StoreCall) {
         let reply = if self.network.store_refuses(node) {
             StoreReply::Refused
@@ -27,9 +28,9 @@
                 let rejected = Input::State(call, StoreReply::Rejected);
                 return self.reply(node, epoch, Endpoint::State, rejected);
             }
-            let down_for = self.network.take_outage_end(self.now);
+            let outage_ended = self.network.take_outage_end(self.now);
             let map = writes_shard_map(&what);
-            let reply = self.store.call(self.now, what, down_for);
+            let reply = self.store.call(self.now, what, outage_ended);
             if map
                 && matches!(reply, StoreReply::Committed(_))
                 && self.shard_map_fault_due(ShardMapFault::Crash)
@@ -41,8 +42,9 @@
         self.reply(node, epoch, Endpoint::State, Input::State(call, reply));
     }
 
-    /// What the real service would refuse for ever, and so should never be asked.
-    pub(super) fn over_limits(&mut self, transaction: &Transaction) -> bool {
+    /// Whether a transaction exceeds a limit of the store. The real store would reject it every time, so the controllers
+    /// must not send it.
+    fn over_limits(&mut self, transaction: &Transaction) -> bool {
         let largest = transaction
             .writes
             .iter()
@@ -64,8 +66,8 @@
         over
     }
 
-    /// Counts a write of the map; whether it is the one at which this fault happens.
-    pub(super) fn shard_map_fault_due(&mut self, fault: ShardMapFault) -> bool {
+    /// Counts a write of the shard map and returns whether it is the one at which this fault happens.
+    fn shard_map_fault_due(&mut self, fault: ShardMapFault) -> bool {
         let Some((left, _)) = self
             .shard_map_fault
             .as_mut()
@@ -81,12 +83,13 @@
         due
     }
 
-    /// Whether a transaction is to be carried out late, without an answer.
+    /// Whether a transaction takes effect late, without an answer.
     pub(super) fn late_commit(&mut self, what: &StoreCall) -> bool {
         (writes_shard_map(what) && self.shard_map_fault_due(ShardMapFault::Late))
             || (self.network.has(Condition::LateWrites) && self.rng.random_bool(0.3))
     }
 
+    /// A request reaches the cloud's interface.
     pub(super) fn cloud_request(&mut self, node: usize, epoch: u64, call: CallId, what: CloudCall) {
         if self.network.has(Condition::CloudOutage) {
             let input = Input::Cloud(call, CloudReply::Refused);
--- a/tests/world/settings.rs
+++ b/tests/world/settings.rs
@@ -1,15 +1,19 @@
-//! The settings that the controllers are given.
+//! The settings and features of the simulated controllers.
 
 use ochredrum::features::Features;
 
 use super::{CANCEL_S, GANG_PEER_S, GANG_WAIT_S, GPUS_MAX, LEASE_S, REPORT_S};
 
-/// What the state service takes in one value, in one transaction and in a second.
+/// The limits of the store.
 #[derive(Clone, Copy)]
 pub struct Limits {
+    /// Size of one value, in KiB.
     pub value_kb: f64,
+    /// Writes in one transaction.
     pub txn_ops: usize,
+    /// Requests a second.
     pub rps: f64,
+    /// Writes a second.
     pub write_rps: f64,
 }
 
@@ -28,7 +32,7 @@
     }
 }
 
-/// Grants of team limits as the shipped file has them.
+/// The features of the shipped file that holds team limits by grants.
 pub fn grants_on() -> Features {
     let Ok(features) = Features::parse(include_str!("../../deploy/features.toml")) else {
         panic!("the shipped features")
@@ -36,7 +40,7 @@
     features
 }
 
-/// The features that `run` in the deploy file names.
+/// The features of the file that the shipped service runs with.
 pub fn features_in_run() -> Features {
     let Ok(features) = Features::parse(include_str!("../../deploy/failure-detection.toml")) else {
         panic!("the shipped features")
@@ -44,7 +48,8 @@
     features
 }
 
-/// `next`: the limits that will hold later, if this version is told of them.
+/// The settings file of one controller. `next` are the limits of the store that will apply later, if this version
+/// reads them.
 pub fn settings(index: usize, nodes: usize, limits: Limits, next: Option<Limits>) -> String {
     let state = limits.settings("deployment.state");
     let next = next
--- a/tests/world/store.rs
+++ b/tests/world/store.rs
@@ -1,26 +1,29 @@
-//! The state service's stand-in.
+//! A stand-in for the key-value store: versions, preconditions, leases and a change log.
 
 use ochredrum::core::effects::{StoreCall, StoreReply};
 use ochredrum::wire::{Change, Changes, Entry, Listing, Write};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
+/// A stored value.
 struct Key {
     value: Value,
     version: u64,
     lease: Option<u64>,
 }
 
+/// A lease that holds keys.
 struct Lease {
     ttl: f64,
     ends: f64,
 }
 
-/// Items in one page of a listing: few, so that controllers have to read several.
+/// Entries in one page of a listing: few, so that controllers have to read several pages.
 const DEFAULT_PAGE_SIZE: usize = 20;
 
+/// The key-value store.
 pub struct Store {
-    /// Items in one page of a listing at most.
+    /// Entries in one page of a listing at most.
     pub page_size: usize,
     keys: BTreeMap<String, Key>,
     leases: BTreeMap<u64, Lease>,
@@ -43,7 +46,8 @@
 }
 
 impl Store {
-    /// `outage_ended`: leases have their full time again from then on.
+    /// Answers a request. If an outage has ended at `outage_ended`, all leases have their full duration again from then
+    /// on.
     pub fn call(&mut self, now: f64, call: StoreCall, outage_ended: Option<f64>) -> StoreReply {
         if let Some(end) = outage_ended {
             for lease in self.leases.values_mut() {
@@ -78,7 +82,7 @@
                     let key = c.put.as_ref().or(c.deleted.as_ref());
                     c.version > from && key.is_some_and(|key| key.starts_with(prefix))
                 };
-                // In the order of their versions; a long log is not read from its beginning.
+                // The log is ordered by version; a long one is not read from its beginning.
                 let newer = self.log.partition_point(|change| change.version <= from);
                 let events = self.log[newer..].iter().filter(hit).cloned().collect();
                 StoreReply::Changes(Changes {
@@ -135,8 +139,8 @@
         }
     }
 
-    /// What is stored under the keys that begin so.
-    #[allow(dead_code)] // One of the two test programs that share this file has no use for it.
+    /// The values of all keys with a prefix.
+    #[allow(dead_code)] // One of the two test binaries that share this file does not use it.
     pub fn values_under<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a Value> {
         let keys = self.keys.range(prefix.to_owned()..);
         keys.take_while(move |(key, _)| key.starts_with(prefix))
@@ -144,7 +148,7 @@
     }
 
     /// How often a key was written.
-    #[allow(dead_code)] // One of the two test programs that share this file has no use for it.
+    #[allow(dead_code)] // One of the two test binaries that share this file does not use it.
     pub fn puts_of(&self, key: &str) -> usize {
         self.log
             .iter()
--- a/tests/world/unusual_requests.rs
+++ b/tests/world/unusual_requests.rs
@@ -1,5 +1,5 @@
-//! Requests that no well-behaved user sends, as bodies on the wire: fields that are missing, null or of
-//! the wrong type, and dependencies that were never accepted, are the job itself, or are hundreds.
+//! Unusual requests, as bodies on the wire: fields that are missing, null or of the wrong type, and dependencies that
+//! were never accepted, are the job itself, or are hundreds.
 
 use super::users::RequestKind;
 use super::{Asker, Event, World};
@@ -9,7 +9,9 @@
 use rand::Rng;
 use serde_json::{Value, json};
 
+/// How often such a request is sent.
 const EVERY_S: f64 = 0.7;
+/// The required fields of a submission.
 const REQUIRED: [&str; 17] = [
     "nameId",
     "herd",
@@ -30,16 +32,17 @@
     "markS",
 ];
 
-/// What becomes of an odd request.
+/// What has to happen to an unusual request.
 enum ExpectedOutcome {
-    /// 400: it is not even a job.
+    /// Refused with status 400, because it is no job.
     Malformed,
-    /// Never accepted, nor refused as malformed.
+    /// Well formed, but not accepted.
     Refused,
-    /// Accepted: odd in form only.
+    /// Accepted, because only its form is unusual.
     Accepted,
 }
 
+/// A valid submission.
 fn plain(id: &JobId) -> Value {
     json!({"nameId": id, "herd": "batch", "crew": "red", "shape": "sweep", "urgency": "standard",
         "beats": 2, "cores": 4.0, "cards": 2.0, "memGb": 16.0, "pressing": "img", "sizeGb": 8.0,
@@ -48,13 +51,14 @@
 }
 
 impl World {
+    /// Sends one unusual request and schedules the next.
     pub(super) fn unusual_request(&mut self, until: f64) {
         if self.now > until {
             return;
         }
         self.after(EVERY_S, Event::UnusualRequest { until });
         let id = self.users.next_unusual_id();
-        let accepted = self.users.accepted_arrays();
+        let accepted = self.users.done_arrays();
         let mut body = plain(&id);
         let field = REQUIRED[self.rng.random_range(0..REQUIRED.len())];
         let expected = match self.rng.random_range(0..9) {
