--- a/tests/world/controllers.rs
+++ b/tests/world/controllers.rs
@@ -3,7 +3,7 @@
 use super::faults::MachineCondition;
 use super::network::Endpoint;
 use super::settings::settings;
-use super::{Event, World, previous_version, users};
+use super::{Event, RESTART_S, TICK_S, World, previous_version, users};
 use failure_detector::Stage;
 use ochredrum::config::Config;
 use ochredrum::core::Core;
@@ -136,6 +136,39 @@
         }
     }
 
+    /// A controller crashes and returns with the present version.
+    pub(super) fn upgrade(&mut self, node: usize) {
+        self.previous_version_nodes.remove(&node);
+        let leads = if self.leader() == Some(node) {
+            ", the leader"
+        } else {
+            ""
+        };
+        let previous = self.previous_version_nodes.len();
+        self.note(format!(
+            "n{node}{leads} is upgraded, {previous} of the previous version are left"
+        ));
+        self.crash(node, RESTART_S);
+    }
+
+    /// One turn of a controller without input.
+    pub(super) fn tick(&mut self, node: usize, epoch: u64) {
+        if self.nodes[node].epoch == epoch && self.nodes[node].core.is_some() {
+            self.step(node, Vec::new());
+            self.replay_to_new_leader();
+            self.after(TICK_S, Event::Tick { node, epoch });
+            self.pause_if_slow(node, epoch);
+        }
+    }
+
+    /// A paused controller continues with the inputs that were deferred.
+    pub(super) fn resume(&mut self, node: usize, epoch: u64) {
+        if self.nodes[node].epoch == epoch {
+            let deferred = std::mem::take(&mut self.nodes[node].deferred_inputs);
+            self.step(node, deferred);
+        }
+    }
+
     /// The time that a controller's own clock shows, in seconds since its start.
     pub(super) fn clock(&self, node: usize) -> f64 {
         (self.now - self.nodes[node].started) * self.nodes[node].clock_rate
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -262,14 +262,7 @@
     /// Handles one event.
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Tick { node, epoch } => {
-                if self.nodes[node].epoch == epoch && self.nodes[node].core.is_some() {
-                    self.step(node, Vec::new());
-                    self.replay_to_new_leader();
-                    self.after(TICK_S, Event::Tick { node, epoch });
-                    self.pause_if_slow(node, epoch);
-                }
-            }
+            Event::Tick { node, epoch } => self.tick(node, epoch),
             Event::Input { node, epoch, input } => {
                 if self.nodes[node].epoch == epoch {
                     self.step(node, vec![*input]);
@@ -345,29 +338,12 @@
                 self.user_answered(job, kind, asked, answer);
             }
             Event::Restart { node } => self.restart(node),
-            Event::Upgrade { node } => {
-                self.previous_version_nodes.remove(&node);
-                let leads = if self.leader() == Some(node) {
-                    ", the leader"
-                } else {
-                    ""
-                };
-                let previous = self.previous_version_nodes.len();
-                self.note(format!(
-                    "n{node}{leads} is upgraded, {previous} of the previous version are left"
-                ));
-                self.crash(node, RESTART_S);
-            }
-            Event::Resume { node, epoch } => {
-                if self.nodes[node].epoch == epoch {
-                    let deferred = std::mem::take(&mut self.nodes[node].deferred_inputs);
-                    self.step(node, deferred);
-                }
-            }
+            Event::Upgrade { node } => self.upgrade(node),
+            Event::Resume { node, epoch } => self.resume(node, epoch),
             Event::UnusualRequest { until } => self.unusual_request(until),
             Event::LimitsFall => {
                 self.limits = self.next_limits.unwrap_or(self.limits);
-                self.note("the state service lowers its limits".into());
+                self.note("the store lowers its limits".into());
             }
             Event::Fault(fault) => self.fault(fault),
             Event::FaultEnds(id) => self.network.end(id),
--- a/tests/world/store.rs
+++ b/tests/world/store.rs
@@ -1,7 +1,7 @@
 //! A stand-in for the key-value store: versions, preconditions, leases and a change log.
 
 use ochredrum::core::effects::{StoreCall, StoreReply};
-use ochredrum::wire::{Change, Changes, Entry, Listing, Write};
+use ochredrum::wire::{Change, Changes, Entry, Listing, Transaction, Write};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
@@ -56,59 +56,9 @@
         }
         self.expire(now);
         match call {
-            StoreCall::List { prefix, from } => {
-                let after = |key: &String| from.as_ref().is_none_or(|from| key > from);
-                let all = self
-                    .keys
-                    .iter()
-                    .filter(|(k, _)| k.starts_with(prefix) && after(k));
-                let entries: Vec<Entry> = all
-                    .map(|(key, k)| Entry {
-                        key: key.clone(),
-                        value: k.value.clone(),
-                        version: k.version,
-                    })
-                    .collect();
-                let more = entries.len() > self.page_size;
-                let entries = entries.into_iter().take(self.page_size).collect();
-                StoreReply::Listing(Listing {
-                    entries,
-                    more,
-                    revision: self.revision,
-                })
-            }
-            StoreCall::Changes { prefix, from } => {
-                let hit = |c: &&Change| {
-                    let key = c.put.as_ref().or(c.deleted.as_ref());
-                    c.version > from && key.is_some_and(|key| key.starts_with(prefix))
-                };
-                // The log is ordered by version; a long one is not read from its beginning.
-                let newer = self.log.partition_point(|change| change.version <= from);
-                let events = self.log[newer..].iter().filter(hit).cloned().collect();
-                StoreReply::Changes(Changes {
-                    revision: self.revision,
-                    events,
-                })
-            }
-            StoreCall::Commit(transaction) => {
-                let version = |key: &String| self.keys.get(key).map_or(0, |k| k.version);
-                if transaction
-                    .preconditions
-                    .iter()
-                    .any(|g| version(&g.key) != g.version)
-                {
-                    return StoreReply::Conflict;
-                }
-                let dead = |write: &Write| matches!(write, Write::Put { lease: Some(lease), .. } if !self.leases.contains_key(lease));
-                if transaction.writes.iter().any(dead) {
-                    return StoreReply::LeaseGone;
-                }
-                self.revision += 1;
-                for write in transaction.writes {
-                    self.write(write);
-                }
-                StoreReply::Committed(self.revision)
-            }
+            StoreCall::List { prefix, from } => StoreReply::Listing(self.list(prefix, from)),
+            StoreCall::Changes { prefix, from } => StoreReply::Changes(self.changes(prefix, from)),
+            StoreCall::Commit(transaction) => self.commit(transaction),
             StoreCall::LeaseCreate { ttl_ms } => {
                 self.next_lease += 1;
                 let ttl = ttl_ms as f64 / 1e3;
@@ -139,6 +89,67 @@
         }
     }
 
+    /// One page of the keys with a prefix, after `from`.
+    fn list(&self, prefix: &str, from: Option<String>) -> Listing {
+        let after = |key: &String| from.as_ref().is_none_or(|from| key > from);
+        let all = self
+            .keys
+            .iter()
+            .filter(|(key, _)| key.starts_with(prefix) && after(key));
+        let entries: Vec<Entry> = all
+            .map(|(key, stored)| Entry {
+                key: key.clone(),
+                value: stored.value.clone(),
+                version: stored.version,
+            })
+            .collect();
+        let more = entries.len() > self.page_size;
+        let entries = entries.into_iter().take(self.page_size).collect();
+        Listing {
+            entries,
+            more,
+            revision: self.revision,
+        }
+    }
+
+    /// The changes of keys with a prefix after version `from`.
+    fn changes(&self, prefix: &str, from: u64) -> Changes {
+        let matches = |change: &&Change| {
+            let key = change.put.as_ref().or(change.deleted.as_ref());
+            change.version > from && key.is_some_and(|key| key.starts_with(prefix))
+        };
+        // The log is ordered by version; a long one is not read from its beginning.
+        let newer = self.log.partition_point(|change| change.version <= from);
+        let events = self.log[newer..].iter().filter(matches).cloned().collect();
+        Changes {
+            revision: self.revision,
+            events,
+        }
+    }
+
+    /// Applies a transaction if its preconditions hold and its leases exist.
+    fn commit(&mut self, transaction: Transaction) -> StoreReply {
+        let version = |key: &String| self.keys.get(key).map_or(0, |stored| stored.version);
+        let mut preconditions = transaction.preconditions.iter();
+        if preconditions.any(|wanted| version(&wanted.key) != wanted.version) {
+            return StoreReply::Conflict;
+        }
+        let lease_is_gone = |write: &Write| match write {
+            Write::Put {
+                lease: Some(lease), ..
+            } => !self.leases.contains_key(lease),
+            _ => false,
+        };
+        if transaction.writes.iter().any(lease_is_gone) {
+            return StoreReply::LeaseGone;
+        }
+        self.revision += 1;
+        for write in transaction.writes {
+            self.write(write);
+        }
+        StoreReply::Committed(self.revision)
+    }
+
     /// The values of all keys with a prefix.
     #[allow(dead_code)] // One of the two test binaries that share this file does not use it.
     pub fn values_under<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a Value> {
--- a/tests/world/unusual_requests.rs
+++ b/tests/world/unusual_requests.rs
@@ -32,6 +32,11 @@
     "markS",
 ];
 
+/// Ways in which a submission can be malformed.
+const MALFORMED_FORMS: i32 = 4;
+/// Ways in which a well-formed submission can be impossible.
+const IMPOSSIBLE_FORMS: i32 = 4;
+
 /// What has to happen to an unusual request.
 enum ExpectedOutcome {
     /// Refused with status 400, because it is no job.
@@ -50,6 +55,43 @@
         "expectS": 5.0, "markEveryS": 0.0, "markS": 0.0, "dueS": null})
 }
 
+/// A malformed submission; `choice` is below [`MALFORMED_FORMS`].
+fn malformed(id: &JobId, choice: i32, field: &str) -> Value {
+    let mut body = plain(id);
+    match choice {
+        0 => {
+            body.as_object_mut().map(|body| body.remove(field));
+        }
+        1 => body[field] = Value::Null,
+        2 => body[field] = json!([1, {"a": "b"}]),
+        _ => body["awaits"] = json!(["req-000001", 7]),
+    }
+    body
+}
+
+/// A well-formed submission that cannot be accepted; `choice` is below [`IMPOSSIBLE_FORMS`].
+fn impossible(id: &JobId, choice: i32) -> Value {
+    let mut body = plain(id);
+    match choice {
+        0 => body["awaits"] = json!(["req-899999"]),
+        1 => body["awaits"] = json!([id]),
+        2 => {
+            let never: Vec<String> = (0..700).map(|n| format!("req-8{n:05}")).collect();
+            body["awaits"] = json!(never);
+        }
+        _ => body["cards"] = json!(1000.0),
+    }
+    body
+}
+
+/// A valid submission that names jobs which are done five hundred times.
+fn repeating_dependencies(id: &JobId, done: &[JobId]) -> Value {
+    let mut body = plain(id);
+    let dependencies: Vec<&JobId> = done.iter().cycle().take(500).collect();
+    body["awaits"] = json!(dependencies);
+    body
+}
+
 impl World {
     /// Sends one unusual request and schedules the next.
     pub(super) fn unusual_request(&mut self, until: f64) {
@@ -58,53 +100,23 @@
         }
         self.after(EVERY_S, Event::UnusualRequest { until });
         let id = self.users.next_unusual_id();
-        let accepted = self.users.done_arrays();
-        let mut body = plain(&id);
+        let done = self.users.done_arrays();
         let field = REQUIRED[self.rng.random_range(0..REQUIRED.len())];
-        let expected = match self.rng.random_range(0..9) {
-            0 => {
-                body.as_object_mut().map(|body| body.remove(field));
-                ExpectedOutcome::Malformed
-            }
-            1 => {
-                body[field] = Value::Null;
-                ExpectedOutcome::Malformed
-            }
-            2 => {
-                body[field] = json!([1, {"a": "b"}]);
-                ExpectedOutcome::Malformed
-            }
-            3 => {
-                body["awaits"] = json!(["req-000001", 7]);
-                ExpectedOutcome::Malformed
-            }
-            4 => {
-                body["awaits"] = json!(["req-899999"]);
-                ExpectedOutcome::Refused
-            }
-            5 => {
-                body["awaits"] = json!([id]);
-                ExpectedOutcome::Refused
-            }
-            6 => {
-                let never: Vec<String> = (0..700).map(|n| format!("req-8{n:05}")).collect();
-                body["awaits"] = json!(never);
-                ExpectedOutcome::Refused
-            }
-            7 => {
-                body["cards"] = json!(1000.0);
-                ExpectedOutcome::Refused
-            }
-            _ if accepted.is_empty() => return,
-            _ => {
-                let needed: Vec<&JobId> = accepted.iter().cycle().take(500).collect();
-                body["awaits"] = json!(needed);
-                ExpectedOutcome::Accepted
-            }
-        };
-        self.send_unusual(&body, expected);
+        let forms = MALFORMED_FORMS + IMPOSSIBLE_FORMS + 1;
+        let choice = self.rng.random_range(0..forms);
+        if choice < MALFORMED_FORMS {
+            let body = malformed(&id, choice, field);
+            self.send_unusual(&body, ExpectedOutcome::Malformed);
+        } else if choice < MALFORMED_FORMS + IMPOSSIBLE_FORMS {
+            let body = impossible(&id, choice - MALFORMED_FORMS);
+            self.send_unusual(&body, ExpectedOutcome::Refused);
+        } else if !done.is_empty() {
+            let body = repeating_dependencies(&id, &done);
+            self.send_unusual(&body, ExpectedOutcome::Accepted);
+        }
     }
 
+    /// Reads a body as a controller does, and submits it if it is well formed.
     fn send_unusual(&mut self, body: &Value, expected: ExpectedOutcome) {
         let parsed = parse_submission(&encode(body));
         let malformed = matches!(expected, ExpectedOutcome::Malformed);
