--- a/src/features/tests.rs
+++ b/src/features/tests.rs
@@ -3,14 +3,14 @@
 const GOOD: &str = "[quota_ledger]\nenabled = true\nheadroom = 0.125\ngive_back_leases = 1.0\n";
 
 #[test]
-fn the_file_that_is_shipped_is_valid() {
+fn the_shipped_file_is_valid() {
     let features = Features::parse(include_str!("../../deploy/features.toml")).unwrap();
     assert!(features.headroom(10.0).is_some());
     assert_eq!(Features::parse("").unwrap(), Features::default());
 }
 
 #[test]
-fn a_wrong_value_is_refused_with_its_field() {
+fn an_invalid_value_is_rejected_with_its_field() {
     for (from, to, field) in [
         ("headroom = 0.125", "headroom = 0.0", "headroom"),
         ("headroom = 0.125", "headroom = nan", "headroom"),
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn what_is_not_enabled_is_off() {
+fn a_feature_that_is_not_enabled_is_off() {
     let off = Features::parse(&GOOD.replace("true", "false")).unwrap();
     assert_eq!(off.headroom(10.0), None);
 }
--- a/src/status/tests.rs
+++ b/src/status/tests.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn the_tables_show_who_holds_what_and_who_has_failed() {
+fn the_tables_show_grants_siblings_and_failovers() {
     assert_eq!(
         status().table(),
         "n0 (process 7), leads\n\n\
@@ -116,7 +116,7 @@
     assert_eq!(serde_json::from_value::<Status>(sent).unwrap(), status());
 }
 
-/// What the version before told, without siblings, can be read.
+/// An answer of the previous version, which reported no siblings, can be parsed.
 #[test]
 fn an_answer_of_an_earlier_version_is_read() {
     let mut earlier = serde_json::to_value(status()).unwrap();
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn the_published_example_is_read() {
+fn the_published_example_is_parsed() {
     let (id, spec) = parse_submission(&encode(&example())).unwrap();
     assert_eq!(id.as_str(), "req-000412");
     assert_eq!(
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn malformed_submissions_are_refused() {
+fn malformed_submissions_are_rejected() {
     let with = |name: &str, value: Value| {
         let mut job = example();
         job[name] = value;
@@ -72,7 +72,7 @@
         parse_submission(b"\x93\x01\x02\x03"),
         Err(SubmissionError::NotMap)
     );
-    // Not-a-number is a MessagePack float that no amount may be.
+    // NaN is a valid MessagePack float, but no valid amount.
     let mut nan = rmp_serde::to_vec_named(&example()).unwrap();
     let at = nan
         .windows(6)
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -91,7 +91,7 @@
     /// It completed.
     #[serde(rename = "done")]
     Done,
-    /// It was stopped on command, or with the end of the worker's lease.
+    /// It was stopped on command.
     #[serde(rename = "halted")]
     Stopped,
     /// Another member of its gang exited.
@@ -106,7 +106,7 @@
     /// The machine's free resources do not suffice for it.
     #[serde(rename = "no_room")]
     NoRoom,
-    /// The worker did not accept the start for now.
+    /// The worker does not accept starts at present.
     #[serde(rename = "busy")]
     Busy,
     /// The worker does not know the job.
