--- a/src/core/controller/failure_detection.rs
+++ b/src/core/controller/failure_detection.rs
@@ -37,7 +37,7 @@
 /// renewal, and some more since it answered a hello before its last renewal.
 const LEASE_EXPIRY_TTLS: f64 = 1.2;
 
-/// Worker leases for which siblings are told of an abandoned lease.
+/// Worker leases for which an abandoned lease is reported to siblings.
 const ABANDONED_LEASE_REPORT_LEASES: f64 = 2.0;
 
 /// Worker leases for which a controller that workers do not reach requests no lease.
@@ -87,8 +87,8 @@
         processes.map(|process| process.node).collect()
     }
 
-    /// Whether siblings need not be told any more of the lease that this controller's previous
-    /// incarnation abandoned.
+    /// Whether the lease that this controller's previous incarnation abandoned need not be reported
+    /// to siblings any more.
     fn abandoned_lease_is_settled(&self) -> bool {
         let Some((abandoned, since)) = self.detection.abandoned_lease() else {
             return false;
@@ -100,7 +100,7 @@
         (key_is_gone && self.reads_store()) || self.outbox.now - since > report_for
     }
 
-    /// The findings of this controller that siblings are told; none if it takes no part in failure
+    /// The findings that this controller sends to siblings; none if it takes no part in failure
     /// detection.
     pub(crate) fn detection_report(&self) -> Option<DetectionReport> {
         let now = self.outbox.now;
--- a/src/core/controller/hello.rs
+++ b/src/core/controller/hello.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Brings up to date what hellos tell of machines beyond this shard's own state.
+    /// Updates what hellos contain about machines beyond this shard's own state.
     fn refresh_machine_knowledge(&mut self) {
         let now = self.outbox.now;
         if let Some(shard) = &self.shard {
@@ -155,18 +155,27 @@
             }
         }
         let reply = HelloReply {
-            incarnation: self.ownership.incarnation(),
             grants_extension,
             consents,
+            ..self.hello_reply(&sender, hello.final_states_after)
+        };
+        self.outbox.mesh_answer(request, MeshReply::Hello(reply));
+    }
+
+    /// A reply to a hello that grants and consents to nothing. `final_states_after`: the version after
+    /// which the sender asked for final states.
+    fn hello_reply(&self, to: &ProcessId, final_states_after: Option<Version>) -> HelloReply {
+        HelloReply {
+            incarnation: self.ownership.incarnation(),
+            grants_extension: false,
+            consents: Vec::new(),
             reads_store: self.reads_store(),
-            redirects_workers: self.peers.redirects_to(&sender.node, now),
-            final_states: hello
-                .final_states_after
-                .filter(|_| self.may_send_final_states(&sender))
+            redirects_workers: self.peers.redirects_to(&to.node, self.outbox.now),
+            final_states: final_states_after
+                .filter(|_| self.may_send_final_states(to))
                 .map(|version| self.store.final_states_after(version)),
             detection: self.detection_report(),
-        };
-        self.outbox.mesh_answer(request, MeshReply::Hello(reply));
+        }
     }
 
     /// Applies the state of a sibling's shard.
--- a/src/core/controller/ownership.rs
+++ b/src/core/controller/ownership.rs
@@ -110,7 +110,7 @@
     }
 
     /// Writes the next key that is missing or out of date, one at a time.
-    pub(crate) fn write_keys(&mut self, lease: u64) {
+    fn write_keys(&mut self, lease: u64) {
         let now = self.outbox.now;
         if !self.ownership.may_write_key(now) {
             return;
--- a/src/core/membership/failure_detection.rs
+++ b/src/core/membership/failure_detection.rs
@@ -35,19 +35,19 @@
         self.refusals
     }
 
-    /// This process has stepped down without ending its lease: siblings are told.
+    /// The previous incarnation has stepped down without ending its lease, which is reported to siblings.
     pub fn announce_abandoned_lease(&mut self, lease: AbandonedLease, now: Time) {
         self.abandoned = Some((lease, now));
     }
 
-    /// The lease that siblings are told of, and since when.
+    /// The abandoned lease that is reported to siblings, and since when.
     pub fn abandoned_lease(&self) -> Option<(&AbandonedLease, Time)> {
         self.abandoned
             .as_ref()
             .map(|(lease, since)| (lease, *since))
     }
 
-    /// Siblings need not be told of the abandoned lease any more.
+    /// Stops reporting the abandoned lease.
     pub fn withdraw_abandoned_lease(&mut self) {
         self.abandoned = None;
     }
--- a/src/core/membership/ownership.rs
+++ b/src/core/membership/ownership.rs
@@ -42,14 +42,13 @@
 /// before the workers' leases expire.
 const TTL_WORKER_LEASES: f64 = 0.35;
 
-/// Bounds of the lease's lifetime, in seconds: below the first, renewals would take most of the
-/// store's request rate; the second is the longest wait for a failover.
+/// Least and greatest lifetime of the lease in seconds, whatever the worker's lease is.
 const TTL_BOUNDS: (Time, Time) = (0.1, 600.0);
 
 /// Part of the lease's lifetime by which ownership ends before the lease can expire in the store.
 const MARGIN_TTLS: f64 = 0.1;
 
-/// Renewals in one lifetime of the lease, so that two of them may fail.
+/// Renewals in one lifetime of the lease.
 const RENEWALS_PER_TTL: f64 = 3.0;
 
 /// Retries of a renewal that failed, in one lifetime of the lease.
@@ -78,7 +77,7 @@
     None,
     /// Its creation has been requested.
     Creating,
-    /// It was granted under this id. Whether it is still valid is told by the clock.
+    /// It was granted under this id. Whether it is still valid is decided by the clock.
     Held(u64),
 }
 
--- a/src/core/messages/detection.rs
+++ b/src/core/messages/detection.rs
@@ -1,4 +1,4 @@
-//! What controllers tell each other for the detection of failed controllers.
+//! Findings that controllers exchange to detect failed controllers.
 
 use crate::core::model::time::Time;
 use crate::ids::Node;
--- a/src/core/messages/mesh.rs
+++ b/src/core/messages/mesh.rs
@@ -33,7 +33,7 @@
 }
 
 /// The regular message of a controller to its siblings. It shows that the sender is alive, and holds
-/// the present state of everything that the sender tells its siblings.
+/// the whole present state that concerns its siblings, so that a lost one does no harm.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Hello {
     /// The sender.
--- a/src/core/messages/shard_update.rs
+++ b/src/core/messages/shard_update.rs
@@ -1,4 +1,4 @@
-//! What the shards tell each other, in the hellos of their controllers. An update always holds the
+//! State that shards exchange in the hellos of their controllers. An update always holds the
 //! whole present state, so that a lost or delayed one does no harm.
 
 use crate::core::messages::capacity_demand::{CapacityDemand, MachineOffer};
