--- a/src/core/shard/grants/tests.rs
+++ b/src/core/shard/grants/tests.rs
@@ -10,7 +10,6 @@
 use crate::core::records::keys::node_key;
 use crate::core::records::process_record::ProcessRecord;
 use crate::core::records::shard_map::{ShardEntry, ShardMapChunk, ShardOwner};
-use crate::core::shard::Shard as Controller;
 use crate::core::test_support::{owner, record, share_with};
 use crate::features::Features;
 use crate::ids::{Attempt, TaskId};
@@ -34,24 +33,24 @@
     config
 }
 
-/// A controller that has just gained the team under `term`, of which owners have kept to their grants
-/// since `since`.
+/// A shard that has just gained the team under `token`, whose owners have kept to their grants since the
+/// fencing token `kept_since`.
 struct Scene {
-    shard: Controller,
+    shard: Shard,
     outbox: Outbox,
     store: StoreReplica,
     version: Version,
 }
 
 impl Scene {
-    fn new(term: u64, since: Option<u64>, stored: Option<serde_json::Value>) -> Self {
-        Self::with(config(), term, since, stored)
+    fn new(token: u64, kept_since: Option<u64>, stored: Option<serde_json::Value>) -> Self {
+        Self::with(config(), token, kept_since, stored)
     }
 
     fn with(
         config: Config,
-        term: u64,
-        since: Option<u64>,
+        token: u64,
+        kept_since: Option<u64>,
         stored: Option<serde_json::Value>,
     ) -> Self {
         let (shard, outbox, store) = share_with(config);
@@ -64,7 +63,7 @@
         if let Some(value) = stored {
             scene.store(&value);
         }
-        scene.give("n0", term, since);
+        scene.assign("n0", token, kept_since);
         scene
     }
 
@@ -78,11 +77,11 @@
         self.store.apply_write(&write, self.version);
     }
 
-    /// The map gives the team to this process of `node`.
-    fn give(&mut self, node: &str, term: u64, since: Option<u64>) {
+    /// Assigns the team to the process on `node` in the shard map.
+    fn assign(&mut self, node: &str, token: u64, kept_since: Option<u64>) {
         self.version += 1;
         let owner = ShardOwner {
-            token: FencingToken(term),
+            token: FencingToken(token),
             ..owner(node)
         };
         let shards = vec![ShardEntry {
@@ -90,7 +89,7 @@
             teams: vec![RED.into()],
             machines: vec!["m-1".into()],
         }];
-        let grants_kept_since = since.map(|since| (Team::from(RED), FencingToken(since)));
+        let grants_kept_since = kept_since.map(|token| (Team::from(RED), FencingToken(token)));
         let chunk = ShardMapChunk {
             shards,
             grants_kept_since: grants_kept_since.into_iter().collect(),
@@ -103,7 +102,7 @@
         self.shard.follow_grants(&self.store);
     }
 
-    /// The view is as far as the map.
+    /// The store replica has read up to the revision of the shard map.
     fn synced(&mut self) {
         self.store.read_up_to(self.version);
         self.shard.follow_grants(&self.store);
@@ -135,8 +134,8 @@
             .allows(&self.shard.config.deployment.teams[0], 0.0, gpus)
     }
 
-    /// A task that was started here runs.
-    fn runs(&mut self, gpus: f64) {
+    /// Adds a running task that was started here.
+    fn add_running_task(&mut self, gpus: f64) {
         let machine = self.shard.machines.get_mut(&"m-1".into()).unwrap();
         let mut tracked = TrackedAttempt::new(0.0);
         tracked.resources = Some(Resources {
@@ -153,8 +152,8 @@
             .insert((task, Attempt((9 << 16) + 1)), tracked);
     }
 
-    /// What is written to the state service now.
-    fn written(&mut self) -> Option<(CallId, Transaction)> {
+    /// The transaction that is written to the state service now.
+    fn write(&mut self) -> Option<(CallId, Transaction)> {
         let usage = self.usage();
         self.shard
             .write_grants(&mut self.outbox, &self.store, &usage);
@@ -188,7 +187,7 @@
     quota_key(&RED.into()).unwrap()
 }
 
-/// A record that was begun under `began`, in which another process holds this much.
+/// A record that was begun under the fencing token `began`, in which another process has a grant.
 fn held_by_other(began: u64, gpus: f64) -> serde_json::Value {
     let holder = HolderId {
         term: began,
@@ -199,7 +198,7 @@
 }
 
 #[test]
-fn a_new_owner_uses_what_is_not_granted_to_others() {
+fn a_new_owner_can_use_the_limit_less_grants_of_others() {
     let mut scene = Scene::new(9, Some(5), Some(held_by_other(5, 10.0)));
     assert_eq!(scene.basis(), Basis::Undecided);
     assert!(
@@ -208,7 +207,7 @@
     );
     scene.synced();
     assert!(!scene.allows(1.0), "it has no grant yet");
-    let (call, transaction) = scene.written().unwrap();
+    let (call, transaction) = scene.write().unwrap();
     let guarded: Vec<&str> = transaction
         .preconditions
         .iter()
@@ -225,7 +224,7 @@
 }
 
 #[test]
-fn a_record_is_relied_on_only_if_all_owners_since_have_kept_to_it() {
+fn a_record_is_relied_on_only_if_all_owners_have_kept_to_their_grants() {
     for (since, relied_on) in [(Some(5), true), (Some(6), false), (None, false)] {
         let mut scene = Scene::new(9, since, Some(held_by_other(5, 10.0)));
         scene.synced();
@@ -235,7 +234,7 @@
 }
 
 #[test]
-fn a_damaged_record_is_no_record_and_is_replaced_once_all_is_known() {
+fn a_damaged_record_is_ignored_and_replaced_after_reconciliation() {
     for damaged in [
         serde_json::json!({"v": 9, "b": 5, "g": []}),
         serde_json::json!("grants"),
@@ -246,9 +245,9 @@
         scene.synced();
         assert_eq!(scene.basis(), Basis::Counting { beginning: None });
         assert!(scene.allows(16.0), "as without a record");
-        assert!(scene.written().is_none(), "what runs is not known yet");
+        assert!(scene.write().is_none(), "what runs is not known yet");
         scene.reconcile();
-        let (_, transaction) = scene.written().unwrap();
+        let (_, transaction) = scene.write().unwrap();
         assert_eq!(
             transaction.preconditions[0].version, 11,
             "in place of the damaged one"
@@ -257,11 +256,11 @@
 }
 
 #[test]
-fn while_a_record_is_being_begun_no_more_starts_than_it_covers() {
+fn starts_stay_within_a_record_whose_creation_has_an_unknown_outcome() {
     let mut scene = Scene::new(9, Some(9), None);
     scene.synced();
     scene.reconcile();
-    let (call, _) = scene.written().unwrap();
+    let (call, _) = scene.write().unwrap();
     scene.answer(call, StoreReply::Unknown);
     assert_eq!(
         scene.basis(),
@@ -285,18 +284,18 @@
 }
 
 #[test]
-fn who_loses_the_team_keeps_granted_only_what_may_still_run() {
+fn an_owner_that_loses_the_team_returns_its_unused_grant() {
     let mut scene = Scene::new(9, Some(9), None);
     scene.synced();
     scene.reconcile();
-    let (call, _) = scene.written().unwrap();
+    let (call, _) = scene.write().unwrap();
     scene.answer(call, StoreReply::Committed(30));
-    scene.give("n1", 12, Some(9));
+    scene.assign("n1", 12, Some(9));
     let (_, transaction) = scene.effects().unwrap();
     assert_eq!(
         transaction.preconditions.len(),
         1,
-        "it owns the team no more, and gives back only"
+        "it no longer owns the team and only returns its grant"
     );
     let Write::Put { value, .. } = &transaction.writes[0] else {
         panic!("a record")
@@ -306,14 +305,14 @@
 }
 
 #[test]
-fn what_may_still_run_stays_granted_as_the_team_goes() {
+fn running_tasks_stay_granted_when_the_team_is_lost() {
     let mut scene = Scene::new(9, Some(9), None);
     scene.synced();
     scene.reconcile();
-    let (call, _) = scene.written().unwrap();
+    let (call, _) = scene.write().unwrap();
     scene.answer(call, StoreReply::Committed(30));
-    scene.runs(1.5);
-    scene.give("n1", 12, Some(9));
+    scene.add_running_task(1.5);
+    scene.assign("n1", 12, Some(9));
     let (_, transaction) = scene.effects().unwrap();
     let Write::Put { value, .. } = &transaction.writes[0] else {
         panic!("a record")
@@ -322,9 +321,9 @@
     assert_eq!(ledger.grants()[0].amount, Amount::covering(0.0, 1.5));
 }
 
-/// What can't be granted now is no reason to hold room on machines back from other teams.
+/// Tasks that cannot be granted now must not keep resources on machines from other teams.
 #[test]
-fn no_more_is_asked_for_than_others_leave() {
+fn requests_do_not_exceed_the_limit_less_grants_of_others() {
     let mut scene = Scene::new(9, Some(5), Some(held_by_other(5, 10.0)));
     scene.synced();
     let team_limits = scene.shard.config.deployment.teams[0].clone();
@@ -351,9 +350,9 @@
     );
 }
 
-/// What others may have started counts up to what is granted to them, however much it might be.
+/// Tasks of other owners count up to those owners' grants, however many there may be.
 #[test]
-fn what_is_not_known_counts_up_to_what_was_granted() {
+fn unknown_usage_counts_up_to_the_outstanding_grants() {
     let mut scene = Scene::new(9, Some(5), Some(held_by_other(5, 10.0)));
     scene.synced();
     let (_, inherited) = scene.usage().own_and_inherited(&RED.into());
@@ -367,13 +366,13 @@
         tasks: 1000,
         ..(*spec).clone()
     }));
-    let taken = ((0.0), 0);
+    let taken_at = (0.0, 0);
     scene.shard.take_job(
         &scene.store,
         &"req-000001".into(),
         &Rc::new(waiting),
         3,
-        taken,
+        taken_at,
     );
     let (_, inherited) = scene.usage().own_and_inherited(&RED.into());
     let expected = Amount::covering(1000.0, 10.0);
@@ -384,7 +383,7 @@
 }
 
 #[test]
-fn the_leader_notes_nothing_while_a_process_keeps_to_no_grants() {
+fn the_leader_does_not_rely_on_grants_while_a_process_does_not_keep_to_them() {
     let config = Rc::new(config());
     let mut store = StoreReplica::new(&config);
     let process = |node: &str, keeps_grants: bool| ProcessRecord {
@@ -415,16 +414,16 @@
 }
 
 #[test]
-fn a_record_that_the_state_service_refuses_is_done_without() {
+fn a_record_that_the_state_service_refuses_is_deleted_and_not_begun_again() {
     let mut scene = Scene::new(9, Some(5), Some(held_by_other(5, 10.0)));
     scene.synced();
-    let (call, _) = scene.written().unwrap();
+    let (call, _) = scene.write().unwrap();
     scene.answer(call, StoreReply::Rejected);
     assert!(
         !scene.allows(1.0),
         "others may rely on the record as long as it is there"
     );
-    let (call, transaction) = scene.written().unwrap();
+    let (call, transaction) = scene.write().unwrap();
     assert!(
         matches!(&transaction.writes[..], [Write::Delete { .. }]),
         "{transaction:?}"
@@ -432,13 +431,12 @@
     scene.answer(call, StoreReply::Committed(40));
     assert_eq!(scene.basis(), Basis::Counting { beginning: None });
     scene.reconcile();
-    assert!(scene.written().is_none(), "it is not begun again");
+    assert!(scene.write().is_none(), "it is not begun again");
 }
 
-/// With other settings the team may come to have a limit again, and then nobody may rely on what was
-/// granted before.
+/// The limit may be configured again later, and then no process may rely on earlier grants.
 #[test]
-fn a_team_whose_limit_was_removed_starts_once_its_record_is_gone() {
+fn a_team_whose_limit_was_removed_starts_after_its_record_is_deleted() {
     let mut scene = Scene::with(
         config_with_limit(0.0),
         9,
@@ -447,22 +445,22 @@
     );
     scene.synced();
     assert!(!scene.allows(1.0));
-    let (call, transaction) = scene.written().unwrap();
+    let (call, transaction) = scene.write().unwrap();
     assert!(
         matches!(&transaction.writes[..], [Write::Delete { .. }]),
         "{transaction:?}"
     );
     scene.answer(call, StoreReply::Committed(40));
-    assert!(scene.allows(1000.0) && scene.written().is_none());
+    assert!(scene.allows(1000.0) && scene.write().is_none());
 }
 
 #[test]
-fn a_limit_that_was_lowered_or_raised_holds_for_what_is_granted_from_then_on() {
+fn a_changed_limit_applies_to_later_grants() {
     for (limit, granted) in [(8.0, 0.0), (12.0, 1.5), (32.0, 4.0)] {
         let stored = Some(held_by_other(5, 10.0));
         let mut scene = Scene::with(config_with_limit(limit), 9, Some(5), stored);
         scene.synced();
-        let (call, _) = scene.written().unwrap();
+        let (call, _) = scene.write().unwrap();
         scene.answer(call, StoreReply::Committed(30));
         let expected = Basis::Granted {
             own: Amount::covering(0.0, granted),
@@ -490,7 +488,7 @@
 }
 
 #[test]
-fn one_owner_that_keeps_to_no_grants_breaks_the_chain() {
+fn an_owner_that_does_not_keep_to_grants_resets_the_note() {
     assert_eq!(
         noted(&[("n0", true), ("n1", true), ("n0", true)]),
         [Some(1), Some(1), Some(1)]
@@ -503,7 +501,7 @@
 
 /// A leader of a version without grants writes the teams without the note.
 #[test]
-fn a_leader_that_knows_no_grants_leaves_the_note_out() {
+fn the_note_is_optional_in_the_shard_map() {
     let chunk = ShardMapChunk {
         shards: vec![ShardEntry {
             owner: owner("n0"),
