--- a/src/core/scheduling/packing.rs
+++ b/src/core/scheduling/packing.rs
@@ -150,25 +150,20 @@
         task: &PlannedTask,
         has_zone_quota: &dyn Fn(&Zone) -> bool,
     ) -> Option<&mut PackingCandidate> {
-        let left = |candidate: &PackingCandidate| {
-            (
-                candidate.free.gpus - task.need.gpus,
-                candidate.free.cpus - task.need.cpus,
-            )
-        };
+        let leftover = |candidate: &PackingCandidate| candidate.free.less(&task.need);
         let is_needlessly_on_demand =
             |candidate: &PackingCandidate| task.spec.spot && !candidate.offer.spot;
         self.candidates
             .get_mut(first..)?
             .iter_mut()
             .filter(|candidate| task.fits_on(candidate) && has_zone_quota(&candidate.offer.zone))
-            .min_by(|a, b| {
-                let (a_left, b_left) = (left(a), left(b));
-                (is_needlessly_on_demand(a).cmp(&is_needlessly_on_demand(b)))
-                    .then(b.is_in_use.cmp(&a.is_in_use))
-                    .then(a.is_draining.cmp(&b.is_draining))
-                    .then(a_left.0.total_cmp(&b_left.0))
-                    .then(a_left.1.total_cmp(&b_left.1))
+            .min_by(|one, other| {
+                let (one_left, other_left) = (leftover(one), leftover(other));
+                (is_needlessly_on_demand(one).cmp(&is_needlessly_on_demand(other)))
+                    .then(other.is_in_use.cmp(&one.is_in_use))
+                    .then(one.is_draining.cmp(&other.is_draining))
+                    .then(one_left.gpus.total_cmp(&other_left.gpus))
+                    .then(one_left.cpus.total_cmp(&other_left.cpus))
             })
     }
 
--- a/src/core/shard/capacity_planning.rs
+++ b/src/core/shard/capacity_planning.rs
@@ -220,7 +220,8 @@
             let count = usage.tasks_within_limit(team_limits, &need, job.waiting().len());
             usage.add_tasks(&team_limits.name, &need, count);
             let avoids_stranding_gpus = self.avoids_stranding_gpus(&id, catalog, now);
-            let tasks = TaskDemand::queued(job, count as u32, avoids_stranding_gpus);
+            let count = u32::try_from(count).unwrap_or(u32::MAX);
+            let tasks = TaskDemand::queued(job, count, avoids_stranding_gpus);
             if job.is_opportunistic(&self.config) {
                 work.opportunistic.push(OpportunisticDemand {
                     job: id,
@@ -318,7 +319,7 @@
             .map(|machine| (machine.id.clone(), machine.room_beside_urgent()))
             .filter(|(_, gpus)| *gpus > 0.0)
             .collect();
-        with_free_gpus.sort_by(|(_, a), (_, b)| b.total_cmp(a));
+        with_free_gpus.sort_by(|(_, gpus), (_, other)| other.total_cmp(gpus));
         with_free_gpus.truncate(MAX_MACHINES_WITH_FREE_GPUS);
         demand.machines_with_free_gpus = with_free_gpus;
     }
--- a/src/core/shard/consolidation.rs
+++ b/src/core/shard/consolidation.rs
@@ -55,7 +55,7 @@
             .filter(|candidate| !candidate.has_planned_tasks)
             .filter_map(|candidate| self.source(candidate, catalog, now))
             .collect();
-        sources.sort_by(|a, b| b.price_per_replica.total_cmp(&a.price_per_replica));
+        sources.sort_by(|one, other| other.price_per_replica.total_cmp(&one.price_per_replica));
         let Some(source) = sources
             .into_iter()
             .find(|source| self.fits_elsewhere(source, candidates, now))
@@ -166,7 +166,7 @@
                 .iter_mut()
                 .filter(|target| target.free.holds(&job.need()))
                 .filter(|target| self.can_take(target.candidate, job, source, job_zones, now))
-                .min_by(|a, b| a.free.gpus.total_cmp(&b.free.gpus));
+                .min_by(|one, other| one.free.gpus.total_cmp(&other.free.gpus));
             let Some(target) = target else {
                 return false;
             };
--- a/src/core/shard/preemption.rs
+++ b/src/core/shard/preemption.rs
@@ -200,7 +200,7 @@
     /// first. `free` is what is free once the stops issued before are carried out.
     fn cheapest_victims(&self, machine: &Machine, mut free: Resources) -> Option<Vec<Victim>> {
         let mut candidates = self.candidate_victims(machine);
-        candidates.sort_by(|a, b| a.cost.total_cmp(&b.cost));
+        candidates.sort_by(|one, other| one.cost.total_cmp(&other.cost));
         let mut victims = Vec::new();
         for victim in candidates {
             if free.holds(&self.need) {
--- a/src/core/shard/round/reservations.rs
+++ b/src/core/shard/round/reservations.rs
@@ -27,9 +27,10 @@
             .iter()
             .map(|snapshot| snapshot.zone.clone())
             .collect();
+        let zone_count = u32::try_from(zones.len()).unwrap_or(u32::MAX);
         for (image, demand) in images {
             for zone in &zones {
-                let tasks_per_zone = demand.recent_tasks.div_ceil(zones.len() as u32).max(1);
+                let tasks_per_zone = demand.recent_tasks.div_ceil(zone_count).max(1);
                 self.reserve_in_zone(snapshots, &image, &demand, zone, tasks_per_zone);
             }
         }
@@ -59,7 +60,7 @@
                     && has_image(snapshot)
             })
             .collect();
-        holders.sort_by(|a, b| a.free.gpus.total_cmp(&b.free.gpus));
+        holders.sort_by(|one, other| one.free.gpus.total_cmp(&other.free.gpus));
         let mut unreserved = tasks;
         for snapshot in holders {
             while unreserved > 0 && snapshot.free_for_image(None).holds(&need) {
@@ -86,9 +87,9 @@
                 .iter_mut()
                 .filter(|snapshot| !snapshot.is_reserved && snapshot.total.holds(&need))
                 .filter(|snapshot| snapshot.is_allowed_for(&job.spec))
-                .max_by(|a, b| {
-                    let (a, b) = (a.free_after_stops.gpus, b.free_after_stops.gpus);
-                    a.total_cmp(&b)
+                .max_by(|one, other| {
+                    let gpus = one.free_after_stops.gpus;
+                    gpus.total_cmp(&other.free_after_stops.gpus)
                 });
             let Some(snapshot) = best else { return };
             snapshot.is_reserved = true;
--- a/src/core/shard/soon_ready.rs
+++ b/src/core/shard/soon_ready.rs
@@ -44,7 +44,8 @@
             let need = Resources::of(&spec);
             let count = usage.tasks_within_limit(team_limits, &need, spec.tasks as usize);
             usage.add_tasks(&team_limits.name, &need, count);
-            demands.push(TaskDemand::expected(types, spec, count as u32));
+            let count = u32::try_from(count).unwrap_or(u32::MAX);
+            demands.push(TaskDemand::expected(types, spec, count));
         }
         if demands.is_empty() {
             return SoonReadyJobs::default();
--- a/src/core/shard/usage.rs
+++ b/src/core/shard/usage.rs
@@ -85,7 +85,8 @@
             }
             let cancelled = store.cancelled_since(since);
             for (id, job) in cancelled.filter(|(_, job)| job.team == *name) {
-                let known = tracked.get(id).map_or(0, BTreeSet::len) as u32;
+                let known = tracked.get(id).map_or(0, BTreeSet::len);
+                let known = u32::try_from(known).unwrap_or(u32::MAX);
                 let tasks = f64::from(job.tasks.saturating_sub(known));
                 usage.add_inherited(name, job.need.cpus * tasks, job.need.gpus * tasks);
             }
