--- a/src/core/controller/catalog.rs
+++ b/src/core/controller/catalog.rs
@@ -1,14 +1,23 @@
+//! Keeping the machine types current, from the cloud and from the store.
+
 use crate::core::Core;
 use crate::core::effects::pending::Pending;
 use crate::core::effects::{CloudCall, CloudReply, StoreCall};
+use crate::core::model::time::Time;
 use crate::core::records::keys::{LEADER_KEY, TYPES_KEY};
 use crate::core::records::versioned::{precondition, put};
 use crate::wire::{MachineTypes, Transaction};
 
+/// Time between two requests for the machine types, in lags of the cloud's list.
+const REFRESH_LAGS: f64 = 6.0;
+
+/// Pause after a failed request, as the time that so many requests take at the cloud's rate limit.
+const RETRY_REQUESTS: f64 = 1.5;
+
 impl Core {
-    /// Every controller knows the machine types; the leader also rents and returns. It keeps them
-    /// in the state service too, so that controllers which start while the cloud is down can
-    /// accept and place.
+    /// Asks the cloud for the machine types, which every controller needs, and as the leader also stores them:
+    /// so controllers that start while the cloud is unavailable can accept jobs and place tasks. The leader, who
+    /// rents machines, asks repeatedly; other controllers until they know them.
     pub(crate) fn catalog_when_due(&mut self) {
         let catalog = &mut self.catalog;
         if let (false, Some(stored)) = (catalog.known(), self.store.types()) {
@@ -32,7 +41,8 @@
         }
     }
 
-    pub(crate) fn store_types(&mut self) {
+    /// Stores the machine types, if they differ from what is stored and are not too large.
+    fn store_types(&mut self) {
         let Some(leader) = &self.leader else { return };
         let record = MachineTypes {
             types: self.catalog.types.clone(),
@@ -44,7 +54,7 @@
         let write = put(TYPES_KEY, &record, None);
         let size = serde_json::to_string(&record).map_or(usize::MAX, |text| text.len());
         if size as f64 > self.config.deployment.state.value_kb * 1024.0 {
-            return tracing::error!("the machine types, {size} bytes, are too large to be stored");
+            return tracing::error!(size, "the machine types are too large for the store");
         }
         let version = stored.map_or(0, |stored| stored.version);
         let preconditions = vec![
@@ -59,9 +69,11 @@
             .state(Pending::Types(write), StoreCall::Commit(transaction));
     }
 
+    /// Takes in the cloud's reply to a request for the machine types.
     pub(crate) fn catalog_reply(&mut self, reply: CloudReply) {
         let now = self.outbox.now;
         let cloud = &self.config.deployment.cloud;
+        let lag_s: Time = cloud.list_lag_s.max(1.0);
         self.catalog.asking = false;
         match reply {
             CloudReply::Types(types) if !types.types.is_empty() => {
@@ -69,9 +81,9 @@
                     self.catalog.next_store = self.catalog.next_store.min(now);
                 }
                 self.catalog.types = types.types;
-                self.catalog.next = now + cloud.list_lag_s.max(1.0) * 6.0;
+                self.catalog.next = now + lag_s * REFRESH_LAGS;
             }
-            _ => self.catalog.next = now + self.outbox.jitter(1.5 / cloud.rps),
+            _ => self.catalog.next = now + self.outbox.jitter(RETRY_REQUESTS / cloud.rps),
         }
     }
 }
--- a/src/core/controller/machine_claims.rs
+++ b/src/core/controller/machine_claims.rs
@@ -1,3 +1,5 @@
+//! When this controller claims a machine that can't reach its owner ([`crate::core::machines::claims`]).
+
 use crate::core::Core;
 use crate::core::controller::deferred_heartbeats::DeferralReason;
 use crate::core::effects::RequestId;
@@ -5,38 +7,39 @@
 use crate::wire::Heartbeat;
 
 impl Core {
-    /// Whether a machine is to be claimed: neither its worker nor this controller reaches its owner. A worker
-    /// that has not shown the owner's token may be on its way there, unless it is in this controller's
-    /// zone, where other siblings are heard and the owner is not.
+    /// Whether a machine is to be claimed: neither its worker nor this controller reaches its owner, which is
+    /// registered all the same. A worker that has not shown the owner's token may be about to reach the owner,
+    /// unless it is in this controller's zone, where other siblings are heard and the owner is not.
     pub(crate) fn may_claim(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
         let now = self.outbox.now;
-        let living = self.store.is_registered(&owner.node, owner.incarnation);
-        let comes_from_owner = heartbeat.token == owner.token;
+        let owner_is_live = self.store.is_registered(&owner.node, owner.incarnation);
+        let shows_owners_token = heartbeat.token == owner.token;
         let same_zone = heartbeat.zone == self.config.zone && self.peers.heard_any(now);
         owner.node != self.config.node
-            && living
-            && (comes_from_owner || same_zone)
+            && owner_is_live
+            && (shows_owners_token || same_zone)
             && !self.peers.hears(&owner.node, now)
             && !(self.acts_on_failures() && self.lease_expires_soon(&owner.node))
             && self.shard.is_some()
             && self.ownership.holds_lease(now)
     }
 
-    /// Claims a machine; its report is answered as soon as the map gives it to this controller.
+    /// Claims a machine; its heartbeat is answered as soon as the shard map gives it to this controller. Without
+    /// capacity for that the worker is sent to the owner.
     pub(crate) fn claim(&mut self, request: RequestId, heartbeat: Heartbeat, owner: &ShardOwner) {
         let now = self.outbox.now;
-        let full = self.deferred_heartbeats.are_full();
-        if full
-            || !self
+        let owners = self.store.owners();
+        let is_claimed = !self.deferred_heartbeats.are_full()
+            && self
                 .claims
-                .add(&heartbeat.machine, owner.token, self.store.owners(), now)
-        {
+                .add(&heartbeat.machine, owner.token, owners, now);
+        if !is_claimed {
             return self.send_elsewhere(request, &owner.node);
         }
         tracing::debug!(
-            "{} can't reach {} and is claimed",
-            heartbeat.machine,
-            owner.node
+            machine = %heartbeat.machine,
+            owner = %owner.node,
+            "claimed a machine that can't reach its owner"
         );
         self.wait_for_map(request, heartbeat, owner, DeferralReason::Claim);
     }
--- a/src/core/controller/ownership.rs
+++ b/src/core/controller/ownership.rs
@@ -137,7 +137,7 @@
             lease,
             keeps_grants: crate::core::scheduling::usage::are_on(&self.config),
             consents: self.ownership.stored_consents.clone(),
-            claims: self.claims.told(),
+            claims: self.claims.records(),
         };
         let known = self.store.node(&record.node);
         let (key, version, call) = if known.is_none_or(|known| known.record != record) {
--- a/src/core/controller/status.rs
+++ b/src/core/controller/status.rs
@@ -1,4 +1,4 @@
-//! What this controller tells operators ([`crate::status`]).
+//! The status of this controller, its teams and its siblings, for operators ([`crate::status`]).
 
 use crate::config::TeamLimits;
 use crate::core::Core;
@@ -16,8 +16,15 @@
 use quota_ledger::Amount;
 use std::collections::BTreeMap;
 
+/// How much a process owns.
+#[derive(Default)]
+struct Owned {
+    teams: usize,
+    machines: usize,
+}
+
 impl Core {
-    /// An operator asks.
+    /// Answers an operator's status request.
     pub(crate) fn answer_status(&mut self, request: RequestId) {
         let body = Body::Status(Box::new(self.status()));
         self.outbox.answer(
@@ -32,19 +39,15 @@
 
     fn status(&self) -> Status {
         let now = self.outbox.now;
-        let holds_lease = self.ownership.holds_lease(now);
+        let teams = self.config.deployment.teams.iter();
         Status {
             controller: self.config.node.to_string(),
             incarnation: self.ownership.incarnation(),
             leads: self.leads(now),
-            entitled: holds_lease,
+            entitled: self.ownership.holds_lease(now),
             grants_on: are_on(&self.config),
-            teams: self
-                .config
-                .deployment
-                .teams
-                .iter()
-                .map(|t| self.team_status(t))
+            teams: teams
+                .map(|team_limits| self.team_status(team_limits))
                 .collect(),
             detection_on: self.acts_on_failures(),
             siblings: self.sibling_statuses(),
@@ -52,12 +55,13 @@
         }
     }
 
+    /// How each sibling is judged, and on what evidence.
     fn sibling_statuses(&self) -> Vec<SiblingStatus> {
         let now = self.outbox.now;
         let detector = self.peers.detector();
         let status = |(node, evidence): (Node, Evidence)| {
-            let told = detector.told_of(&node, now).into_iter();
-            let told = told.map(|(observer, opinion, age_s)| OpinionStatus {
+            let opinions = detector.told_of(&node, now).into_iter();
+            let opinions = opinions.map(|(observer, opinion, age_s)| OpinionStatus {
                 observer: observer.to_string(),
                 suspects: opinion.suspects,
                 silence_s: opinion.silence_s,
@@ -73,36 +77,36 @@
                 votes: evidence.votes,
                 key_gone: evidence.key_gone,
                 workers_left: evidence.workers_left,
-                told: told.collect(),
+                told: opinions.collect(),
             }
         };
         detector.evidence(now).into_iter().map(status).collect()
     }
 
-    /// Processes that own something though they have failed or their keys have gone.
+    /// Processes that own teams or machines although they have failed or their keys have expired.
     fn hand_over_statuses(&self) -> Vec<HandOverStatus> {
         let owners = self.store.owners();
-        let mut owned: BTreeMap<ProcessId, (usize, usize)> = BTreeMap::new();
+        let mut owned: BTreeMap<ProcessId, Owned> = BTreeMap::new();
         for owner in owners.teams.values() {
-            owned.entry(owner.process()).or_default().0 += 1;
+            owned.entry(owner.process()).or_default().teams += 1;
         }
         for owner in owners.machines.values() {
-            owned.entry(owner.process()).or_default().1 += 1;
+            owned.entry(owner.process()).or_default().machines += 1;
         }
-        let status = |(process, (teams, machines)): (ProcessId, (usize, usize))| {
-            let reason = self.hand_over_wait(&process)?;
-            let (controller, incarnation) = (process.node.to_string(), process.incarnation);
+        let status = |(process, Owned { teams, machines }): (ProcessId, Owned)| {
+            let waits_for = self.hand_over_wait(&process)?;
             Some(HandOverStatus {
-                controller,
-                incarnation,
+                controller: process.node.to_string(),
+                incarnation: process.incarnation,
                 teams,
                 machines,
-                waits_for: reason,
+                waits_for,
             })
         };
         owned.into_iter().filter_map(status).collect()
     }
 
+    /// What the failover of a process's shard waits for; None if the process has not failed.
     fn hand_over_wait(&self, process: &ProcessId) -> Option<HandOverWait> {
         if self.store.is_registered(&process.node, process.incarnation) {
             let failed = self.peers.detector().has_failed(&process.node);
@@ -115,6 +119,7 @@
         Some(HandOverWait::Consents { given, needed })
     }
 
+    /// A team's limits, its owner and its grants as they are stored.
     fn team_status(&self, team_limits: &TeamLimits) -> TeamStatus {
         let since = self.store.grants_kept_since(&team_limits.name);
         let stored = self.store.ledger(&team_limits.name);
@@ -149,10 +154,11 @@
         }
     }
 
+    /// What this controller knows of a team in its own shard.
     fn owned_team_status(&self, team_limits: &TeamLimits) -> Option<OwnedTeamStatus> {
-        let owner = self.shard.as_ref()?;
-        let team = owner.teams.get(&team_limits.name)?;
-        let usage = owner.usage(&self.store, self.outbox.wall_ms);
+        let shard = self.shard.as_ref()?;
+        let team = shard.teams.get(&team_limits.name)?;
+        let usage = shard.usage(&self.store, self.outbox.wall_ms);
         let (own, inherited) = usage.under_grants(&team_limits.name);
         Some(OwnedTeamStatus {
             basis: basis(team.grant.as_ref()),
@@ -163,6 +169,7 @@
     }
 }
 
+/// The stage as operators see it.
 fn stage(stage: Stage) -> StageStatus {
     match stage {
         Stage::Alive => StageStatus::Alive,
@@ -172,11 +179,13 @@
     }
 }
 
+/// The amount in CPUs and GPUs.
 fn capacity(amount: &Amount) -> Capacity {
     let (cpus, gpus) = amount.units();
     Capacity { cpus, gpus }
 }
 
+/// Whether a team's record of grants is relied on; it is if grants have been kept to since before it began.
 fn record_state(stored: Option<&StoredLedger>, since: Option<FencingToken>) -> RecordState {
     match stored.map(|stored| stored.ledger.as_ref()) {
         None => RecordState::None,
@@ -188,6 +197,7 @@
     }
 }
 
+/// What the owner's decisions on the team's limits are based on.
 fn basis(grant: Option<&TeamGrant>) -> BasisStatus {
     match grant.map(TeamGrant::basis) {
         None | Some(Basis::Counting { beginning: None }) => BasisStatus::Counting,
--- a/src/core/machines/claims.rs
+++ b/src/core/machines/claims.rs
@@ -1,8 +1,9 @@
-//! Machines whose owners can be reached neither by them nor from here. Two zones that can't reach each other
-//! leave the machines of one with an owner in the other: their reports can't be relayed, and their leases
-//! would run out. The controller that hears them claims them in its own key, and the leader moves them to
-//! it, as it moves any machine: their tasks keep running and stay their teams'. So a claim decides nothing
-//! of what is allowed; one that the map has overtaken is passed over.
+//! Claims of machines that can't reach their owners, nor their owners them.
+//!
+//! A network partition between two zones leaves machines in one zone with an owner in the other: their
+//! heartbeats can't be relayed, and their leases would expire. The controller that hears them claims them in
+//! its own key, and the leader moves them to its shard as it moves any machine: their tasks keep running, and
+//! their teams keep them. So a claim by itself permits nothing; one that the shard map has overtaken is ignored.
 
 use crate::config::Config;
 use crate::core::model::time::Time;
@@ -11,47 +12,56 @@
 use crate::ids::{FencingToken, MachineId};
 use std::collections::BTreeMap;
 
-/// Leases for which a claim stands, and for which a claimed machine stays where it was claimed, even
-/// with a controller that has no team.
+/// Worker leases for which a claim is valid, and for which a claimed machine stays with the claimant, even if
+/// that controller has no team.
 pub(crate) const CLAIM_LEASES: f64 = 3.0;
 
-/// Part of the limit on values that claims may take.
-pub(crate) const VALUE_PART: f64 = 0.5;
+/// Fraction of the limit on a stored value that claims may take.
+const VALUE_FRACTION: f64 = 0.5;
 
-/// Bytes that one claim takes at most, as it is stored.
-pub(crate) const CLAIM_BYTES: f64 = 48.0;
+/// Bytes that one stored claim takes at most.
+const CLAIM_BYTES: f64 = 48.0;
 
-/// What this controller claims.
+/// The owner's fencing token that a claim refers to, and when the claim was last made.
+struct Claim {
+    token: FencingToken,
+    since: Time,
+}
+
+/// The machines that this controller claims.
 pub struct MachineClaims {
-    pub(crate) claims: BTreeMap<MachineId, (FencingToken, Time)>,
-    pub(crate) most_claims: usize,
-    pub(crate) standing: Time,
+    claims: BTreeMap<MachineId, Claim>,
+    /// How many claims the stored value holds.
+    capacity: usize,
+    /// Seconds for which a claim is valid.
+    valid_s: Time,
 }
 
 impl MachineClaims {
-    /// None yet.
+    /// No claims yet.
     pub fn new(config: &Config) -> Self {
         let deployment = &config.deployment;
-        let bytes = deployment.state.value_kb * 1024.0 * VALUE_PART;
+        let bytes = deployment.state.value_kb * 1024.0 * VALUE_FRACTION;
         Self {
             claims: BTreeMap::new(),
-            most_claims: (bytes / CLAIM_BYTES) as usize,
-            standing: deployment.workers.lease_s * CLAIM_LEASES,
+            capacity: whole(bytes / CLAIM_BYTES),
+            valid_s: deployment.workers.lease_s * CLAIM_LEASES,
         }
     }
 
-    /// What stands in this process's key.
-    pub fn told(&self) -> Vec<MachineClaim> {
+    /// The claims as they are stored in this process's key.
+    pub fn records(&self) -> Vec<MachineClaim> {
         let claims = self.claims.iter();
         claims
-            .map(|(id, (token, _))| MachineClaim {
+            .map(|(id, claim)| MachineClaim {
                 machine: id.clone(),
-                token: *token,
+                token: claim.token,
             })
             .collect()
     }
 
-    /// Claims a machine; whether there is room for it. Claims that the map has overtaken make room.
+    /// Claims a machine from its owner under this token; returns whether there was capacity for it. Claims that
+    /// have expired or that the shard map has overtaken are removed first.
     pub(crate) fn add(
         &mut self,
         machine: &MachineId,
@@ -59,22 +69,30 @@
         owners: &ShardMap,
         now: Time,
     ) -> bool {
-        let standing = self.standing;
-        self.claims.retain(|id, (token, since)| {
-            let open = owners
-                .machines
-                .get(id)
-                .is_some_and(|owner| owner.token == *token);
-            open && now - *since < standing
+        let valid_s = self.valid_s;
+        self.claims.retain(|id, claim| {
+            let owner = owners.machines.get(id);
+            let is_current = owner.is_some_and(|owner| owner.token == claim.token);
+            is_current && now - claim.since < valid_s
         });
-        let known = self.claims.contains_key(machine);
-        let room = self.claims.len() < self.most_claims;
-        if known || room {
-            self.claims.insert(machine.clone(), (token, now));
+        let is_known = self.claims.contains_key(machine);
+        let has_capacity = self.claims.len() < self.capacity;
+        if is_known || has_capacity {
+            let claim = Claim { token, since: now };
+            self.claims.insert(machine.clone(), claim);
         }
-        known || room
+        is_known || has_capacity
     }
 }
 
+/// The number rounded down.
+#[expect(
+    clippy::cast_possible_truncation,
+    reason = "the cast rounds down and saturates, which is what is wanted here"
+)]
+fn whole(number: f64) -> usize {
+    number as usize
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/core/machines/claims/tests.rs
+++ b/src/core/machines/claims/tests.rs
@@ -2,22 +2,22 @@
 use crate::core::records::shard_map::ShardOwner;
 use crate::core::test_support::{config, owner};
 
-/// Claims that were served took up the value for three leases, so that a zone of more machines than
-/// it holds was claimed in part only.
+/// Claims that were served once stayed in the stored value for three leases, so that a zone with more machines
+/// than the value holds was claimed in part only.
 #[test]
-fn served_claims_make_room_for_others() {
+fn overtaken_and_expired_claims_free_capacity_for_others() {
     let mut claims = MachineClaims::new(&config());
-    let most = claims.most_claims;
-    assert!(most > 2);
+    let capacity = claims.capacity;
+    assert!(capacity > 2);
     let mut owners = ShardMap::default();
     let machine = |number: usize| MachineId::from(format!("m-{number:06}"));
-    let all = most + 2;
+    let all = capacity + 2;
     for number in 0..all {
         owners.machines.insert(machine(number), owner("n1"));
     }
     let token = owner("n1").token;
     let claimed = (0..all).filter(|number| claims.add(&machine(*number), token, &owners, 1.0));
-    assert_eq!(claimed.count(), most, "no more than a value holds");
+    assert_eq!(claimed.count(), capacity, "no more than a value holds");
     assert!(
         claims.add(&machine(0), token, &owners, 1.5),
         "it is claimed already"
@@ -29,14 +29,14 @@
             ..owner("n2")
         },
     );
-    assert!(claims.add(&machine(most), token, &owners, 2.0));
+    assert!(claims.add(&machine(capacity), token, &owners, 2.0));
     assert!(
         !claims
-            .told()
+            .records()
             .iter()
             .any(|claim| claim.machine == machine(0))
     );
-    let later = 2.0 + claims.standing;
-    assert!(claims.add(&machine(most + 1), token, &owners, later));
-    assert_eq!(claims.told().len(), 1, "claims end");
+    let later = 2.0 + claims.valid_s;
+    assert!(claims.add(&machine(capacity + 1), token, &owners, later));
+    assert_eq!(claims.records().len(), 1, "claims expire");
 }
