--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -1,9 +1,9 @@
 //! The leader: the controller that acts for the whole fleet.
 //!
-//! It keeps the shard map: it gives teams and machines to live controllers ([`assignment`]), fails over the
-//! shards of failed ones ([`failover`]), moves machines between shards ([`rebalance`], [`machine_transfers`])
-//! and writes the map under new fencing tokens ([`map_writer`]). It also rents and returns machines
-//! ([`scaling`]).
+//! It keeps the shard map: it gives teams and machines to live controllers (`assignment`), fails over the
+//! shards of failed ones (`failover`), moves machines between shards (`rebalance`, `machine_transfers`)
+//! and writes the map under new fencing tokens (`map_writer`). It also rents and returns machines
+//! (`scaling`).
 
 mod assignment;
 mod claims;
@@ -47,16 +47,19 @@
     config: Rc<Config>,
     /// Version of the leader key under which this process leads.
     key_version: Version,
+    /// When this process began to lead.
     started: Time,
     editor: ShardMapEditor,
     map_writer: MapWriter,
     /// Fencing tokens given out in this turn, by the processes that gained something under them.
     turn_tokens: BTreeMap<ProcessId, FencingToken>,
+    /// What each controller's shard lacks and can spare, as last reported.
     demands: BTreeMap<Node, CapacityDemand>,
     /// Machines that have reported and are not in the shard map.
     unassigned_machines: BTreeMap<MachineId, MachineOffer>,
     /// Live processes that keep to grants of team limits; empty unless all of them do.
     grant_keepers: BTreeSet<ProcessId>,
+    /// When the next round of rebalancing is due.
     next_round: Time,
     /// Machines that were claimed, and when: they can't reach their former owners.
     claimed: BTreeMap<MachineId, Time>,
--- a/src/core/leader/spare_machines.rs
+++ b/src/core/leader/spare_machines.rs
@@ -8,7 +8,9 @@
 /// A machine that can be spared, and the controller that owns it.
 #[derive(Debug, PartialEq)]
 pub(super) struct SpareMachine {
+    /// The machine.
     pub(super) id: MachineId,
+    /// The controller whose shard it is in.
     pub(super) owner: Node,
 }
 
