--- a/src/core/controller/ownership.rs
+++ b/src/core/controller/ownership.rs
@@ -141,7 +141,7 @@
             lease,
             keeps_grants: usage::are_on(&self.config),
             consents: self.ownership.published_consents().to_vec(),
-            claims: self.claims.told(),
+            claims: self.claims.records(),
         }
     }
 
--- a/src/core/leader/failover.rs
+++ b/src/core/leader/failover.rs
@@ -75,11 +75,8 @@
 
     /// Processes that own teams or machines and are no longer registered.
     fn failed_owners(&self, live: &LiveProcesses) -> BTreeSet<ProcessId> {
-        let owners = self.editor.owners();
-        let owners = owners.teams.values().chain(owners.machines.values());
-        let processes: BTreeSet<ProcessId> = owners.map(ShardOwner::process).collect();
-        let failed = processes.into_iter();
-        failed.filter(|process| !live.contains(process)).collect()
+        let owners = self.editor.owners().owning_processes().into_iter();
+        owners.filter(|process| !live.contains(process)).collect()
     }
 
     /// The process of the controller with the fewest teams, among those that answer if any does.
