--- a/src/core/controller/user_requests.rs
+++ b/src/core/controller/user_requests.rs
@@ -1,277 +1,289 @@
-//! Users' requests. Any controller answers any of them: jobs are created, cancelled and read in
-//! the state service itself, guarded by versions, so an answer never depends on who gives it.
-//! Nothing is held back: what cannot be done soon is answered with when to come back.
+//! Users' requests: submit, poll and cancel.
+//!
+//! Any controller answers any request. Jobs are created, cancelled and read in the store itself, guarded by
+//! versions, so the answer does not depend on the controller. Submissions and cancellations are idempotent, and
+//! reads are linearizable. A request that cannot be served soon is answered with the time after which to retry.
 
 use crate::core::Core;
 use crate::core::effects::pending::{Pending, ReplyTo, UserWrite, WaitingRequest};
 use crate::core::effects::{Answer, Body, RequestId, StoreCall, StoreReply, UserRequest};
 use crate::core::messages::mesh::{MeshMessage, MeshReply};
+use crate::core::model::ranges::Ranges;
 use crate::core::model::time::Time;
 use crate::core::records::job_record::JobRecord;
 use crate::core::records::keys::job_key;
 use crate::core::records::versioned::{Versioned, precondition, put};
 use crate::ids::{JobId, Team, Version};
-use crate::wire::{JobStatus, Transaction, Write, state_answer, status_answer};
+use crate::wire::{JobSpec, JobStatus, Transaction, Write, state_answer, status_answer};
 use std::rc::Rc;
 
-/// Users wait 2 s for an answer to a poll; this leaves room for a relay.
-pub(crate) const POLL_WAIT: Time = 0.9;
+/// Users wait 2 s for the answer to a poll; this leaves time to pass the request on to a sibling.
+const POLL_WAIT: Time = 0.9;
 
-/// Users wait 5 s for an answer to a submission or cancellation.
-pub(crate) const WRITE_WAIT: Time = 1.5;
+/// Users wait 5 s for the answer to a submission or cancellation.
+const WRITE_WAIT: Time = 1.5;
 
-/// The state service answers within a few hundred ms; asked all the time, it is silent when cut off.
-pub(crate) const SILENCE: Time = POLL_WAIT / 3.0;
+/// The store is asked all the time and replies within a few hundred ms: after this silence, in seconds, this
+/// controller is cut off from it.
+const SILENCE: Time = POLL_WAIT / 3.0;
 
-/// How long a write that the state service put off for its rate is tried again.
-pub(crate) const BUSY_WAIT: Time = 0.6;
+/// For how long a write that the store refused for its rate is tried again.
+const BUSY_WAIT: Time = 0.6;
 
+/// The pause before such a write is tried again.
+const RETRY_PAUSE: Time = BUSY_WAIT / 6.0;
+
+/// Requests that a controller keeps waiting at most, per MB of its memory limit.
+const WAITING_PER_MB: f64 = 20.0;
+
+/// Problem of a submission that fits no machine type, or exceeds its team's limit.
+const NEVER_FITS: &str = "can never run";
+
+/// Problem of a submission with a dependency that does not exist.
+const UNKNOWN_DEPENDENCY: &str = "awaits: a job that was never accepted";
+
+/// Problem of a submission whose record exceeds the store's limit on values.
+const RECORD_TOO_LARGE: &str = "awaits or breeds: too many";
+
+/// The requests of users that wait for the store.
 #[derive(Default)]
 pub struct UserRequests {
-    pub(crate) waiting: Vec<WaitingRequest>,
+    waiting: Vec<WaitingRequest>,
 }
 
-/// Requests a controller keeps waiting at most, per MB of its memory limit.
-pub(crate) const WAITING_PER_MB: f64 = 20.0;
+impl UserRequests {
+    fn wait(&mut self, request: WaitingRequest) {
+        self.waiting.push(request);
+    }
+}
 
 impl Core {
-    pub(crate) fn user_request(&mut self, request: RequestId, what: UserRequest) {
-        self.ask(ReplyTo::User(request), what);
+    /// Handles a request of a user.
+    pub(crate) fn user_request(&mut self, request: RequestId, operation: UserRequest) {
+        self.receive(ReplyTo::User(request), operation);
     }
 
-    pub(crate) fn relayed_request(&mut self, request: RequestId, what: UserRequest) {
-        self.ask(ReplyTo::Sibling(request), what);
+    /// Handles a request that a sibling passed on.
+    pub(crate) fn relayed_request(&mut self, request: RequestId, operation: UserRequest) {
+        self.receive(ReplyTo::Sibling(request), operation);
     }
 
-    pub(crate) fn ask(&mut self, reply_to: ReplyTo, what: UserRequest) {
+    fn receive(&mut self, reply_to: ReplyTo, operation: UserRequest) {
         let now = self.outbox.now;
-        let (needs, not_before) = (now, now);
-        let asked = WaitingRequest {
+        let request = WaitingRequest {
             reply_to,
-            what,
-            asked: now,
-            needs,
-            not_before,
-            created: false,
+            operation,
+            received: now,
+            read_after: now,
+            not_before: now,
+            create_sent: false,
         };
         let limit = self.config.deployment.limits.mem_mb * WAITING_PER_MB;
         if !self.store.complete() || self.user_requests.waiting.len() as f64 > limit {
-            return self.give_up(asked);
+            return self.give_up(request);
         }
         let silent = self.store.state_silence(now) > SILENCE;
         if silent && matches!(reply_to, ReplyTo::User(_)) && self.peers.with_state(now).is_some() {
-            // Cut from the state service alone: a sibling answers at once what would be late here.
-            return self.pass_on(asked);
+            // Only this controller is cut off from the store: a sibling answers at once what would be late here.
+            return self.pass_on(request);
         }
-        self.consider(asked);
+        self.consider(request);
     }
 
-    /// A submission that is new here is created; all else is read.
-    pub(crate) fn consider(&mut self, asked: WaitingRequest) {
-        match &asked.what {
-            UserRequest::Submit(id, _) if self.store.job(id).is_none() => self.create(asked),
-            _ => self.resolve(asked),
+    /// Creates the job of a submission that is unknown here; every other request is a read first.
+    fn consider(&mut self, request: WaitingRequest) {
+        match &request.operation {
+            UserRequest::Submit(id, _) if self.store.job(id).is_none() => self.create(request),
+            _ => self.resolve(request),
         }
     }
 
-    pub(crate) fn create(&mut self, mut asked: WaitingRequest) {
-        let UserRequest::Submit(id, spec) = &asked.what else {
+    fn create(&mut self, mut request: WaitingRequest) {
+        let UserRequest::Submit(id, spec) = &request.operation else {
             return;
         };
-        let record = JobRecord {
-            status: JobStatus::Pending,
-            accepted_ms: self.outbox.wall_ms,
-            tasks: spec.tasks,
-            done: Default::default(),
-            spec: Some(Rc::new((**spec).clone())),
-            ended_ms: None,
-            terminating: None,
-        };
+        let record = submitted(spec, self.outbox.wall_ms);
         let key = job_key(id);
         let write = put(&key, &record, None);
-        let Some(never) = self.catalog.refusal(&self.config, spec) else {
-            return self.give_up(asked);
-        };
-        let unknown = spec
-            .dependencies
-            .iter()
-            .any(|needed| self.store.job(needed).is_none());
-        let refusal = match write.bytes() as f64 > self.config.deployment.state.value_kb * 1024.0 {
-            _ if never => Some("can never run"),
-            _ if unknown => Some("awaits: a job that was never accepted"),
-            true => Some("awaits or breeds: too many"),
-            false => None,
+        let Some(never_fits) = self.catalog.refusal(&self.config, spec) else {
+            return self.give_up(request);
         };
-        // Only a read since the question tells that nobody has accepted this job or one that it needs. And
-        // a controller that stood still may have missed a cancellation long ago (meeting day 97).
+        let problem = self.submission_problem(spec, never_fits, &write);
+        // Only a read since the request shows that no controller has accepted this job or one of its
+        // dependencies. And a controller that was paused may have missed a cancellation long ago.
         let age = self.outbox.now - self.store.current_as_of();
         let behind = age > self.config.deployment.workers.report_s && !spec.dependencies.is_empty();
-        if (refusal.is_some() || behind) && self.store.current_as_of() < asked.needs {
+        if (problem.is_some() || behind) && self.store.current_as_of() < request.read_after {
             self.store.want_sync();
-            return self.user_requests.waiting.push(asked);
+            return self.user_requests.wait(request);
         }
-        if let Some(problem) = refusal {
+        if let Some(problem) = problem {
             let answer = Answer::value(422, serde_json::json!({"error": problem}));
-            return self.reply(asked.reply_to, answer);
+            return self.reply(request.reply_to, answer);
         }
-        // Recorded as cancelled from the start, so that its user can be told so.
-        let cancelled = spec
+        let dependency_cancelled = spec
             .dependencies
             .iter()
-            .any(|needed| self.store.cancelled(needed));
-        let write = match cancelled {
+            .any(|dependency| self.store.cancelled(dependency));
+        // Recorded as cancelled from the start, so that polls of it are answered so.
+        let write = match dependency_cancelled {
             true => put(&key, &record.cancelled_unstarted(self.outbox.wall_ms), None),
             false => write,
         };
-        asked.created = true;
-        self.commit(asked, key, 0, write);
+        request.create_sent = true;
+        self.commit(request, key, 0, write);
+    }
+
+    /// Why a submission is refused, if it is. `write`: the write of its record.
+    fn submission_problem(
+        &self,
+        spec: &JobSpec,
+        never_fits: bool,
+        write: &Write,
+    ) -> Option<&'static str> {
+        let is_unknown = |dependency| self.store.job(dependency).is_none();
+        let value_limit = self.config.deployment.state.value_kb * 1024.0;
+        if never_fits {
+            Some(NEVER_FITS)
+        } else if spec.dependencies.iter().any(is_unknown) {
+            Some(UNKNOWN_DEPENDENCY)
+        } else if write.bytes() as f64 > value_limit {
+            Some(RECORD_TOO_LARGE)
+        } else {
+            None
+        }
     }
 
-    pub(crate) fn commit(
-        &mut self,
-        mut asked: WaitingRequest,
-        key: String,
-        version: Version,
-        write: Write,
-    ) {
+    /// Commits a write if `key` still has this version, or postpones the request if writes are held back.
+    fn commit(&mut self, mut request: WaitingRequest, key: String, version: Version, write: Write) {
         if !self.outbox.may_write() {
-            asked.not_before = self.outbox.write_resumes();
-            return self.user_requests.waiting.push(asked);
+            request.not_before = self.outbox.write_resumes();
+            return self.user_requests.wait(request);
         }
         let transaction = Transaction {
             preconditions: vec![precondition(&key, version)],
             writes: vec![write.clone()],
         };
-        let call = UserWrite { asked, write };
-        self.outbox
-            .state(Pending::UserWrite(call), StoreCall::Commit(transaction));
+        let pending = Pending::UserWrite(UserWrite { request, write });
+        self.outbox.state(pending, StoreCall::Commit(transaction));
     }
 
+    /// Handles the store's reply to a write that a request needed.
     pub(crate) fn user_write_answered(&mut self, call: UserWrite, reply: StoreReply) {
         let now = self.outbox.now;
-        let UserWrite { mut asked, write } = call;
+        let UserWrite { mut request, write } = call;
         match reply {
-            StoreReply::Committed(version) => {
-                let before = self.store.job(asked.what.job());
-                let team = before
-                    .and_then(|job| job.record.spec.as_ref())
-                    .map(|s| s.team.clone());
-                self.store.apply_write(&write, version);
-                self.store.want_sync();
-                match &asked.what {
-                    UserRequest::Submit(id, _) if asked.created => {
-                        let recorded = self.store.job(id).map(|job| job.record.status);
-                        let status = recorded.unwrap_or(JobStatus::Pending);
-                        let answer = Answer::value(201, status_answer(id, status));
-                        self.reply(asked.reply_to, answer);
-                    }
-                    UserRequest::Cancel(id) => {
-                        let id = id.clone();
-                        self.tell_owner(&id, team.as_ref());
-                        let answer = Answer::value(200, status_answer(&id, JobStatus::Cancelled));
-                        self.reply(asked.reply_to, answer);
-                    }
-                    // Its cancellation with what it needs is recorded now.
-                    UserRequest::Submit(..) | UserRequest::Poll(_) => self.resolve(asked),
-                }
+            StoreReply::Committed(version) => self.user_write_committed(request, &write, version),
+            StoreReply::Busy if now < request.received + BUSY_WAIT => {
+                request.not_before = now + self.outbox.jitter(RETRY_PAUSE);
+                self.user_requests.wait(request);
             }
-            StoreReply::Busy if now < asked.asked + BUSY_WAIT => {
-                asked.not_before = now + self.outbox.jitter(BUSY_WAIT / 6.0);
-                self.user_requests.waiting.push(asked);
-            }
-            // Changed meanwhile, or perhaps written: what is there now decides.
+            // The record has changed, or was possibly written: its stored state decides.
             StoreReply::Conflict | StoreReply::Unknown => {
-                asked.needs = now;
-                self.resolve(asked);
+                request.read_after = now;
+                self.resolve(request);
             }
-            _ => self.give_up(asked),
+            _ => self.give_up(request),
         }
     }
 
-    /// Answers if the view is current enough, else waits for it.
-    pub(crate) fn resolve(&mut self, mut asked: WaitingRequest) {
-        let id = asked.what.job().clone();
+    fn user_write_committed(&mut self, request: WaitingRequest, write: &Write, version: Version) {
+        let previous = self.store.job(request.operation.job());
+        let team = previous
+            .and_then(|job| job.record.spec.as_ref())
+            .map(|spec| spec.team.clone());
+        self.store.apply_write(write, version);
+        self.store.want_sync();
+        match &request.operation {
+            UserRequest::Submit(id, _) if request.create_sent => {
+                let recorded = self.store.job(id).map(|job| job.record.status);
+                let status = recorded.unwrap_or(JobStatus::Pending);
+                let answer = Answer::value(201, status_answer(id, status));
+                self.reply(request.reply_to, answer);
+            }
+            UserRequest::Cancel(id) => {
+                self.notify_owner(id, team.as_ref());
+                let answer = Answer::value(200, status_answer(id, JobStatus::Cancelled));
+                self.reply(request.reply_to, answer);
+            }
+            // Its cancellation through a dependency is recorded now.
+            UserRequest::Submit(..) | UserRequest::Poll(_) => self.resolve(request),
+        }
+    }
+
+    /// Answers a request if the replica is current enough for it; otherwise the request waits for a read.
+    fn resolve(&mut self, mut request: WaitingRequest) {
+        let id = request.operation.job().clone();
         let known = self.store.job(&id).cloned();
         let ended = known.as_ref().is_some_and(|job| job.record.is_final());
         if let (false, true, Some(job)) = (ended, self.store.dependency_cancelled(&id), &known) {
-            return self.record_cancellation(asked, job);
+            return self.record_cancellation(request, job);
         }
-        if !ended && self.store.current_as_of() < asked.needs {
+        if !ended && self.store.current_as_of() < request.read_after {
             self.store.want_sync();
-            self.user_requests.waiting.push(asked);
-            return;
+            return self.user_requests.wait(request);
         }
-        match (&asked.what, known) {
-            (UserRequest::Submit(..), None) => {
-                // Created or not, a repeat of the guarded create decides.
-                if asked.created {
-                    asked.not_before = self.outbox.now + self.outbox.jitter(BUSY_WAIT / 6.0);
-                    self.user_requests.waiting.push(asked);
-                } else {
-                    self.create(asked);
-                }
-            }
-            (_, None) => self.reply(asked.reply_to, Answer::empty(404)),
-            (UserRequest::Submit(..), Some(job)) => {
-                let status = self.display(&id, &job.record).0;
-                self.reply(
-                    asked.reply_to,
-                    Answer::value(200, status_answer(&id, status)),
-                );
+        match (&request.operation, known) {
+            // Whether an earlier create was executed or not, a repeat of it decides.
+            (UserRequest::Submit(..), None) if request.create_sent => {
+                request.not_before = self.outbox.now + self.outbox.jitter(RETRY_PAUSE);
+                self.user_requests.wait(request);
             }
+            (UserRequest::Submit(..), None) => self.create(request),
+            (_, None) => self.reply(request.reply_to, Answer::empty(404)),
             (UserRequest::Poll(_), Some(job)) => {
-                let (status, done, running) = self.display(&id, &job.record);
+                let (status, done, running) = self.displayed(&id, &job.record);
                 let answer = Answer::value(200, state_answer(&id, status, done, running));
-                self.reply(asked.reply_to, answer);
+                self.reply(request.reply_to, answer);
+            }
+            (UserRequest::Cancel(_), Some(job)) if !ended => {
+                self.record_cancellation(request, &job);
             }
-            (UserRequest::Cancel(_), Some(job)) if ended => {
-                let status = self.display(&id, &job.record).0;
+            (UserRequest::Submit(..) | UserRequest::Cancel(_), Some(job)) => {
+                let (status, ..) = self.displayed(&id, &job.record);
                 let answer = Answer::value(200, status_answer(&id, status));
-                self.reply(asked.reply_to, answer);
+                self.reply(request.reply_to, answer);
             }
-            (UserRequest::Cancel(_), Some(job)) => self.record_cancellation(asked, &job),
         }
     }
 
-    /// A job is cancelled by its user, or with one that it needs. Nobody is told before that is
-    /// recorded: a version that doesn't know of dependencies could tell users otherwise (upgrade
-    /// days 2 and 34: a controller went back to such a version).
-    pub(crate) fn record_cancellation(
-        &mut self,
-        asked: WaitingRequest,
-        job: &Versioned<Rc<JobRecord>>,
-    ) {
-        let (key, wall_ms) = (job_key(asked.what.job()), self.outbox.wall_ms);
-        let record = match self.store.dependency_cancelled(asked.what.job()) {
+    /// Cancels a job for its user, or because a dependency is cancelled. The user is not told before that is
+    /// recorded: a release that does not know dependencies could report another status later, for example after
+    /// a controller was rolled back to it.
+    fn record_cancellation(&mut self, request: WaitingRequest, job: &Versioned<Rc<JobRecord>>) {
+        let id = request.operation.job();
+        let (key, wall_ms) = (job_key(id), self.outbox.wall_ms);
+        let record = match self.store.dependency_cancelled(id) {
             true => job.record.cancelled_unstarted(wall_ms),
             false => job.record.cancelled(wall_ms),
         };
         let write = put(&key, &record, None);
-        self.commit(asked, key, job.version, write);
+        self.commit(request, key, job.version, write);
     }
 
-    /// JobStatus and counts as shown to users; only final stances are promises.
-    pub(crate) fn display(&self, id: &JobId, record: &JobRecord) -> (JobStatus, u32, u32) {
+    /// A job's status, and its numbers of done and of running tasks, as shown to users. Only final states are
+    /// promises.
+    fn displayed(&self, id: &JobId, record: &JobRecord) -> (JobStatus, u32, u32) {
         match record.status {
-            JobStatus::Done => (JobStatus::Done, record.tasks, 0),
-            JobStatus::Cancelled => (JobStatus::Cancelled, 0, 0),
-            _ => {
-                let counts = self.shard.as_ref().and_then(|owner| owner.counts(id));
-                let (done, running) = counts
-                    .or_else(|| self.peers.running(id))
-                    .unwrap_or((record.done.len(), 0));
-                let status = if running > 0 {
-                    JobStatus::Running
-                } else {
-                    JobStatus::Pending
-                };
-                (status, done, running)
-            }
+            JobStatus::Done => return (JobStatus::Done, record.tasks, 0),
+            JobStatus::Cancelled => return (JobStatus::Cancelled, 0, 0),
+            _ => {}
         }
+        let counts = self.shard.as_ref().and_then(|shard| shard.counts(id));
+        let (done, running) = counts
+            .or_else(|| self.peers.running(id))
+            .unwrap_or((record.done.len(), 0));
+        let status = if running > 0 {
+            JobStatus::Running
+        } else {
+            JobStatus::Pending
+        };
+        (status, done, running)
     }
 
-    /// The team's owner learns of a cancellation by its next sync anyway; this is only sooner.
-    pub(crate) fn tell_owner(&mut self, id: &JobId, team: Option<&Team>) {
+    /// Notifies the owner of the job's team of a cancellation. Its next read shows the cancellation anyway; this
+    /// is only sooner.
+    fn notify_owner(&mut self, id: &JobId, team: Option<&Team>) {
         let owner = team.and_then(|team| self.store.owners().teams.get(team));
         let node = owner.map(|owner| owner.node.clone());
         if let Some(node) = node.filter(|node| *node != self.config.node) {
@@ -280,93 +292,72 @@
         }
     }
 
-    /// This controller cannot answer: a sibling that has the state service may; else the user
-    /// is told at once when to come back.
-    pub(crate) fn give_up(&mut self, asked: WaitingRequest) {
+    /// Handles a request that this controller cannot answer: if it is cut off from the store, a sibling may
+    /// answer; otherwise the user is told at once when to retry.
+    fn give_up(&mut self, request: WaitingRequest) {
         if self.has_state() {
-            return self.reply(asked.reply_to, Answer::unavailable());
+            return self.reply(request.reply_to, Answer::unavailable());
         }
-        self.pass_on(asked);
+        self.pass_on(request);
     }
 
-    pub(crate) fn pass_on(&mut self, asked: WaitingRequest) {
+    /// Passes a user's request on to a sibling that reaches the store, if there is one.
+    fn pass_on(&mut self, waiting: WaitingRequest) {
         let sibling = self.peers.with_state(self.outbox.now).cloned();
-        let (ReplyTo::User(request), Some(node)) = (asked.reply_to, sibling) else {
-            return self.reply(asked.reply_to, Answer::unavailable());
+        let (ReplyTo::User(request), Some(node)) = (waiting.reply_to, sibling) else {
+            return self.reply(waiting.reply_to, Answer::unavailable());
         };
-        let message = match &asked.what {
+        let message = match waiting.operation {
             UserRequest::Submit(id, spec) if !spec.dependencies.is_empty() => {
-                MeshMessage::SubmitDependent(id.clone(), spec.clone())
+                MeshMessage::SubmitDependent(id, spec)
             }
-            UserRequest::Submit(id, spec) => MeshMessage::Submit(id.clone(), spec.clone()),
-            UserRequest::Poll(id) => MeshMessage::Poll(id.clone()),
-            UserRequest::Cancel(id) => MeshMessage::Cancel(id.clone()),
+            UserRequest::Submit(id, spec) => MeshMessage::Submit(id, spec),
+            UserRequest::Poll(id) => MeshMessage::Poll(id),
+            UserRequest::Cancel(id) => MeshMessage::Cancel(id),
         };
         self.outbox.mesh(Pending::Relay { request }, &node, message);
     }
 
-    pub(crate) fn reply(&mut self, to: ReplyTo, answer: Answer) {
-        match to {
+    fn reply(&mut self, reply_to: ReplyTo, answer: Answer) {
+        match reply_to {
             ReplyTo::User(request) => self.outbox.answer(request, answer),
-            ReplyTo::Sibling(request) => {
-                let body = match answer.body {
-                    Body::Value(body) => Some(body),
-                    Body::Empty | Body::HeartbeatResponse(_) | Body::Status(_) => None,
-                };
-                let Answer {
-                    status,
-                    retry_after,
-                    ..
-                } = answer;
-                self.outbox.mesh_answer(
-                    request,
-                    MeshReply::Answer {
-                        status,
-                        body,
-                        retry_after,
-                    },
-                );
-            }
+            ReplyTo::Sibling(request) => self.outbox.mesh_answer(request, relayed_answer(answer)),
         }
     }
 
-    /// The view has moved on: those that waited for that get their answers.
+    /// Answers the requests that waited for the replica to become current.
     pub(crate) fn resume_user_requests(&mut self) {
         let current = self.store.current_as_of();
         let now = self.outbox.now;
         let (ready, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.user_requests.waiting)
             .into_iter()
-            .partition(|asked| asked.needs <= current && asked.not_before <= now);
+            .partition(|request| request.read_after <= current && request.not_before <= now);
         self.user_requests.waiting = waiting;
-        for asked in ready {
-            self.resume(asked);
+        for request in ready {
+            self.resume(request);
         }
     }
 
-    pub(crate) fn resume(&mut self, mut asked: WaitingRequest) {
-        asked.created = false;
-        self.consider(asked);
+    fn resume(&mut self, mut request: WaitingRequest) {
+        request.create_sent = false;
+        self.consider(request);
     }
 
+    /// Gives up the requests that have waited too long, and resumes those whose postponed write may be sent.
     pub(crate) fn time_out_user_requests(&mut self) {
         let now = self.outbox.now;
-        let has_state = self.has_state();
-        let silence = self.store.state_silence(now);
+        let cut_off = !self.has_state() && self.store.state_silence(now) > POLL_WAIT;
         let mut index = 0;
-        while index < self.user_requests.waiting.len() {
-            let asked = &self.user_requests.waiting[index];
-            let wait = match asked.what {
-                UserRequest::Poll(_) => POLL_WAIT,
-                UserRequest::Submit(..) | UserRequest::Cancel(_) => WRITE_WAIT,
-            };
-            let late = now > asked.asked + wait || (!has_state && silence > POLL_WAIT);
-            let put_off = asked.not_before > asked.asked && asked.not_before <= now;
+        // Requests that wait again are appended, and are visited as well.
+        while let Some(request) = self.user_requests.waiting.get(index) {
+            let late = now > request.received + longest_wait(&request.operation) || cut_off;
+            let postponed = request.not_before > request.received && request.not_before <= now;
             if late {
-                let asked = self.user_requests.waiting.swap_remove(index);
-                self.give_up(asked);
-            } else if put_off && self.store.current_as_of() >= asked.needs {
-                let asked = self.user_requests.waiting.swap_remove(index);
-                self.resume(asked);
+                let request = self.user_requests.waiting.swap_remove(index);
+                self.give_up(request);
+            } else if postponed && self.store.current_as_of() >= request.read_after {
+                let request = self.user_requests.waiting.swap_remove(index);
+                self.resume(request);
             } else {
                 index += 1;
             }
@@ -376,3 +367,37 @@
         }
     }
 }
+
+/// The first record of a submitted job.
+fn submitted(spec: &JobSpec, wall_ms: u64) -> JobRecord {
+    JobRecord {
+        status: JobStatus::Pending,
+        accepted_ms: wall_ms,
+        tasks: spec.tasks,
+        done: Ranges::default(),
+        spec: Some(Rc::new(spec.clone())),
+        ended_ms: None,
+        terminating: None,
+    }
+}
+
+/// An answer as a sibling passes it on; only bodies for users are.
+fn relayed_answer(answer: Answer) -> MeshReply {
+    let body = match answer.body {
+        Body::Value(body) => Some(body),
+        Body::Empty | Body::HeartbeatResponse(_) | Body::Status(_) => None,
+    };
+    MeshReply::Answer {
+        status: answer.status,
+        body,
+        retry_after: answer.retry_after,
+    }
+}
+
+/// For how long a request waits in this controller, in seconds.
+fn longest_wait(operation: &UserRequest) -> Time {
+    match operation {
+        UserRequest::Poll(_) => POLL_WAIT,
+        UserRequest::Submit(..) | UserRequest::Cancel(_) => WRITE_WAIT,
+    }
+}
--- a/src/core/effects/mod.rs
+++ b/src/core/effects/mod.rs
@@ -1,9 +1,10 @@
-use crate::core::messages::mesh::{MeshMessage, MeshReply};
+//! Inputs and effects of the core: requests it answers, calls it makes, and their replies.
 
 pub mod outbox;
 pub mod pacing;
 pub mod pending;
 
+use crate::core::messages::mesh::{MeshMessage, MeshReply};
 use crate::ids::{JobId, Node, Version};
 use crate::status::Status;
 use crate::wire::{
@@ -12,23 +13,27 @@
 };
 use serde_json::Value;
 
-/// A request that somebody waits on.
+/// A request to this process that has to be answered.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct RequestId(pub u64);
 
-/// A call this process has out.
+/// A call of this process whose reply is pending.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct CallId(pub u64);
 
-/// What users ask for.
+/// A user's request.
 #[derive(Clone, Debug)]
 pub enum UserRequest {
+    /// Create a job; idempotent by the job's id.
     Submit(JobId, Box<JobSpec>),
+    /// Read a job's status.
     Poll(JobId),
+    /// Cancel a job; idempotent.
     Cancel(JobId),
 }
 
 impl UserRequest {
+    /// The job that the request is about.
     pub fn job(&self) -> &JobId {
         match self {
             Self::Submit(id, _) | Self::Poll(id) | Self::Cancel(id) => id,
@@ -36,22 +41,31 @@
     }
 }
 
+/// Something that the core has to handle.
 #[derive(Debug)]
 pub enum Input {
+    /// A user's request.
     User(RequestId, UserRequest),
+    /// A worker's heartbeat.
     Heartbeat(RequestId, Heartbeat),
+    /// A health check.
     Health(RequestId),
-    /// An operator asks.
+    /// An operator's request for the status.
     Status(RequestId),
+    /// A message of a sibling.
     Mesh(RequestId, MeshMessage),
+    /// The reply to a call of the store.
     State(CallId, StoreReply),
+    /// The reply to a call of the cloud.
     Cloud(CallId, CloudReply),
+    /// The reply to commands sent to a worker.
     Worker(CallId, WorkerReply),
+    /// A sibling's reply; `None` if there was none.
     MeshReply(CallId, Option<MeshReply>),
 }
 
 impl Input {
-    /// Whether somebody else asks; all else is the reply to a call of this process.
+    /// Whether this is a request of another process, rather than the reply to a call of this one.
     pub fn is_question(&self) -> bool {
         match self {
             Self::User(..)
@@ -64,33 +78,49 @@
     }
 }
 
+/// Something that the core wants done.
 #[derive(Debug)]
 pub enum Effect {
+    /// Answer a request of a user, a worker or an operator.
     Answer(RequestId, Answer),
+    /// Answer a message of a sibling.
     MeshAnswer(RequestId, MeshReply),
+    /// Call the store.
     State(CallId, StoreCall),
+    /// Call the cloud.
     Cloud(CallId, CloudCall),
+    /// Send commands to the worker at this address.
     Worker(CallId, String, DirectCommands),
+    /// Send a message to a sibling.
     Mesh(CallId, Node, MeshMessage),
 }
 
+/// An HTTP answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
+    /// The HTTP status code.
     pub status: u16,
+    /// The body.
     pub body: Body,
-    /// Seconds after which to ask again.
+    /// Seconds after which to retry.
     pub retry_after: Option<u32>,
 }
 
+/// The body of an [`Answer`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Body {
+    /// No body.
     Empty,
+    /// A JSON object, such as the status of a job.
     Value(Value),
+    /// The answer to a heartbeat.
     HeartbeatResponse(HeartbeatResponse),
+    /// The answer to an operator.
     Status(Box<Status>),
 }
 
 impl Answer {
+    /// An answer with a JSON body.
     pub fn value(status: u16, body: Value) -> Self {
         Self {
             status,
@@ -98,6 +128,8 @@
             retry_after: None,
         }
     }
+
+    /// An answer without a body.
     pub fn empty(status: u16) -> Self {
         Self {
             status,
@@ -105,7 +137,8 @@
             retry_after: None,
         }
     }
-    /// Cannot be taken now; says at once when to come back.
+
+    /// The request cannot be served now and should be retried in a second.
     pub fn unavailable() -> Self {
         Self {
             status: 503,
@@ -115,78 +148,115 @@
     }
 }
 
+/// A call of the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreCall {
+    /// List the keys of a prefix, a page at a time.
     List {
+        /// The prefix.
         prefix: &'static str,
+        /// The last key of the page before; `None` for the first page.
         from: Option<String>,
     },
+    /// Read the changes of a prefix since a revision.
     Changes {
+        /// The prefix.
         prefix: &'static str,
+        /// The last revision known.
         from: Version,
     },
+    /// Commit a compare-and-swap transaction.
     Commit(Transaction),
+    /// Create a lease.
     LeaseCreate {
+        /// Its time to live in milliseconds.
         ttl_ms: u64,
     },
+    /// Renew a lease.
     LeaseRenew {
+        /// The lease.
         lease: u64,
     },
+    /// End a lease, which removes the keys bound to it.
     LeaseEnd {
+        /// The lease.
         lease: u64,
     },
 }
 
+/// The store's reply to a [`StoreCall`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreReply {
+    /// A page of keys.
     Listing(Listing),
+    /// The changes since the revision asked for.
     Changes(Changes),
-    /// Changes since then are no longer kept.
+    /// The store no longer keeps the changes since that revision.
     TooOld,
+    /// The transaction was committed with this version.
     Committed(Version),
+    /// A precondition of the transaction does not hold; nothing was written.
     Conflict,
+    /// The lease that was created.
     Lease(u64),
+    /// The lease was renewed or ended.
     Done,
-    /// The lease has ended.
+    /// The lease has expired or was ended before.
     LeaseGone,
-    /// The transaction breaks a limit of the service and would be refused again.
+    /// The transaction exceeds a limit of the store and would be refused again.
     Rejected,
-    /// Over the service's rate; not executed.
+    /// The store's rate is used up; not executed.
     Busy,
-    /// Not executed: an outage, or this controller is refused.
+    /// Not executed: the store is unavailable, or refuses this controller.
     Refused,
-    /// No answer, or one that makes no sense: executed, or not, or later.
+    /// No reply, or an invalid one: the call may have been executed, or may still be.
     Unknown,
 }
 
+/// A call of the cloud.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudCall {
+    /// Read the machine types on offer.
     Types,
-    List { after: Option<String> },
+    /// List the rented machines, a page at a time.
+    List {
+        /// The last machine of the page before; `None` for the first page.
+        after: Option<String>,
+    },
+    /// Rent machines.
     Rent(Rental),
+    /// Return machines.
     Release(MachineNames),
 }
 
+/// The cloud's reply to a [`CloudCall`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudReply {
+    /// The machine types on offer.
     Types(MachineTypes),
+    /// A page of rented machines.
     List(MachineList),
+    /// The machines that were rented.
     Rented(MachineNames),
+    /// The cloud has no such machines now.
     NoCapacity,
+    /// The machines were returned.
     Released,
-    /// Refused or over the rate; not executed.
+    /// Refused, or the cloud's rate is used up; not executed.
     Refused,
-    /// No answer: executed, or not, or later.
+    /// No reply: the call may have been executed, or may still be.
     Unknown,
 }
 
+/// A worker's reply to commands.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerReply {
+    /// The commands were executed; the worker's state afterwards.
     Executed(Heartbeat),
-    /// Nothing executed: token or session did not match.
+    /// Nothing was executed, because the fencing token or the agent epoch did not match; the worker's state.
     Fenced(Heartbeat),
-    /// The connection could not be made, so nothing was sent.
+    /// The connection failed, so nothing was sent.
     NotSent,
-    /// No answer: executed, or not, or later.
+    /// No reply: the commands may have been executed, or may still be.
     Unknown,
 }
--- a/src/core/effects/outbox.rs
+++ b/src/core/effects/outbox.rs
@@ -1,4 +1,4 @@
-//! The effects of a step, and what is to be done with each call's reply.
+//! The effects of a step, and the calls whose replies are pending.
 
 use crate::config::Config;
 use crate::core::effects::pacing::Pacing;
@@ -12,20 +12,27 @@
 use rand::rngs::StdRng;
 use std::collections::HashMap;
 
+/// Collects the effects of a step and matches replies to calls. It also holds the time of the step, the random
+/// number generator, and the pacing of requests to the store.
 pub struct Outbox {
+    /// The monotonic time of the step.
     pub now: Time,
+    /// The wall-clock time of the step, in milliseconds.
     pub wall_ms: u64,
-    /// Of changes in the state service, and of all requests to it.
-    pub(crate) changes: Pacing,
-    pub(crate) requests: Pacing,
-    pub(crate) rng: StdRng,
-    pub(crate) next_call: u64,
-    pub(crate) calls: HashMap<CallId, Pending>,
-    pub(crate) direct_commands: usize,
-    pub(crate) effects: Vec<Effect>,
+    /// Pacing of writes to the store.
+    changes: Pacing,
+    /// Pacing of all requests to the store.
+    requests: Pacing,
+    rng: StdRng,
+    /// The number of the last call.
+    last_call: u64,
+    calls: HashMap<CallId, Pending>,
+    direct_commands: usize,
+    effects: Vec<Effect>,
 }
 
 impl Outbox {
+    /// An outbox without effects or pending calls.
     pub fn new(rng: StdRng, config: &Config) -> Self {
         let (calls, effects) = (HashMap::new(), Vec::new());
         let (changes, requests) = (Pacing::new(config), Pacing::new(config));
@@ -35,22 +42,25 @@
             changes,
             requests,
             rng,
-            next_call: 0,
+            last_call: 0,
             calls,
             direct_commands: 0,
             effects,
         }
     }
 
+    /// Begins a step at this time.
     pub fn begin(&mut self, now: Time, wall_ms: u64) {
         self.now = now;
         self.wall_ms = wall_ms;
     }
 
+    /// Takes the effects collected so far, in their order.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
+    /// Takes what a reply belongs to; `None` if the call is not pending.
     pub fn finish(&mut self, call: CallId) -> Option<Pending> {
         let pending = self.calls.remove(&call);
         if let Some(Pending::DirectCommands { .. } | Pending::Inspection { .. }) = pending {
@@ -59,37 +69,41 @@
         pending
     }
 
-    /// Direct orders to workers that are under way.
+    /// Number of calls to workers whose replies are pending.
     pub fn direct_commands(&self) -> usize {
         self.direct_commands
     }
 
-    pub(crate) fn call(&mut self, pending: Pending) -> CallId {
-        self.next_call += 1;
-        let call = CallId(self.next_call);
+    fn call(&mut self, pending: Pending) -> CallId {
+        self.last_call += 1;
+        let call = CallId(self.last_call);
         self.calls.insert(call, pending);
         call
     }
 
+    /// Answers a request of a user, a worker or an operator.
     pub fn answer(&mut self, request: RequestId, answer: Answer) {
         self.effects.push(Effect::Answer(request, answer));
     }
 
+    /// Answers a message of a sibling.
     pub fn mesh_answer(&mut self, request: RequestId, reply: MeshReply) {
         self.effects.push(Effect::MeshAnswer(request, reply));
     }
 
-    pub fn state(&mut self, pending: Pending, what: StoreCall) {
+    /// Calls the store.
+    pub fn state(&mut self, pending: Pending, request: StoreCall) {
         let call = self.call(pending);
-        self.effects.push(Effect::State(call, what));
+        self.effects.push(Effect::State(call, request));
     }
 
-    /// `pending`: the leader's business; None for the machine types.
-    pub fn cloud(&mut self, pending: Option<CloudOperation>, what: CloudCall) {
-        let call = self.call(Pending::Cloud(pending));
-        self.effects.push(Effect::Cloud(call, what));
+    /// Calls the cloud. `operation`: the leader's operation, or `None` if the machine types are read.
+    pub fn cloud(&mut self, operation: Option<CloudOperation>, request: CloudCall) {
+        let call = self.call(Pending::Cloud(operation));
+        self.effects.push(Effect::Cloud(call, request));
     }
 
+    /// Sends commands to a worker.
     pub fn worker(
         &mut self,
         machine: &MachineId,
@@ -105,7 +119,7 @@
         )
     }
 
-    /// Asks a machine what it holds, by orders that order nothing.
+    /// Asks a machine for its tasks, by an empty set of commands.
     pub fn inspect(&mut self, machine: &MachineId, address: &str, commands: DirectCommands) {
         self.direct(
             Pending::Inspection {
@@ -116,12 +130,7 @@
         );
     }
 
-    pub(crate) fn direct(
-        &mut self,
-        pending: Pending,
-        address: &str,
-        commands: DirectCommands,
-    ) -> CallId {
+    fn direct(&mut self, pending: Pending, address: &str, commands: DirectCommands) -> CallId {
         self.direct_commands += 1;
         let call = self.call(pending);
         self.effects
@@ -129,34 +138,35 @@
         call
     }
 
+    /// Sends a message to a sibling.
     pub fn mesh(&mut self, pending: Pending, node: &Node, message: MeshMessage) {
         let call = self.call(pending);
         self.effects.push(Effect::Mesh(call, node.clone(), message));
     }
 
-    /// Whether requests to the state service that can wait may be sent.
+    /// Whether requests to the store that can wait may be sent.
     pub fn may_read(&self) -> bool {
         self.requests.open(self.now)
     }
 
-    /// Whether changes in the state service that can wait may be asked for.
+    /// Whether writes to the store that can wait may be sent.
     pub fn may_write(&self) -> bool {
         self.may_read() && self.changes.open(self.now)
     }
 
-    /// When changes may be asked for again.
+    /// When writes that can wait may be sent again.
     pub fn write_resumes(&self) -> Time {
         self.requests.resume().max(self.changes.resume())
     }
 
-    /// The state service has answered: how soon more may be asked of it. A refused change says nothing
-    /// of the rate of all requests, which is far higher.
-    pub fn pace(&mut self, change: bool, reply: &StoreReply) {
+    /// Adjusts the pacing to a reply of the store. A write refused for its rate says nothing about the rate of all
+    /// requests, which is far higher.
+    pub fn pace(&mut self, is_change: bool, reply: &StoreReply) {
         let now = self.now;
         match reply {
             StoreReply::Busy => {
                 let spread = self.jitter(1.0);
-                let pacing = if change {
+                let pacing = if is_change {
                     &mut self.changes
                 } else {
                     &mut self.requests
@@ -164,12 +174,12 @@
                 pacing.refused(now, spread);
             }
             StoreReply::Refused | StoreReply::Unknown => {}
-            _ if change => self.changes.served(now),
+            _ if is_change => self.changes.served(now),
             _ => self.requests.served(now),
         }
     }
 
-    /// `seconds`, give or take a quarter, so that controllers do not act in step.
+    /// `seconds` times a random factor from 0.75 to 1.25, so that controllers do not act in step.
     pub fn jitter(&mut self, seconds: Time) -> Time {
         seconds * self.rng.random_range(0.75..1.25)
     }
--- a/src/core/effects/pacing.rs
+++ b/src/core/effects/pacing.rs
@@ -1,28 +1,30 @@
-//! Pacing of requests to the state service after it has said that its rate is used up.
+//! Pacing of requests to the store after it has refused one because its rate is used up.
 //!
-//! The rate is shared by all controllers and may fall without notice. So the first refusal holds
-//! back everything that can wait, for longer with each further refusal. Lease renewals and the keys
-//! that hang on the lease are never held back: they come first when there is room again.
+//! The rate is shared by all controllers and may fall without notice. The first refusal therefore holds back
+//! every request that can wait, for longer with each further refusal. Lease renewals and writes of the keys bound
+//! to the lease are never held back: they are the first to be served when the store has capacity again.
 
 use crate::config::Config;
 use crate::core::model::time::Time;
 
-/// The shortest pause, in writes that the state service takes meanwhile.
+/// The shortest pause, in writes that the store serves meanwhile.
 const PAUSE_WRITES: f64 = 2.0;
 
 /// The pause is doubled this often at most.
 const MAX_DOUBLINGS: u32 = 3;
 
-/// When requests that can wait may be sent.
+/// When requests that can wait may be sent; the pause doubles with each refusal.
 #[derive(Debug)]
 pub struct Pacing {
     shortest: Time,
+    /// When requests that can wait may be sent again.
     resume: Time,
+    /// Consecutive refusals, up to [`MAX_DOUBLINGS`].
     refusals: u32,
 }
 
 impl Pacing {
-    /// Open, for the given limits.
+    /// Pacing that holds back nothing yet, for the configured rate of writes.
     pub fn new(config: &Config) -> Self {
         let shortest = PAUSE_WRITES / config.deployment.state.write_rps;
         Self {
@@ -37,14 +39,13 @@
         now >= self.resume
     }
 
-    /// When they may be sent again.
+    /// When requests that can wait may be sent again.
     pub fn resume(&self) -> Time {
         self.resume
     }
 
-    /// A request was refused because the rate is used up. `spread` is a random factor around 1, so
-    /// that controllers do not all come back at once. Refusals of what was sent before the pause
-    /// do not lengthen it.
+    /// A request was refused because the rate is used up. `spread` is a random factor around 1, so that controllers
+    /// do not all retry at once. Refusals of requests sent before the pause do not lengthen it.
     pub fn refused(&mut self, now: Time, spread: f64) {
         if self.open(now) {
             let pause = self.shortest * f64::from(1 << self.refusals);
@@ -53,7 +54,7 @@
         }
     }
 
-    /// A request was carried out.
+    /// A request was served: after the pause, this resets its length.
     pub fn served(&mut self, now: Time) {
         if self.open(now) {
             self.refusals = 0;
--- a/src/core/jobs/failures.rs
+++ b/src/core/jobs/failures.rs
@@ -1,69 +1,75 @@
-//! What the failures of a job's tasks say: of machines, as long as they are few, and then of the job.
+//! What task failures say: about single machines as long as few machines are involved, then about the job.
 //!
-//! A job whose tasks fail on one machine avoids it. One that fails on several, and of which nothing has run
-//! for long anywhere, was probably submitted with a mistake: it fails on every machine until its user
-//! cancels it. Until it proves otherwise it is only probed: one task (of a gang all) at growing intervals,
-//! in room that is free, where its image is; it neither rents nor takes anything for that.
+//! A job whose tasks fail on one machine avoids that machine. A job that fails on several machines, and of which
+//! no task has run for long anywhere, was probably submitted with a mistake: it fails on every machine until its
+//! user cancels it. Until a task runs, the job is only probed: one task (all tasks of a gang) at growing intervals,
+//! in free resources, where its image is cached. No machine is rented and no task is preempted for a probe.
 
 use crate::core::model::time::Time;
 use crate::ids::MachineId;
 use std::collections::BTreeSet;
 
-/// Machines on which a job has failed when that says nothing of them any more.
-const FAILURES_OF_ITS_OWN: usize = 3;
+/// Once a job has failed on this many machines, its failures say nothing about the machines any more.
+const MACHINES_OF_FAILING_JOB: usize = 3;
 
-/// The first probe comes after this part of the longest interval.
+/// The interval before the first probe, as a part of the longest interval.
 const FIRST_PROBE: f64 = 1.0 / 16.0;
 
+/// Bound on the number of doublings of the interval; the longest interval is reached well before.
+const MAX_DOUBLINGS: i32 = 8;
+
+/// The task failures of a job.
 #[derive(Default)]
 pub struct JobFailures {
     machines: BTreeSet<MachineId>,
-    /// Some of it has run for long, or to its end.
-    proven: bool,
+    /// A task of the job has run for long, or to its end.
+    has_run: bool,
     probes: i32,
     next_probe: Time,
 }
 
 impl JobFailures {
-    /// A task failed on this machine. Whether the job has turned out to be failing by that.
+    /// Records that a task failed on this machine. Returns whether this failure shows the job to be failing
+    /// everywhere.
     pub fn failed(&mut self, machine: &MachineId, longest_interval: Time, now: Time) -> bool {
-        let before = self.fails_everywhere();
+        let failed_before = self.fails_everywhere();
         self.machines.insert(machine.clone());
         let fails = self.fails_everywhere();
-        // Tasks that were started together fail together: that is one failure of the job.
+        // Tasks that were started together fail together: they count as one failure of the job.
         if fails && now >= self.next_probe {
             let interval = longest_interval * FIRST_PROBE * 2f64.powi(self.probes);
             self.next_probe = now + interval.min(longest_interval);
-            self.probes = (self.probes + 1).min(8);
+            self.probes = (self.probes + 1).min(MAX_DOUBLINGS);
         }
-        fails && !before
+        fails && !failed_before
     }
 
-    /// Some of the job has run for long, or to its end.
+    /// Records that a task of the job has run for long, or to its end.
     pub fn prove(&mut self) {
-        self.proven = true;
+        self.has_run = true;
     }
 
-    /// Whether the job fails wherever it is tried.
+    /// Whether the job fails on every machine.
     pub fn fails_everywhere(&self) -> bool {
-        !self.proven && self.machines.len() >= FAILURES_OF_ITS_OWN
+        !self.has_run && self.machines.len() >= MACHINES_OF_FAILING_JOB
     }
 
-    /// Whether a job that fails everywhere may be tried again.
+    /// Whether a job that fails everywhere may be probed now.
     pub fn may_probe(&self, now: Time) -> bool {
         now >= self.next_probe
     }
 
-    /// Machines that it is not to be tried on again. One that failed on several is tried everywhere.
+    /// Machines that the job avoids; `None` if it has failed on so many that it may run on any.
     pub fn avoided(&self) -> Option<&BTreeSet<MachineId>> {
-        Some(&self.machines).filter(|machines| machines.len() < FAILURES_OF_ITS_OWN)
+        Some(&self.machines).filter(|machines| machines.len() < MACHINES_OF_FAILING_JOB)
     }
 
-    /// Whether it has failed on no other machine.
+    /// Whether the job has failed on exactly one machine.
     pub fn on_one_machine_only(&self) -> bool {
         self.machines.len() == 1
     }
 
+    /// The machines on which tasks of the job have failed.
     pub fn machines(&self) -> &BTreeSet<MachineId> {
         &self.machines
     }
--- a/src/core/jobs/failures/tests.rs
+++ b/src/core/jobs/failures/tests.rs
@@ -10,17 +10,17 @@
     failures
 }
 
-/// A job that fails on a faulty machine, however often, is not taken for broken.
+/// A job that fails on one faulty machine, however often, does not count as failing everywhere.
 #[test]
-fn one_machine_says_nothing_of_the_job() {
+fn failures_on_one_machine_do_not_mark_the_job_as_failing() {
     let failures = failing(&["m-1", "m-1", "m-1", "m-1"]);
     assert!(!failures.fails_everywhere());
     assert!(failures.on_one_machine_only());
     assert_eq!(failures.avoided().map(BTreeSet::len), Some(1));
 }
 
-/// Jobs that failed on every machine were started whole, again and again (seen in a log: eleven tasks
-/// four times each within eight seconds).
+/// A job that fails on every machine must not be started whole again and again: without probes, all its tasks were
+/// once started four times each within eight seconds.
 #[test]
 fn probes_come_at_growing_intervals_up_to_the_longest() {
     let mut failures = failing(&["m-1", "m-2", "m-3"]);
@@ -35,15 +35,15 @@
         }
         intervals.push(now - from);
         failures.failed(&"m-4".into(), LONGEST, now);
-        // Of the same wave.
+        // Started together with the task before.
         failures.failed(&"m-5".into(), LONGEST, now);
     }
     assert_eq!(intervals, [2.0, 4.0, 8.0, 16.0, 32.0, 32.0, 32.0]);
 }
 
-/// A probe that runs shows that the machines were at fault.
+/// A probe that runs shows that the machines caused the failures.
 #[test]
-fn a_job_that_runs_somewhere_is_not_broken() {
+fn a_job_with_a_running_task_is_not_failing_everywhere() {
     let mut failures = failing(&["m-1", "m-2", "m-3"]);
     failures.prove();
     assert!(!failures.fails_everywhere());
--- a/src/core/model/mod.rs
+++ b/src/core/model/mod.rs
@@ -1,4 +1,4 @@
-//! TODO.
+//! Basic types of the core: time, resources, sets of task indexes, rate limits and process identities.
 
 pub mod process;
 pub mod ranges;
--- a/src/core/model/process.rs
+++ b/src/core/model/process.rs
@@ -1,9 +1,10 @@
-//! The identity of a controller's process.
+//! Identity of a controller's process.
 
 use crate::ids::Node;
 use serde::{Deserialize, Serialize};
 
-/// One run of a controller: its name and its incarnation, which changes with every start. Serialized as a pair.
+/// One process of a controller: the controller's name and an incarnation that changes with every start.
+/// Serialized as a pair.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "(Node, u64)", into = "(Node, u64)")]
 pub struct ProcessId {
--- a/src/core/model/ranges.rs
+++ b/src/core/model/ranges.rs
@@ -1,46 +1,52 @@
-//! Sets of task numbers as ranges, so that the progress of large arrays stays small.
+//! Sets of task indexes as ranges, so that the progress of large job arrays stays small.
 
 use serde::{Deserialize, Serialize};
 
-/// Ascending, disjoint, inclusive ranges.
+/// A set of task indexes as ascending, disjoint, inclusive ranges that are not adjacent to each other.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Ranges(Vec<(u32, u32)>);
 
 impl Ranges {
+    /// Whether an index is in the set.
     pub fn contains(&self, index: u32) -> bool {
         let at = self.0.partition_point(|&(_, end)| end < index);
         self.0.get(at).is_some_and(|&(start, _)| start <= index)
     }
 
+    /// Adds an index.
     pub fn insert(&mut self, index: u32) {
         let at = self.0.partition_point(|&(_, end)| end < index);
         if self.0.get(at).is_some_and(|&(start, _)| start <= index) {
             return;
         }
-        let joins_before = at > 0 && self.0[at - 1].1 + 1 == index;
-        let joins_after = self.0.get(at).is_some_and(|&(start, _)| start == index + 1);
-        match (joins_before, joins_after) {
-            (true, true) => {
-                self.0[at - 1].1 = self.0[at].1;
+        let (before, after) = self.0.split_at_mut(at);
+        let before = before.last_mut().filter(|(_, end)| *end + 1 == index);
+        // A range after `index` starts above it, so its start is at least 1.
+        let after = after.first_mut().filter(|(start, _)| *start - 1 == index);
+        match (before, after) {
+            (Some((_, before_end)), Some((_, after_end))) => {
+                *before_end = *after_end;
                 self.0.remove(at);
             }
-            (true, false) => self.0[at - 1].1 = index,
-            (false, true) => self.0[at].0 = index,
-            (false, false) => self.0.insert(at, (index, index)),
+            (Some((_, end)), None) => *end = index,
+            (None, Some((start, _))) => *start = index,
+            (None, None) => self.0.insert(at, (index, index)),
         }
     }
 
+    /// Number of indexes in the set.
     pub fn len(&self) -> u32 {
         self.0.iter().map(|&(start, end)| end - start + 1).sum()
     }
 
+    /// Whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Drops the smallest ranges until at most `count` are left. What is dropped is only
-    /// forgotten progress: the worker that finished such a task says so again when asked.
+    /// Drops the smallest ranges until at most `count` are left. This only loses recorded progress: the worker
+    /// that finished such a task reports it again when asked.
     pub fn keep_largest(&mut self, count: usize) {
         if self.0.len() > count {
             self.0
--- a/src/core/model/ranges/tests.rs
+++ b/src/core/model/ranges/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn numbers_join_into_ranges() {
+fn adjacent_indexes_join_into_ranges() {
     let mut set = Ranges::default();
     for index in [5, 1, 3, 2, 9, 4, 3] {
         set.insert(index);
--- a/src/core/model/resources.rs
+++ b/src/core/model/resources.rs
@@ -1,21 +1,27 @@
+//! Amounts of the resources that tasks take and machines have.
+
 use crate::wire::JobSpec;
 use serde::{Deserialize, Serialize};
 
-/// Rounding of amounts never makes room that is not there, nor hides room that is.
+/// Tolerance in comparisons, so that rounding errors neither create free resources nor hide them.
 pub(crate) const EPSILON: f64 = 1e-6;
 
+/// An amount of each resource.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Resources {
+    /// CPU cores.
     #[serde(rename = "cpu")]
     pub cpus: f64,
+    /// GPUs.
     #[serde(rename = "gpu")]
     pub gpus: f64,
+    /// Memory in GB.
     #[serde(rename = "mem")]
     pub memory_gb: f64,
 }
 
 impl Resources {
-    /// What each task of a job takes.
+    /// The resources of each task of a job.
     pub fn of(spec: &JobSpec) -> Resources {
         Resources {
             cpus: spec.cpus,
@@ -24,6 +30,7 @@
         }
     }
 
+    /// The resources of `count` such tasks.
     pub fn times(&self, count: u32) -> Resources {
         let count = f64::from(count);
         Resources {
@@ -33,6 +40,7 @@
         }
     }
 
+    /// What is left without `taken`.
     pub fn less(&self, taken: &Resources) -> Resources {
         Resources {
             cpus: self.cpus - taken.cpus,
@@ -41,6 +49,7 @@
         }
     }
 
+    /// The sum of both.
     pub fn plus(&self, given: &Resources) -> Resources {
         Resources {
             cpus: self.cpus + given.cpus,
@@ -49,6 +58,7 @@
         }
     }
 
+    /// The smaller amount of each resource.
     pub fn min(&self, other: &Resources) -> Resources {
         Resources {
             cpus: self.cpus.min(other.cpus),
@@ -57,8 +67,8 @@
         }
     }
 
-    /// Of what is free on a machine, what its free GPUs do without: each GPU keeps an equal part of the
-    /// machine's CPUs and memory.
+    /// The part of a machine's free resources that its free GPUs do not need, where each GPU is allotted an equal
+    /// part of the machine's CPUs and memory. `total`: all resources of the machine.
     pub fn beside_free_gpus(&self, total: &Resources) -> Resources {
         if total.gpus <= 0.0 {
             return *self;
@@ -71,6 +81,7 @@
         }
     }
 
+    /// Whether `need` fits into this amount.
     pub fn holds(&self, need: &Resources) -> bool {
         need.cpus <= self.cpus + EPSILON
             && need.gpus <= self.gpus + EPSILON
--- a/src/core/model/token_bucket.rs
+++ b/src/core/model/token_bucket.rs
@@ -2,16 +2,18 @@
 
 use crate::core::model::time::Time;
 
-/// Tokens that come at a steady rate and are kept for up to a second.
+/// A token bucket: it fills at a constant rate and holds at most one second's worth of tokens.
 #[derive(Debug)]
 pub struct TokenBucket {
+    /// Tokens per second.
     rate: f64,
     tokens: f64,
+    /// When `tokens` was last brought up to date.
     filled: Time,
 }
 
 impl TokenBucket {
-    /// A bucket for so many requests a second, with `tokens` of them to begin with.
+    /// A bucket that fills with `rate` tokens per second and holds `tokens` at `now`.
     pub fn new(rate: f64, tokens: f64, now: Time) -> Self {
         Self {
             rate,
@@ -20,12 +22,12 @@
         }
     }
 
-    /// Changes the rate from now on.
+    /// Changes the rate in tokens per second, also for the time since the bucket was last used.
     pub fn set_rate(&mut self, rate: f64) {
         self.rate = rate;
     }
 
-    /// Whether there is a token.
+    /// Whether a token is available.
     pub fn has_token(&mut self, now: Time) -> bool {
         let gained = (now - self.filled) * self.rate;
         self.tokens = (self.tokens + gained).min(self.rate.max(1.0));
@@ -33,7 +35,7 @@
         self.tokens >= 1.0
     }
 
-    /// Takes a token if there is one.
+    /// Takes a token if one is available, and returns whether it did.
     pub fn take(&mut self, now: Time) -> bool {
         let taken = self.has_token(now);
         if taken {
--- a/src/core/records/job_record.rs
+++ b/src/core/records/job_record.rs
@@ -1,3 +1,5 @@
+//! The stored record of a job.
+
 use crate::core::model::ranges::Ranges;
 use crate::core::model::resources::Resources;
 use crate::ids::Team;
@@ -5,47 +7,50 @@
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// A job as known.
+/// What the store holds of a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "StoredJob", into = "StoredJob")]
 pub struct JobRecord {
+    /// Whether it is pending, done or cancelled.
     #[serde(rename = "stance")]
     pub status: JobStatus,
-    /// When it was accepted, by the accepting controller's time of day.
+    /// When it was accepted, by the accepting controller's wall clock, in milliseconds.
     pub accepted_ms: u64,
+    /// Number of its tasks.
     pub tasks: u32,
+    /// Indexes of the tasks that are recorded as done.
     pub done: Ranges,
-    /// Final states do without, so that keeping them for ever costs little.
+    /// Its description; final records omit it, because they are kept permanently and should stay small.
     pub spec: Option<Rc<JobSpec>>,
-    /// When it was done or cancelled, by the time of day of who wrote so.
+    /// When it was done or cancelled, by the writing controller's wall clock, in milliseconds.
     pub ended_ms: Option<u64>,
-    /// Of a cancelled job: what its tasks take until they have gone, for so long they count towards
-    /// their team's limit.
+    /// Of a cancelled job: the tasks that may still be running. They count towards their team's limit until
+    /// they have stopped.
     #[serde(rename = "leaving")]
     pub terminating: Option<TerminatingTasks>,
 }
 
-/// A job as stored.
+/// The serialized form of a [`JobRecord`].
 #[derive(Clone, Serialize, Deserialize)]
-pub(crate) struct StoredJob {
+struct StoredJob {
     #[serde(rename = "s")]
-    pub(crate) status: JobStatus,
+    status: JobStatus,
     #[serde(rename = "at")]
-    pub(crate) accepted_ms: u64,
+    accepted_ms: u64,
     #[serde(rename = "n")]
-    pub(crate) tasks: u32,
+    tasks: u32,
     #[serde(rename = "d", default, skip_serializing_if = "Ranges::is_empty")]
-    pub(crate) done: Ranges,
+    done: Ranges,
     #[serde(rename = "j", default, skip_serializing_if = "Option::is_none")]
-    pub(crate) spec: Option<Rc<JobSpec>>,
-    /// In place of `j` if it has dependencies. To a version that doesn't know them the job is one
-    /// without a description: it answers for it and cancels it, but never starts or rewrites it.
+    spec: Option<Rc<JobSpec>>,
+    /// The description of a job with dependencies, in place of `j`. A release that does not know dependencies
+    /// sees a job without a description: it answers polls and cancels the job, but never starts or rewrites it.
     #[serde(rename = "jd", default, skip_serializing_if = "Option::is_none")]
-    pub(crate) dependent: Option<Rc<JobSpec>>,
+    dependent: Option<Rc<JobSpec>>,
     #[serde(rename = "e", default, skip_serializing_if = "Option::is_none")]
-    pub(crate) ended_ms: Option<u64>,
+    ended_ms: Option<u64>,
     #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
-    pub(crate) terminating: Option<TerminatingTasks>,
+    terminating: Option<TerminatingTasks>,
 }
 
 impl From<StoredJob> for JobRecord {
@@ -100,22 +105,27 @@
     }
 }
 
-/// What may be left of a cancelled job.
+/// Tasks of a cancelled job that may still be running.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TerminatingTasks {
+    /// The job's team.
     #[serde(rename = "t")]
     pub team: Team,
+    /// Number of tasks that were not done.
     #[serde(rename = "n")]
     pub tasks: u32,
+    /// Resources of each task.
     #[serde(rename = "r")]
     pub need: Resources,
 }
 
 impl JobRecord {
+    /// Whether the job is done or cancelled, which never changes again.
     pub fn is_final(&self) -> bool {
         matches!(self.status, JobStatus::Done | JobStatus::Cancelled)
     }
 
+    /// The final record of this job, done at `wall_ms`.
     pub fn done(&self, wall_ms: u64) -> Self {
         let (done, ended_ms) = (Ranges::default(), Some(wall_ms));
         Self {
@@ -127,6 +137,7 @@
         }
     }
 
+    /// The final record of this job, cancelled at `wall_ms`.
     pub fn cancelled(&self, wall_ms: u64) -> Self {
         let terminating = self.spec.as_ref().map(|spec| TerminatingTasks {
             team: spec.team.clone(),
@@ -140,13 +151,13 @@
         }
     }
 
-    /// Cancelled with what it needs: that was never done, so none of its tasks ever began.
+    /// The final record of a job cancelled through a dependency: the dependency was never done, so none of its
+    /// tasks has started.
     pub fn cancelled_unstarted(&self, wall_ms: u64) -> Self {
         let mut record = self.cancelled(wall_ms);
-        record
-            .terminating
-            .iter_mut()
-            .for_each(|terminating| terminating.tasks = 0);
+        if let Some(terminating) = &mut record.terminating {
+            terminating.tasks = 0;
+        }
         record
     }
 }
--- a/src/core/records/mod.rs
+++ b/src/core/records/mod.rs
@@ -1,4 +1,4 @@
-//! TODO.
+//! The records that the key-value store holds, and the keys under which they are stored.
 
 pub mod job_record;
 pub mod keys;
--- a/src/core/shard/owned_jobs.rs
+++ b/src/core/shard/owned_jobs.rs
@@ -100,7 +100,7 @@
             let index = at.task.index;
             if tracked.exited() {
                 exits.push((at.machine.clone(), at.task.clone(), at.attempt));
-            } else if matches!(job.task(index), Some(Task::Waiting | Task::Unsettled)) {
+            } else if matches!(job.task(index), Some(Task::Waiting | Task::Unreconciled)) {
                 job.set(
                     index,
                     Task::Placed(at.machine.clone(), at.attempt),
--- a/src/core/shard/progress_records.rs
+++ b/src/core/shard/progress_records.rs
@@ -1,6 +1,8 @@
-//! Records jobs' progress and ends in the state service. Progress and ends are true whoever records
-//! them, so a record's version is guard enough. Jobs that are due together go into one transaction;
-//! if that fails, each is tried again by itself, so that none waits for another's conflict.
+//! Recording of jobs' progress and ends in the store.
+//!
+//! Progress and ends are true no matter which controller records them, so a record's version is a sufficient
+//! precondition. Jobs that are due together go into one transaction. If that fails, each is tried again in a
+//! transaction of its own, so that no job waits for another's conflict.
 
 use crate::config::Config;
 use crate::core::effects::outbox::Outbox;
@@ -17,33 +19,33 @@
 use crate::wire::{BODY_LIMIT, Transaction};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Part of the state service's changes a second that progress and ends of jobs may take.
-pub(crate) const SHARE_OF_WRITES: f64 = 0.75;
+/// Part of the store's write rate that records of jobs' progress and ends may take.
+const PART_OF_WRITE_RATE: f64 = 0.75;
 
-/// Bytes that a range of done tasks takes in a record at most.
-pub(crate) const RANGE_BYTES: f64 = 15.0;
+/// Longest serialized form of a range of done tasks in a record, in bytes.
+const RANGE_BYTES: f64 = 15.0;
 
-/// Bytes of values that a transaction carries, once reached: with its last value and the guards it
-/// keeps within the limit on bodies.
-pub(crate) const TRANSACTION_BYTES: usize = BODY_LIMIT / 2;
+/// Bytes of values after which a transaction takes no further value: with its last value and the preconditions it
+/// stays within the limit on bodies.
+const TRANSACTION_BYTES: usize = BODY_LIMIT / 2;
 
-/// Seconds before another try, when the record has changed meanwhile.
-pub(crate) const CONFLICT_PAUSE: Time = 0.1;
+/// Seconds before the next try after a conflict.
+const CONFLICT_PAUSE: Time = 0.1;
 
-/// Seconds before another try, when the outcome is unknown or the service refuses.
-pub(crate) const FAILURE_PAUSE: Time = 0.3;
+/// Seconds before the next try when the outcome is unknown or the store refuses.
+const FAILURE_PAUSE: Time = 0.3;
 
-/// Jobs with something to record, in the order in which they are served. A job may stand in it more
-/// than once; what has been recorded meanwhile is passed over.
+/// Queues of the jobs with something to record, in the order in which they are served. A job may be queued more
+/// than once; entries that have been recorded meanwhile are skipped.
 #[derive(Default)]
 pub struct Unrecorded {
-    pub(crate) completed: VecDeque<JobId>,
-    /// With the time since when each has progress.
-    pub(crate) progressed: VecDeque<(Time, JobId)>,
+    completed: VecDeque<JobId>,
+    /// Jobs with progress, with the time since when each is queued.
+    progressed: VecDeque<(Time, JobId)>,
 }
 
 impl Unrecorded {
-    pub(crate) fn add(&mut self, id: &JobId, job: &Job, now: Time) {
+    fn add(&mut self, id: &JobId, job: &Job, now: Time) {
         if job.all_done() {
             self.completed.push_back(id.clone());
         } else {
@@ -51,36 +53,53 @@
         }
     }
 
-    /// The next one: a completed job, or one whose progress has waited for `leisure`.
-    pub(crate) fn next(
+    /// Takes the next job to record: a completed one, or one whose progress has waited for `delay` seconds. Each
+    /// entry looked at adds one to `visits`.
+    fn next(
+        &mut self,
+        jobs: &BTreeMap<JobId, Job>,
+        delay: Time,
+        now: Time,
+        visits: &mut u64,
+    ) -> Option<JobId> {
+        self.next_completed(jobs, now, visits)
+            .or_else(|| self.next_progressed(jobs, delay, now, visits))
+    }
+
+    fn next_completed(
         &mut self,
         jobs: &BTreeMap<JobId, Job>,
-        leisure: Time,
         now: Time,
         visits: &mut u64,
     ) -> Option<JobId> {
-        let open = |id: &JobId| {
-            jobs.get(id)
-                .filter(|job| job.unrecorded_since.is_some() && !job.write_out)
-        };
         for _ in 0..self.completed.len() {
             let id = self.completed.pop_front()?;
             *visits += 1;
-            match open(&id) {
+            match recordable(jobs, &id) {
                 Some(job) if now < job.write_after => self.completed.push_back(id),
                 Some(_) => return Some(id),
                 None => {}
             }
         }
+        None
+    }
+
+    fn next_progressed(
+        &mut self,
+        jobs: &BTreeMap<JobId, Job>,
+        delay: Time,
+        now: Time,
+        visits: &mut u64,
+    ) -> Option<JobId> {
         while self
             .progressed
             .front()
-            .is_some_and(|(since, _)| now >= since + leisure)
+            .is_some_and(|(since, _)| now >= since + delay)
         {
             let (_, id) = self.progressed.pop_front()?;
             *visits += 1;
-            match open(&id) {
-                // Its end is among the completed.
+            match recordable(jobs, &id) {
+                // It is queued as completed too.
                 Some(job) if job.all_done() => {}
                 Some(job) if now < job.write_after => self.progressed.push_back((now, id)),
                 Some(_) => return Some(id),
@@ -91,33 +110,39 @@
     }
 }
 
-/// Controllers with teams write on their own; together they leave room within the state service's
-/// rate for users' requests and the map.
+/// A queued job, if it still has something to record and no write of it is pending.
+fn recordable<'a>(jobs: &'a BTreeMap<JobId, Job>, id: &JobId) -> Option<&'a Job> {
+    jobs.get(id)
+        .filter(|job| job.unrecorded_since.is_some() && !job.write_in_flight)
+}
+
+/// Writes per second of one controller. Controllers with teams write independently; together they leave a part of
+/// the store's rate for user requests and the shard map.
 pub fn write_rate(config: &Config, writers: usize) -> f64 {
-    config.deployment.state.write_rps * SHARE_OF_WRITES / writers as f64
+    config.deployment.state.write_rps * PART_OF_WRITE_RATE / writers as f64
 }
 
 impl Shard {
-    /// A job has progress, or its end, to be recorded.
+    /// Notes that a job has progress, or its end, to be recorded.
     pub(crate) fn note_progress(&mut self, id: &JobId, now: Time) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let first = job.unrecorded_since.is_none();
+        let is_first = job.unrecorded_since.is_none();
         job.unrecorded_since.get_or_insert(now);
-        if first || job.all_done() {
+        if is_first || job.all_done() {
             self.unrecorded.add(id, job, now);
         }
     }
 
-    /// Records completed jobs at once, progress at leisure.
+    /// Records completed jobs at once, and progress after a delay.
     pub(crate) fn record_progress(&mut self, outbox: &mut Outbox) {
         let mut batch = Vec::new();
         while outbox.may_write() && self.record_rate.has_token(outbox.now) {
-            let leisure = self.config.deployment.workers.report_s;
+            let delay = self.config.deployment.workers.report_s;
             let due = self
                 .unrecorded
-                .next(&self.jobs, leisure, outbox.now, &mut self.visits);
+                .next(&self.jobs, delay, outbox.now, &mut self.visits);
             let Some(id) = due else { break };
             let Some(write) = self.next_record(&id, outbox.wall_ms) else {
                 continue;
@@ -126,7 +151,7 @@
                 continue;
             };
             self.record_rate.take(outbox.now);
-            job.write_out = true;
+            job.write_in_flight = true;
             job.unrecorded_since = None;
             if job.write_alone {
                 commit(outbox, vec![write]);
@@ -137,18 +162,18 @@
         self.commit_batches(outbox, batch);
     }
 
-    /// What is to be recorded of a job; nothing if the state service would refuse it.
-    pub(crate) fn next_record(&mut self, id: &JobId, wall_ms: u64) -> Option<RecordWrite> {
+    /// The next record of a job; `None` if the store would refuse it.
+    fn next_record(&mut self, id: &JobId, wall_ms: u64) -> Option<RecordWrite> {
         let value_limit = self.config.deployment.state.value_kb * 1024.0;
         let job = self.jobs.get_mut(id)?;
         let record = if job.all_done() {
             job.record.done(wall_ms)
         } else {
-            progress(job, value_limit)
+            progress_record(job, value_limit)
         };
         let write = put(&job_key(id), &record, None);
         let bytes = write.bytes();
-        // Accepted when values could be larger: its progress is recorded with its end only.
+        // The job was accepted when values could be larger: its progress is recorded with its end only.
         let too_large = !record.is_final() && bytes as f64 > value_limit;
         if too_large || bytes >= job.refused_bytes {
             job.unrecorded_since = None;
@@ -161,8 +186,8 @@
         })
     }
 
-    /// Writes down that jobs are cancelled with one that they need. Everybody derives it anyway, so
-    /// it comes after all other writes.
+    /// Records the cancellation of jobs with a cancelled dependency. Every controller derives it anyway, so these
+    /// writes come after all others.
     pub(crate) fn record_dependent_cancellations(
         &mut self,
         outbox: &mut Outbox,
@@ -170,12 +195,12 @@
     ) {
         let now = outbox.now;
         let pause = self.config.deployment.workers.report_s;
-        let ours = |record: &JobRecord| {
+        let is_ours = |record: &JobRecord| {
             let team = record.spec.as_ref().map(|spec| &spec.team);
             !record.is_final() && team.is_some_and(|team| self.teams.contains_key(team))
         };
         self.dependency_cancelled
-            .retain(|id, _| store.job(id).is_some_and(|job| ours(&job.record)));
+            .retain(|id, _| store.job(id).is_some_and(|job| is_ours(&job.record)));
         let mut batch = Vec::new();
         for (id, not_before) in &mut self.dependency_cancelled {
             if !outbox.may_write() {
@@ -199,14 +224,15 @@
         self.commit_batches(outbox, batch);
     }
 
-    pub(crate) fn commit_batches(&self, outbox: &mut Outbox, writes: Vec<RecordWrite>) {
-        let most = self.config.deployment.state.txn_ops;
+    /// Commits records in transactions within the store's limits.
+    fn commit_batches(&self, outbox: &mut Outbox, records: Vec<RecordWrite>) {
+        let max_operations = self.config.deployment.state.txn_ops;
         let mut batch = Vec::new();
         let mut bytes = 0;
-        for write in writes {
-            bytes += write.write.bytes();
-            batch.push(write);
-            if batch.len() >= most || bytes >= TRANSACTION_BYTES {
+        for record in records {
+            bytes += record.write.bytes();
+            batch.push(record);
+            if batch.len() >= max_operations || bytes >= TRANSACTION_BYTES {
                 commit(outbox, std::mem::take(&mut batch));
                 bytes = 0;
             }
@@ -216,82 +242,103 @@
         }
     }
 
-    /// The answer to a transaction of records.
+    /// Handles the store's reply to a transaction of records.
     pub(crate) fn records_written(
         &mut self,
         outbox: &mut Outbox,
         store: &mut StoreReplica,
-        writes: Vec<RecordWrite>,
+        records: Vec<RecordWrite>,
         reply: StoreReply,
     ) {
-        let together = writes.len() > 1;
-        for RecordWrite { job: id, write, .. } in writes {
+        let with_others = records.len() > 1;
+        for record in records {
+            let id = &record.job;
             if let StoreReply::Committed(version) = reply {
-                store.apply_write(&write, version);
-            }
-            if let Some(job) = self.jobs.get_mut(&id) {
-                job.write_out = false;
-                match reply {
-                    StoreReply::Committed(_) => {}
-                    StoreReply::Conflict | StoreReply::Rejected if together => {
-                        job.write_alone = true;
-                    }
-                    StoreReply::Rejected => {
-                        let bytes = write.bytes();
-                        tracing::error!("the state service refuses {bytes} bytes for {id}");
-                        job.refused_bytes = job.refused_bytes.min(bytes);
-                    }
-                    ref other => {
-                        // Cancelled meanwhile, or outcome unknown: the view tells before the next try.
-                        store.want_sync();
-                        let conflict = *other == StoreReply::Conflict;
-                        let pause = if conflict {
-                            CONFLICT_PAUSE
-                        } else {
-                            FAILURE_PAUSE
-                        };
-                        job.write_after = outbox.now + outbox.jitter(pause);
-                    }
-                }
-                if !matches!(reply, StoreReply::Committed(_)) {
-                    job.unrecorded_since.get_or_insert(outbox.now);
-                }
-                if job.unrecorded_since.is_some() {
-                    self.unrecorded.add(&id, job, outbox.now);
-                }
-            }
-            if matches!(reply, StoreReply::Committed(_)) {
-                self.recorded(outbox, store, &id);
+                store.apply_write(&record.write, version);
+                self.record_committed(outbox, store, id);
+            } else {
+                self.record_not_committed(outbox, store, &record, &reply, with_others);
             }
         }
     }
 
-    /// What is recorded as done may be forgotten by its machines.
-    pub(crate) fn recorded(&mut self, outbox: &Outbox, store: &StoreReplica, id: &JobId) {
+    /// A job's record is committed: machines may forget tasks that are recorded as done.
+    fn record_committed(&mut self, outbox: &Outbox, store: &StoreReplica, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
+        job.write_in_flight = false;
+        if job.unrecorded_since.is_some() {
+            self.unrecorded.add(id, job, outbox.now);
+        }
         job.write_alone = false;
         let Some(stored) = store.job(id) else { return };
         let (record, version) = (stored.record.clone(), stored.version);
         self.forget_recorded(id, &record);
         self.take_job(store, id, &record, version, (outbox.now, outbox.wall_ms));
     }
+
+    /// A job's record was not, or possibly not, committed: it is queued again. `with_others`: the transaction held
+    /// records of other jobs.
+    fn record_not_committed(
+        &mut self,
+        outbox: &mut Outbox,
+        store: &mut StoreReplica,
+        record: &RecordWrite,
+        reply: &StoreReply,
+        with_others: bool,
+    ) {
+        let id = &record.job;
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        job.write_in_flight = false;
+        match reply {
+            StoreReply::Conflict | StoreReply::Rejected if with_others => job.write_alone = true,
+            StoreReply::Rejected => {
+                let bytes = record.write.bytes();
+                tracing::error!(job = %id, bytes, "job record rejected by the state service");
+                job.refused_bytes = job.refused_bytes.min(bytes);
+            }
+            _ => {
+                // The job was cancelled meanwhile, or the outcome is unknown: a read shows it before the next try.
+                store.want_sync();
+                let pause = if *reply == StoreReply::Conflict {
+                    CONFLICT_PAUSE
+                } else {
+                    FAILURE_PAUSE
+                };
+                job.write_after = outbox.now + outbox.jitter(pause);
+            }
+        }
+        job.unrecorded_since.get_or_insert(outbox.now);
+        self.unrecorded.add(id, job, outbox.now);
+    }
 }
 
-/// The record with as much of the progress as a value holds.
-pub(crate) fn progress(job: &Job, value_limit: f64) -> JobRecord {
-    // The rest of a record keeps within half of the value.
-    let ranges = (value_limit / 2.0 / RANGE_BYTES) as usize;
+/// A job's record with as much of its progress as a value of the store may hold.
+fn progress_record(job: &Job, value_limit: f64) -> JobRecord {
     let mut done = job.done.clone();
-    done.keep_largest(ranges.max(1));
+    done.keep_largest(max_ranges(value_limit));
     JobRecord {
         done,
         ..(*job.record).clone()
     }
 }
 
-pub(crate) fn commit(outbox: &mut Outbox, records: Vec<RecordWrite>) {
+/// The number of ranges that a value of this many bytes may hold: half of it, as the rest of a record keeps within
+/// the other half. At least one.
+#[expect(
+    clippy::cast_possible_truncation,
+    reason = "the fraction is dropped; the cast saturates"
+)]
+fn max_ranges(value_limit: f64) -> usize {
+    let ranges = (value_limit / 2.0 / RANGE_BYTES) as usize;
+    ranges.max(1)
+}
+
+/// Sends a transaction that writes records, if none of them has changed.
+fn commit(outbox: &mut Outbox, records: Vec<RecordWrite>) {
     let preconditions = records
         .iter()
         .map(|record| precondition(&job_key(&record.job), record.version));
--- a/src/core/shard/progress_records/tests.rs
+++ b/src/core/shard/progress_records/tests.rs
@@ -6,19 +6,18 @@
 use crate::core::test_support::{map, owner, record, shard};
 use std::rc::Rc;
 
-/// A transaction of records, and what it was sent as.
-fn records(outbox: &mut Outbox, effect: Effect) -> (Vec<RecordWrite>, Transaction) {
+/// The records of a transaction, and the transaction that was sent.
+fn sent_records(outbox: &mut Outbox, effect: Effect) -> (Vec<RecordWrite>, Transaction) {
     let Effect::State(call, StoreCall::Commit(transaction)) = effect else {
         panic!("{effect:?}")
     };
     let Some(Pending::Records(writes)) = outbox.finish(call) else {
-        panic!("not of records")
+        panic!("not a transaction of records")
     };
     (writes, transaction)
 }
 
-/// What the state service refuses for its size is not sent again; the end of the job, which is smaller,
-/// still is.
+/// A record that the store refuses for its size is not sent again; the final record, which is smaller, is.
 #[test]
 fn a_record_refused_for_its_size_is_not_written_again_unchanged() {
     let (mut shard, mut outbox, mut store) = shard();
@@ -44,7 +43,7 @@
     };
     done(&mut shard, 0);
     let effect = write_after(&mut shard, &mut outbox, 10.0).expect("progress is recorded");
-    let (writes, _) = records(&mut outbox, effect);
+    let (writes, _) = sent_records(&mut outbox, effect);
     shard.records_written(&mut outbox, &mut store, writes, StoreReply::Rejected);
     assert!(write_after(&mut shard, &mut outbox, 20.0).is_none());
     assert!(write_after(&mut shard, &mut outbox, 30.0).is_none());
@@ -55,10 +54,10 @@
     );
 }
 
-/// Jobs that end together are recorded together, within the limit on operations; a conflict of one
-/// makes each be written by itself, so that the others don't wait for it.
+/// Jobs that end together are recorded together, within the limit on operations. After a conflict each is written
+/// by itself, so that no job waits for another's conflict.
 #[test]
-fn ends_are_recorded_together_and_one_conflict_fails_no_other() {
+fn jobs_recorded_together_are_written_alone_after_a_conflict() {
     let (mut shard, mut outbox, mut store) = shard();
     let mine = ShardEntry {
         owner: owner("n0"),
@@ -82,7 +81,7 @@
         let effects = outbox.take_effects();
         effects
             .into_iter()
-            .map(|effect| records(outbox, effect))
+            .map(|effect| sent_records(outbox, effect))
             .collect::<Vec<_>>()
     };
     let mut first = sent(&mut shard, &mut outbox, 1.0);
--- a/src/core/shard/tracking.rs
+++ b/src/core/shard/tracking.rs
@@ -267,7 +267,7 @@
         };
         let here = Task::Placed(id.clone(), attempt);
         match job.task(task.index) {
-            Some(Task::Unsettled | Task::Waiting) if !tracked.exited() => {
+            Some(Task::Unreconciled | Task::Waiting) if !tracked.exited() => {
                 job.set(task.index, here, Some(&machine.zone));
                 job.began = true;
             }
