--- a/src/core/controller/status.rs
+++ b/src/core/controller/status.rs
@@ -56,12 +56,12 @@
         let now = self.outbox.now;
         let detector = self.peers.detector();
         let status = |(node, evidence): (Node, Evidence)| {
-            let told = detector.told_of(&node, now).into_iter();
-            let told = told.map(|(observer, opinion, age_s)| OpinionStatus {
-                observer: observer.to_string(),
+            let told = detector.received_opinions(&node, now).into_iter();
+            let told = told.map(|opinion| OpinionStatus {
+                observer: opinion.observer.to_string(),
                 suspects: opinion.suspects,
                 silence_s: opinion.silence_s,
-                age_s,
+                age_s: opinion.age_s,
             });
             SiblingStatus {
                 controller: node.to_string(),
@@ -111,7 +111,8 @@
         if self.leader.is_none() {
             return Some(HandOverWait::Leader);
         }
-        let (given, needed) = self.ownership.consents_to(process);
+        let consents = self.ownership.consents_to(process);
+        let (given, needed) = (consents.given, consents.needed);
         Some(HandOverWait::Consents { given, needed })
     }
 
@@ -153,7 +154,7 @@
         let owner = self.shard.as_ref()?;
         let team = owner.teams.get(&team_limits.name)?;
         let usage = owner.usage(&self.store, self.outbox.wall_ms);
-        let (own, inherited) = usage.under_grants(&team_limits.name);
+        let (own, inherited) = usage.own_and_inherited(&team_limits.name);
         Some(OwnedTeamStatus {
             basis: basis(team.grant.as_ref()),
             used: capacity(&own.plus(&inherited)),
--- a/src/core/controller/user_requests.rs
+++ b/src/core/controller/user_requests.rs
@@ -83,7 +83,10 @@
             return self.give_up(request);
         }
         let silent = self.store.state_silence(now) > SILENCE;
-        if silent && matches!(reply_to, ReplyTo::User(_)) && self.peers.with_state(now).is_some() {
+        if silent
+            && matches!(reply_to, ReplyTo::User(_))
+            && self.peers.sibling_reading_store(now).is_some()
+        {
             // Only this controller is cut off from the store: a sibling answers at once what would be late here.
             return self.pass_on(request);
         }
@@ -105,7 +108,7 @@
         let record = submitted(spec, self.outbox.wall_ms);
         let key = job_key(id);
         let write = put(&key, &record, None);
-        let Some(never_fits) = self.catalog.refusal(&self.config, spec) else {
+        let Some(never_fits) = self.catalog.can_never_run(&self.config, spec) else {
             return self.give_up(request);
         };
         let problem = self.submission_problem(spec, never_fits, &write);
@@ -295,7 +298,7 @@
     /// Handles a request that this controller cannot answer: if it is cut off from the store, a sibling may
     /// answer; otherwise the user is told at once when to retry.
     fn give_up(&mut self, request: WaitingRequest) {
-        if self.has_state() {
+        if self.reads_store() {
             return self.reply(request.reply_to, Answer::unavailable());
         }
         self.pass_on(request);
@@ -303,7 +306,7 @@
 
     /// Passes a user's request on to a sibling that reaches the store, if there is one.
     fn pass_on(&mut self, waiting: WaitingRequest) {
-        let sibling = self.peers.with_state(self.outbox.now).cloned();
+        let sibling = self.peers.sibling_reading_store(self.outbox.now).cloned();
         let (ReplyTo::User(request), Some(node)) = (waiting.reply_to, sibling) else {
             return self.reply(waiting.reply_to, Answer::unavailable());
         };
@@ -346,7 +349,7 @@
     /// Gives up the requests that have waited too long, and resumes those whose postponed write may be sent.
     pub(crate) fn time_out_user_requests(&mut self) {
         let now = self.outbox.now;
-        let cut_off = !self.has_state() && self.store.state_silence(now) > POLL_WAIT;
+        let cut_off = !self.reads_store() && self.store.state_silence(now) > POLL_WAIT;
         let mut index = 0;
         // Requests that wait again are appended, and are visited as well.
         while let Some(request) = self.user_requests.waiting.get(index) {
--- a/src/core/records/shard_map.rs
+++ b/src/core/records/shard_map.rs
@@ -3,7 +3,7 @@
 use crate::core::model::process::ProcessId;
 use crate::ids::{FencingToken, MachineId, Node, Team};
 use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
 /// One stored value of the shard map, which is split into chunks to keep values small.
 #[derive(Clone, Debug, PartialEq, Eq, Default, Serialize, Deserialize)]
@@ -97,4 +97,10 @@
         }
         map
     }
+
+    /// The processes that own at least one team or machine.
+    pub fn owning_processes(&self) -> BTreeSet<ProcessId> {
+        let owners = self.teams.values().chain(self.machines.values());
+        owners.map(ShardOwner::process).collect()
+    }
 }
--- a/src/core/shard/tests.rs
+++ b/src/core/shard/tests.rs
@@ -1,11 +1,13 @@
 use super::*;
+use crate::core::machines::machine::TrackedAttempt;
 use crate::core::messages::shard_update::Unresponsive;
+use crate::core::records::job_record::JobRecord;
 use crate::core::records::keys::job_key;
 use crate::core::records::shard_map::{ShardEntry, ShardOwner};
 use crate::core::records::versioned::put;
 use crate::core::shard::owned_jobs::describe_terminating;
 use crate::core::test_support::{map, owner, record, shard};
-use crate::ids::TaskId;
+use crate::ids::{Attempt, FencingToken, TaskId, Version};
 
 /// Its owner may have changed without this process having read so; then somebody else answers
 /// it, and its tasks live on (hunted days of a starved controller).
@@ -125,7 +127,7 @@
         agent_epoch: 1,
         sequence,
         token: FencingToken(9),
-        notice_s: None,
+        reclaim_notice_s: None,
         tasks: Vec::new(),
     };
     let handle_heartbeat = |shard: &mut Shard, outbox: &mut Outbox, now, sequence| {
@@ -199,7 +201,7 @@
         task: task.to_string(),
         attempt: Attempt(1),
         state: crate::wire::TaskState::Running,
-        why: None,
+        exit: None,
         checkpointed: None,
     };
     shard.take_task(&mut outbox, &store, &id, task.clone(), &shown);
--- a/src/core/shard/tracking.rs
+++ b/src/core/shard/tracking.rs
@@ -134,7 +134,7 @@
         let Some(machine) = self.machines.get_mut(&id) else {
             return;
         };
-        machine.reclaimed_at = heartbeat.notice_s.map(|left| now + left);
+        machine.reclaimed_at = heartbeat.reclaim_notice_s.map(|left| now + left);
         self.changed |= machine.reclaimed_at.is_some();
         if heartbeat.token != machine.token {
             return;
@@ -216,7 +216,7 @@
         };
         let stored = store.job(&task.job).map(|stored| &stored.record);
         let phase = match reported.state {
-            TaskState::Exited => Phase::Exited(reported.why.unwrap_or(Exit::Other)),
+            TaskState::Exited => Phase::Exited(reported.exit.unwrap_or(Exit::Other)),
             state => Phase::Seen(state),
         };
         let tracked = machine
@@ -339,7 +339,7 @@
             Exit::NoRoom | Exit::Busy | Exit::UnknownJob => {
                 retry.not_before = now + self.config.deployment.workers.report_s * 0.5;
             }
-            Exit::Stopped | Exit::PeersGone | Exit::Alone | Exit::Done => {}
+            Exit::Stopped | Exit::PeersGone | Exit::GangIncomplete | Exit::Done => {}
         }
         self.attempt_lost(id, task, attempt);
     }
