--- a/src/core/controller/acquired_machines.rs
+++ b/src/core/controller/acquired_machines.rs
@@ -1,6 +1,7 @@
-//! Machines that have come to this share. Their workers may still wait for an answer of a process that has ended; so they
-//! are asked at once what they hold, by a direct message that orders nothing. Its token voids all that was sent
-//! under an earlier one, and its answer is a report that shows the token.
+//! Inspection of machines that this controller's shard has acquired. Their workers may still wait for an
+//! answer of a process that has ended; so each machine is sent a direct message without commands at once. Its
+//! token makes everything void that was sent under an earlier one, and its answer is a heartbeat that shows
+//! the token.
 
 use crate::core::Core;
 use crate::core::effects::WorkerReply;
@@ -8,50 +9,53 @@
 use crate::wire::DirectCommands;
 
 impl Core {
-    /// Asks machines that this share has gained what they hold, as many at once as there may be.
+    /// Inspects acquired machines, in as many messages as may be in flight at once.
     pub(crate) fn inspect_acquired_machines(&mut self) {
-        let Some(owner) = self.shard.as_mut() else {
+        let Some(shard) = self.shard.as_mut() else {
             return;
         };
         if !self.config.features.acts_on_failures() {
-            return owner.uninspected_machines.clear();
+            return shard.uninspected_machines.clear();
         }
-        let most = owner.max_direct_commands();
-        while self.outbox.direct_commands() < most
-            && let Some(id) = owner.uninspected_machines.pop_first()
+        let limit = shard.max_direct_commands();
+        while self.outbox.direct_commands() < limit
+            && let Some(machine_id) = shard.uninspected_machines.pop_first()
         {
-            let machine = owner.machines.get(&id);
-            let machine = machine.filter(|machine| machine.is_owned && !machine.reconciled());
-            let (Some(machine), Some(contact)) = (machine, self.contacts.get(&id)) else {
+            let machine = shard
+                .machines
+                .get(&machine_id)
+                .filter(|machine| machine.is_owned && !machine.reconciled());
+            let (Some(machine), Some(contact)) = (machine, self.contacts.get(&machine_id)) else {
                 continue;
             };
-            let commands = Vec::new();
             let message = DirectCommands {
                 token: machine.token,
                 agent_epoch: contact.agent_epoch,
-                commands,
+                commands: Vec::new(),
             };
-            self.outbox.inspect(&id, &contact.address, message);
+            self.outbox.inspect(&machine_id, &contact.address, message);
         }
     }
 
-    /// A machine that was asked has answered, or not: then its report is waited for.
-    pub(crate) fn inspection_answered(&mut self, id: &MachineId, reply: WorkerReply) {
-        let Some(owner) = self.shard.as_mut() else {
+    /// An inspected machine has answered. Of one that has not, the next heartbeat is awaited.
+    pub(crate) fn inspection_answered(&mut self, machine_id: &MachineId, reply: WorkerReply) {
+        let Some(shard) = self.shard.as_mut() else {
             return;
         };
         match reply {
-            WorkerReply::Executed(heartbeat) if heartbeat.machine == *id => {
-                owner.take_answer(&mut self.outbox, &self.store, &self.catalog, &heartbeat);
+            WorkerReply::Executed(heartbeat) if heartbeat.machine == *machine_id => {
+                let now = self.outbox.now;
+                shard.apply_inspection(&self.store, &self.catalog, &heartbeat, now);
             }
-            WorkerReply::Fenced(heartbeat) if heartbeat.machine == *id => {
-                // Its session has risen since; asked once more for each that is higher.
-                let contact = self.contacts.get_mut(id);
-                if let Some(contact) =
-                    contact.filter(|contact| contact.agent_epoch < heartbeat.agent_epoch)
-                {
+            WorkerReply::Fenced(heartbeat) if heartbeat.machine == *machine_id => {
+                // Its agent epoch has advanced; it is inspected once more for each later epoch.
+                let contact = self
+                    .contacts
+                    .get_mut(machine_id)
+                    .filter(|contact| contact.agent_epoch < heartbeat.agent_epoch);
+                if let Some(contact) = contact {
                     contact.agent_epoch = heartbeat.agent_epoch;
-                    owner.uninspected_machines.insert(id.clone());
+                    shard.uninspected_machines.insert(machine_id.clone());
                 }
             }
             _ => {}
--- a/src/core/controller/acquired_machines/tests.rs
+++ b/src/core/controller/acquired_machines/tests.rs
@@ -1,17 +1,16 @@
 use super::*;
 use crate::core::effects::Effect;
-use crate::core::machines::machine::Machine;
+use crate::core::machines::machine::{HeartbeatOrigin, Machine};
 use crate::core::messages::shard_update::{MachineContact, MachineContacts};
 use crate::core::model::time::Time;
-use crate::core::shard::Shard;
 use crate::core::test_support::{heartbeat, running_core};
 use crate::ids::FencingToken;
 
 const NOW: Time = 100.0;
-const TERM: FencingToken = FencingToken(9);
+const TOKEN: FencingToken = FencingToken(9);
 
-/// A controller that has gained machine m-1, last answered at `answered`, and knows where it is reached.
-fn core_with_gained_machine(answered: Time) -> Core {
+/// A controller that has acquired machine m-1, last answered at `answered`, and knows its contact.
+fn core_with_acquired_machine(answered: Time) -> Core {
     let mut core = running_core(2, NOW);
     let id = MachineId::from("m-1");
     let contact = MachineContact {
@@ -20,23 +19,23 @@
     };
     core.contacts
         .extend(MachineContacts::from_iter([(id.clone(), contact)]));
-    let owner = core.shard.as_mut().unwrap();
-    let mut machine = Machine::named(id.clone(), TERM, answered);
+    let shard = core.shard.as_mut().unwrap();
+    let mut machine = Machine::named(id.clone(), TOKEN, answered);
     machine.is_owned = true;
-    owner.machines.insert(id.clone(), machine);
-    owner.uninspected_machines.insert(id);
+    shard.machines.insert(id.clone(), machine);
+    shard.uninspected_machines.insert(id);
     core.outbox.take_effects();
     core
 }
 
-fn questions(core: &mut Core) -> Vec<(String, DirectCommands)> {
+fn inspections(core: &mut Core) -> Vec<(String, DirectCommands)> {
     core.inspect_acquired_machines();
     let effects = core.outbox.take_effects();
-    let questions = effects.into_iter().filter_map(|effect| match effect {
+    let inspections = effects.into_iter().filter_map(|effect| match effect {
         Effect::Worker(_, address, commands) => Some((address, commands)),
         _ => None,
     });
-    questions.collect()
+    inspections.collect()
 }
 
 fn machine(core: &Core) -> &Machine {
@@ -44,73 +43,79 @@
 }
 
 #[test]
-fn a_gained_machine_is_asked_at_once_and_settles_by_its_answer() {
-    let mut core = core_with_gained_machine(NOW);
+fn an_acquired_machine_is_inspected_at_once_and_reconciled_by_its_answer() {
+    let mut core = core_with_acquired_machine(NOW);
     let commands = DirectCommands {
-        token: TERM,
+        token: TOKEN,
         agent_epoch: 1,
         commands: Vec::new(),
     };
-    assert_eq!(questions(&mut core), [("10.0.0.1:9000".into(), commands)]);
-    assert_eq!(questions(&mut core), [], "once");
+    assert_eq!(inspections(&mut core), [("10.0.0.1:9000".into(), commands)]);
+    assert_eq!(inspections(&mut core), [], "once");
     let earlier = heartbeat("m-1", 1, 7, FencingToken(8));
     core.inspection_answered(&"m-1".into(), WorkerReply::Executed(earlier));
     assert!(!machine(&core).reconciled(), "it has not shown the token");
     core.inspection_answered(
         &"m-1".into(),
-        WorkerReply::Executed(heartbeat("m-1", 1, 8, TERM)),
+        WorkerReply::Executed(heartbeat("m-1", 1, 8, TOKEN)),
     );
     assert!(machine(&core).reconciled());
 }
 
 #[test]
-fn a_machine_whose_session_has_risen_is_asked_once_more() {
-    let mut core = core_with_gained_machine(NOW);
-    questions(&mut core);
+fn a_machine_whose_agent_epoch_has_advanced_is_inspected_once_more() {
+    let mut core = core_with_acquired_machine(NOW);
+    inspections(&mut core);
     let fenced = || WorkerReply::Fenced(heartbeat("m-1", 4, 1, FencingToken(8)));
     core.inspection_answered(&"m-1".into(), fenced());
-    assert_eq!(questions(&mut core)[0].1.agent_epoch, 4);
+    assert_eq!(inspections(&mut core)[0].1.agent_epoch, 4);
     core.inspection_answered(&"m-1".into(), fenced());
-    assert_eq!(questions(&mut core), [], "the same again tells nothing new");
+    assert_eq!(
+        inspections(&mut core),
+        [],
+        "the same epoch again proves nothing new"
+    );
 }
 
-/// Its former owner had not answered it for nearly a lease; its worker had just begun a new session, which the new owner took
-/// for over a moment later, and started what it had started there elsewhere too (rough day 15).
+/// The former owner has not answered the machine for nearly a lease, and its worker has just begun a new
+/// agent epoch. If the new owner took that for over a moment later, it would start the machine's tasks
+/// elsewhere while they run.
 #[test]
-fn a_session_that_has_just_begun_is_not_over_with_the_one_before() {
+fn an_agent_epoch_that_has_just_begun_does_not_end_with_the_one_before() {
     let lease = running_core(2, NOW).config.deployment.workers.lease_s;
-    let mut core = core_with_gained_machine(NOW - lease);
+    let mut core = core_with_acquired_machine(NOW - lease);
     core.inspection_answered(
         &"m-1".into(),
-        WorkerReply::Executed(heartbeat("m-1", 2, 1, TERM)),
+        WorkerReply::Executed(heartbeat("m-1", 2, 1, TOKEN)),
     );
     core.store.current_as_of = NOW + 0.5;
-    let owner = core.shard.as_mut().unwrap();
-    owner.expire_machines(&core.store, NOW + 0.5);
+    let shard = core.shard.as_mut().unwrap();
+    shard.expire_machines(&core.store, NOW + 0.5);
     assert!(!machine(&core).known_empty && machine(&core).token_confirmed);
 }
 
 #[test]
-fn an_answer_of_a_session_that_is_over_counts_for_nothing() {
-    let mut core = core_with_gained_machine(NOW);
-    let owner = core.shard.as_mut().unwrap();
-    let machine_of = |owner: &mut Shard| owner.machines.remove(&MachineId::from("m-1")).unwrap();
-    let mut gone = machine_of(owner);
-    gone.agent_epoch = 1;
+fn an_answer_of_an_agent_epoch_that_is_over_changes_nothing() {
+    let mut core = core_with_acquired_machine(NOW);
+    let shard = core.shard.as_mut().unwrap();
+    let gone = shard.machines.get_mut(&MachineId::from("m-1")).unwrap();
+    gone.accept_heartbeat(
+        &heartbeat("m-1", 1, 1, FencingToken(8)),
+        HeartbeatOrigin::Periodic,
+    );
     gone.end_epoch();
-    owner.machines.insert("m-1".into(), gone);
     core.inspection_answered(
         &"m-1".into(),
-        WorkerReply::Executed(heartbeat("m-1", 1, 8, TERM)),
+        WorkerReply::Executed(heartbeat("m-1", 1, 8, TOKEN)),
     );
     assert!(machine(&core).known_empty && !machine(&core).token_confirmed);
 }
 
 #[test]
-fn with_the_switch_off_nobody_is_asked() {
-    let mut core = core_with_gained_machine(NOW);
+fn without_the_feature_no_machine_is_inspected() {
+    let mut core = core_with_acquired_machine(NOW);
     let mut config = (*core.config).clone();
     config.features = crate::features::Features::default();
     core.config = std::rc::Rc::new(config);
-    assert_eq!(questions(&mut core), []);
+    assert_eq!(inspections(&mut core), []);
 }
--- a/src/core/controller/deferred_heartbeats.rs
+++ b/src/core/controller/deferred_heartbeats.rs
@@ -1,6 +1,6 @@
-//! Reports of workers that wait for the map: their machines are about to have another owner. A worker that is sent to
-//! an owner that does not answer waits there for seconds of its lease; so it is kept here for a moment instead,
-//! and then sent to another controller that answers.
+//! Heartbeats whose answers wait for a change of the shard map, since their machines are about to have another
+//! owner. A worker that is sent to an owner that does not answer waits there for seconds of its lease; so
+//! its heartbeat is kept here for a moment instead, and it is then sent to a controller that answers.
 
 use crate::config::Config;
 use crate::core::Core;
@@ -11,112 +11,120 @@
 use crate::wire::Heartbeat;
 use failure_detector::Stage;
 
-/// Part of the time between two reports for which a claimed machine's report waits for the map. If the
-/// machine is not here by then, its worker tries another controller.
-const CLAIM_WAIT_REPORTS: f64 = 0.4;
+/// Part of a heartbeat interval for which the heartbeat of a claimed machine is deferred. If the machine is
+/// not owned here by then, its worker tries another controller.
+const CLAIM_WAIT_HEARTBEATS: f64 = 0.4;
 
-/// Time between reports for which the report of a machine whose owner has failed waits for the hand-over.
-const HAND_OVER_WAIT_REPORTS: f64 = 0.7;
+/// Part of a heartbeat interval for which the heartbeat of a machine whose owner has failed is deferred.
+const HAND_OVER_WAIT_HEARTBEATS: f64 = 0.7;
 
-/// Reports that wait for the map at most, as a part of the limit on sockets.
-const WAITING_PER_SOCKET: f64 = 0.25;
+/// Heartbeats deferred at once at most, as a part of the limit on sockets.
+const DEFERRED_PER_SOCKET: f64 = 0.25;
 
-/// What a report waits for.
+/// What a heartbeat waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeferralReason {
-    /// The machine is claimed and comes here.
+    /// The machine is claimed, and will be owned by this controller.
     Claim,
-    /// The machine's owner has failed; who is next is not known yet. It may answer again.
+    /// The machine's owner has failed, and the next one is not known yet. The failed one may answer again.
     HandOver,
-    /// The machine's owner takes no reports of it any more, or has lost it: the map must name another.
+    /// The machine's owner does not answer its heartbeats any more, or has lost the machine: the shard map
+    /// must name another owner.
     Change,
 }
 
-/// A report that is answered once the map has changed.
+/// A heartbeat that is answered once the shard map has changed.
 struct DeferredHeartbeat {
     request: RequestId,
     heartbeat: Heartbeat,
-    /// Who owned the machine when the report came.
+    /// The owner of the machine when the heartbeat was received.
     owner: ShardOwner,
     reason: DeferralReason,
     until: Time,
 }
 
-/// All reports that wait.
+/// All heartbeats that are deferred.
 pub struct DeferredHeartbeats {
     heartbeats: Vec<DeferredHeartbeat>,
-    most: usize,
-    report_s: Time,
+    limit: usize,
+    interval_s: Time,
 }
 
 impl DeferredHeartbeats {
-    /// None yet.
+    /// No heartbeat is deferred yet.
     pub fn new(config: &Config) -> Self {
         let deployment = &config.deployment;
+        let sockets = deployment.limits.fd_limit as f64;
+        #[expect(
+            clippy::cast_possible_truncation,
+            reason = "a part of the file descriptors, rounded down"
+        )]
+        let limit = (sockets * DEFERRED_PER_SOCKET) as usize;
         Self {
             heartbeats: Vec::new(),
-            most: (deployment.limits.fd_limit as f64 * WAITING_PER_SOCKET) as usize,
-            report_s: deployment.workers.report_s,
+            limit,
+            interval_s: deployment.workers.report_s,
         }
     }
 
-    /// Whether no further report may wait.
+    /// Whether no further heartbeat may be deferred.
     pub fn are_full(&self) -> bool {
-        self.heartbeats.len() >= self.most
+        self.heartbeats.len() >= self.limit
     }
 
-    fn wait(&self, reason: DeferralReason) -> Time {
-        self.report_s
-            * match reason {
-                DeferralReason::Claim => CLAIM_WAIT_REPORTS,
-                DeferralReason::HandOver | DeferralReason::Change => HAND_OVER_WAIT_REPORTS,
-            }
+    /// Seconds for which a heartbeat is deferred.
+    fn wait_s(&self, reason: DeferralReason) -> Time {
+        let intervals = match reason {
+            DeferralReason::Claim => CLAIM_WAIT_HEARTBEATS,
+            DeferralReason::HandOver | DeferralReason::Change => HAND_OVER_WAIT_HEARTBEATS,
+        };
+        self.interval_s * intervals
     }
 }
 
-/// What is to be done with a waiting report now.
-enum Turn {
+/// What is to be done with a deferred heartbeat now.
+enum Disposition {
+    /// It stays deferred.
     Wait,
-    /// Its machine is here.
+    /// Its machine is owned here: it is answered.
     Answer,
-    /// Its machine has an owner that answers.
+    /// Its machine has an owner that answers: its worker is sent there.
     Redirect(Node),
-    /// Its owner, whom its worker does not reach, has a fresh token for it.
+    /// Its owner, which its worker does not reach, has a new token for the machine: it is routed again.
     RouteAgain,
+    /// Its time is over: its worker tries another controller.
     GiveUp,
 }
 
 impl Core {
-    /// Keeps a report until the map has changed.
-    pub(crate) fn wait_for_map(
+    /// Keeps a heartbeat until the shard map has changed.
+    pub(super) fn defer_heartbeat(
         &mut self,
         request: RequestId,
         heartbeat: Heartbeat,
         owner: &ShardOwner,
         reason: DeferralReason,
     ) {
-        let until = self.outbox.now + self.deferred_heartbeats.wait(reason);
-        let owner = owner.clone();
-        let waiting = DeferredHeartbeat {
+        let deferred = DeferredHeartbeat {
             request,
             heartbeat,
-            owner,
+            owner: owner.clone(),
             reason,
-            until,
+            until: self.outbox.now + self.deferred_heartbeats.wait_s(reason),
         };
-        self.deferred_heartbeats.heartbeats.push(waiting);
+        self.deferred_heartbeats.heartbeats.push(deferred);
         self.store.want_sync();
     }
 
-    /// Answers the reports of machines that have come here, and sends those away that have not.
-    pub(crate) fn answer_waiting_reports(&mut self) {
-        for waiting in std::mem::take(&mut self.deferred_heartbeats.heartbeats) {
-            match self.turn(&waiting) {
-                Turn::Wait => self.deferred_heartbeats.heartbeats.push(waiting),
-                Turn::Answer => self.answer_waiting_report(waiting),
-                Turn::Redirect(owner) => self.redirect(waiting.request, Some(owner)),
-                Turn::RouteAgain => self.heartbeat(waiting.request, waiting.heartbeat),
-                Turn::GiveUp => self.give_up_waiting(waiting),
+    /// Answers the heartbeats of machines that are owned here now, and sends workers on whose time is over.
+    pub(crate) fn answer_deferred_heartbeats(&mut self) {
+        for deferred in std::mem::take(&mut self.deferred_heartbeats.heartbeats) {
+            match self.disposition(&deferred) {
+                Disposition::Wait => self.deferred_heartbeats.heartbeats.push(deferred),
+                Disposition::Answer => self.answer_deferred(deferred),
+                Disposition::Redirect(owner) => self.redirect(deferred.request, Some(owner)),
+                Disposition::RouteAgain => self.heartbeat(deferred.request, deferred.heartbeat),
+                Disposition::GiveUp => self.give_up_deferred(&deferred),
             }
         }
         if !self.deferred_heartbeats.heartbeats.is_empty() {
@@ -124,66 +132,66 @@
         }
     }
 
-    fn turn(&self, waiting: &DeferredHeartbeat) -> Turn {
-        let owner = self.store.owners().machines.get(&waiting.heartbeat.machine);
+    fn disposition(&self, deferred: &DeferredHeartbeat) -> Disposition {
+        let owners = &self.store.owners().machines;
+        let owner = owners.get(&deferred.heartbeat.machine);
         if owner.is_some_and(|owner| owner.node == self.config.node) && self.may_answer() {
-            return Turn::Answer;
+            return Disposition::Answer;
         }
-        let answers = |owner: &&ShardOwner| {
-            self.peers.detector().stage(&owner.node) == Stage::Alive
-                && !self.is_unreachable_owner(&owner.node, owner.incarnation)
-        };
-        let before = &waiting.owner;
-        match owner.filter(answers).map(|owner| (owner, waiting.reason)) {
-            Some((owner, DeferralReason::HandOver)) => Turn::Redirect(owner.node.clone()),
-            Some((owner, DeferralReason::Change))
-                if !owner.is(&before.node, before.incarnation) =>
-            {
-                Turn::Redirect(owner.node.clone())
-            }
-            Some((owner, DeferralReason::Change)) if owner.token != before.token => {
-                Turn::RouteAgain
-            }
-            _ if self.outbox.now >= waiting.until => Turn::GiveUp,
-            _ => Turn::Wait,
+        if let Some(owner) = owner
+            && self.owner_answers(owner)
+            && let Some(disposition) = route_to_new_owner(owner, deferred)
+        {
+            return disposition;
+        }
+        if self.outbox.now >= deferred.until {
+            Disposition::GiveUp
+        } else {
+            Disposition::Wait
         }
     }
 
+    /// Whether this controller may answer the heartbeats of its machines.
     fn may_answer(&self) -> bool {
         self.shard.is_some() && self.ownership.holds_lease(self.outbox.now)
     }
 
-    fn answer_waiting_report(&mut self, waiting: DeferredHeartbeat) {
-        match self.handle_heartbeat(waiting.heartbeat.clone()) {
+    fn owner_answers(&self, owner: &ShardOwner) -> bool {
+        self.peers.detector().stage(&owner.node) == Stage::Alive
+            && !self.is_unreachable_owner(&owner.node, owner.incarnation)
+    }
+
+    fn answer_deferred(&mut self, deferred: DeferredHeartbeat) {
+        match self.handle_heartbeat(&deferred.heartbeat) {
             Some(answer) => {
                 self.peers.heard_workers(self.outbox.now);
-                self.outbox.answer(waiting.request, answer);
+                self.outbox.answer(deferred.request, answer);
             }
-            None if self.outbox.now >= waiting.until => self.give_up_waiting(waiting),
-            None => self.deferred_heartbeats.heartbeats.push(waiting),
+            None if self.outbox.now >= deferred.until => self.give_up_deferred(&deferred),
+            None => self.deferred_heartbeats.heartbeats.push(deferred),
         }
     }
 
-    fn give_up_waiting(&mut self, waiting: DeferredHeartbeat) {
-        match waiting.reason {
-            DeferralReason::Claim => self.send_elsewhere(waiting.request, &waiting.owner.node),
+    fn give_up_deferred(&mut self, deferred: &DeferredHeartbeat) {
+        match deferred.reason {
+            DeferralReason::Claim => self.send_elsewhere(deferred.request, &deferred.owner.node),
             DeferralReason::HandOver | DeferralReason::Change => {
-                self.send_to_reachable(waiting.request)
+                self.redirect_to_reachable(deferred.request);
             }
         }
     }
 
-    /// The worker is to go on with the next controller that answers, not with one that keeps it waiting.
-    pub(crate) fn send_to_reachable(&mut self, request: RequestId) {
+    /// Sends a worker to the next controller that answers, instead of one that would keep it waiting.
+    pub(super) fn redirect_to_reachable(&mut self, request: RequestId) {
         let now = self.outbox.now;
-        let usable = |node: &&Node| self.can_serve(node);
+        let serves = |node: &&Node| self.can_serve(node);
         let after = self
             .peers
             .heard(now)
-            .filter(usable)
+            .filter(serves)
             .find(|node| **node > self.config.node);
         let next = after
-            .or_else(|| self.peers.heard(now).find(usable))
+            .or_else(|| self.peers.heard(now).find(serves))
             .cloned();
         match next {
             Some(node) => self.redirect(request, Some(node)),
@@ -192,5 +200,19 @@
     }
 }
 
+/// What is to be done with a deferred heartbeat whose machine has this owner, which answers; None if that
+/// owner is not what the heartbeat waits for.
+fn route_to_new_owner(owner: &ShardOwner, deferred: &DeferredHeartbeat) -> Option<Disposition> {
+    let before = &deferred.owner;
+    match deferred.reason {
+        DeferralReason::Claim => None,
+        DeferralReason::HandOver => Some(Disposition::Redirect(owner.node.clone())),
+        DeferralReason::Change if !owner.is(&before.node, before.incarnation) => {
+            Some(Disposition::Redirect(owner.node.clone()))
+        }
+        DeferralReason::Change => (owner.token != before.token).then_some(Disposition::RouteAgain),
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/core/controller/heartbeat_routing.rs
+++ b/src/core/controller/heartbeat_routing.rs
@@ -1,256 +1,116 @@
-//! Which controller answers a worker's report. A worker reports to one controller at a time; one
-//! that is not its machine's owner sends it there. A worker that has shown the owner's present token
-//! was there already and has left again, so it can't reach the owner: then its report is relayed,
-//! once, so that its lease does not run out meanwhile. While a term is young its machine may have been told the
-//! token by a direct message ([`crate::core::controller::acquired_machines`]), so that its worker was not there yet.
+//! Which controller answers a worker's heartbeat.
+//!
+//! A worker sends its heartbeats to one controller at a time; one that does not own its machine redirects it
+//! to the owner. A worker that has shown the owner's present fencing token was there already and has left
+//! again, so it cannot reach the owner: then its heartbeat is relayed, once, so that its lease does not
+//! expire meanwhile. While a token is new, the worker may have received it in a direct message
+//! ([`crate::core::controller::acquired_machines`]) and not have been at the owner yet.
+
+mod relays;
+
+pub use relays::HeartbeatRelays;
 
-use crate::config::Config;
 use crate::core::Core;
 use crate::core::controller::deferred_heartbeats::DeferralReason;
 use crate::core::effects::pending::Pending;
 use crate::core::effects::{Answer, Body, RequestId};
 use crate::core::messages::mesh::{MeshMessage, MeshReply};
-use crate::core::model::time::Time;
 use crate::core::records::shard_map::ShardOwner;
-use crate::core::store::replica::StoreReplica;
-use crate::ids::{FencingToken, MachineId, Node};
+use crate::ids::Node;
 use crate::wire::{Heartbeat, HeartbeatResponse, redirect_to};
 use failure_detector::Stage;
-use std::collections::BTreeMap;
-
-/// Leases of relaying after which a worker is sent to its owner once more.
-const RELAY_LEASES: f64 = 10.0;
-
-/// Leases after which a worker that was not here again has found its owner.
-const FORGET_LEASES: f64 = 1.0;
-
-/// Leases for which a term is young.
-const YOUNG_LEASES: f64 = 0.5;
-
-/// Relays under way at once at most, as a part of the limit on sockets.
-const RELAYS_PER_SOCKET: f64 = 0.05;
-
-/// The relaying of one machine's reports.
-struct RelayedMachine {
-    since: Time,
-    last: Time,
-}
-
-/// What is to be done with the report of a worker that can't reach its owner.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Route {
-    Relay,
-    /// It has been relayed for long: the worker is to try its owner once more.
-    Shard,
-    /// Too many are under way: the worker is to try another controller.
-    Elsewhere,
-}
-
-/// Machines whose reports are relayed.
-pub struct HeartbeatRelays {
-    lease: Time,
-    machines: BTreeMap<MachineId, RelayedMachine>,
-    under_way: usize,
-    most: usize,
-    next_prune: Time,
-    /// When each term of the map was first seen, and the map of that.
-    tokens: BTreeMap<FencingToken, Time>,
-    map_seen: Option<u64>,
-    /// Workers that were sent to their machines' owners, under which terms.
-    sent: BTreeMap<MachineId, FencingToken>,
-}
-
-impl HeartbeatRelays {
-    /// None yet.
-    pub fn new(config: &Config) -> Self {
-        let sockets = config.deployment.limits.fd_limit as f64;
-        Self {
-            lease: config.deployment.workers.lease_s,
-            machines: BTreeMap::new(),
-            under_way: 0,
-            tokens: BTreeMap::new(),
-            map_seen: None,
-            sent: BTreeMap::new(),
-            most: (sockets * RELAYS_PER_SOCKET).ceil() as usize,
-            next_prune: 0.0,
-        }
-    }
+use relays::Route;
 
-    /// A worker that can't reach its owner is here.
-    fn begin(&mut self, machine: &MachineId, now: Time) -> Route {
-        self.prune(now);
-        if self.under_way >= self.most {
-            return Route::Elsewhere;
-        }
-        let fresh = RelayedMachine {
-            since: now,
-            last: now,
-        };
-        let relayed = self.machines.entry(machine.clone()).or_insert(fresh);
-        relayed.last = now;
-        if now - relayed.since > self.lease * RELAY_LEASES {
-            self.machines.remove(machine);
-            return Route::Shard;
-        }
-        self.under_way += 1;
-        Route::Relay
-    }
+/// HTTP status that sends a worker to another controller.
+const MISDIRECTED: u16 = 421;
 
-    /// Takes up which terms there are.
-    pub(crate) fn follow(&mut self, store: &StoreReplica, now: Time) {
-        let first = self.map_seen.is_none();
-        if self.map_seen.replace(store.map_changes()) == Some(store.map_changes()) {
-            return;
-        }
-        let owners = store.owners();
-        let since = if first { Time::NEG_INFINITY } else { now };
-        let known = std::mem::take(&mut self.tokens);
-        for owner in owners.machines.values() {
-            let seen = known.get(&owner.token).copied().unwrap_or(since);
-            self.tokens.entry(owner.token).or_insert(seen);
+impl Core {
+    /// Answers a worker's heartbeat, or sends the worker to its machine's owner.
+    pub(crate) fn heartbeat(&mut self, request: RequestId, heartbeat: Heartbeat) {
+        if let Some(answer) = self.handle_heartbeat(&heartbeat) {
+            self.peers.heard_workers(self.outbox.now);
+            return self.outbox.answer(request, answer);
         }
-        self.sent
-            .retain(|id, token| owners.machines.get(id).is_some_and(|o| o.token == *token));
-    }
-
-    /// Whether a worker is to try its owner before its reports are relayed: it may know the token without
-    /// having been there. One that is relayed already could not reach that owner, whatever its token.
-    fn owner_first(&mut self, machine: &MachineId, token: FencingToken, now: Time) -> bool {
-        if self.include(machine) {
-            return false;
+        let owners = &self.store.owners().machines;
+        match owners.get(&heartbeat.machine).cloned() {
+            Some(owner) => self.route_to_owner(request, heartbeat, owner),
+            None => self.route_unassigned(request, &heartbeat),
         }
-        let young = self
-            .tokens
-            .get(&token)
-            .is_some_and(|seen| now - seen < self.lease * YOUNG_LEASES);
-        young && self.sent.insert(machine.clone(), token) != Some(token)
     }
 
-    /// A machine's reports are relayed.
-    #[cfg(test)]
-    pub fn mark(&mut self, machine: &MachineId, now: Time) {
-        self.machines.insert(
-            machine.clone(),
-            RelayedMachine {
-                since: now,
-                last: now,
-            },
-        );
-        self.under_way += 1;
-    }
-
-    fn include(&self, machine: &MachineId) -> bool {
-        self.machines.contains_key(machine)
-    }
-
-    fn end(&mut self) {
-        self.under_way -= 1;
-    }
-
-    fn prune(&mut self, now: Time) {
-        if now >= self.next_prune {
-            let forget = self.lease * FORGET_LEASES;
-            self.next_prune = now + forget;
-            self.machines
-                .retain(|_, relayed| now - relayed.last <= forget);
+    /// A machine without an owner: the leader assigns it.
+    fn route_unassigned(&mut self, request: RequestId, heartbeat: &Heartbeat) {
+        let holds_lease = self.ownership.holds_lease(self.outbox.now);
+        if let Some(leader) = self.leader.as_mut().filter(|_| holds_lease) {
+            leader.add_unassigned_machine(heartbeat);
         }
+        let leader = self.store.leader().map(|leader| leader.record.node.clone());
+        self.redirect_to_sibling(request, leader);
     }
-}
 
-impl Core {
-    /// Answers a worker, or sends it to its machine's owner.
-    pub(crate) fn heartbeat(&mut self, request: RequestId, heartbeat: Heartbeat) {
-        let now = self.outbox.now;
-        if let Some(answer) = self.handle_heartbeat(heartbeat.clone()) {
-            self.peers.heard_workers(now);
-            return self.outbox.answer(request, answer);
-        }
-        let owner = self
-            .store
-            .owners()
-            .machines
-            .get(&heartbeat.machine)
-            .cloned();
-        let holds_lease = self.ownership.holds_lease(now);
-        if owner.is_none()
-            && let Some(leader) = self.leader.as_mut().filter(|_| holds_lease)
-        {
-            leader.add_unassigned_machine(&heartbeat);
-        }
-        let left = owner
-            .as_ref()
-            .filter(|owner| self.has_left(&heartbeat, owner));
-        if let Some(owner) = left.filter(|owner| !self.owner_first(&heartbeat, owner)) {
-            match self.relays.begin(&heartbeat.machine, now) {
-                Route::Relay => return self.relay_heartbeat(request, owner.clone(), heartbeat),
-                Route::Elsewhere => return self.send_elsewhere(request, &owner.node.clone()),
-                Route::Shard => {}
+    /// A machine whose owner did not answer here: its heartbeat is relayed or deferred, or its worker is
+    /// sent on.
+    fn route_to_owner(&mut self, request: RequestId, heartbeat: Heartbeat, owner: ShardOwner) {
+        if self.has_left(&heartbeat, &owner) && !self.must_try_owner(&heartbeat, &owner) {
+            match self.relays.begin(&heartbeat.machine, self.outbox.now) {
+                Route::Relay => return self.relay_heartbeat(request, owner, heartbeat),
+                Route::Elsewhere => return self.send_elsewhere(request, &owner.node),
+                Route::Owner => {}
             }
         }
-        if let Some(owner) = owner
-            .as_ref()
-            .filter(|owner| self.may_claim(&heartbeat, owner))
-        {
-            let owner = owner.clone();
+        if self.may_claim(&heartbeat, &owner) {
             return self.claim(request, heartbeat, &owner);
         }
-        if let Some(owner) = owner
-            .as_ref()
-            .filter(|owner| self.awaits_hand_over(&heartbeat, owner))
-        {
-            let owner = owner.clone();
-            return self.await_map(request, heartbeat, &owner, DeferralReason::HandOver);
+        if self.awaits_hand_over(&heartbeat, &owner) {
+            return self.defer_or_redirect(request, heartbeat, &owner, DeferralReason::HandOver);
         }
-        if let Some(owner) = owner
-            .as_ref()
-            .filter(|owner| self.is_overtaken(&heartbeat, owner))
-        {
-            let owner = owner.clone();
-            return self.await_map(request, heartbeat, &owner, DeferralReason::Change);
+        if self.is_overtaken(&heartbeat, &owner) {
+            return self.defer_or_redirect(request, heartbeat, &owner, DeferralReason::Change);
         }
-        // A machine without an owner is the leader's to place.
-        let leader = || self.store.leader().map(|leader| leader.record.node.clone());
-        let to = owner.map(|owner| owner.node).or_else(leader);
-        self.redirect(request, to.filter(|node| *node != self.config.node));
+        self.redirect_to_sibling(request, Some(owner.node));
     }
 
-    /// Whether a worker that knows its owner's token is all the same to try that owner first.
-    fn owner_first(&mut self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
+    /// Whether a worker that knows its owner's token is to try that owner before its heartbeats are relayed.
+    fn must_try_owner(&mut self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
         let now = self.outbox.now;
         self.acts_on_failures()
             && self
                 .relays
-                .owner_first(&heartbeat.machine, owner.token, now)
+                .must_try_owner(&heartbeat.machine, owner.token, now)
     }
 
-    /// Whether a worker knows its machine's owner, which this controller can reach, and is here.
+    /// Whether a worker has been at its machine's owner, which this controller can reach, and is here now.
     fn has_left(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
-        // A relayed machine may not have heard of its owner's fresh token yet.
-        let knows = heartbeat.token == owner.token || self.relays.include(&heartbeat.machine);
-        owner.node != self.config.node && knows && self.peers.hears(&owner.node, self.outbox.now)
+        // A relayed machine may not have received its owner's new token yet.
+        let knows_owner =
+            heartbeat.token == owner.token || self.relays.contains(&heartbeat.machine);
+        owner.node != self.config.node
+            && knows_owner
+            && self.peers.hears(&owner.node, self.outbox.now)
     }
 
-    /// Whether a machine's owner answers nobody, so that its worker is not to be sent there. Of one that is only
-    /// suspected here that is certain if the worker comes from it.
-    pub(crate) fn awaits_hand_over(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
+    /// Whether a machine's owner answers no worker, so that this one is not to be sent there. Of an owner
+    /// that is only suspected here this is certain if the worker comes from it.
+    fn awaits_hand_over(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
         if !self.acts_on_failures() {
             return false;
         }
-        let suspected = self.peers.detector().stage(&owner.node) == Stage::Suspected;
+        let is_suspected = self.peers.detector().stage(&owner.node) == Stage::Suspected;
         let comes_from_owner = heartbeat.token == owner.token;
-        self.is_unreachable_owner(&owner.node, owner.incarnation) || (suspected && comes_from_owner)
+        self.is_unreachable_owner(&owner.node, owner.incarnation)
+            || (is_suspected && comes_from_owner)
     }
 
-    /// Whether the map that is known here is older than what the worker has seen, or may be since the state
-    /// service serves others only. Such a map led workers to owners that had lost them.
+    /// Whether the shard map that is known here is older than what the worker has seen, or may be because
+    /// only siblings reach the store. It would send workers to owners that have lost their machines.
     fn is_overtaken(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
-        let cut_off = !self.has_state() && self.peers.with_state(self.outbox.now).is_some();
-        self.acts_on_failures() && (heartbeat.token > owner.token || cut_off)
+        let is_cut_off = !self.has_state() && self.peers.with_state(self.outbox.now).is_some();
+        self.acts_on_failures() && (heartbeat.token > owner.token || is_cut_off)
     }
 
-    /// The worker waits here for the map. Where the state service is not heard the map does not change:
-    /// then it goes on at once.
-    fn await_map(
+    /// Defers a heartbeat until the shard map has changed. Without the store the map does not change:
+    /// then the worker is redirected at once.
+    fn defer_or_redirect(
         &mut self,
         request: RequestId,
         heartbeat: Heartbeat,
@@ -258,43 +118,50 @@
         reason: DeferralReason,
     ) {
         if self.deferred_heartbeats.are_full() || !self.has_state() {
-            return self.send_to_reachable(request);
+            return self.redirect_to_reachable(request);
         }
-        self.wait_for_map(request, heartbeat, owner, reason);
+        self.defer_heartbeat(request, heartbeat, owner, reason);
     }
 
-    /// The owner's answer, if this controller owns the machine and may act.
-    pub(crate) fn handle_heartbeat(&mut self, heartbeat: Heartbeat) -> Option<Answer> {
-        let holds_lease = self.ownership.holds_lease(self.outbox.now);
+    /// The owner's answer, if this controller owns the machine and holds its ownership lease.
+    pub(super) fn handle_heartbeat(&mut self, heartbeat: &Heartbeat) -> Option<Answer> {
+        let now = self.outbox.now;
+        let holds_lease = self.ownership.holds_lease(now);
         let shard = self.shard.as_mut().filter(|_| holds_lease)?;
-        shard.handle_heartbeat(&mut self.outbox, &self.store, &self.catalog, heartbeat)
+        shard.handle_heartbeat(&self.store, &self.catalog, heartbeat, now)
+    }
+
+    /// Sends a worker to this controller, unless it is this one.
+    fn redirect_to_sibling(&mut self, request: RequestId, to: Option<Node>) {
+        self.redirect(request, to.filter(|node| *node != self.config.node));
     }
 
-    pub(crate) fn redirect(&mut self, request: RequestId, to: Option<Node>) {
+    /// Sends a worker to this controller, or to any other if none is named.
+    pub(super) fn redirect(&mut self, request: RequestId, to: Option<Node>) {
         if let Some(node) = &to {
             self.peers.sent_worker(node, self.outbox.now);
         }
-        self.outbox
-            .answer(request, Answer::value(421, redirect_to(to.as_ref())));
+        let answer = Answer::value(MISDIRECTED, redirect_to(to.as_ref()));
+        self.outbox.answer(request, answer);
     }
 
-    /// The worker is to try the next controller. Sent to an owner that it can't reach it would wait for
-    /// that in vain for 4 s of its lease, which then ended before its machine had a new owner.
+    /// Makes a worker try the next controller. If it were sent to an owner that it can't reach, it would
+    /// wait there in vain for 4 s of its lease, which then could expire before its machine had a new owner.
     pub(crate) fn send_elsewhere(&mut self, request: RequestId, owner: &Node) {
         self.peers.sent_worker(owner, self.outbox.now);
         self.outbox.answer(request, Answer::unavailable());
     }
 
     fn relay_heartbeat(&mut self, request: RequestId, owner: ShardOwner, heartbeat: Heartbeat) {
+        let now = self.outbox.now;
         let node = owner.node.clone();
         tracing::debug!(
-            "{} does not reach {node}: its report is relayed",
-            heartbeat.machine
+            machine = %heartbeat.machine,
+            owner = %node,
+            "heartbeat relayed: its worker does not reach the owner"
         );
-        self.peers.sent_worker(&node, self.outbox.now);
-        self.peers
-            .detector_mut()
-            .worker_left(&node, self.outbox.now);
+        self.peers.sent_worker(&node, now);
+        self.peers.detector_mut().worker_left(&node, now);
         let message = MeshMessage::Heartbeat(Box::new(heartbeat.clone()));
         let pending = Pending::RelayedHeartbeat {
             request,
@@ -304,48 +171,45 @@
         self.outbox.mesh(pending, &node, message);
     }
 
-    /// A sibling relays a report of one of our machines. It is never passed on from here, and it is
-    /// no sign that workers reach this controller.
-    pub(crate) fn relayed_heartbeat(&mut self, request: RequestId, heartbeat: Heartbeat) {
-        let now = self.outbox.now;
-        if let Some(owner) = self.shard.as_mut() {
-            owner.note_relayed(&heartbeat.machine, now);
+    /// Answers a heartbeat that a sibling relays. It is never relayed again from here, and is no sign that
+    /// workers reach this controller.
+    pub(crate) fn relayed_heartbeat(&mut self, request: RequestId, heartbeat: &Heartbeat) {
+        if let Some(shard) = self.shard.as_mut() {
+            shard.note_relayed(&heartbeat.machine, self.outbox.now);
         }
-        let answer = match self.handle_heartbeat(heartbeat) {
+        let response = match self.handle_heartbeat(heartbeat) {
             Some(Answer {
                 status: 200,
-                body: Body::HeartbeatResponse(commands),
+                body: Body::HeartbeatResponse(response),
                 ..
-            }) => Some(commands),
+            }) => Some(response),
             _ => None,
         };
-        self.outbox
-            .mesh_answer(request, MeshReply::HeartbeatResponse(answer));
+        let reply = MeshReply::HeartbeatResponse(response);
+        self.outbox.mesh_answer(request, reply);
     }
 
+    /// The owner has answered a relayed heartbeat, or refused it or not answered (None).
     pub(crate) fn heartbeat_relayed(
         &mut self,
         request: RequestId,
         owner: &ShardOwner,
         heartbeat: Heartbeat,
-        answer: Option<HeartbeatResponse>,
+        response: Option<HeartbeatResponse>,
     ) {
         self.relays.end();
-        match answer {
-            Some(commands) => {
-                let body = Body::HeartbeatResponse(commands);
-                self.outbox.answer(
-                    request,
-                    Answer {
-                        status: 200,
-                        body,
-                        retry_after: None,
-                    },
-                );
+        match response {
+            Some(response) => {
+                let answer = Answer {
+                    status: 200,
+                    body: Body::HeartbeatResponse(response),
+                    retry_after: None,
+                };
+                self.outbox.answer(request, answer);
             }
-            // Whoever gives up a share takes no more reports: the map is about to change.
+            // A controller that gives up its shard answers no heartbeats: the map is about to change.
             None if self.acts_on_failures() => {
-                self.await_map(request, heartbeat, owner, DeferralReason::Change);
+                self.defer_or_redirect(request, heartbeat, owner, DeferralReason::Change);
             }
             None => self.send_elsewhere(request, &owner.node),
         }
--- a/src/core/controller/hello.rs
+++ b/src/core/controller/hello.rs
@@ -95,7 +95,7 @@
             }
             MeshMessage::Poll(id) => self.relayed_request(request, UserRequest::Poll(id)),
             MeshMessage::Cancel(id) => self.relayed_request(request, UserRequest::Cancel(id)),
-            MeshMessage::Heartbeat(heartbeat) => self.relayed_heartbeat(request, *heartbeat),
+            MeshMessage::Heartbeat(heartbeat) => self.relayed_heartbeat(request, &heartbeat),
             MeshMessage::Cancelled(_) => {
                 self.store.want_sync();
                 self.outbox.mesh_answer(request, MeshReply::Noted);
--- a/src/core/controller/machine_claims.rs
+++ b/src/core/controller/machine_claims.rs
@@ -38,6 +38,6 @@
             heartbeat.machine,
             owner.node
         );
-        self.wait_for_map(request, heartbeat, owner, DeferralReason::Claim);
+        self.defer_heartbeat(request, heartbeat, owner, DeferralReason::Claim);
     }
 }
--- /dev/null
+++ b/src/core/machines/machine/commands.rs
@@ -0,0 +1,71 @@
+//! The commands that the next message to a machine carries.
+
+use super::{Machine, Phase, TrackedAttempt};
+use crate::core::machines::starts_in_flight::{AttemptKey, StartsInFlight};
+use crate::wire::Command;
+use std::collections::BTreeSet;
+
+/// How commands reach a machine.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CommandChannel {
+    /// A message on a connection that the controller opens.
+    Direct,
+    /// The response to a heartbeat.
+    HeartbeatResponse,
+}
+
+/// The commands of one message to a machine.
+#[derive(Debug, Default)]
+pub struct CommandBatch {
+    /// The commands, ordered by task and attempt.
+    pub commands: Vec<Command>,
+    /// The attempts that the message starts.
+    pub starts: BTreeSet<AttemptKey>,
+}
+
+impl Machine {
+    /// The commands for the next message, given the starts that are in flight already.
+    pub fn commands(&self, in_flight: &StartsInFlight, channel: CommandChannel) -> CommandBatch {
+        let mut batch = CommandBatch::default();
+        for (key, tracked) in &self.attempts {
+            let Some(command) = self.command(key, tracked, in_flight, channel) else {
+                continue;
+            };
+            if matches!(command, Command::Start { .. }) {
+                batch.starts.insert(key.clone());
+            }
+            batch.commands.push(command);
+        }
+        batch
+    }
+
+    /// The command for one attempt, if it needs one.
+    fn command(
+        &self,
+        key: &AttemptKey,
+        tracked: &TrackedAttempt,
+        in_flight: &StartsInFlight,
+        channel: CommandChannel,
+    ) -> Option<Command> {
+        let (task, attempt) = (key.0.to_string(), key.1);
+        match (&tracked.phase, tracked.stop) {
+            (Phase::Issued, None) => {
+                // A start in an unanswered direct message needs no second one. The response to a
+                // heartbeat carries all starts, for direct messages may not reach the machine.
+                let is_sent =
+                    channel == CommandChannel::Direct && in_flight.awaits_answer(&self.id, key);
+                (!is_sent).then_some(Command::Start { task, attempt })
+            }
+            (Phase::Issued | Phase::Seen(_), Some(grace_s)) => Some(Command::Stop {
+                task,
+                attempt,
+                grace_s,
+            }),
+            // While a start may still arrive, a worker that forgot the exit would start the task again.
+            (Phase::Exited(_), _) if tracked.may_forget && !in_flight.may_arrive(&self.id, key) => {
+                Some(Command::Forget { task, attempt })
+            }
+            (Phase::Seen(_), None) | (Phase::Exited(_), _) => None,
+        }
+    }
+}
--- a/src/core/machines/mod.rs
+++ b/src/core/machines/mod.rs
@@ -1,4 +1,5 @@
-//! TODO.
+//! Machines as the controllers that schedule on them know them: their state, the start commands in
+//! flight to them, the attempts on them, and the claims and silences that concern their owners.
 
 pub mod claims;
 pub mod machine;
--- a/src/core/machines/starts_in_flight.rs
+++ b/src/core/machines/starts_in_flight.rs
@@ -1,15 +1,15 @@
-//! Starts under way to machines: the one place that knows whether a start of an attempt may still
-//! reach its machine.
+//! Start commands in flight to machines: the one place that knows whether the start of an attempt may
+//! still reach its machine.
 //!
-//! A start travels in direct messages, each on a connection of its own, and in the answers to the
-//! machine's reports. Until every message that carried it is known to have been executed, refused or
-//! never sent, the attempt may begin on the machine, whatever its reports show meanwhile: an attempt
+//! A start travels in direct messages, each on a connection of its own, and in the responses to the
+//! machine's heartbeats. Until every message that carried it is known to have been executed, refused or
+//! never sent, the attempt may begin on the machine, whatever its heartbeats show meanwhile: an attempt
 //! that is taken to be absent, or whose exit the worker forgets, would then begin while the task
 //! runs elsewhere (`docs/incidents/2026-12-start-under-way.md`).
 //!
-//! A machine that has shown a higher token or a later session executes nothing that was sent under
-//! an earlier one, so that settles a message too. What is known here outlives the attempts and the
-//! moves of a machine to other controllers and back.
+//! A machine that has shown a higher fencing token or a later agent epoch executes nothing that was sent
+//! under an earlier one, so that makes a message void too. These records outlive the attempts, and the
+//! machine's changes to other owners and back.
 
 use crate::core::effects::CallId;
 use crate::ids::{Attempt, FencingToken, MachineId, TaskId};
@@ -18,36 +18,62 @@
 /// One attempt of a task.
 pub type AttemptKey = (TaskId, Attempt);
 
+/// A worker executes a message only if it knows no higher token, and is in this agent epoch.
+#[derive(Clone, Copy, Debug)]
+pub struct Fence {
+    /// The machine's fencing token when the message was sent.
+    pub token: FencingToken,
+    /// The worker's agent epoch for which it is meant.
+    pub agent_epoch: u64,
+}
+
 /// A direct message with starts.
 #[derive(Debug)]
 struct DirectMessage {
     call: CallId,
-    token: FencingToken,
-    agent_epoch: u64,
+    fence: Fence,
     starts: BTreeSet<AttemptKey>,
-    /// Its answer is not waited for any more, but it may still arrive.
+    /// Its answer is no longer awaited, but the message may still arrive.
     given_up: bool,
 }
 
-/// What is under way to one machine.
-#[derive(Debug, Default)]
-struct MachineStarts {
-    direct: Vec<DirectMessage>,
-    /// The answer to its newest report. A worker has one report under way at a time, and executes the
-    /// answer before it reports again or never.
-    answer: Option<HeartbeatResponse>,
-}
-
-/// The starts in the answer to a report of this session.
+/// The starts in the response to a heartbeat of this agent epoch.
 #[derive(Debug)]
 struct HeartbeatResponse {
     agent_epoch: u64,
     starts: BTreeSet<AttemptKey>,
 }
 
+/// The starts in flight to one machine.
+#[derive(Debug, Default)]
+struct MachineStarts {
+    direct: Vec<DirectMessage>,
+    /// The response to its newest heartbeat. A worker has one heartbeat in flight at a time, and executes
+    /// the response before it sends the next one, or never.
+    response: Option<HeartbeatResponse>,
+}
+
 impl MachineStarts {
     fn is_empty(&self) -> bool {
-        self.direct.is_empty() && self.answer.is_none()
+        self.direct.is_empty() && self.response.is_none()
+    }
+
+    fn may_arrive(&self, attempt: &AttemptKey) -> bool {
+        let in_response = self
+            .response
+            .as_ref()
+            .is_some_and(|response| response.starts.contains(attempt));
+        in_response
+            || self
+                .direct
+                .iter()
+                .any(|message| message.starts.contains(attempt))
+    }
+
+    fn awaits_answer(&self, attempt: &AttemptKey) -> bool {
+        self.direct
+            .iter()
+            .any(|message| !message.given_up && message.starts.contains(attempt))
     }
 }
 
@@ -58,140 +84,122 @@
 }
 
 impl StartsInFlight {
-    /// A direct message with these starts is sent.
+    /// Records a direct message with these starts that is sent now.
     pub fn sent(
         &mut self,
         machine: &MachineId,
         call: CallId,
-        (token, agent_epoch): (FencingToken, u64),
+        fence: Fence,
         starts: BTreeSet<AttemptKey>,
     ) {
-        if !starts.is_empty() {
-            let message = DirectMessage {
-                call,
-                token,
-                agent_epoch,
-                starts,
-                given_up: false,
-            };
-            self.machines
-                .entry(machine.clone())
-                .or_default()
-                .direct
-                .push(message);
+        if starts.is_empty() {
+            return;
         }
+        let message = DirectMessage {
+            call,
+            fence,
+            starts,
+            given_up: false,
+        };
+        let in_flight = self.machines.entry(machine.clone()).or_default();
+        in_flight.direct.push(message);
     }
 
-    /// A direct message was executed or refused, or it never left: it will not arrive (again). The
-    /// starts it carried.
+    /// A direct message was executed or refused, or was never sent: it will not arrive, or not again.
+    /// Returns the starts it carried.
     pub fn outcome_known(&mut self, machine: &MachineId, call: CallId) -> BTreeSet<AttemptKey> {
-        let Some(starts) = self.machines.get_mut(machine) else {
+        let Some(in_flight) = self.machines.get_mut(machine) else {
             return BTreeSet::new();
         };
-        let at = starts
+        let position = in_flight
             .direct
             .iter()
             .position(|message| message.call == call);
-        let reconciled = at
-            .map(|at| starts.direct.swap_remove(at).starts)
+        let starts = position
+            .map(|position| in_flight.direct.swap_remove(position).starts)
             .unwrap_or_default();
         self.prune(machine);
-        reconciled
+        starts
     }
 
-    /// A direct message got no answer in time: executed, or not, or later. How many there are now
-    /// that may arrive late.
+    /// A direct message was not answered in time: it was executed, or was not, or will be later.
+    /// Returns how many messages to the machine may now arrive late.
     pub fn given_up(&mut self, machine: &MachineId, call: CallId) -> usize {
-        let Some(starts) = self.machines.get_mut(machine) else {
+        let Some(in_flight) = self.machines.get_mut(machine) else {
             return 0;
         };
-        for message in starts
-            .direct
-            .iter_mut()
-            .filter(|message| message.call == call)
-        {
+        let direct = &mut in_flight.direct;
+        for message in direct.iter_mut().filter(|message| message.call == call) {
             message.given_up = true;
         }
-        starts
-            .direct
-            .iter()
-            .filter(|message| message.given_up)
-            .count()
+        direct.iter().filter(|message| message.given_up).count()
     }
 
-    /// A report of the machine, in this session, is answered with these starts.
+    /// Records that a heartbeat of this agent epoch is answered with these starts.
     pub fn answered(
         &mut self,
         machine: &MachineId,
         agent_epoch: u64,
         starts: BTreeSet<AttemptKey>,
     ) {
-        if !starts.is_empty() {
-            let answer = HeartbeatResponse {
-                agent_epoch,
-                starts,
-            };
-            self.machines.entry(machine.clone()).or_default().answer = Some(answer);
+        if starts.is_empty() {
+            return;
         }
+        let in_flight = self.machines.entry(machine.clone()).or_default();
+        in_flight.response = Some(HeartbeatResponse {
+            agent_epoch,
+            starts,
+        });
     }
 
-    /// A newer report of the machine was received: the answer to the one before was executed, or never
-    /// will be.
+    /// A newer heartbeat of the machine was received: the response to the one before was executed, or
+    /// never will be.
     pub fn reported(&mut self, machine: &MachineId) {
-        if let Some(starts) = self.machines.get_mut(machine) {
-            starts.answer = None;
+        if let Some(in_flight) = self.machines.get_mut(machine) {
+            in_flight.response = None;
             self.prune(machine);
         }
     }
 
-    /// The machine has shown this token and session: what was sent under earlier ones is void.
+    /// The machine has shown this token and agent epoch: what was sent under earlier ones is void.
     pub fn shown(&mut self, machine: &MachineId, token: FencingToken, agent_epoch: u64) {
-        if let Some(starts) = self.machines.get_mut(machine) {
-            starts
-                .direct
-                .retain(|message| message.token >= token && message.agent_epoch >= agent_epoch);
-            starts
-                .answer
-                .take_if(|answer| answer.agent_epoch < agent_epoch);
-            self.prune(machine);
-        }
+        let Some(in_flight) = self.machines.get_mut(machine) else {
+            return;
+        };
+        in_flight.direct.retain(|message| {
+            message.fence.token >= token && message.fence.agent_epoch >= agent_epoch
+        });
+        in_flight
+            .response
+            .take_if(|response| response.agent_epoch < agent_epoch);
+        self.prune(machine);
     }
 
-    /// Keeps what is under way to these machines; the others are gone.
-    pub fn retain(&mut self, known: impl Fn(&MachineId) -> bool) {
-        self.machines.retain(|machine, _| known(machine));
+    /// Drops the starts to machines that no longer exist.
+    pub fn retain(&mut self, exists: impl Fn(&MachineId) -> bool) {
+        self.machines.retain(|machine, _| exists(machine));
     }
 
-    /// The session in which everything was sent is over.
+    /// The agent epoch in which everything was sent is over: nothing of it will be executed.
     pub fn void(&mut self, machine: &MachineId) {
         self.machines.remove(machine);
     }
 
     /// Whether a start of this attempt may still arrive.
     pub fn may_arrive(&self, machine: &MachineId, attempt: &AttemptKey) -> bool {
-        self.machines.get(machine).is_some_and(|starts| {
-            starts
-                .answer
-                .as_ref()
-                .is_some_and(|answer| answer.starts.contains(attempt))
-                || starts
-                    .direct
-                    .iter()
-                    .any(|message| message.starts.contains(attempt))
-        })
+        self.machines
+            .get(machine)
+            .is_some_and(|in_flight| in_flight.may_arrive(attempt))
     }
 
-    /// Whether a direct message with its start is waiting for an answer.
+    /// Whether a direct message with the start of this attempt is awaiting its answer.
     pub fn awaits_answer(&self, machine: &MachineId, attempt: &AttemptKey) -> bool {
-        self.machines.get(machine).is_some_and(|starts| {
-            let waits = |message: &DirectMessage| !message.given_up;
-            starts
-                .direct
-                .iter()
-                .any(|m| waits(m) && m.starts.contains(attempt))
-        })
+        self.machines
+            .get(machine)
+            .is_some_and(|in_flight| in_flight.awaits_answer(attempt))
     }
 
+    /// Keeps no entry without starts.
     fn prune(&mut self, machine: &MachineId) {
         if self
             .machines
--- a/src/core/machines/starts_in_flight/tests.rs
+++ b/src/core/machines/starts_in_flight/tests.rs
@@ -10,65 +10,73 @@
     )
 }
 
+fn fence(token: u64, agent_epoch: u64) -> Fence {
+    Fence {
+        token: FencingToken(token),
+        agent_epoch,
+    }
+}
+
 fn starts(numbers: &[u64]) -> BTreeSet<AttemptKey> {
     numbers.iter().map(|number| attempt(*number)).collect()
 }
 
-/// Each message is settled by itself, and what was given up may still arrive.
+/// The outcome of each message is recorded by itself, and one that was given up may still arrive.
 #[test]
-fn one_message_says_nothing_of_another() {
-    let (mut flying, id) = (StartsInFlight::default(), MachineId::from("m-1"));
-    let under = (FencingToken(5), 1);
-    flying.sent(&id, CallId(1), under, starts(&[1]));
-    flying.sent(&id, CallId(2), under, starts(&[1, 2]));
-    flying.sent(&id, CallId(3), under, starts(&[]));
-    assert_eq!(flying.outcome_known(&id, CallId(2)), starts(&[1, 2]));
-    assert!(flying.may_arrive(&id, &attempt(1)) && flying.awaits_answer(&id, &attempt(1)));
-    assert!(!flying.may_arrive(&id, &attempt(2)));
-    assert_eq!(flying.given_up(&id, CallId(1)), 1);
-    assert!(flying.may_arrive(&id, &attempt(1)) && !flying.awaits_answer(&id, &attempt(1)));
-    assert!(!flying.may_arrive(&"m-2".into(), &attempt(1)));
+fn the_outcome_of_one_message_proves_nothing_of_another() {
+    let (mut in_flight, id) = (StartsInFlight::default(), MachineId::from("m-1"));
+    let sent_under = fence(5, 1);
+    in_flight.sent(&id, CallId(1), sent_under, starts(&[1]));
+    in_flight.sent(&id, CallId(2), sent_under, starts(&[1, 2]));
+    in_flight.sent(&id, CallId(3), sent_under, starts(&[]));
+    assert_eq!(in_flight.outcome_known(&id, CallId(2)), starts(&[1, 2]));
+    assert!(in_flight.may_arrive(&id, &attempt(1)) && in_flight.awaits_answer(&id, &attempt(1)));
+    assert!(!in_flight.may_arrive(&id, &attempt(2)));
+    assert_eq!(in_flight.given_up(&id, CallId(1)), 1);
+    assert!(in_flight.may_arrive(&id, &attempt(1)) && !in_flight.awaits_answer(&id, &attempt(1)));
+    assert!(!in_flight.may_arrive(&"m-2".into(), &attempt(1)));
     assert!(
-        flying.outcome_known(&id, CallId(9)).is_empty(),
-        "unknown, or settled before"
+        in_flight.outcome_known(&id, CallId(9)).is_empty(),
+        "unknown, or its outcome was known before"
     );
-    flying.outcome_known(&id, CallId(1));
+    in_flight.outcome_known(&id, CallId(1));
     assert!(
-        flying.machines.is_empty(),
-        "nothing is kept of what is settled"
+        in_flight.machines.is_empty(),
+        "nothing is kept of messages whose outcomes are known"
     );
 }
 
-/// A higher token or a later session makes void what was sent under an earlier one, and only that.
+/// A higher token or a later agent epoch makes void what was sent under an earlier one, and only that.
 #[test]
-fn a_fresh_token_or_session_makes_earlier_messages_void() {
-    let (mut flying, id) = (StartsInFlight::default(), MachineId::from("m-1"));
-    flying.sent(&id, CallId(1), (FencingToken(5), 1), starts(&[1]));
-    flying.sent(&id, CallId(2), (FencingToken(7), 1), starts(&[2]));
-    flying.sent(&id, CallId(3), (FencingToken(7), 2), starts(&[3]));
-    flying.shown(&id, FencingToken(5), 1);
+fn a_higher_token_or_later_agent_epoch_makes_earlier_messages_void() {
+    let (mut in_flight, id) = (StartsInFlight::default(), MachineId::from("m-1"));
+    in_flight.sent(&id, CallId(1), fence(5, 1), starts(&[1]));
+    in_flight.sent(&id, CallId(2), fence(7, 1), starts(&[2]));
+    in_flight.sent(&id, CallId(3), fence(7, 2), starts(&[3]));
+    in_flight.shown(&id, FencingToken(5), 1);
     assert!(
-        flying.may_arrive(&id, &attempt(1)),
+        in_flight.may_arrive(&id, &attempt(1)),
         "an older message of the worker proves nothing"
     );
-    flying.shown(&id, FencingToken(7), 1);
-    assert!(!flying.may_arrive(&id, &attempt(1)) && flying.may_arrive(&id, &attempt(2)));
-    flying.shown(&id, FencingToken(6), 2);
-    assert!(!flying.may_arrive(&id, &attempt(2)) && flying.may_arrive(&id, &attempt(3)));
-    flying.void(&id);
-    assert!(!flying.may_arrive(&id, &attempt(3)));
+    in_flight.shown(&id, FencingToken(7), 1);
+    assert!(!in_flight.may_arrive(&id, &attempt(1)) && in_flight.may_arrive(&id, &attempt(2)));
+    in_flight.shown(&id, FencingToken(6), 2);
+    assert!(!in_flight.may_arrive(&id, &attempt(2)) && in_flight.may_arrive(&id, &attempt(3)));
+    in_flight.void(&id);
+    assert!(!in_flight.may_arrive(&id, &attempt(3)));
 }
 
-/// The answer to a report is through once the worker reports again, or is in a later session.
+/// The response to a heartbeat is executed, or void, once the worker sends the next one or is in a later
+/// agent epoch.
 #[test]
-fn the_answer_to_a_report_may_arrive_until_the_next_one() {
-    let (mut flying, id) = (StartsInFlight::default(), MachineId::from("m-1"));
-    flying.answered(&id, 1, starts(&[1]));
-    flying.shown(&id, FencingToken(9), 1);
-    assert!(flying.may_arrive(&id, &attempt(1)) && !flying.awaits_answer(&id, &attempt(1)));
-    flying.reported(&id);
-    assert!(!flying.may_arrive(&id, &attempt(1)));
-    flying.answered(&id, 1, starts(&[2]));
-    flying.shown(&id, FencingToken(9), 2);
-    assert!(!flying.may_arrive(&id, &attempt(2)) && flying.machines.is_empty());
+fn the_response_to_a_heartbeat_may_arrive_until_the_next_heartbeat() {
+    let (mut in_flight, id) = (StartsInFlight::default(), MachineId::from("m-1"));
+    in_flight.answered(&id, 1, starts(&[1]));
+    in_flight.shown(&id, FencingToken(9), 1);
+    assert!(in_flight.may_arrive(&id, &attempt(1)) && !in_flight.awaits_answer(&id, &attempt(1)));
+    in_flight.reported(&id);
+    assert!(!in_flight.may_arrive(&id, &attempt(1)));
+    in_flight.answered(&id, 1, starts(&[2]));
+    in_flight.shown(&id, FencingToken(9), 2);
+    assert!(!in_flight.may_arrive(&id, &attempt(2)) && in_flight.machines.is_empty());
 }
--- a/src/core/machines/task_index.rs
+++ b/src/core/machines/task_index.rs
@@ -1,23 +1,23 @@
-//! On which machines tasks of each job may be, so that what happens to a job costs in proportion to
-//! its own tasks and not to the fleet.
+//! The machines on which attempts of each job may be, so that the cost of an event of a job depends on
+//! its own tasks and not on the size of the fleet.
 
 use crate::ids::{JobId, MachineId};
 use std::collections::BTreeMap;
 
-/// Attempts that may be on machines, by job and machine.
+/// Numbers of attempts that may be on machines, by job and machine.
 #[derive(Default)]
 pub struct TaskIndex {
     attempts: BTreeMap<JobId, BTreeMap<MachineId, usize>>,
 }
 
 impl TaskIndex {
-    /// An attempt of a job may be on a machine from now on.
+    /// Adds an attempt of a job that may be on a machine.
     pub fn add(&mut self, job: &JobId, machine: &MachineId) {
         let machines = self.attempts.entry(job.clone()).or_default();
         *machines.entry(machine.clone()).or_default() += 1;
     }
 
-    /// An attempt of a job is not on a machine any more.
+    /// Removes an attempt of a job that is no longer on a machine.
     pub fn remove(&mut self, job: &JobId, machine: &MachineId) {
         let Some(machines) = self.attempts.get_mut(job) else {
             return;
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The machines on which tasks of a job may be.
+    /// The machines on which attempts of a job may be, in order.
     pub fn machines_of(&self, job: &JobId) -> Vec<MachineId> {
         self.attempts
             .get(job)
--- a/src/core/machines/unresponsive.rs
+++ b/src/core/machines/unresponsive.rs
@@ -1,10 +1,11 @@
-//! What is known of machines that their owners do not hear.
+//! Machines that their owners have declared unresponsive.
 //!
-//! An owner that has not heard a machine for most of a lease says so, and from then on does not answer
-//! it under the present term any more: should it report again, it first gets a fresh token. So the
-//! time of its last answer is settled for good, and whoever has the machine next can count the
-//! lease from there instead of from the hand-over. The map names the term that came directly
-//! before (`prior`), if its owner was known to have said this under it; only then does it count.
+//! An owner that has received no heartbeat of a machine for most of a lease declares it unresponsive,
+//! and from then on does not answer it under the present fencing token: if the machine sends a
+//! heartbeat again, it first gets a new token. So the time of the last answer under that token is final,
+//! and the next owner can count the lease from there instead of from the change of owner. The shard map
+//! names the token that came directly before the present one (`previous_token`) if its owner was known
+//! to have declared the machine unresponsive under it; only then does the declaration count.
 
 use crate::core::messages::shard_update::Unresponsive;
 use crate::core::model::time::{CLOCK_DRIFT, Time};
@@ -12,51 +13,71 @@
 use crate::ids::{FencingToken, MachineId};
 use std::collections::BTreeMap;
 
+/// A machine is not answered under a token any more.
+struct Declaration {
+    token: FencingToken,
+    /// When it was last answered, on this process's clock; rather later than earlier.
+    last_answered: Time,
+}
+
+/// All declarations that are known here, by machine.
 #[derive(Default)]
-pub struct UnresponsiveMachines(BTreeMap<MachineId, (FencingToken, Time)>);
+pub struct UnresponsiveMachines(BTreeMap<MachineId, Declaration>);
 
 impl UnresponsiveMachines {
-    /// Takes up what was said, here or elsewhere. Messages take time, so of several words on one
-    /// term the one that puts the last answer earliest is nearest to the truth.
-    pub fn note(&mut self, said: impl IntoIterator<Item = Unresponsive>, now: Time) {
+    /// Records declarations, this process's own or received ones. Messages take time, so of several
+    /// declarations under one token the one with the earliest last answer is nearest to the truth.
+    pub fn note(&mut self, declarations: impl IntoIterator<Item = Unresponsive>, now: Time) {
         for Unresponsive {
             machine,
             token,
             age,
-        } in said
+        } in declarations
         {
-            let answered = now - age * (1.0 - CLOCK_DRIFT);
-            let known = self.0.entry(machine).or_insert((token, answered));
-            if token > known.0 || (token == known.0 && answered < known.1) {
-                *known = (token, answered);
+            let last_answered = now - age * (1.0 - CLOCK_DRIFT);
+            let known = self.0.entry(machine).or_insert(Declaration {
+                token,
+                last_answered,
+            });
+            let is_better = last_answered < known.last_answered;
+            if token > known.token || (token == known.token && is_better) {
+                *known = Declaration {
+                    token,
+                    last_answered,
+                };
             }
         }
     }
 
-    /// Drops what the map has overtaken.
+    /// Drops declarations of machines that are deleted or have a later token, unless the shard map
+    /// refers to them.
     pub fn prune(&mut self, owners: &ShardMap) {
-        self.0.retain(|machine, (token, _)| {
+        self.0.retain(|machine, declaration| {
             let owner = owners.machines.get(machine);
-            owner.is_some_and(|owner| owner.token <= *token || owner.previous_token == Some(*token))
+            owner.is_some_and(|owner| {
+                owner.token <= declaration.token || owner.previous_token == Some(declaration.token)
+            })
         });
     }
 
+    /// All declarations, with ages as of now.
     pub fn all(&self, now: Time) -> Vec<Unresponsive> {
-        let said = self.0.iter();
-        said.map(|(id, (token, answered))| Unresponsive {
-            machine: id.clone(),
-            token: *token,
-            age: now - answered,
-        })
-        .collect()
+        let declarations = self.0.iter();
+        declarations
+            .map(|(id, declaration)| Unresponsive {
+                machine: id.clone(),
+                token: declaration.token,
+                age: now - declaration.last_answered,
+            })
+            .collect()
     }
 
-    /// When the machine was last answered, if it is not answered under this term any more.
+    /// When the machine was last answered under this token, if it is no longer answered under it.
     pub fn answered(&self, machine: &MachineId, token: FencingToken) -> Option<Time> {
         self.0
             .get(machine)
-            .filter(|(of, _)| *of == token)
-            .map(|(_, answered)| *answered)
+            .filter(|declaration| declaration.token == token)
+            .map(|declaration| declaration.last_answered)
     }
 }
 
--- a/src/core/machines/unresponsive/tests.rs
+++ b/src/core/machines/unresponsive/tests.rs
@@ -1,31 +1,31 @@
 use super::*;
 
 #[test]
-fn only_the_term_it_was_said_of_counts() {
-    let said = |token, age| {
+fn only_the_token_under_which_it_was_declared_counts() {
+    let declared = |token, age| {
         [Unresponsive {
             machine: "m-1".into(),
             token: FencingToken(token),
             age,
         }]
     };
-    let mut quiet = UnresponsiveMachines::default();
+    let mut unresponsive = UnresponsiveMachines::default();
     let id = MachineId::from("m-1");
-    quiet.note(said(5, 8.0), 20.0);
-    let at = quiet.answered(&id, FencingToken(5)).unwrap();
+    unresponsive.note(declared(5, 8.0), 20.0);
+    let last_answered = unresponsive.answered(&id, FencingToken(5)).unwrap();
     assert!(
-        (12.0..12.1).contains(&at),
+        (12.0..12.1).contains(&last_answered),
         "clocks differ: later rather than earlier"
     );
-    assert_eq!(quiet.answered(&id, FencingToken(4)), None);
-    quiet.note(said(4, 30.0), 21.0);
-    quiet.note(said(5, 2.0), 21.0);
+    assert_eq!(unresponsive.answered(&id, FencingToken(4)), None);
+    unresponsive.note(declared(4, 30.0), 21.0);
+    unresponsive.note(declared(5, 2.0), 21.0);
     assert_eq!(
-        quiet.answered(&id, FencingToken(5)),
-        Some(at),
-        "older terms and later words add nothing"
+        unresponsive.answered(&id, FencingToken(5)),
+        Some(last_answered),
+        "lower tokens and later answers change nothing"
     );
-    quiet.note(said(6, 8.0), 40.0);
-    assert_eq!(quiet.answered(&id, FencingToken(5)), None);
-    assert!(quiet.answered(&id, FencingToken(6)).is_some());
+    unresponsive.note(declared(6, 8.0), 40.0);
+    assert_eq!(unresponsive.answered(&id, FencingToken(5)), None);
+    assert!(unresponsive.answered(&id, FencingToken(6)).is_some());
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -155,7 +155,7 @@
             },
             Input::Worker(call, reply) => match (self.outbox.finish(call), self.shard.as_mut()) {
                 (Some(Pending::DirectCommands { machine }), Some(owner)) => {
-                    owner.commands_answered(&mut self.outbox, &self.store, &machine, call, reply);
+                    owner.commands_answered(&self.store, &machine, call, reply, self.outbox.now);
                 }
                 (Some(Pending::Inspection { machine }), Some(_)) => {
                     self.inspection_answered(&machine, reply);
@@ -280,7 +280,7 @@
             }
             self.inspect_acquired_machines();
         }
-        self.answer_waiting_reports();
+        self.answer_deferred_heartbeats();
         self.hello_when_due();
     }
 
--- a/src/core/shard/acquired_machines.rs
+++ b/src/core/shard/acquired_machines.rs
@@ -1,41 +1,41 @@
-use crate::core::effects::outbox::Outbox;
+//! Contacts of this shard's machines for their next owners, and the answers of machines that came to this
+//! shard and were asked what is on them ([`crate::core::controller::acquired_machines`]).
+
 use crate::core::messages::shard_update::{MachineContact, MachineContacts};
 use crate::core::model::resources::Resources;
+use crate::core::model::time::Time;
 use crate::core::scheduling::catalog::Catalog;
 use crate::core::shard::Shard;
 use crate::core::store::replica::StoreReplica;
 use crate::wire::Heartbeat;
 
 impl Shard {
-    /// Where the machines of this share are reached.
+    /// Addresses and agent epochs of the machines of this shard.
     pub(crate) fn contacts(&self) -> MachineContacts {
-        let mine = self
-            .machines
+        self.machines
             .values()
-            .filter(|machine| machine.is_owned && machine.token_confirmed);
-        let contact = mine.map(|machine| {
-            let (address, agent_epoch) = (machine.address.clone(), machine.agent_epoch);
-            (
-                machine.id.clone(),
-                MachineContact {
-                    address,
-                    agent_epoch,
-                },
-            )
-        });
-        contact.collect()
+            .filter(|machine| machine.is_owned && machine.token_confirmed)
+            .map(|machine| {
+                let contact = MachineContact {
+                    address: machine.address.clone(),
+                    agent_epoch: machine.agent_epoch(),
+                };
+                (machine.id.clone(), contact)
+            })
+            .collect()
     }
 
-    /// A machine has told what it holds.
-    pub(crate) fn take_answer(
+    /// Applies the heartbeat with which a machine has answered the inspection.
+    pub(crate) fn apply_inspection(
         &mut self,
-        outbox: &mut Outbox,
         store: &StoreReplica,
         catalog: &Catalog,
         heartbeat: &Heartbeat,
+        now: Time,
     ) {
-        let id = &heartbeat.machine;
-        let Some(machine) = self.machines.get_mut(id).filter(|machine| machine.is_owned) else {
+        let machine_id = &heartbeat.machine;
+        let machine = self.machines.get_mut(machine_id);
+        let Some(machine) = machine.filter(|machine| machine.is_owned) else {
             return;
         };
         if heartbeat.agent_epoch <= machine.ended_epoch() {
@@ -44,10 +44,10 @@
         if machine.total == Resources::default() {
             machine.describe(heartbeat, catalog.types());
         }
-        // Its session may have begun a moment ago, since the lease of the one before was over: its own lease
-        // then lasts longer than what the former owner's last answer tells (rough day 15).
-        machine.last_answered = machine.last_answered.max(outbox.now);
+        // The worker may have begun a new agent epoch a moment ago, after the lease of the one before had
+        // expired: then its lease ends later than the former owner's last answer would have it.
+        machine.last_answered = machine.last_answered.max(now);
         machine.known_empty = false;
-        self.take_direct_heartbeat(outbox, store, id, heartbeat);
+        self.apply_command_reply(store, machine_id, heartbeat, now);
     }
 }
--- a/src/core/shard/capacity_planning.rs
+++ b/src/core/shard/capacity_planning.rs
@@ -82,7 +82,7 @@
         let lease = self.config.deployment.workers.lease_s;
         let lag = self.config.deployment.cloud.list_lag_s;
         for machine in self.machines.values().filter(|machine| machine.is_owned) {
-            if now > machine.last_seen.max(machine.last_answered) + lease * SILENT_LEASES + lag {
+            if now > machine.known_since.max(machine.last_answered) + lease * SILENT_LEASES + lag {
                 need.unheard_machines.push(machine.id.clone());
             } else if machine.needs_new_token && !machine.address.is_empty() {
                 need.tokens_to_renew
@@ -137,7 +137,7 @@
     pub(crate) fn candidates(&self, now: Time) -> Vec<PackingCandidate> {
         let lease = self.config.deployment.workers.lease_s;
         let usable = self.machines.values().filter(|machine| {
-            let terminating = machine.reclaimed_at.is_some() || now < machine.cordoned_until;
+            let terminating = machine.reclaimed_at.is_some() || machine.is_cordoned(now);
             machine.is_owned
                 && !terminating
                 && !machine.unresponsive
@@ -299,7 +299,7 @@
         let given =
             |id| need.spare_machines.contains(id) || need.opportunistic_only_machines.contains(id);
         let rest = rest.filter(|machine| !given(&machine.id));
-        let rest = rest.map(|machine| (machine.id.clone(), machine.room_beside_urgent()));
+        let rest = rest.map(|machine| (machine.id.clone(), machine.gpus_without_urgent_work()));
         need.machines_with_free_gpus = rest.filter(|(_, gpus)| *gpus > 0.0).collect();
         need.machines_with_free_gpus
             .sort_by(|a, b| b.1.total_cmp(&a.1));
--- a/src/core/shard/commands.rs
+++ b/src/core/shard/commands.rs
@@ -1,10 +1,12 @@
-//! What machines are told: starts and stops, in direct messages and in the answers to reports.
+//! Commands to machines: starts and stops, sent in direct messages and in the responses to heartbeats.
 
 use crate::core::effects::outbox::Outbox;
 use crate::core::effects::{CallId, WorkerReply};
 use crate::core::jobs::job::Task;
-use crate::core::machines::machine::{Carrier, CommandBatch, Freshness, Phase, TrackedAttempt};
-use crate::core::machines::starts_in_flight::AttemptKey;
+use crate::core::machines::machine::{
+    CommandBatch, CommandChannel, Freshness, HeartbeatOrigin, Phase, TrackedAttempt,
+};
+use crate::core::machines::starts_in_flight::{AttemptKey, Fence};
 use crate::core::model::time::Time;
 use crate::core::shard::Shard;
 use crate::core::shard::owned_jobs::describe;
@@ -13,150 +15,165 @@
 use crate::wire::{DirectCommands, Heartbeat};
 use std::collections::BTreeSet;
 
-/// Direct orders under way at once at most, as a part of the limit on sockets. What is over goes in
-/// the answers to the next reports, or as soon as others have been answered.
-const COMMANDS_PER_SOCKET: f64 = 0.15;
+/// Direct messages in flight at once at most, as a part of the limit on sockets. Further commands go in the
+/// responses to the next heartbeats, or directly as soon as other messages have been answered.
+const DIRECT_MESSAGES_PER_SOCKET: f64 = 0.15;
 
-/// Direct messages to a machine that may arrive late, at which it gets a fresh token.
-pub(crate) const GIVEN_UP_MESSAGES: usize = 8;
+/// Direct messages to a machine that may arrive late, at which it gets a new token. This bounds the number
+/// of starts that must be tracked for a worker that never answers.
+pub(super) const GIVEN_UP_MESSAGES: usize = 8;
 
 impl Shard {
     /// Issues the start of a task.
     pub(crate) fn start(
         &mut self,
-        id: &JobId,
+        job_id: &JobId,
         index: u32,
-        machine: &MachineId,
+        machine_id: &MachineId,
         attempt: Attempt,
         now: Time,
     ) {
-        let (Some(job), Some(machine)) = (self.jobs.get_mut(id), self.machines.get_mut(machine))
-        else {
+        let Some(job) = self.jobs.get_mut(job_id) else {
+            return;
+        };
+        let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
         let mut tracked = TrackedAttempt::new(now);
         describe(&mut tracked, &self.config, &job.spec);
         tracked.priority = job.priority;
         tracked.opportunistic = job.is_opportunistic(&self.config);
-        job.set(
-            index,
-            Task::Placed(machine.id.clone(), attempt),
-            Some(&machine.zone),
-        );
+        let placed = Task::Placed(machine_id.clone(), attempt);
+        job.set(index, placed, Some(&machine.zone));
         let task = TaskId {
-            job: id.clone(),
+            job: job_id.clone(),
             index,
         };
-        let (waited, spec) = (now - job.submitted, &job.spec);
-        let ready = machine.ready_in(&spec.image, spec.image_gb, now);
+        let spec = &job.spec;
         tracing::debug!(
-            "start {task} of {} on {} after {waited:.1} s, image {} in {ready:.1} s",
-            spec.class,
-            machine.id,
-            spec.image
+            %task,
+            class = %spec.class,
+            machine = %machine_id,
+            waited_s = %format_args!("{:.1}", now - job.submitted),
+            image = %spec.image,
+            ready_in_s = %format_args!("{:.1}", machine.ready_in(&spec.image, spec.image_gb, now)),
+            "start issued"
         );
-        self.task_index.add(&task.job, &machine.id);
+        self.task_index.add(job_id, machine_id);
         machine.attempts.insert((task, attempt), tracked);
-        self.unsent_commands.insert(machine.id.clone());
+        self.unsent_commands.insert(machine_id.clone());
     }
 
-    /// Tells an attempt to stop; gangs are stopped whole.
+    /// Requests the stop of an attempt, and of all tasks of its gang if it belongs to one.
     pub(crate) fn stop(
         &mut self,
-        machine: &MachineId,
+        machine_id: &MachineId,
         task: &TaskId,
         attempt: Attempt,
-        grace: f64,
+        grace_s: f64,
     ) {
-        let mut targets = vec![(machine.clone(), task.clone())];
-        if let Some(job) = self.jobs.get(&task.job).filter(|job| job.is_gang()) {
-            for index in 0..job.spec.tasks {
-                if let Some(Task::Placed(other, same)) = job.task(index)
-                    && *same == attempt
-                    && index != task.index
-                {
-                    targets.push((
-                        other.clone(),
-                        TaskId {
-                            job: task.job.clone(),
-                            index,
-                        },
-                    ));
-                }
-            }
-        }
-        for (machine, task) in targets {
-            if let Some(machine) = self.machines.get_mut(&machine)
-                && let Some(tracked) = machine.attempts.get_mut(&(task, attempt))
-                && tracked.stop.is_none()
-                && !tracked.exited()
-            {
-                tracked.stop = Some(grace);
-                self.unsent_commands.insert(machine.id.clone());
+        let mut targets = vec![(machine_id.clone(), task.clone())];
+        targets.extend(self.other_gang_tasks(task, attempt));
+        for (machine_id, task) in targets {
+            let machine = self.machines.get_mut(&machine_id);
+            let tracked = machine.and_then(|machine| machine.attempts.get_mut(&(task, attempt)));
+            if tracked.is_some_and(|tracked| tracked.request_stop(grace_s)) {
+                self.unsent_commands.insert(machine_id);
             }
         }
     }
 
-    /// Direct messages to machines that may be under way at once.
+    /// The other tasks of a gang that are placed in this attempt, and their machines.
+    fn other_gang_tasks(&self, task: &TaskId, attempt: Attempt) -> Vec<(MachineId, TaskId)> {
+        let Some(job) = self.jobs.get(&task.job).filter(|job| job.is_gang()) else {
+            return Vec::new();
+        };
+        let others = (0..job.spec.tasks).filter(|index| *index != task.index);
+        others
+            .filter_map(|index| match job.task(index) {
+                Some(Task::Placed(machine, placed)) if *placed == attempt => {
+                    let job = task.job.clone();
+                    Some((machine.clone(), TaskId { job, index }))
+                }
+                _ => None,
+            })
+            .collect()
+    }
+
+    /// The most direct messages that may be in flight at once.
     pub(crate) fn max_direct_commands(&self) -> usize {
-        (self.config.deployment.limits.fd_limit as f64 * COMMANDS_PER_SOCKET).ceil() as usize
+        let sockets = self.config.deployment.limits.fd_limit as f64;
+        #[expect(
+            clippy::cast_possible_truncation,
+            reason = "a small part of the file descriptors, rounded up"
+        )]
+        let messages = (sockets * DIRECT_MESSAGES_PER_SOCKET).ceil() as usize;
+        messages
     }
 
-    /// Sends the orders that machines have not been told yet, as many messages at once as there may be.
+    /// Sends commands that machines have not been sent yet, in as many messages as may be in flight.
     pub(crate) fn send_direct_commands(&mut self, outbox: &mut Outbox) {
-        let most = self.max_direct_commands();
-        while outbox.direct_commands() < most
-            && let Some(id) = self.unsent_commands.pop_first()
+        let limit = self.max_direct_commands();
+        while outbox.direct_commands() < limit
+            && let Some(machine_id) = self.unsent_commands.pop_first()
         {
-            let Some(machine) = self.machines.get_mut(&id) else {
-                continue;
-            };
-            if !machine.is_owned {
-                self.sync_soon = true;
-                continue;
-            }
-            if !machine.token_confirmed || machine.unreachable || machine.needs_new_token {
-                continue;
-            }
-            let CommandBatch { list, starts } =
-                machine.commands(&self.starts_in_flight, Carrier::Direct);
-            if list.is_empty() {
-                continue;
-            }
-            let (token, agent_epoch) = (machine.token, machine.agent_epoch);
-            let message = DirectCommands {
-                token,
-                agent_epoch,
-                commands: list,
-            };
-            let call = outbox.worker(&id, &machine.address, message);
-            self.starts_in_flight
-                .sent(&id, call, (token, agent_epoch), starts);
+            self.send_commands_to(outbox, &machine_id);
         }
     }
 
-    /// A direct message was answered, or its answer is not waited for any more.
+    /// Sends one machine the commands that it needs, if a direct message can bring them.
+    fn send_commands_to(&mut self, outbox: &mut Outbox, machine_id: &MachineId) {
+        let Some(machine) = self.machines.get(machine_id) else {
+            return;
+        };
+        if !machine.is_owned {
+            // Its owner must send the commands, and is told of them in the next update.
+            self.sync_soon = true;
+            return;
+        }
+        if !machine.token_confirmed || machine.unreachable || machine.needs_new_token {
+            return;
+        }
+        let CommandBatch { commands, starts } =
+            machine.commands(&self.starts_in_flight, CommandChannel::Direct);
+        if commands.is_empty() {
+            return;
+        }
+        let fence = Fence {
+            token: machine.token,
+            agent_epoch: machine.agent_epoch(),
+        };
+        let message = DirectCommands {
+            token: fence.token,
+            agent_epoch: fence.agent_epoch,
+            commands,
+        };
+        let call = outbox.worker(machine_id, &machine.address, message);
+        self.starts_in_flight.sent(machine_id, call, fence, starts);
+    }
+
+    /// A direct message was answered, or its answer is no longer awaited.
     pub fn commands_answered(
         &mut self,
-        outbox: &mut Outbox,
         store: &StoreReplica,
-        id: &MachineId,
+        machine_id: &MachineId,
         call: CallId,
         reply: WorkerReply,
+        now: Time,
     ) {
         match reply {
             WorkerReply::Executed(heartbeat) | WorkerReply::Fenced(heartbeat) => {
-                self.starts_in_flight.outcome_known(id, call);
-                self.take_direct_heartbeat(outbox, store, id, &heartbeat);
+                self.starts_in_flight.outcome_known(machine_id, call);
+                self.apply_command_reply(store, machine_id, &heartbeat, now);
             }
             WorkerReply::NotSent => {
-                let unsent = self.starts_in_flight.outcome_known(id, call);
-                self.drop_unsent(id, unsent, outbox.now);
+                let unsent = self.starts_in_flight.outcome_known(machine_id, call);
+                self.drop_unsent(machine_id, unsent, now);
             }
             WorkerReply::Unknown => {
-                let given_up = self.starts_in_flight.given_up(id, call);
-                if let Some(machine) = self.machines.get_mut(id).filter(|machine| machine.is_owned)
-                {
+                let given_up = self.starts_in_flight.given_up(machine_id, call);
+                let machine = self.machines.get_mut(machine_id);
+                if let Some(machine) = machine.filter(|machine| machine.is_owned) {
                     machine.unreachable = true;
                     machine.needs_new_token |= given_up >= GIVEN_UP_MESSAGES;
                 }
@@ -164,34 +181,37 @@
         }
     }
 
-    /// Takes up the report in the answer to a direct message.
-    pub(crate) fn take_direct_heartbeat(
+    /// Applies the heartbeat in the answer to a direct message.
+    pub(super) fn apply_command_reply(
         &mut self,
-        outbox: &mut Outbox,
         store: &StoreReplica,
-        id: &MachineId,
+        machine_id: &MachineId,
         heartbeat: &Heartbeat,
+        now: Time,
     ) {
-        // Of a machine that has changed hands meanwhile its new owner tells.
-        let Some(machine) = self.machines.get_mut(id).filter(|machine| machine.is_owned) else {
+        // If the machine has changed its owner meanwhile, the new one reports what is on it.
+        let machine = self.machines.get_mut(machine_id);
+        let Some(machine) = machine.filter(|machine| machine.is_owned) else {
             return;
         };
-        if heartbeat.machine != *id || heartbeat.token > machine.token {
+        if heartbeat.machine != *machine_id || heartbeat.token > machine.token {
             return;
         }
-        if let Freshness::NewReport { new_epoch } = machine.freshness(heartbeat, true) {
-            self.take_heartbeat(outbox, store, heartbeat, new_epoch, false);
+        let origin = HeartbeatOrigin::CommandReply;
+        if let Freshness::New { new_epoch } = machine.accept_heartbeat(heartbeat, origin) {
+            self.apply_heartbeat(store, heartbeat, new_epoch, origin, now);
         }
     }
 
-    /// A direct message could not be sent: the attempts that it would have started, and that nothing
-    /// else under way starts, are not there.
-    fn drop_unsent(&mut self, id: &MachineId, starts: BTreeSet<AttemptKey>, now: Time) {
-        let Some(machine) = self.machines.get_mut(id).filter(|machine| machine.is_owned) else {
+    /// A direct message could not be sent: the attempts that it would have started, and that no other
+    /// message in flight starts, are not on the machine.
+    fn drop_unsent(&mut self, machine_id: &MachineId, starts: BTreeSet<AttemptKey>, now: Time) {
+        let machine = self.machines.get_mut(machine_id);
+        let Some(machine) = machine.filter(|machine| machine.is_owned) else {
             return;
         };
         machine.unreachable = true;
-        let issued = |key: &AttemptKey| {
+        let is_issued = |key: &AttemptKey| {
             machine
                 .attempts
                 .get(key)
@@ -199,10 +219,10 @@
         };
         let unsent: Vec<AttemptKey> = starts
             .into_iter()
-            .filter(|key| issued(key) && !self.starts_in_flight.may_arrive(id, key))
+            .filter(|key| is_issued(key) && !self.starts_in_flight.may_arrive(machine_id, key))
             .collect();
         for (task, attempt) in unsent {
-            self.drop_attempt(id, &task, attempt, now);
+            self.drop_attempt(machine_id, &task, attempt, now);
         }
     }
 }
--- a/src/core/shard/mod.rs
+++ b/src/core/shard/mod.rs
@@ -276,7 +276,7 @@
                     // A fresh token says nothing of whether a former owner has let go.
                     let former = machine.previous_owner.take().filter(|_| machine.is_owned);
                     let gained = mine && !machine.is_owned;
-                    machine.change_hands(owner.token, mine, now);
+                    machine.change_owner(owner.token, mine, now);
                     if let (true, Some(answered)) = (gained, answered) {
                         machine.last_answered = answered;
                         machine.heartbeat_expected_since = answered;
@@ -329,7 +329,7 @@
             .filter(|machine| machine.is_owned)
         {
             if let Some(images) = self.hints.get(&machine.id) {
-                machine.take_images(images);
+                machine.seed_images(images);
             }
         }
         let (teams, index) = (&self.teams, &mut self.task_index);
--- /dev/null
+++ b/src/core/shard/owned_jobs/gangs.rs
@@ -0,0 +1,46 @@
+//! Gang scheduling: the tasks of a gang run, complete and stop together.
+
+use crate::core::jobs::job::Task;
+use crate::core::shard::Shard;
+use crate::ids::{Attempt, JobId, TaskId};
+
+impl Shard {
+    /// One task of a gang is done, so all of them are: they complete together, and the machines of the
+    /// others may be lost before their heartbeats show it.
+    pub(in crate::core::shard) fn gang_done(&mut self, id: &JobId) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        for index in 0..job.spec.tasks {
+            let zone = match job.task(index) {
+                Some(Task::Placed(machine_id, _)) => self.machines.get(machine_id),
+                _ => None,
+            }
+            .map(|machine| &machine.zone);
+            job.set(index, Task::Done, zone);
+        }
+    }
+
+    /// One task of a gang is lost: the others cannot continue without it, so they are stopped at once.
+    pub(in crate::core::shard) fn gang_lost_one(&mut self, id: &JobId, attempt: Attempt) {
+        let gang = self.jobs.get(id);
+        let Some(job) = gang.filter(|job| job.is_gang() && job.spec.tasks > 1) else {
+            return;
+        };
+        for index in 0..job.spec.tasks {
+            let Some(Task::Placed(machine_id, placed)) = job.task(index) else {
+                continue;
+            };
+            if *placed != attempt {
+                continue;
+            }
+            let job = id.clone();
+            let key = (TaskId { job, index }, attempt);
+            let machine = self.machines.get_mut(machine_id);
+            let tracked = machine.and_then(|machine| machine.attempts.get_mut(&key));
+            if tracked.is_some_and(|tracked| tracked.request_stop(0.0)) {
+                self.unsent_commands.insert(machine_id.clone());
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/core/shard/owned_jobs/running_counts.rs
@@ -0,0 +1,57 @@
+//! Numbers of done and running tasks of each job, for display.
+
+use crate::core::machines::machine::Phase;
+use crate::core::model::time::Time;
+use crate::core::shard::Shard;
+use crate::ids::JobId;
+use crate::wire::TaskState;
+
+/// Counts in the time of a lease.
+const COUNTS_PER_LEASE: f64 = 20.0;
+
+impl Shard {
+    /// Tasks done and running of a job.
+    pub fn counts(&self, id: &JobId) -> Option<(u32, u32)> {
+        self.running.get(id).copied()
+    }
+
+    /// Tasks done and running of all jobs that run.
+    pub fn running(&self) -> Vec<(JobId, u32, u32)> {
+        self.running
+            .iter()
+            .map(|(id, &(done, running))| (id.clone(), done, running))
+            .collect()
+    }
+
+    /// Counts running tasks when it is due, and notes which jobs have proven to run.
+    pub(in crate::core::shard) fn count_running(&mut self, now: Time) {
+        let lease_s = self.config.deployment.workers.lease_s;
+        if now < self.running_at + lease_s / COUNTS_PER_LEASE {
+            return;
+        }
+        self.running_at = now;
+        self.running.clear();
+        // A task that has run for a lease proves that its job does not fail on every machine.
+        let proof_s = lease_s;
+        let machines = self.machines.values();
+        for ((task, _), tracked) in machines.flat_map(|machine| &machine.attempts) {
+            if !tracked.has_image() {
+                continue;
+            }
+            let Some(job) = self.jobs.get_mut(&task.job) else {
+                continue;
+            };
+            let is_running = tracked.phase == Phase::Seen(TaskState::Running);
+            if is_running
+                && tracked
+                    .started_at
+                    .is_some_and(|began| now - began >= proof_s)
+            {
+                job.failures.prove();
+            }
+            let (done, running) = self.running.entry(task.job.clone()).or_default();
+            *done = job.done.len();
+            *running += 1;
+        }
+    }
+}
--- a/src/core/shard/sibling_updates.rs
+++ b/src/core/shard/sibling_updates.rs
@@ -191,7 +191,7 @@
             for reported in &observation.tasks {
                 if let Some(task) = TaskId::parse(&reported.task) {
                     shown.insert((task.clone(), reported.attempt));
-                    self.take_task(outbox, store, id, task, reported);
+                    self.apply_reported_task(store, id, task, reported, now);
                 }
             }
         }
--- a/src/core/shard/tests.rs
+++ b/src/core/shard/tests.rs
@@ -130,8 +130,12 @@
     };
     let handle_heartbeat = |shard: &mut Shard, outbox: &mut Outbox, now, sequence| {
         outbox.begin(now, 0);
-        let answer =
-            shard.handle_heartbeat(outbox, &store, &Catalog::default(), heartbeat(sequence));
+        let answer = shard.handle_heartbeat(
+            &store,
+            &Catalog::default(),
+            &heartbeat(sequence),
+            outbox.now,
+        );
         answer.unwrap().status
     };
     assert_eq!(handle_heartbeat(&mut shard, &mut outbox, 1.0, 1), 200);
@@ -202,14 +206,14 @@
         why: None,
         checkpointed: None,
     };
-    shard.take_task(&mut outbox, &store, &id, task.clone(), &shown);
+    shard.apply_reported_task(&store, &id, task.clone(), &shown, outbox.now);
     let news = |shard: &Shard, store: &StoreReplica| {
         let news = shard.update_for(&"n1".into(), store, None, Hints::new(), Default::default());
         (news.reconciled.len(), news.observations.len())
     };
     assert_eq!(news(&shard, &store), (0, 0));
     store.apply_write(&put(&job_key(&task.job), &record(false), None), 4);
-    shard.take_task(&mut outbox, &store, &id, task, &shown);
+    shard.apply_reported_task(&store, &id, task, &shown, outbox.now);
     assert_eq!(news(&shard, &store), (1, 1));
 }
 
--- a/src/core/shard/tracking/tests.rs
+++ b/src/core/shard/tracking/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::core::effects::outbox::Outbox;
 use crate::core::effects::pending::Pending;
 use crate::core::effects::{CallId, Effect, WorkerReply};
 use crate::core::machines::unresponsive::UnresponsiveMachines;
@@ -7,12 +8,12 @@
 use crate::core::records::versioned::put;
 use crate::core::shard::commands::GIVEN_UP_MESSAGES;
 use crate::core::test_support::{map, owner, record, shard};
-use crate::ids::FencingToken;
+use crate::ids::{Attempt, FencingToken};
 use std::rc::Rc;
 
 const JOB: &str = "req-000001";
 
-/// A share that owns the team and two machines, which have shown its token.
+/// A shard with the team and two machines, which have shown its token.
 struct Fixture {
     shard: Shard,
     outbox: Outbox,
@@ -31,7 +32,7 @@
             token: FencingToken(9),
             sequence: 0,
         };
-        fixture.give(5, owner("n0"), owner("n0"));
+        fixture.assign(5, owner("n0"), owner("n0"));
         let job = record(false);
         fixture
             .store
@@ -43,8 +44,8 @@
         fixture
     }
 
-    /// The map gives the first machine to one owner, and the second and the team to another.
-    fn give(&mut self, version: u64, first: ShardOwner, rest: ShardOwner) {
+    /// The shard map assigns the first machine to one owner, and the second and the team to another.
+    fn assign(&mut self, version: u64, first: ShardOwner, rest: ShardOwner) {
         let first = ShardEntry {
             owner: first,
             teams: vec![],
@@ -56,11 +57,12 @@
             machines: vec!["m-2".into()],
         };
         map(&mut self.store, version, vec![first, rest]);
-        let quiet = UnresponsiveMachines::default();
-        self.shard.follow_map(&mut self.outbox, &self.store, &quiet);
+        let unresponsive = UnresponsiveMachines::default();
+        self.shard
+            .follow_map(&mut self.outbox, &self.store, &unresponsive);
     }
 
-    /// The leader takes the first machine off the map, for it is deleted.
+    /// The leader removes the first machine, which is deleted, from the shard map.
     fn delete_first(&mut self) {
         let rest = ShardEntry {
             owner: owner("n0"),
@@ -68,11 +70,13 @@
             machines: vec!["m-2".into()],
         };
         map(&mut self.store, 8, vec![rest]);
-        let quiet = UnresponsiveMachines::default();
-        self.shard.follow_map(&mut self.outbox, &self.store, &quiet);
+        let unresponsive = UnresponsiveMachines::default();
+        self.shard
+            .follow_map(&mut self.outbox, &self.store, &unresponsive);
     }
 
-    fn shown(&mut self, machine: &str, tasks: &[ReportedTask]) -> Heartbeat {
+    /// The next heartbeat of a machine.
+    fn next_heartbeat(&mut self, machine: &str, tasks: &[ReportedTask]) -> Heartbeat {
         self.sequence += 1;
         Heartbeat {
             machine: machine.into(),
@@ -88,9 +92,9 @@
         }
     }
 
-    /// A worker reports; what it is told.
+    /// A worker sends a heartbeat; returns the commands in the response.
     fn heartbeat(&mut self, machine: &str, tasks: &[ReportedTask]) -> Vec<Command> {
-        let heartbeat = self.shown(machine, tasks);
+        let heartbeat = self.next_heartbeat(machine, tasks);
         self.handle_heartbeat(heartbeat)
     }
 
@@ -98,20 +102,20 @@
         let catalog = Catalog::default();
         let answer =
             self.shard
-                .handle_heartbeat(&mut self.outbox, &self.store, &catalog, heartbeat);
+                .handle_heartbeat(&self.store, &catalog, &heartbeat, self.outbox.now);
         match answer.unwrap().body {
             Body::HeartbeatResponse(answer) => answer.commands,
             _ => Vec::new(),
         }
     }
 
-    /// The newest report once more.
-    fn clone_of_last(&mut self, machine: &str) -> Heartbeat {
+    /// The newest heartbeat once more.
+    fn copy_of_last_heartbeat(&mut self, machine: &str) -> Heartbeat {
         self.sequence -= 1;
-        self.shown(machine, &[])
+        self.next_heartbeat(machine, &[])
     }
 
-    /// A sibling says that the first machine is settled under a term, without any task.
+    /// A sibling reports that the first machine is reconciled under a token, without any task.
     fn observe(&mut self, token: FencingToken) {
         let update = crate::core::messages::shard_update::PeerUpdate {
             revision: 100,
@@ -129,7 +133,7 @@
             .take_update(&mut self.outbox, &self.store, &"n1".into(), 1, update);
     }
 
-    /// Starts a task on the first machine; the direct message that tells it so.
+    /// Starts a task on the first machine; returns the direct message with the start.
     fn start(&mut self, index: u32) -> CallId {
         self.shard.start(
             &JOB.into(),
@@ -138,11 +142,11 @@
             Attempt(1),
             self.outbox.now,
         );
-        self.push().unwrap().0
+        self.send_direct().unwrap().0
     }
 
     /// The next direct message.
-    fn push(&mut self) -> Option<(CallId, Vec<Command>)> {
+    fn send_direct(&mut self) -> Option<(CallId, Vec<Command>)> {
         self.shard.send_direct_commands(&mut self.outbox);
         self.outbox
             .take_effects()
@@ -159,7 +163,7 @@
         };
         let store = &self.store;
         self.shard
-            .commands_answered(&mut self.outbox, store, &machine, call, reply);
+            .commands_answered(store, &machine, call, reply, self.outbox.now);
     }
 
     fn tracks(&self, index: u32) -> bool {
@@ -197,7 +201,7 @@
     }
 }
 
-fn shows(index: u32, attempt: u64, state: TaskState, why: Option<Exit>) -> ReportedTask {
+fn reported(index: u32, attempt: u64, state: TaskState, why: Option<Exit>) -> ReportedTask {
     let (task, attempt) = (task(index).to_string(), Attempt(attempt));
     ReportedTask {
         task,
@@ -209,20 +213,20 @@
 }
 
 fn refused_start(index: u32) -> ReportedTask {
-    shows(index, 1, TaskState::Exited, Some(Exit::NoRoom))
+    reported(index, 1, TaskState::Exited, Some(Exit::NoRoom))
 }
 
 fn forgets(commands: &[Command]) -> bool {
     commands
         .iter()
-        .any(|order| matches!(order, Command::Forget { .. }))
+        .any(|command| matches!(command, Command::Forget { .. }))
 }
 
-/// Two messages with one start are under way; the later is refused, the earlier comes late.
+/// Two messages with one start are in flight; the later is refused, the earlier arrives late.
 #[test]
-fn a_refused_message_says_nothing_of_an_earlier_one() {
+fn a_refused_message_proves_nothing_of_an_earlier_one() {
     let mut fixture = Fixture::new();
-    let held_up = fixture.start(0);
+    let delayed = fixture.start(0);
     let refused = fixture.start(1);
     fixture.reply(refused, WorkerReply::NotSent);
     assert!(fixture.tracks(0), "its start may still arrive");
@@ -230,20 +234,20 @@
         !fixture.tracks(1),
         "the only message with its start never left"
     );
-    fixture.reply(held_up, WorkerReply::Unknown);
+    fixture.reply(delayed, WorkerReply::Unknown);
     for _ in 0..5 {
         fixture.heartbeat("m-1", &[]);
     }
     assert!(fixture.tracks(0));
     let machine = &fixture.shard.machines[&MachineId::from("m-1")];
-    assert!(machine.needs_new_token, "a fresh token makes it void");
+    assert!(machine.needs_new_token, "a new token makes it void");
 }
 
-/// The same when reports leave the task out while the earlier message is under way.
+/// The same when heartbeats do not show the task while the earlier message is in flight.
 #[test]
-fn reports_without_a_task_say_nothing_while_its_start_is_under_way() {
+fn heartbeats_without_a_task_prove_nothing_while_its_start_is_in_flight() {
     let mut fixture = Fixture::new();
-    let held_up = fixture.start(0);
+    let delayed = fixture.start(0);
     fixture.heartbeat("m-1", &[]);
     let refused = fixture.start(1);
     fixture.reply(refused, WorkerReply::NotSent);
@@ -252,11 +256,11 @@
         fixture.heartbeat("m-1", &[]);
     }
     assert!(fixture.tracks(0));
-    fixture.reply(held_up, WorkerReply::Unknown);
+    fixture.reply(delayed, WorkerReply::Unknown);
     fixture.heartbeat("m-1", &[]);
     assert!(fixture.tracks(0));
     fixture.token = FencingToken(11);
-    fixture.give(
+    fixture.assign(
         8,
         ShardOwner {
             token: FencingToken(11),
@@ -268,47 +272,48 @@
     fixture.heartbeat("m-1", &[]);
     assert!(
         !fixture.tracks(0),
-        "void under the fresh token, and not there"
+        "void under the new token, and not there"
     );
 }
 
-/// What a worker has forgotten it would start again.
+/// A worker that has forgotten an exit would start the task again.
 #[test]
-fn an_exit_is_not_forgotten_while_a_start_is_under_way() {
+fn an_exit_is_not_forgotten_while_a_start_is_in_flight() {
     let mut fixture = Fixture::new();
-    let held_up = fixture.start(0);
+    let delayed = fixture.start(0);
     fixture.heartbeat("m-1", &[]);
     let commands = fixture.heartbeat("m-1", &[refused_start(0)]);
     assert!(!forgets(&commands), "the direct message may still come");
-    let answer = fixture.shown("m-1", &[refused_start(0)]);
-    fixture.reply(held_up, WorkerReply::Executed(answer));
+    let answer = fixture.next_heartbeat("m-1", &[refused_start(0)]);
+    fixture.reply(delayed, WorkerReply::Executed(answer));
     assert!(forgets(&fixture.heartbeat("m-1", &[refused_start(0)])));
 }
 
-/// A start in the answer to a report may arrive until the worker reports again.
+/// A start in the response to a heartbeat may arrive until the worker sends the next heartbeat.
 #[test]
-fn an_exit_is_not_forgotten_while_the_answer_to_a_report_is_under_way() {
+fn an_exit_is_not_forgotten_while_the_response_to_a_heartbeat_is_in_flight() {
     let mut fixture = Fixture::new();
     let first = fixture.start(0);
     let commands = fixture.heartbeat("m-1", &[]);
     assert!(matches!(commands[..], [Command::Start { .. }]));
-    let answer = fixture.shown("m-1", &[refused_start(0)]);
+    let answer = fixture.next_heartbeat("m-1", &[refused_start(0)]);
     fixture.reply(first, WorkerReply::Executed(answer));
     fixture.shard.unsent_commands.insert("m-1".into());
     let direct = fixture
-        .push()
+        .send_direct()
         .map(|(_, commands)| commands)
         .unwrap_or_default();
-    assert!(!forgets(&direct), "overtakes the answer");
+    assert!(!forgets(&direct), "overtakes the response");
     assert!(forgets(&fixture.heartbeat("m-1", &[refused_start(0)])));
 }
 
-/// A message of a former stay of the machine says nothing under a later token, and needs no other.
+/// A message sent under an earlier ownership of the machine proves nothing under a later token, and needs no
+/// new one.
 #[test]
-fn a_message_of_a_former_stay_is_void_under_the_present_token() {
+fn a_message_of_an_earlier_ownership_is_void_under_the_present_token() {
     let mut fixture = Fixture::new();
-    let held_up = fixture.start(0);
-    fixture.give(
+    let delayed = fixture.start(0);
+    fixture.assign(
         8,
         ShardOwner {
             token: FencingToken(10),
@@ -316,7 +321,7 @@
         },
         owner("n0"),
     );
-    fixture.give(
+    fixture.assign(
         9,
         ShardOwner {
             token: FencingToken(11),
@@ -324,7 +329,7 @@
         },
         owner("n0"),
     );
-    fixture.reply(held_up, WorkerReply::Unknown);
+    fixture.reply(delayed, WorkerReply::Unknown);
     assert!(fixture.tracks(0));
     fixture.token = FencingToken(11);
     assert!(
@@ -333,13 +338,13 @@
     );
 }
 
-/// A refusal that is heard after the machine has been elsewhere, before it has shown the new token.
+/// A refusal that is received after the machine had another owner, before it has shown the new token.
 #[test]
-fn a_refusal_heard_after_the_machine_came_back_says_nothing_of_an_earlier_message() {
+fn a_refusal_received_after_the_machine_came_back_proves_nothing_of_an_earlier_message() {
     let mut fixture = Fixture::new();
     fixture.start(0);
     let refused = fixture.start(1);
-    fixture.give(
+    fixture.assign(
         8,
         ShardOwner {
             token: FencingToken(10),
@@ -347,7 +352,7 @@
         },
         owner("n0"),
     );
-    fixture.give(
+    fixture.assign(
         9,
         ShardOwner {
             token: FencingToken(11),
@@ -359,19 +364,19 @@
     assert!(fixture.tracks(0));
 }
 
-/// An attempt that was one too many is still on its machine when the other ends.
+/// A surplus attempt is still on its machine when the other ends.
 #[test]
-fn a_task_waits_until_every_attempt_of_it_has_gone() {
+fn a_task_waits_until_every_attempt_of_it_has_ended() {
     let mut fixture = Fixture::new();
     let first = fixture.start(0);
     fixture
         .shard
         .start(&JOB.into(), 1, &"m-1".into(), Attempt(1), 0.0);
-    let running = |index| shows(index, 1, TaskState::Running, None);
-    let answer = fixture.shown("m-1", &[running(0), running(1)]);
+    let running = |index| reported(index, 1, TaskState::Running, None);
+    let answer = fixture.next_heartbeat("m-1", &[running(0), running(1)]);
     fixture.reply(first, WorkerReply::Executed(answer));
-    fixture.heartbeat("m-2", &[shows(0, 2, TaskState::Running, None)]);
-    let failed = shows(0, 1, TaskState::Exited, Some(Exit::Stopped));
+    fixture.heartbeat("m-2", &[reported(0, 2, TaskState::Running, None)]);
+    let failed = reported(0, 1, TaskState::Exited, Some(Exit::Stopped));
     fixture.heartbeat("m-1", &[failed.clone(), running(1)]);
     assert_eq!(
         fixture.started_in_a_round(),
@@ -380,19 +385,19 @@
     );
     fixture.heartbeat(
         "m-2",
-        &[shows(0, 2, TaskState::Exited, Some(Exit::Stopped))],
+        &[reported(0, 2, TaskState::Exited, Some(Exit::Stopped))],
     );
     assert_eq!(fixture.started_in_a_round(), 1);
     assert_eq!(
         fixture.shard.starts_held_back, 0,
-        "known, so the last guard was not needed"
+        "known, so the last safeguard was not needed"
     );
 }
 
-/// A refused message whose start is also in the answer to a report: the task is kept, and nothing is to
+/// A refused message whose start is also in the response to a heartbeat: the task is kept, and nothing has to
 /// be made void.
 #[test]
-fn a_refused_message_costs_no_token_while_an_answer_brings_the_start() {
+fn a_refused_message_needs_no_new_token_while_a_response_carries_the_start() {
     let mut fixture = Fixture::new();
     let refused = fixture.start(0);
     fixture.heartbeat("m-1", &[]);
@@ -401,9 +406,9 @@
     assert!(!fixture.shard.machines[&MachineId::from("m-1")].needs_new_token);
 }
 
-/// What voids a start under way: then a task that is not shown is not there, and may start elsewhere.
+/// Once a start in flight is void, a task that is not shown is not there, and may start elsewhere.
 #[test]
-fn a_start_under_way_is_void_once_its_machine_cannot_execute_it() {
+fn a_start_in_flight_is_void_once_its_machine_cannot_execute_it() {
     let tracked_after = |happens: fn(&mut Fixture)| {
         let mut fixture = Fixture::new();
         let late = fixture.start(0);
@@ -415,7 +420,7 @@
     assert!(!tracked_after(|fixture| {
         let later = Heartbeat {
             agent_epoch: 2,
-            ..fixture.shown("m-1", &[])
+            ..fixture.next_heartbeat("m-1", &[])
         };
         fixture.handle_heartbeat(later);
     }));
@@ -425,7 +430,7 @@
     }));
     assert!(!tracked_after(Fixture::delete_first));
     assert!(!tracked_after(|fixture| {
-        fixture.give(
+        fixture.assign(
             8,
             ShardOwner {
                 token: FencingToken(10),
@@ -437,19 +442,20 @@
     }));
 }
 
-/// What proves nothing: a report with a lower token, a copy, what a former owner or an earlier term says.
+/// These prove nothing: a heartbeat with a lower token, a copy, observations of a former owner or under an
+/// earlier token.
 #[test]
-fn reports_and_observations_that_prove_nothing_leave_a_task_where_it_may_be() {
+fn outdated_heartbeats_and_observations_leave_a_task_where_it_may_be() {
     let mut fixture = Fixture::new();
     let late = fixture.start(0);
-    let older = fixture.clone_of_last("m-1");
+    let older = fixture.copy_of_last_heartbeat("m-1");
     fixture.reply(late, WorkerReply::Executed(older));
     assert!(
         fixture.tracks(0),
-        "the answer is older than what was taken up"
+        "the answer is older than the last heartbeat"
     );
     fixture.shard.stop(&"m-1".into(), &task(0), Attempt(1), 0.0);
-    fixture.give(
+    fixture.assign(
         8,
         ShardOwner {
             token: FencingToken(11),
@@ -463,7 +469,7 @@
     assert!(fixture.tracks(0), "shown under a lower token");
     fixture.observe(FencingToken(9));
     assert!(fixture.tracks(0), "not the owner of the machine");
-    fixture.give(
+    fixture.assign(
         9,
         ShardOwner {
             token: FencingToken(12),
@@ -472,12 +478,12 @@
         owner("n0"),
     );
     fixture.observe(FencingToken(9));
-    assert!(fixture.tracks(0), "an earlier term");
+    assert!(fixture.tracks(0), "an earlier token");
     fixture.observe(FencingToken(12));
     assert!(!fixture.tracks(0));
 }
 
-/// The last guard: a task that waits by a fault of the tracking is not started beside its attempt.
+/// The last safeguard: a task that waits by a fault of the tracking is not started beside its attempt.
 #[test]
 fn a_second_attempt_is_held_back_and_counted() {
     let mut fixture = Fixture::new();
@@ -492,29 +498,33 @@
     assert_eq!(fixture.shard.starts_held_back, 1);
 }
 
-/// A worker that answers no direct message is told everything in the answers to its reports, and gets
-/// a fresh token now and then, so that what may arrive late stays bounded.
+/// A worker that answers no direct message receives all commands in the responses to its heartbeats, and gets
+/// a new token now and then, so that the number of messages that may arrive late stays bounded.
 #[test]
-fn a_worker_that_never_answers_gets_a_fresh_token() {
+fn a_worker_that_never_answers_gets_a_new_token() {
     let mut fixture = Fixture::new();
-    let raised =
+    let needs_new_token =
         |fixture: &Fixture| fixture.shard.machines[&MachineId::from("m-1")].needs_new_token;
     for attempt in 1..=GIVEN_UP_MESSAGES {
-        assert!(!raised(&fixture));
+        assert!(!needs_new_token(&fixture));
         let number = Attempt(attempt as u64);
         fixture
             .shard
             .start(&JOB.into(), 0, &"m-1".into(), number, 0.0);
-        let (call, commands) = fixture.push().unwrap();
+        let (call, commands) = fixture.send_direct().unwrap();
         let starts = commands
             .iter()
-            .filter(|order| matches!(order, Command::Start { .. }));
-        assert_eq!(starts.count(), 1, "what was seen needs no other start");
+            .filter(|command| matches!(command, Command::Start { .. }));
+        assert_eq!(
+            starts.count(),
+            1,
+            "an attempt that was seen needs no other start"
+        );
         fixture.reply(call, WorkerReply::Unknown);
         let running: Vec<ReportedTask> = (1..=attempt as u64)
-            .map(|number| shows(0, number, TaskState::Running, None))
+            .map(|number| reported(0, number, TaskState::Running, None))
             .collect();
         fixture.heartbeat("m-1", &running);
     }
-    assert!(raised(&fixture));
+    assert!(needs_new_token(&fixture));
 }
