--- a/src/core/controller/acquired_machines/tests.rs
+++ b/src/core/controller/acquired_machines/tests.rs
@@ -88,7 +88,7 @@
         &"m-1".into(),
         WorkerReply::Executed(heartbeat("m-1", 2, 1, TOKEN)),
     );
-    core.store.current_as_of = NOW + 0.5;
+    core.store.set_current_as_of(NOW + 0.5);
     let shard = core.shard.as_mut().unwrap();
     shard.expire_machines(&core.store, NOW + 0.5);
     assert!(!machine(&core).known_empty && machine(&core).token_confirmed);
--- a/src/core/controller/deferred_heartbeats.rs
+++ b/src/core/controller/deferred_heartbeats.rs
@@ -164,7 +164,7 @@
     fn answer_deferred(&mut self, deferred: DeferredHeartbeat) {
         match self.handle_heartbeat(&deferred.heartbeat) {
             Some(answer) => {
-                self.peers.heard_workers(self.outbox.now);
+                self.peers.note_worker_contact(self.outbox.now);
                 self.outbox.answer(deferred.request, answer);
             }
             None if self.outbox.now >= deferred.until => self.give_up_deferred(&deferred),
--- a/src/core/controller/heartbeat_routing.rs
+++ b/src/core/controller/heartbeat_routing.rs
@@ -28,7 +28,7 @@
     /// Answers a worker's heartbeat, or sends the worker to its machine's owner.
     pub(crate) fn heartbeat(&mut self, request: RequestId, heartbeat: Heartbeat) {
         if let Some(answer) = self.handle_heartbeat(&heartbeat) {
-            self.peers.heard_workers(self.outbox.now);
+            self.peers.note_worker_contact(self.outbox.now);
             return self.outbox.answer(request, answer);
         }
         let owners = &self.store.owners().machines;
@@ -104,7 +104,8 @@
     /// Whether the shard map that is known here is older than what the worker has seen, or may be because
     /// only siblings reach the store. It would send workers to owners that have lost their machines.
     fn is_overtaken(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
-        let is_cut_off = !self.has_state() && self.peers.with_state(self.outbox.now).is_some();
+        let is_cut_off =
+            !self.reads_store() && self.peers.sibling_reading_store(self.outbox.now).is_some();
         self.acts_on_failures() && (heartbeat.token > owner.token || is_cut_off)
     }
 
@@ -117,7 +118,7 @@
         owner: &ShardOwner,
         reason: DeferralReason,
     ) {
-        if self.deferred_heartbeats.are_full() || !self.has_state() {
+        if self.deferred_heartbeats.are_full() || !self.reads_store() {
             return self.redirect_to_reachable(request);
         }
         self.defer_heartbeat(request, heartbeat, owner, reason);
@@ -139,7 +140,7 @@
     /// Sends a worker to this controller, or to any other if none is named.
     pub(super) fn redirect(&mut self, request: RequestId, to: Option<Node>) {
         if let Some(node) = &to {
-            self.peers.sent_worker(node, self.outbox.now);
+            self.peers.note_redirect(node, self.outbox.now);
         }
         let answer = Answer::value(MISDIRECTED, redirect_to(to.as_ref()));
         self.outbox.answer(request, answer);
@@ -148,7 +149,7 @@
     /// Makes a worker try the next controller. If it were sent to an owner that it can't reach, it would
     /// wait there in vain for 4 s of its lease, which then could expire before its machine had a new owner.
     pub(crate) fn send_elsewhere(&mut self, request: RequestId, owner: &Node) {
-        self.peers.sent_worker(owner, self.outbox.now);
+        self.peers.note_redirect(owner, self.outbox.now);
         self.outbox.answer(request, Answer::unavailable());
     }
 
@@ -160,7 +161,7 @@
             owner = %node,
             "heartbeat relayed: its worker does not reach the owner"
         );
-        self.peers.sent_worker(&node, now);
+        self.peers.note_redirect(&node, now);
         self.peers.detector_mut().worker_left(&node, now);
         let message = MeshMessage::Heartbeat(Box::new(heartbeat.clone()));
         let pending = Pending::RelayedHeartbeat {
--- a/src/core/controller/user_requests.rs
+++ b/src/core/controller/user_requests.rs
@@ -59,7 +59,10 @@
             return self.give_up(asked);
         }
         let silent = self.store.state_silence(now) > SILENCE;
-        if silent && matches!(reply_to, ReplyTo::User(_)) && self.peers.with_state(now).is_some() {
+        if silent
+            && matches!(reply_to, ReplyTo::User(_))
+            && self.peers.sibling_reading_store(now).is_some()
+        {
             // Cut from the state service alone: a sibling answers at once what would be late here.
             return self.pass_on(asked);
         }
@@ -89,7 +92,7 @@
         };
         let key = job_key(id);
         let write = put(&key, &record, None);
-        let Some(never) = self.catalog.refusal(&self.config, spec) else {
+        let Some(never) = self.catalog.can_never_run(&self.config, spec) else {
             return self.give_up(asked);
         };
         let unknown = spec
@@ -104,9 +107,9 @@
         };
         // Only a read since the question tells that nobody has accepted this job or one that it needs. And
         // a controller that stood still may have missed a cancellation long ago (meeting day 97).
-        let age = self.outbox.now - self.store.current_as_of;
+        let age = self.outbox.now - self.store.current_as_of();
         let behind = age > self.config.deployment.workers.report_s && !spec.dependencies.is_empty();
-        if (refusal.is_some() || behind) && self.store.current_as_of < asked.needs {
+        if (refusal.is_some() || behind) && self.store.current_as_of() < asked.needs {
             self.store.want_sync();
             return self.user_requests.waiting.push(asked);
         }
@@ -196,7 +199,7 @@
         if let (false, true, Some(job)) = (ended, self.store.dependency_cancelled(&id), &known) {
             return self.record_cancellation(asked, job);
         }
-        if !ended && self.store.current_as_of < asked.needs {
+        if !ended && self.store.current_as_of() < asked.needs {
             self.store.want_sync();
             self.user_requests.waiting.push(asked);
             return;
@@ -283,14 +286,14 @@
     /// This controller cannot answer: a sibling that has the state service may; else the user
     /// is told at once when to come back.
     pub(crate) fn give_up(&mut self, asked: WaitingRequest) {
-        if self.has_state() {
+        if self.reads_store() {
             return self.reply(asked.reply_to, Answer::unavailable());
         }
         self.pass_on(asked);
     }
 
     pub(crate) fn pass_on(&mut self, asked: WaitingRequest) {
-        let sibling = self.peers.with_state(self.outbox.now).cloned();
+        let sibling = self.peers.sibling_reading_store(self.outbox.now).cloned();
         let (ReplyTo::User(request), Some(node)) = (asked.reply_to, sibling) else {
             return self.reply(asked.reply_to, Answer::unavailable());
         };
@@ -332,7 +335,7 @@
 
     /// The view has moved on: those that waited for that get their answers.
     pub(crate) fn resume_user_requests(&mut self) {
-        let current = self.store.current_as_of;
+        let current = self.store.current_as_of();
         let now = self.outbox.now;
         let (ready, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.user_requests.waiting)
             .into_iter()
@@ -350,7 +353,7 @@
 
     pub(crate) fn time_out_user_requests(&mut self) {
         let now = self.outbox.now;
-        let has_state = self.has_state();
+        let has_state = self.reads_store();
         let silence = self.store.state_silence(now);
         let mut index = 0;
         while index < self.user_requests.waiting.len() {
@@ -364,7 +367,7 @@
             if late {
                 let asked = self.user_requests.waiting.swap_remove(index);
                 self.give_up(asked);
-            } else if put_off && self.store.current_as_of >= asked.needs {
+            } else if put_off && self.store.current_as_of() >= asked.needs {
                 let asked = self.user_requests.waiting.swap_remove(index);
                 self.resume(asked);
             } else {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -145,7 +145,7 @@
     /// The process was paused while its clock went on ([`ProcessPause`]).
     fn resumed(&mut self, paused: Time) {
         tracing::info!(seconds = %format_args!("{paused:.1}"), "process was paused");
-        self.peers.heard_workers(self.outbox.now);
+        self.peers.note_worker_contact(self.outbox.now);
         self.store.want_sync();
     }
 
@@ -153,7 +153,9 @@
     /// then the shard and the leader's work, and last what waits for their results.
     fn advance(&mut self) {
         let now = self.outbox.now;
-        let catching_up = self.process_pause.lasts(self.store.current_as_of, now);
+        let catching_up = self
+            .process_pause
+            .is_catching_up(self.store.current_as_of(), now);
         self.sync_when_due();
         self.time_out_user_requests();
         self.judge_siblings();
@@ -185,10 +187,10 @@
         shard.plan_when_due(&self.outbox, &self.store, &self.catalog);
         if !shard.has_machines() {
             // There is no worker to hear from, so silence is no evidence of a failure.
-            self.peers.heard_workers(now);
+            self.peers.note_worker_contact(now);
         }
         if shard.take_sync_soon() {
-            self.peers.sync_soon(now);
+            self.peers.send_hellos_soon(now);
         }
     }
 
@@ -198,9 +200,9 @@
         };
         if let Some(shard) = self.shard.as_mut() {
             leader.set_demand(&self.config.node, shard.demand.clone());
-            shard.refused = leader.refused();
+            shard.refused = leader.unavailable_offers();
         }
-        leader.catching_up = catching_up;
+        leader.set_catching_up(catching_up);
         leader.advance(
             &mut self.outbox,
             &self.store,
@@ -209,8 +211,8 @@
             &self.catalog,
             &self.unresponsive,
         );
-        if self.ownership.take_new_question() && self.acts_on_failures() {
-            self.peers.sync_soon(self.outbox.now);
+        if self.ownership.take_unsent_request() && self.acts_on_failures() {
+            self.peers.send_hellos_soon(self.outbox.now);
         }
     }
 
@@ -222,10 +224,10 @@
         if self.shard.is_none() && is_registered && self.ownership.holds_lease(now) {
             let hints = std::mem::take(&mut self.hints);
             self.shard = Some(Shard::new(&self.config, incarnation, hints, now));
-            self.peers.heard_workers(now);
+            self.peers.note_worker_contact(now);
         }
         let term = self.ownership.leads(&self.store);
-        if self.leader.as_ref().map(|leader| leader.term) != term {
+        if self.leader.as_ref().map(Leader::key_version) != term {
             // The map as of the revision of the leader's key has every change of earlier leaders.
             let readable_term = term.filter(|term| self.store.revision() >= *term);
             self.leader = readable_term.map(|term| self.begin_leading(term));
--- a/src/core/shard/lease_expiry.rs
+++ b/src/core/shard/lease_expiry.rs
@@ -30,7 +30,7 @@
     pub(crate) fn declare_unresponsive(&mut self, store: &StoreReplica, now: Time) {
         let workers = &self.config.deployment.workers;
         let receives_nothing = now > self.heard + workers.report_s;
-        let store_is_outdated = now > store.current_as_of + workers.report_s;
+        let store_is_outdated = now > store.current_as_of() + workers.report_s;
         if self.catching_up || receives_nothing || store_is_outdated {
             return;
         }
@@ -67,7 +67,7 @@
             .filter(|machine| {
                 machine.is_owned && !machine.known_empty && machine.previous_owner.is_none()
             })
-            .filter(|machine| store.current_as_of > machine.last_answered + lease)
+            .filter(|machine| store.current_as_of() > machine.last_answered + lease)
             .map(|machine| machine.id.clone())
             .collect();
         for machine_id in expired {
--- a/src/core/shard/sibling_updates.rs
+++ b/src/core/shard/sibling_updates.rs
@@ -349,7 +349,7 @@
         task: task.to_string(),
         attempt,
         state,
-        why,
+        exit: why,
         checkpointed: None,
     }
 }
--- a/src/core/shard/tests.rs
+++ b/src/core/shard/tests.rs
@@ -21,10 +21,10 @@
     };
     map(&mut store, 5, vec![mine]);
     shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
-    store.current_as_of = 9.0;
+    store.set_current_as_of(9.0);
     shard.expire_machines(&store, 60.0);
     assert!(!shard.machines[&MachineId::from("m-1")].known_empty);
-    store.current_as_of = 59.0;
+    store.set_current_as_of(59.0);
     shard.expire_machines(&store, 60.0);
     assert!(shard.machines[&MachineId::from("m-1")].known_empty);
 }
@@ -127,7 +127,7 @@
         agent_epoch: 1,
         sequence,
         token: FencingToken(9),
-        notice_s: None,
+        reclaim_notice_s: None,
         tasks: Vec::new(),
     };
     let handle_heartbeat = |shard: &mut Shard, outbox: &mut Outbox, now, sequence| {
@@ -143,7 +143,7 @@
     assert_eq!(handle_heartbeat(&mut shard, &mut outbox, 1.0, 1), 200);
     let lease = shard.config.deployment.workers.lease_s;
     let mut current = StoreReplica::new(&shard.config);
-    current.current_as_of = 1.0 + lease * 0.75;
+    current.set_current_as_of(1.0 + lease * 0.75);
     shard.declare_unresponsive(&current, 1.0 + lease * 0.75);
     assert!(
         shard.unresponsive(lease).is_empty(),
@@ -205,7 +205,7 @@
         task: task.to_string(),
         attempt: Attempt(1),
         state: crate::wire::TaskState::Running,
-        why: None,
+        exit: None,
         checkpointed: None,
     };
     shard.apply_reported_task(&store, &id, task.clone(), &shown, outbox.now);
--- a/src/core/shard/tracking.rs
+++ b/src/core/shard/tracking.rs
@@ -122,7 +122,7 @@
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
-        machine.reclaimed_at = heartbeat.notice_s.map(|left| now + left);
+        machine.reclaimed_at = heartbeat.reclaim_notice_s.map(|left| now + left);
         self.changed |= machine.reclaimed_at.is_some();
         if heartbeat.token != machine.token {
             return;
@@ -221,7 +221,7 @@
         now: Time,
     ) {
         let phase = match reported.state {
-            TaskState::Exited => Phase::Exited(reported.why.unwrap_or(Exit::Other)),
+            TaskState::Exited => Phase::Exited(reported.exit.unwrap_or(Exit::Other)),
             state => Phase::Seen(state),
         };
         let key = (task, reported.attempt);
--- a/src/core/shard/tracking/attempt_end.rs
+++ b/src/core/shard/tracking/attempt_end.rs
@@ -73,7 +73,7 @@
                 let interval = self.config.deployment.workers.report_s;
                 retry.not_before = now + interval * REFUSED_RETRY_HEARTBEATS;
             }
-            Exit::Stopped | Exit::PeersGone | Exit::Alone | Exit::Done => {}
+            Exit::Stopped | Exit::PeersGone | Exit::GangIncomplete | Exit::Done => {}
         }
     }
 
--- a/src/core/shard/tracking/tests.rs
+++ b/src/core/shard/tracking/tests.rs
@@ -87,7 +87,7 @@
             agent_epoch: 1,
             sequence: self.sequence,
             token: self.token,
-            notice_s: None,
+            reclaim_notice_s: None,
             tasks: tasks.to_vec(),
         }
     }
@@ -207,7 +207,7 @@
         task,
         attempt,
         state,
-        why,
+        exit: why,
         checkpointed: None,
     }
 }
@@ -425,7 +425,7 @@
         fixture.handle_heartbeat(later);
     }));
     assert!(!tracked_after(|fixture| {
-        fixture.store.current_as_of = 1000.0;
+        fixture.store.set_current_as_of(1000.0);
         fixture.shard.expire_machines(&fixture.store, 1000.0);
     }));
     assert!(!tracked_after(Fixture::delete_first));
