--- a/src/core/controller/machine_claims.rs
+++ b/src/core/controller/machine_claims.rs
@@ -41,6 +41,6 @@
             owner = %owner.node,
             "claimed a machine that can't reach its owner"
         );
-        self.wait_for_map(request, heartbeat, owner, DeferralReason::Claim);
+        self.defer_heartbeat(request, heartbeat, owner, DeferralReason::Claim);
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -168,7 +168,7 @@
             self.advance_leader(catching_up);
             self.inspect_acquired_machines();
         }
-        self.answer_waiting_reports();
+        self.answer_deferred_heartbeats();
         self.hello_when_due();
     }
 
--- a/src/core/shard/capacity_planning.rs
+++ b/src/core/shard/capacity_planning.rs
@@ -106,7 +106,7 @@
         let lease = self.config.deployment.workers.lease_s;
         let list_lag = self.config.deployment.cloud.list_lag_s;
         for machine in self.machines.values().filter(|machine| machine.is_owned) {
-            let last_heard = machine.last_seen.max(machine.last_answered);
+            let last_heard = machine.known_since.max(machine.last_answered);
             if now > last_heard + lease * UNHEARD_LEASES + list_lag {
                 demand.unheard_machines.push(machine.id.clone());
             } else if machine.needs_new_token && !machine.address.is_empty() {
@@ -158,7 +158,7 @@
     fn packing_candidates(&self, now: Time) -> Vec<PackingCandidate> {
         let lease = self.config.deployment.workers.lease_s;
         let is_usable = |machine: &&Machine| {
-            let is_terminating = machine.reclaimed_at.is_some() || now < machine.cordoned_until;
+            let is_terminating = machine.reclaimed_at.is_some() || machine.is_cordoned(now);
             machine.is_owned
                 && !is_terminating
                 && !machine.unresponsive
@@ -316,7 +316,7 @@
             .machines
             .values()
             .filter(|machine| machine.usable(now) && !is_reported(&machine.id))
-            .map(|machine| (machine.id.clone(), machine.room_beside_urgent()))
+            .map(|machine| (machine.id.clone(), machine.gpus_without_urgent_work()))
             .filter(|(_, gpus)| *gpus > 0.0)
             .collect();
         with_free_gpus.sort_by(|(_, gpus), (_, other)| other.total_cmp(gpus));
--- a/src/core/shard/map_changes.rs
+++ b/src/core/shard/map_changes.rs
@@ -113,7 +113,7 @@
         let unreleased = machine.previous_owner.take();
         let unreleased = unreleased.filter(|_| machine.is_owned);
         let is_gained = assignment.is_ours && !machine.is_owned;
-        machine.change_hands(token, assignment.is_ours, now);
+        machine.change_owner(token, assignment.is_ours, now);
         if let (true, Some(last_answered)) = (is_gained, assignment.last_answered) {
             machine.last_answered = last_answered;
             machine.heartbeat_expected_since = last_answered;
@@ -194,7 +194,7 @@
             .filter(|machine| machine.is_owned);
         for machine in owned {
             if let Some(images) = self.hints.get(&machine.id) {
-                machine.take_images(images);
+                machine.seed_images(images);
             }
         }
     }
