--- a/tests/failures/measure.rs
+++ b/tests/failures/measure.rs
@@ -27,11 +27,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Failure {
     /// Crashes.
-    Ends,
-    /// Crashes, and is restarted after so many seconds.
+    Crashes,
+    /// Crashes, and is restarted after this many seconds.
     Restarts(f64),
-    /// Is paused for so many seconds while its clocks continue.
-    StandsStill(f64),
+    /// Is paused for this many seconds while its clocks continue.
+    Paused(f64),
     /// Is cut from all workers.
     CutFromWorkers(CutManner),
     /// Is refused by the store, unlike the others.
@@ -40,15 +40,15 @@
     CutFromStateAndSiblings,
     /// What it sends, or what is sent to it, is lost.
     OneDirection(Direction),
-    /// It runs only once every so many seconds.
+    /// It runs only once every this many seconds.
     Slow(f64),
 }
 
 impl Failure {
     /// Whether it lasts long enough for the shard to fail over.
-    pub fn ends_ownership(self) -> bool {
+    pub fn causes_failover(self) -> bool {
         match self {
-            Self::Restarts(seconds) | Self::StandsStill(seconds) => seconds >= KEY_LASTS_S,
+            Self::Restarts(seconds) | Self::Paused(seconds) => seconds >= KEY_LASTS_S,
             Self::Slow(_) => false,
             _ => true,
         }
@@ -58,12 +58,12 @@
     pub fn keeps_workers_waiting(self) -> bool {
         matches!(
             self,
-            Self::StandsStill(_) | Self::CutFromWorkers(CutManner::Silent)
+            Self::Paused(_) | Self::CutFromWorkers(CutManner::Silent)
         )
     }
 
     /// Schedules it for a controller.
-    pub fn happen(self, world: &mut World, at: f64, node: usize) {
+    pub fn schedule(self, world: &mut World, at: f64, node: usize) {
         let who = Endpoint::Node(node);
         let cut = |from: Endpoint, manner: CutManner, direction: Direction| {
             let who = Endpoint::Node(node);
@@ -76,7 +76,7 @@
             }
         };
         let fault = match self {
-            Self::Ends => Fault::Crash {
+            Self::Crashes => Fault::Crash {
                 who,
                 back_after: Some(LASTS_S),
             },
@@ -84,7 +84,7 @@
                 who,
                 back_after: Some(seconds),
             },
-            Self::StandsStill(seconds) => Fault::Freeze { who, seconds },
+            Self::Paused(seconds) => Fault::Freeze { who, seconds },
             Self::CutFromWorkers(manner) => cut(Endpoint::Workers, manner, Direction::Both),
             Self::RefusedAlone => Fault::Refuse {
                 who,
@@ -110,11 +110,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct Measured {
     /// Another controller suspects the failed one.
-    pub noticed: Option<f64>,
+    pub suspected: Option<f64>,
     /// The key of the failed process was removed, or belongs to another process.
     pub released: Option<f64>,
     /// The stored shard map names another owner.
-    pub handed_on: Option<f64>,
+    pub failed_over: Option<f64>,
     /// Another process may start all tasks of the shard, because it knows what runs.
     pub settled: Option<f64>,
     /// A job of the shard that was submitted half a second after the failure has started.
@@ -163,17 +163,17 @@
     while world.now < fails_at + FOLLOWED_S {
         world.run(world.now + STEP_S);
         let since = Some(world.now - fails_at);
-        if measured.noticed.is_none() && world.is_suspected(node) {
-            measured.noticed = since;
+        if measured.suspected.is_none() && world.is_suspected(node) {
+            measured.suspected = since;
         }
         if measured.released.is_none() && !same_process(&world.stored(&key), &process) {
             measured.released = since;
         }
-        if measured.handed_on.is_none() && world.owner_of("red") != owner {
-            measured.handed_on = since;
+        if measured.failed_over.is_none() && world.owner_of("red") != owner {
+            measured.failed_over = since;
         }
         if measured.settled.is_none()
-            && measured.handed_on.is_some()
+            && measured.failed_over.is_some()
             && world.is_settled("red", node)
         {
             measured.settled = since;
--- a/tests/failures/pairs.rs
+++ b/tests/failures/pairs.rs
@@ -8,11 +8,11 @@
 /// Controllers in the simulation.
 const CONTROLLERS: usize = 5;
 /// How long a paused controller is paused.
-const STANDSTILL_S: f64 = 20.0;
+const PAUSE_S: f64 = 20.0;
 /// The failures that are combined.
 const FAILURES: [Failure; 5] = [
-    Failure::Ends,
-    Failure::StandsStill(STANDSTILL_S),
+    Failure::Crashes,
+    Failure::Paused(PAUSE_S),
     Failure::CutFromWorkers(CutManner::Silent),
     Failure::RefusedAlone,
     Failure::CutFromStateAndSiblings,
@@ -46,8 +46,8 @@
     let (mut world, fails_at) = before_failure(seed, CONTROLLERS);
     let owner = busiest_owner(&world);
     let second = (owner + other) % CONTROLLERS;
-    pair.0.happen(&mut world, fails_at, owner);
-    pair.1.happen(&mut world, fails_at + apart, second);
+    pair.0.schedule(&mut world, fails_at, owner);
+    pair.1.schedule(&mut world, fails_at + apart, second);
     let measured = follow(&mut world, fails_at, owner);
     (measured.lost, measured.violations)
 }
--- a/tests/failures/table.rs
+++ b/tests/failures/table.rs
@@ -6,13 +6,13 @@
 
 /// All kinds that are measured, by name.
 const FAILURES: [(&str, Failure); 15] = [
-    ("ends", Failure::Ends),
-    ("ends, back after 0.3 s", Failure::Restarts(0.3)),
-    ("ends, back after 5 s", Failure::Restarts(5.0)),
-    ("stands still 3 s", Failure::StandsStill(3.0)),
-    ("stands still 7 s", Failure::StandsStill(7.0)),
-    ("stands still 25 s", Failure::StandsStill(25.0)),
-    ("stands still 60 s", Failure::StandsStill(60.0)),
+    ("crashes", Failure::Crashes),
+    ("crashes, back after 0.3 s", Failure::Restarts(0.3)),
+    ("crashes, back after 5 s", Failure::Restarts(5.0)),
+    ("paused 3 s", Failure::Paused(3.0)),
+    ("paused 7 s", Failure::Paused(7.0)),
+    ("paused 25 s", Failure::Paused(25.0)),
+    ("paused 60 s", Failure::Paused(60.0)),
     (
         "cut from workers, silent",
         Failure::CutFromWorkers(CutManner::Silent),
@@ -63,9 +63,9 @@
     let lost: Vec<usize> = measured.iter().map(|m| m.lost).collect();
     format!(
         "| {name} | {controllers} | {} | {} | {} | {} | {} | {} of {} plays, {} tasks |",
-        of(|m| m.noticed),
+        of(|m| m.suspected),
         of(|m| m.released),
-        of(|m| m.handed_on),
+        of(|m| m.failed_over),
         of(|m| m.settled),
         of(|m| m.started),
         lost.iter().filter(|lost| **lost > 0).count(),
@@ -76,7 +76,7 @@
 
 /// Seconds within which the shard map names another owner of a shard that has to fail over. A silent cut from the workers
 /// takes longest: they wait 4 s for an answer before they report to another controller.
-const HANDED_ON_WITHIN_S: f64 = 8.0;
+const FAILOVER_WITHIN_S: f64 = 8.0;
 /// Seconds from then until the new owner may start all tasks of the shard: three heartbeat intervals.
 const SETTLED_WITHIN_S: f64 = 3.0;
 
@@ -88,15 +88,15 @@
             measured.lost
         ));
     }
-    if !failure.ends_ownership() {
+    if !failure.causes_failover() {
         return None;
     }
-    let Some(handed_on) = measured.handed_on.filter(|at| *at <= HANDED_ON_WITHIN_S) else {
-        return Some(format!("handed on after {:?} s", measured.handed_on));
+    let Some(failed_over) = measured.failed_over.filter(|at| *at <= FAILOVER_WITHIN_S) else {
+        return Some(format!("failed over after {:?} s", measured.failed_over));
     };
     let settled = measured
         .settled
-        .filter(|at| *at <= handed_on + SETTLED_WITHIN_S);
+        .filter(|at| *at <= failed_over + SETTLED_WITHIN_S);
     settled
         .is_none()
         .then(|| format!("settled after {:?} s", measured.settled))
@@ -110,7 +110,7 @@
             let measured = seeds().map(|seed| {
                 let (mut world, fails_at) = before_failure(seed, controllers);
                 let owner = busiest_owner(&world);
-                failure.happen(&mut world, fails_at, owner);
+                failure.schedule(&mut world, fails_at, owner);
                 follow(&mut world, fails_at, owner)
             });
             let measured: Vec<Measured> = measured.collect();
--- a/tests/world/cloud.rs
+++ b/tests/world/cloud.rs
@@ -3,7 +3,7 @@
 use ochredrum::core::effects::{CloudCall, CloudReply};
 use ochredrum::ids::{MachineId, TypeName, Zone};
 use ochredrum::wire::{
-    ListedMachine, MachineList, MachineNames, MachineState, MachineType, MachineTypes,
+    ListedMachine, MachineList, MachineNames, MachineState, MachineType, MachineTypes, Rental,
 };
 use std::collections::BTreeMap;
 
@@ -144,59 +144,68 @@
             CloudCall::Types => CloudReply::Types(MachineTypes {
                 types: self.types.clone(),
             }),
-            CloudCall::List { .. } => {
-                let as_of = now - LIST_LAG_S;
-                let listed = |o: &&Owned| {
-                    o.created <= as_of && o.unlisted_from.is_none_or(|from| from > as_of)
-                };
-                let machines = self.machines.iter().filter(|(_, o)| listed(o));
-                let machines = machines
-                    .map(|(id, o)| ListedMachine {
-                        machine: id.clone(),
-                        address: Some(id.to_string()),
-                        type_name: o.type_name.clone(),
-                        zone: o.zone.clone(),
-                        spot: o.spot,
-                        state: match o.running {
-                            Some(since) if since <= as_of => MachineState::Running,
-                            _ => MachineState::Booting,
-                        },
-                        age_s: as_of - o.created,
-                    })
-                    .collect();
-                CloudReply::List(MachineList {
-                    machines,
-                    more: false,
-                })
-            }
-            CloudCall::Rent(rental) => {
-                if let Some(names) = self.rentals.get(&rental.request) {
-                    return (CloudReply::Rented(names.clone()), Vec::new());
-                }
-                if self.machines.len() >= CAPACITY {
-                    return (CloudReply::NoCapacity, Vec::new());
-                }
-                let machines: Vec<MachineId> = (0..rental.count)
-                    .map(|_| {
-                        let type_name = rental.type_name.as_str();
-                        self.create(type_name, rental.zone.as_str(), rental.spot, now)
-                    })
-                    .collect();
-                let names = MachineNames {
-                    machines: machines.clone(),
-                };
-                self.rentals.insert(rental.request, names.clone());
-                return (CloudReply::Rented(names), machines);
-            }
+            CloudCall::List { .. } => CloudReply::List(self.list(now - LIST_LAG_S)),
+            CloudCall::Rent(rental) => return self.rent(now, rental),
             CloudCall::Release(names) => {
-                for machine in names.machines {
-                    if self.machines.remove(&machine).is_some() {
-                        self.deleted.push(machine);
-                    }
-                }
+                self.release(names);
                 CloudReply::Released
             }
         };
         (reply, Vec::new())
     }
+
+    /// The listing as of a moment.
+    fn list(&self, as_of: f64) -> MachineList {
+        let is_listed = |owned: &&Owned| {
+            owned.created <= as_of && owned.unlisted_from.is_none_or(|from| from > as_of)
+        };
+        let listed = self.machines.iter().filter(|(_, owned)| is_listed(owned));
+        let machines = listed
+            .map(|(id, owned)| ListedMachine {
+                machine: id.clone(),
+                address: Some(id.to_string()),
+                type_name: owned.type_name.clone(),
+                zone: owned.zone.clone(),
+                spot: owned.spot,
+                state: match owned.running {
+                    Some(since) if since <= as_of => MachineState::Running,
+                    _ => MachineState::Booting,
+                },
+                age_s: as_of - owned.created,
+            })
+            .collect();
+        MachineList {
+            machines,
+            more: false,
+        }
+    }
+
+    /// Rents machines. A repeated request is answered as the first time and rents no more.
+    fn rent(&mut self, now: f64, rental: Rental) -> (CloudReply, Vec<MachineId>) {
+        if let Some(names) = self.rentals.get(&rental.request) {
+            return (CloudReply::Rented(names.clone()), Vec::new());
+        }
+        if self.machines.len() >= CAPACITY {
+            return (CloudReply::NoCapacity, Vec::new());
+        }
+        let machines: Vec<MachineId> = (0..rental.count)
+            .map(|_| {
+                let type_name = rental.type_name.as_str();
+                self.create(type_name, rental.zone.as_str(), rental.spot, now)
+            })
+            .collect();
+        let names = MachineNames {
+            machines: machines.clone(),
+        };
+        self.rentals.insert(rental.request, names.clone());
+        (CloudReply::Rented(names), machines)
+    }
+
+    fn release(&mut self, names: MachineNames) {
+        for machine in names.machines {
+            if self.machines.remove(&machine).is_some() {
+                self.deleted.push(machine);
+            }
+        }
+    }
 }
--- a/tests/world/commands.rs
+++ b/tests/world/commands.rs
@@ -21,7 +21,7 @@
     Served,
     /// The connection is refused at once.
     Refused,
-    /// Executed so many seconds later, without a response.
+    /// Executed this many seconds later, without a response.
     Late(f64),
     /// Executed at once, but the response is lost.
     Unanswered,
--- a/tests/world/controllers.rs
+++ b/tests/world/controllers.rs
@@ -112,7 +112,7 @@
         self.at(self.now, Event::Tick { node, epoch });
     }
 
-    /// Ends the process of a controller, which is restarted after so many seconds.
+    /// Ends the process of a controller, which is restarted after this many seconds.
     pub(super) fn crash(&mut self, node: usize, back_after: f64) {
         if self.nodes[node].core.take().is_some() {
             self.nodes[node].epoch += 1;
@@ -251,7 +251,7 @@
         self.step(node, vec![input]);
     }
 
-    /// Sends an answer back to whoever asked, if the network lets it pass; `None` for a broken connection.
+    /// Sends an answer back to the sender of a request, if the network lets it pass; `None` for a broken connection.
     pub(super) fn answer_asker(
         &mut self,
         node: usize,
--- a/tests/world/faults.rs
+++ b/tests/world/faults.rs
@@ -20,7 +20,7 @@
         /// Seconds until they are restarted; the default if absent.
         back_after: Option<f64>,
     },
-    /// All controllers are restarted, one every so many seconds.
+    /// All controllers are restarted, one every this many seconds.
     RollingRestart { every: f64 },
     /// A condition of the whole deployment.
     Condition { condition: Condition, seconds: f64 },
@@ -60,7 +60,7 @@
         node: usize,
         seconds: f64,
     },
-    /// A spot machine receives notice that it will be taken away after so many seconds.
+    /// A spot machine receives notice that it will be taken away after this many seconds.
     TerminationNotice { which: usize, seconds: f64 },
     /// A machine executes nothing for a while, and then continues if its lease allows.
     MachineHangs { which: usize, seconds: f64 },
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -190,7 +190,7 @@
         self.events.push(Reverse(Timed(time, self.sequence, event)));
     }
 
-    /// Schedules an event so many seconds from now.
+    /// Schedules an event this many seconds from now.
     fn after(&mut self, delay: f64, event: Event) {
         self.at(self.now + delay, event);
     }
--- a/tests/world/user_checks.rs
+++ b/tests/world/user_checks.rs
@@ -29,7 +29,7 @@
         let status = answer.as_ref().map(|answer| answer.status);
         let Some(job) = job else {
             if matches!(status, Some(200 | 201)) {
-                self.record_violation("invented", "a job that nobody submitted".into());
+                self.record_violation("invented", "a job that was never submitted".into());
             }
             return;
         };
