--- a/src/core/controller/status.rs
+++ b/src/core/controller/status.rs
@@ -3,7 +3,7 @@
 use crate::config::TeamLimits;
 use crate::core::Core;
 use crate::core::effects::{Answer, Body, RequestId};
-use crate::core::model::process::Process;
+use crate::core::model::process::ProcessId;
 use crate::core::records::versioned::StoredLedger;
 use crate::core::scheduling::usage::{Basis, are_on};
 use crate::core::shard::grants::TeamGrant;
@@ -56,12 +56,12 @@
         let now = self.outbox.now;
         let detector = self.peers.detector();
         let status = |(node, evidence): (Node, Evidence)| {
-            let told = detector.told_of(&node, now).into_iter();
-            let told = told.map(|(observer, opinion, age_s)| OpinionStatus {
-                observer: observer.to_string(),
+            let told = detector.received_opinions(&node, now).into_iter();
+            let told = told.map(|opinion| OpinionStatus {
+                observer: opinion.observer.to_string(),
                 suspects: opinion.suspects,
                 silence_s: opinion.silence_s,
-                age_s,
+                age_s: opinion.age_s,
             });
             SiblingStatus {
                 controller: node.to_string(),
@@ -82,22 +82,16 @@
     /// Processes that own something though they have failed or their keys have gone.
     fn hand_over_statuses(&self) -> Vec<HandOverStatus> {
         let owners = self.store.owners();
-        let mut owned: BTreeMap<Process, (usize, usize)> = BTreeMap::new();
+        let mut owned: BTreeMap<ProcessId, (usize, usize)> = BTreeMap::new();
         for owner in owners.teams.values() {
-            owned
-                .entry((owner.node.clone(), owner.incarnation))
-                .or_default()
-                .0 += 1;
+            owned.entry(owner.process()).or_default().0 += 1;
         }
         for owner in owners.machines.values() {
-            owned
-                .entry((owner.node.clone(), owner.incarnation))
-                .or_default()
-                .1 += 1;
+            owned.entry(owner.process()).or_default().1 += 1;
         }
-        let status = |(process, (teams, machines)): (Process, (usize, usize))| {
+        let status = |(process, (teams, machines)): (ProcessId, (usize, usize))| {
             let reason = self.hand_over_wait(&process)?;
-            let (controller, incarnation) = (process.0.to_string(), process.1);
+            let (controller, incarnation) = (process.node.to_string(), process.incarnation);
             Some(HandOverStatus {
                 controller,
                 incarnation,
@@ -109,15 +103,16 @@
         owned.into_iter().filter_map(status).collect()
     }
 
-    fn hand_over_wait(&self, process: &Process) -> Option<HandOverWait> {
-        if self.store.is_registered(&process.0, process.1) {
-            let failed = self.peers.detector().has_failed(&process.0);
+    fn hand_over_wait(&self, process: &ProcessId) -> Option<HandOverWait> {
+        if self.store.is_registered(&process.node, process.incarnation) {
+            let failed = self.peers.detector().has_failed(&process.node);
             return failed.then_some(HandOverWait::Key);
         }
         if self.leader.is_none() {
             return Some(HandOverWait::Leader);
         }
-        let (given, needed) = self.ownership.consents_to(process);
+        let consents = self.ownership.consents_to(process);
+        let (given, needed) = (consents.given, consents.needed);
         Some(HandOverWait::Consents { given, needed })
     }
 
@@ -159,7 +154,7 @@
         let owner = self.shard.as_ref()?;
         let team = owner.teams.get(&team_limits.name)?;
         let usage = owner.usage(&self.store, self.outbox.wall_ms);
-        let (own, inherited) = usage.under_grants(&team_limits.name);
+        let (own, inherited) = usage.own_and_inherited(&team_limits.name);
         Some(OwnedTeamStatus {
             basis: basis(team.grant.as_ref()),
             used: capacity(&own.plus(&inherited)),
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -11,7 +11,7 @@
 use hyper::{Method, Request};
 use ochredrum::core::effects::{StoreCall, StoreReply};
 use ochredrum::front::MESSAGE_PACK;
-use ochredrum::http::{Bounds, Client, Failure, Reply, read_body, reply, serve};
+use ochredrum::http::{Client, Reply, RequestError, read_body, reply, serve};
 use ochredrum::wire::{Transaction, decode, encode};
 use serde_json::{Value, json};
 use std::cell::RefCell;
@@ -233,7 +233,7 @@
     method: Method,
     path: &str,
     body: Vec<u8>,
-) -> Result<(u16, Value), Failure> {
+) -> Result<(u16, Value), RequestError> {
     let (status, body) = client
         .send(method, path, body, Duration::from_secs(3))
         .await?;
@@ -261,11 +261,8 @@
         "markEveryS": 3.0, "markS": 1.0})
 }
 
-/// The bounds of connections to stand-ins.
-pub const BOUNDS: Bounds = Bounds {
-    connections: 100,
-    read: WAIT,
-};
+/// How many connections a stand-in accepts.
+pub const MAX_CONNECTIONS: usize = 100;
 
 /// The addresses of one or more controllers, with running stand-ins for the store and the cloud.
 pub struct Deployment {
@@ -292,13 +289,13 @@
         let store = Rc::new(RefCell::new(store));
         let began = Instant::now();
         let (listener, store_at) = listen().await;
-        spawn_local(serve(listener, BOUNDS, move |request| {
+        spawn_local(serve(listener, MAX_CONNECTIONS, move |request| {
             store_service(store.clone(), began, request)
         }));
         let (listener, cloud_at) = listen().await;
         let listed = Rc::new(RefCell::new(Vec::new()));
         let at_cloud = listed.clone();
-        spawn_local(serve(listener, BOUNDS, move |request| {
+        spawn_local(serve(listener, MAX_CONNECTIONS, move |request| {
             cloud(at_cloud.clone(), request)
         }));
         let (mut fronts, mut meshes, mut listeners) = (Vec::new(), Vec::new(), Vec::new());
--- a/tests/world/tasks.rs
+++ b/tests/world/tasks.rs
@@ -243,7 +243,7 @@
         };
         if waits {
             if now > running.until + GANG_WAIT_S {
-                running.exit(Exit::Alone);
+                running.exit(Exit::GangIncomplete);
             }
             return;
         }
--- a/tests/world/worker.rs
+++ b/tests/world/worker.rs
@@ -69,7 +69,7 @@
                 task: task.to_string(),
                 attempt: *attempt,
                 state: running.state,
-                why: running.exit,
+                exit: running.exit,
                 checkpointed: running.checkpointed.then_some(true),
             });
         Heartbeat {
@@ -81,7 +81,7 @@
             agent_epoch: self.agent_epoch,
             sequence: self.sequence,
             token: self.token,
-            notice_s: self.leaves_at.map(|at| at - now),
+            reclaim_notice_s: self.leaves_at.map(|at| at - now),
             tasks: tasks.collect(),
         }
     }
