--- a/crates/failure-detector/tests/model.rs
+++ b/crates/failure-detector/tests/model.rs
@@ -10,6 +10,15 @@
 //! share no opinions, the observer's detection of its own pauses, and confirmation itself (with a quorum that
 //! can't be reached).
 
+#![allow(
+    clippy::cast_possible_truncation,
+    clippy::indexing_slicing,
+    clippy::min_ident_chars,
+    clippy::too_many_lines,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking, and states a whole case in one place"
+)]
+
 use failure_detector::{Detector, Incarnation, Opinion, SUSPECT_HEARTBEATS, Settings, Stage};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
--- a/crates/failure-detector/tests/unit.rs
+++ b/crates/failure-detector/tests/unit.rs
@@ -1,5 +1,14 @@
 //! Single rules of the detector and of the detection of partial failures.
 
+#![allow(
+    clippy::cast_possible_truncation,
+    clippy::indexing_slicing,
+    clippy::min_ident_chars,
+    clippy::too_many_lines,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking, and states a whole case in one place"
+)]
+
 use failure_detector::{
     Detector, Incarnation, MIN_SUSPECT_HEARTBEATS, Opinion, OwnContact, PartialFailure,
     SUSPECT_HEARTBEATS, Settings, Stage,
--- a/crates/quota-ledger/src/amount.rs
+++ b/crates/quota-ledger/src/amount.rs
@@ -35,6 +35,10 @@
 
     /// The smallest amount that covers this many CPUs and GPUs; negative numbers count as 0.
     pub fn covering(cpus: f64, gpus: f64) -> Self {
+        #[expect(
+            clippy::cast_possible_truncation,
+            reason = "rounded to a whole number before; `as` saturates beyond u64"
+        )]
         let round_up = |units: f64| {
             let thousandths = units.max(0.0) * THOUSANDTHS - ROUNDING_TOLERANCE;
             thousandths.ceil().max(0.0) as u64
@@ -84,6 +88,10 @@
 
     /// The amount times `factor`, rounded up.
     pub fn scaled(&self, factor: f64) -> Self {
+        #[expect(
+            clippy::cast_possible_truncation,
+            reason = "rounded to a whole number before; `as` saturates beyond u64"
+        )]
         let scaled = |thousandths: u64| (thousandths as f64 * factor).ceil() as u64;
         Self {
             cpu_thousandths: scaled(self.cpu_thousandths),
@@ -109,6 +117,10 @@
 impl Limit {
     /// A limit as settings express it, where 0 means that there is none.
     pub fn new(cpus: f64, gpus: f64) -> Self {
+        #[expect(
+            clippy::cast_possible_truncation,
+            reason = "a limit is rounded down on purpose; `as` saturates beyond u64"
+        )]
         let round_down = |units: f64| {
             let thousandths = (units * THOUSANDTHS + ROUNDING_TOLERANCE) as u64;
             (units > 0.0).then_some(thousandths)
--- a/crates/quota-ledger/tests/interleaving.rs
+++ b/crates/quota-ledger/tests/interleaving.rs
@@ -1,6 +1,15 @@
 //! Seeded schedules of grants, recalls, lost messages, process pauses and restarts: the limit is never
 //! exceeded, and each safety rule is needed for that.
 
+#![allow(
+    clippy::cast_possible_truncation,
+    clippy::indexing_slicing,
+    clippy::min_ident_chars,
+    clippy::too_many_lines,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking, and states a whole case in one place"
+)]
+
 mod model;
 
 use model::{LIMIT_GPUS, Model, Removed};
--- a/crates/quota-ledger/tests/record.rs
+++ b/crates/quota-ledger/tests/record.rs
@@ -1,5 +1,14 @@
 //! Changes and validation of the record, and how a holder requests changes.
 
+#![allow(
+    clippy::cast_possible_truncation,
+    clippy::indexing_slicing,
+    clippy::min_ident_chars,
+    clippy::too_many_lines,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking, and states a whole case in one place"
+)]
+
 use quota_ledger::record::MAX_GRANTS;
 use quota_ledger::{
     Amount, ChangeError, Demand, Ended, Headroom, Holder, HolderId, Limit, Outcome, RecordError,
--- a/src/cloud_client.rs
+++ b/src/cloud_client.rs
@@ -76,5 +76,6 @@
 }
 
 fn has_error(body: &[u8], error: &str) -> bool {
-    decode::<serde_json::Value>(body).is_some_and(|answer| answer["error"] == error)
+    decode::<serde_json::Value>(body)
+        .is_some_and(|answer| answer.get("error").is_some_and(|found| found == error))
 }
--- a/src/core/leader/shard_map_editor/tests.rs
+++ b/src/core/leader/shard_map_editor/tests.rs
@@ -13,6 +13,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one history of events, each step depends on the ones before"
+)]
 fn the_shard_map_is_read_back_and_keeps_within_the_value_limit() {
     let mut editor = ShardMapEditor::new(1 << 20, &BTreeMap::new(), 4.0);
     for number in 0..200 {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -72,6 +72,7 @@
 }
 
 impl Core {
+    /// A controller that has just started. The seed determines its incarnation and every random draw.
     pub fn new(config: Config, seed: u64) -> Self {
         let config = Rc::new(config);
         let mut rng = StdRng::seed_from_u64(seed);
--- a/src/core/shard/opportunistic/tests.rs
+++ b/src/core/shard/opportunistic/tests.rs
@@ -108,10 +108,11 @@
     let types = types();
     let all: BTreeSet<MachineOffer> = types
         .iter()
-        .flat_map(|t| {
-            t.zones
+        .flat_map(|machine_type| {
+            machine_type
+                .zones
                 .iter()
-                .map(|zone| MachineOffer::from((t.name.clone(), zone.clone(), true)))
+                .map(|zone| MachineOffer::from((machine_type.name.clone(), zone.clone(), true)))
         })
         .collect();
     assert_eq!(
--- a/src/core/shard/soon_ready/tests.rs
+++ b/src/core/shard/soon_ready/tests.rs
@@ -91,9 +91,9 @@
         self.outbox.begin(now, 0);
         let types: Vec<_> = types()
             .into_iter()
-            .map(|t| MachineType {
+            .map(|machine_type| MachineType {
                 boot_s: BOOT_S,
-                ..t
+                ..machine_type
             })
             .collect();
         self.shard
--- a/src/core/shard/tests.rs
+++ b/src/core/shard/tests.rs
@@ -109,7 +109,11 @@
 
 /// What was said of its last answer has to stay true until it has a fresh token.
 #[test]
-fn a_machine_said_to_be_silent_is_not_answered_under_that_term() {
+#[expect(
+    clippy::too_many_lines,
+    reason = "one history of events, each step depends on the ones before"
+)]
+fn a_machine_declared_unresponsive_is_not_answered_under_that_token() {
     let (mut shard, mut outbox, mut store) = shard();
     let mine = ShardEntry {
         owner: owner("n0"),
@@ -351,6 +355,10 @@
 /// A team's new owner counts what was cancelled lately, and since it has the team, until all machines
 /// have told what they hold; a long history of cancellations delays nothing.
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one history of events, each step depends on the ones before"
+)]
 fn only_recent_cancellations_count_towards_a_limit() {
     let (mut shard, mut outbox, mut store) = shard();
     let now_ms = 1_000_000;
--- a/src/core/shard/tracking/tests.rs
+++ b/src/core/shard/tracking/tests.rs
@@ -168,13 +168,18 @@
 
     fn tracks(&self, index: u32) -> bool {
         let machine = self.shard.machines.get(&MachineId::from("m-1"));
-        machine.is_some_and(|m| m.attempts.contains_key(&(task(index), Attempt(1))))
+        machine.is_some_and(|machine| machine.attempts.contains_key(&(task(index), Attempt(1))))
     }
 
     /// Starts that are issued in a round of placement.
     fn started_in_a_round(&mut self) -> usize {
         let catalog = Catalog::default();
-        let before: usize = self.shard.machines.values().map(|m| m.attempts.len()).sum();
+        let before: usize = self
+            .shard
+            .machines
+            .values()
+            .map(|machine| machine.attempts.len())
+            .sum();
         for machine in self.shard.machines.values_mut() {
             machine.total = Resources {
                 cpus: 9.0,
@@ -188,7 +193,7 @@
         self.shard
             .machines
             .values()
-            .map(|m| m.attempts.len())
+            .map(|machine| machine.attempts.len())
             .sum::<usize>()
             - before
     }
--- a/src/inbox.rs
+++ b/src/inbox.rs
@@ -79,6 +79,10 @@
 impl Inbox {
     /// An inbox that feeds `queue`, with bounds in proportion to the limit on sockets.
     pub fn new(queue: mpsc::UnboundedSender<Input>, fd_limit: usize) -> Self {
+        #[expect(
+            clippy::cast_possible_truncation,
+            reason = "a fraction of a limit on sockets, rounded down on purpose"
+        )]
         let max_pending_users = (fd_limit as f64 * PENDING_USERS_FRACTION) as usize;
         Self {
             queue,
--- a/src/mesh.rs
+++ b/src/mesh.rs
@@ -27,7 +27,12 @@
 /// The largest message that is accepted, in bytes.
 pub fn message_limit(limits: &ProcessLimits) -> usize {
     let bytes = limits.mem_mb * BYTES_PER_MB * MESSAGE_MEMORY_FRACTION;
-    (bytes as usize).max(MIN_MESSAGE_LIMIT)
+    #[expect(
+        clippy::cast_possible_truncation,
+        reason = "whole bytes are enough; `as` saturates beyond usize"
+    )]
+    let bytes = bytes as usize;
+    bytes.max(MIN_MESSAGE_LIMIT)
 }
 
 /// A client of the sibling at this address.
--- a/src/status.rs
+++ b/src/status.rs
@@ -271,8 +271,10 @@
 /// A table whose columns are as wide as their widest cells.
 fn table<const COLUMNS: usize>(header: [&str; COLUMNS], rows: &[[String; COLUMNS]]) -> String {
     let width = |column: usize| {
-        let cells = rows.iter().map(|row| row[column].chars().count());
-        cells.chain([header[column].len()]).max().unwrap_or(0)
+        let cells = rows.iter().filter_map(|row| row.get(column));
+        let widths = cells.map(|cell| cell.chars().count());
+        let title = header.get(column).map(|title| title.len());
+        widths.chain(title).max().unwrap_or(0)
     };
     let widths: Vec<usize> = (0..COLUMNS).map(width).collect();
     let mut text = String::new();
--- a/tests/architecture.rs
+++ b/tests/architecture.rs
@@ -1,5 +1,14 @@
 //! The folders of the core import one another in one direction only, as `docs/architecture.md` lists them.
 
+#![allow(
+    clippy::cast_possible_truncation,
+    clippy::indexing_slicing,
+    clippy::min_ident_chars,
+    clippy::too_many_lines,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking, and states a whole case in one place"
+)]
+
 use std::path::{Path, PathBuf};
 
 /// Heading of the column whose rows are the folders, lowest first.
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -11,6 +11,15 @@
 //!
 //! What is read and written again to the letter can be read by the version that wrote it first.
 
+#![allow(
+    clippy::cast_possible_truncation,
+    clippy::indexing_slicing,
+    clippy::min_ident_chars,
+    clippy::too_many_lines,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking, and states a whole case in one place"
+)]
+
 use ochredrum::core::messages::mesh::{MeshMessage, MeshReply};
 use ochredrum::core::records::job_record::JobRecord;
 use ochredrum::core::records::process_record::ProcessRecord;
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,5 +1,14 @@
 //! How CI judges a run with known failing tests: the script `.ci/known-red`.
 
+#![allow(
+    clippy::cast_possible_truncation,
+    clippy::indexing_slicing,
+    clippy::min_ident_chars,
+    clippy::too_many_lines,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking, and states a whole case in one place"
+)]
+
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -1,5 +1,14 @@
 //! The real program over loopback, with stand-ins that speak HTTP.
 
+#![allow(
+    clippy::cast_possible_truncation,
+    clippy::indexing_slicing,
+    clippy::min_ident_chars,
+    clippy::too_many_lines,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking, and states a whole case in one place"
+)]
+
 mod loopback;
 
 use hyper::Method;
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -3,6 +3,15 @@
 //!
 //! The rules are checked while a simulation runs; at its end every request must have been served.
 
+#![allow(
+    clippy::cast_possible_truncation,
+    clippy::indexing_slicing,
+    clippy::min_ident_chars,
+    clippy::too_many_lines,
+    clippy::unwrap_used,
+    reason = "a test fails by panicking, and states a whole case in one place"
+)]
+
 mod days;
 mod effect_digests;
 mod failures;
--- a/tests/world/store.rs
+++ b/tests/world/store.rs
@@ -151,7 +151,10 @@
     }
 
     /// The values of all keys with a prefix.
-    #[allow(dead_code)] // One of the two test binaries that share this file does not use it.
+    #[allow(
+        dead_code,
+        reason = "one of the two test binaries that share this file does not use it"
+    )]
     pub fn values_under<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a Value> {
         let keys = self.keys.range(prefix.to_owned()..);
         keys.take_while(move |(key, _)| key.starts_with(prefix))
@@ -159,7 +162,10 @@
     }
 
     /// How often a key was written.
-    #[allow(dead_code)] // One of the two test binaries that share this file does not use it.
+    #[allow(
+        dead_code,
+        reason = "one of the two test binaries that share this file does not use it"
+    )]
     pub fn puts_of(&self, key: &str) -> usize {
         self.log
             .iter()
