--- a/src/cli.rs
+++ b/src/cli.rs
@@ -159,6 +159,9 @@
         .with_target(false)
         .init();
     if level.is_none() {
-        tracing::warn!("LOG_LEVEL={requested:?} is not error, info or debug; using info");
+        tracing::warn!(
+            requested,
+            "LOG_LEVEL is not error, info or debug: using info"
+        );
     }
 }
--- a/src/cloud_client.rs
+++ b/src/cloud_client.rs
@@ -69,7 +69,7 @@
         (503, CloudCall::Rent(_)) if has_error(body, NO_CAPACITY) => CloudReply::NoCapacity,
         (429 | 503, _) => CloudReply::Refused,
         _ => {
-            tracing::error!("cloud: unexpected status {status} for {call:?}");
+            tracing::error!(%status, ?call, "unexpected status of the cloud");
             CloudReply::Refused
         }
     }
--- a/src/core/controller/catalog.rs
+++ b/src/core/controller/catalog.rs
@@ -54,7 +54,7 @@
         let write = put(TYPES_KEY, &record, None);
         let size = serde_json::to_string(&record).map_or(usize::MAX, |text| text.len());
         if size as f64 > self.config.deployment.state.value_kb * 1024.0 {
-            return tracing::error!(size, "the machine types are too large for the store");
+            return tracing::error!(size, "machine types are too large for the store");
         }
         let version = stored.map_or(0, |stored| stored.version);
         let preconditions = vec![
--- a/src/core/leader/claims.rs
+++ b/src/core/leader/claims.rs
@@ -29,7 +29,7 @@
                     machine = %claim.machine,
                     from = %previous_owner.node,
                     to = %node,
-                    "a claimed machine moves to the shard of the controller that hears it"
+                    "claimed machine moves to the controller that hears it"
                 );
                 self.assign_machine(&claim.machine, &claimant, Some(previous_owner));
                 self.claimed.insert(claim.machine.clone(), now);
--- a/src/core/leader/cloud_requests.rs
+++ b/src/core/leader/cloud_requests.rs
@@ -155,7 +155,7 @@
     pub(super) fn release_overdue(&mut self, catalog: &Catalog, now: Time) {
         for id in self.pending.overdue(catalog, now) {
             if self.releases.insert(id.clone()) {
-                tracing::info!(machine = %id, "a rented machine has not reported in time and is returned");
+                tracing::info!(machine = %id, "rented machine did not report in time and is returned");
             }
         }
     }
--- a/src/core/leader/failover.rs
+++ b/src/core/leader/failover.rs
@@ -51,7 +51,7 @@
             tracing::info!(
                 failed = %process.node,
                 successor = %successor.node,
-                "a shard fails over"
+                "shard fails over"
             );
             // The lease has expired as of this version of the process's key.
             let registered = store.node(&process.node).map_or(0, |stored| stored.version);
--- a/src/core/leader/machine_transfers.rs
+++ b/src/core/leader/machine_transfers.rs
@@ -153,7 +153,7 @@
         to: &Node,
         live: &LiveProcesses,
     ) {
-        tracing::info!(machine = %id, %from, %to, "a machine moves to another shard");
+        tracing::info!(machine = %id, %from, %to, "machine moves to another shard");
         if let Some(to) = live.process_of(to) {
             self.assign_machine(id, &to, live.process_of(from));
         }
--- a/src/core/leader/map_writer.rs
+++ b/src/core/leader/map_writer.rs
@@ -161,7 +161,7 @@
         tracing::error!(
             values_per_write = self.values_per_write,
             value_kb = self.value_kb,
-            "the store rejected a write of the shard map; the limits on its writes are reduced"
+            "store rejected a write of the shard map: its limits are reduced"
         );
     }
 }
--- a/src/core/leader/rebalance.rs
+++ b/src/core/leader/rebalance.rs
@@ -40,7 +40,7 @@
         }
         let team = self.team_without_queue(most);
         if let (Some(team), Some(to)) = (team, live.process_of(fewest)) {
-            tracing::info!(%team, from = %most, to = %fewest, "a team moves to another shard");
+            tracing::info!(%team, from = %most, to = %fewest, "team moves to another shard");
             self.assign_team(&team, &to);
         }
     }
--- a/src/core/leader/zone_contact.rs
+++ b/src/core/leader/zone_contact.rs
@@ -63,7 +63,7 @@
                     %zone,
                     silent = machines.silent,
                     total = machines.total,
-                    "a zone counts as unreachable"
+                    "zone counts as unreachable"
                 );
             }
         }
--- a/src/core/scheduling/catalog.rs
+++ b/src/core/scheduling/catalog.rs
@@ -49,7 +49,7 @@
 
     /// The state service refused to store the types: the write is not repeated.
     pub fn not_storable(&mut self) {
-        tracing::error!("state service refuses the machine types");
+        tracing::error!("store rejected the machine types");
         self.next_store = Time::INFINITY;
     }
 
--- a/src/core/scheduling/opportunistic.rs
+++ b/src/core/scheduling/opportunistic.rs
@@ -75,7 +75,7 @@
     (machine_seconds / (longest_boot(types) * MIN_WORK_BOOTS)).floor() as u32
 }
 
-/// Whether the offer's price per task is within [`PRICE_MARGIN`] of the lowest one of any type that can
+/// Whether the offer's price per task is within `PRICE_MARGIN` of the lowest one of any type that can
 /// hold the job. Only spot instances are.
 pub fn is_cost_effective(types: &[MachineType], offer: &MachineOffer, spec: &JobSpec) -> bool {
     let need = Resources::of(spec);
--- a/src/core/shard/grants.rs
+++ b/src/core/shard/grants.rs
@@ -321,7 +321,7 @@
                 tracing::error!(
                     team = %written.team,
                     bytes = written.write.bytes(),
-                    "state service refuses the quota grant record"
+                    "store rejected a quota grant record"
                 );
                 grant.has_no_record = true;
             }
--- a/src/core/shard/progress_records.rs
+++ b/src/core/shard/progress_records.rs
@@ -297,7 +297,7 @@
             StoreReply::Conflict | StoreReply::Rejected if with_others => job.write_alone = true,
             StoreReply::Rejected => {
                 let bytes = record.write.bytes();
-                tracing::error!(job = %id, bytes, "job record rejected by the state service");
+                tracing::error!(job = %id, bytes, "store rejected a job record");
                 job.refused_bytes = job.refused_bytes.min(bytes);
             }
             _ => {
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -77,7 +77,7 @@
         .max_buf_size(BODY_LIMIT)
         .serve_connection(TokioIo::new(stream), service);
     if let Err(error) = served.await {
-        tracing::debug!("connection ended: {error}");
+        tracing::debug!(%error, "connection ended");
     }
 }
 
--- a/src/service.rs
+++ b/src/service.rs
@@ -71,7 +71,7 @@
     serve_front(front_listener, limits, body_timeout, inbox.clone());
     serve_mesh(mesh_listener, limits, body_timeout, inbox.clone());
     let seed = random_seed()?;
-    tracing::info!("{} serves on {}", config.node, config.front);
+    tracing::info!(controller = %config.node, address = %config.front, "serving");
     let clients = Clients::new(&config, queue);
     let core = Core::new(config, seed);
     run_core(core, inputs, lease / TICKS_PER_LEASE, clients, inbox).await;
--- a/src/store_client.rs
+++ b/src/store_client.rs
@@ -88,7 +88,7 @@
         (200 | 204, StoreCall::LeaseRenew { .. } | StoreCall::LeaseEnd { .. }) => StoreReply::Done,
         (404, StoreCall::LeaseRenew { .. } | StoreCall::LeaseEnd { .. }) => StoreReply::LeaseGone,
         _ => {
-            tracing::debug!("state service: unexpected status {status} for {call:?}");
+            tracing::debug!(%status, ?call, "unexpected status of the store");
             StoreReply::Unknown
         }
     }
