--- a/src/core/controller/hello.rs
+++ b/src/core/controller/hello.rs
@@ -6,7 +6,7 @@
 use crate::core::leader::Leader;
 use crate::core::membership::peers::ImageScope;
 use crate::core::messages::mesh::{Hello, HelloReply, MeshMessage, MeshReply};
-use crate::core::messages::shard_update::{Hints, MachineContacts, PeerUpdate};
+use crate::core::messages::shard_update::{ImageHints, MachineContacts, PeerUpdate};
 use crate::core::model::process::ProcessId;
 use crate::core::model::time::Time;
 use crate::core::shard::Shard;
@@ -93,7 +93,7 @@
         let (images, contacts) = match scope {
             ImageScope::Known => (shard.known_images(), self.contacts.with(shard.contacts())),
             ImageScope::Own => (shard.own_images(), shard.contacts()),
-            ImageScope::None => (Hints::default(), MachineContacts::default()),
+            ImageScope::None => (ImageHints::default(), MachineContacts::default()),
         };
         let contacts = if self.acts_on_failures() {
             contacts
@@ -192,7 +192,7 @@
                 sender.incarnation,
                 update,
             ),
-            None => self.hints.extend(update.images),
+            None => self.image_hints.extend(update.images),
         }
     }
 
--- a/src/core/controller/ownership.rs
+++ b/src/core/controller/ownership.rs
@@ -242,7 +242,7 @@
         tracing::info!(%reason, "stepping down: lease and shard are given up");
         self.ownership.step_down(now + pause);
         if let Some(shard) = self.shard.take() {
-            self.hints = shard.known_images();
+            self.image_hints = shard.known_images();
             self.unresponsive.note(shard.unresponsive(now), now);
         }
         self.leader = None;
--- a/src/core/messages/shard_update.rs
+++ b/src/core/messages/shard_update.rs
@@ -38,7 +38,7 @@
     pub refused: Option<BTreeSet<MachineOffer>>,
     /// In every few hellos: the images on the sender's machines. To a new process: all images that
     /// the sender knows of. A new owner prefers machines on which nothing has to be fetched.
-    pub images: Hints,
+    pub images: ImageHints,
     /// Along with the images: the addresses of those machines, so that their next owner can send them
     /// a request at once.
     #[serde(
@@ -80,7 +80,7 @@
 
 /// For each machine the images in its cache as far as known, with their sizes in GB. They influence
 /// which machine is chosen, never whether a start is allowed.
-pub type Hints = BTreeMap<MachineId, Vec<(Image, f64)>>;
+pub type ImageHints = BTreeMap<MachineId, Vec<(Image, f64)>>;
 
 /// Where a machine is reached, as last known by its owner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -32,7 +32,7 @@
 use crate::core::membership::ownership::OwnershipLease;
 use crate::core::membership::peers::Peers;
 use crate::core::membership::process_pause::ProcessPause;
-use crate::core::messages::shard_update::{Hints, MachineContacts};
+use crate::core::messages::shard_update::{ImageHints, MachineContacts};
 use crate::core::model::time::Time;
 use crate::core::scheduling::catalog::Catalog;
 use crate::core::shard::Shard;
@@ -61,7 +61,7 @@
     leader: Option<Leader>,
     catalog: Catalog,
     /// Images of machines that siblings have told of before there is a shard.
-    hints: Hints,
+    image_hints: ImageHints,
     unresponsive: UnresponsiveMachines,
     relays: HeartbeatRelays,
     claims: MachineClaims,
@@ -86,7 +86,7 @@
             shard: None,
             leader: None,
             catalog: Catalog::default(),
-            hints: Hints::new(),
+            image_hints: ImageHints::new(),
             unresponsive: UnresponsiveMachines::default(),
             relays: HeartbeatRelays::new(&config),
             claims: MachineClaims::new(&config),
@@ -223,8 +223,8 @@
         let incarnation = self.ownership.incarnation();
         let is_registered = self.store.is_registered(&self.config.node, incarnation);
         if self.shard.is_none() && is_registered && self.ownership.holds_lease(now) {
-            let hints = std::mem::take(&mut self.hints);
-            self.shard = Some(Shard::new(&self.config, incarnation, hints, now));
+            let image_hints = std::mem::take(&mut self.image_hints);
+            self.shard = Some(Shard::new(&self.config, incarnation, image_hints, now));
             self.peers.note_worker_contact(now);
         }
         let term = self.ownership.leads(&self.store);
--- a/src/core/shard/map_changes.rs
+++ b/src/core/shard/map_changes.rs
@@ -193,7 +193,7 @@
             .values_mut()
             .filter(|machine| machine.is_owned);
         for machine in owned {
-            if let Some(images) = self.hints.get(&machine.id) {
+            if let Some(images) = self.image_hints.get(&machine.id) {
                 machine.seed_images(images);
             }
         }
--- a/src/core/shard/mod.rs
+++ b/src/core/shard/mod.rs
@@ -32,7 +32,7 @@
 use crate::core::machines::task_index::TaskIndex;
 use crate::core::machines::unresponsive::UnresponsiveMachines;
 use crate::core::messages::capacity_demand::{CapacityDemand, MachineOffer};
-use crate::core::messages::shard_update::Hints;
+use crate::core::messages::shard_update::ImageHints;
 use crate::core::model::process::ProcessId;
 use crate::core::model::resources::Resources;
 use crate::core::model::time::Time;
@@ -107,7 +107,7 @@
     /// Offers that the cloud refuses at present, as the leader has told.
     pub(crate) refused: BTreeSet<MachineOffer>,
     /// Images that machines hold, as far as siblings have told.
-    pub(crate) hints: Hints,
+    pub(crate) image_hints: ImageHints,
     /// Siblings that want to know of the owned machines.
     pub(crate) listeners: BTreeSet<Node>,
     /// Siblings have to be told of something before the next regular exchange.
@@ -119,8 +119,8 @@
 }
 
 impl Shard {
-    /// An empty shard of the process `incarnation`; `hints` are the images of machines that siblings have told of.
-    pub fn new(config: &Rc<Config>, incarnation: u64, hints: Hints, now: Time) -> Self {
+    /// An empty shard of the process `incarnation`; `image_hints` are the images of machines that siblings have told of.
+    pub fn new(config: &Rc<Config>, incarnation: u64, image_hints: ImageHints, now: Time) -> Self {
         let rate = write_rate(config, config.controllers());
         Self {
             config: config.clone(),
@@ -151,7 +151,7 @@
             demand: CapacityDemand::default(),
             next_plan: now,
             refused: BTreeSet::new(),
-            hints,
+            image_hints,
             listeners: BTreeSet::new(),
             sync_soon: false,
             heard: Time::NEG_INFINITY,
--- a/src/core/shard/sibling_updates.rs
+++ b/src/core/shard/sibling_updates.rs
@@ -8,7 +8,7 @@
 use crate::core::machines::machine::{Machine, Phase, TrackedAttempt};
 use crate::core::messages::capacity_demand::MachineOffer;
 use crate::core::messages::shard_update::{
-    Hints, MachineContacts, PeerUpdate, TaskCommand, TaskObservation,
+    ImageHints, MachineContacts, PeerUpdate, TaskCommand, TaskObservation,
 };
 use crate::core::model::process::ProcessId;
 use crate::core::model::time::Time;
@@ -44,7 +44,7 @@
         node: &Node,
         store: &StoreReplica,
         refused: Option<BTreeSet<MachineOffer>>,
-        images: Hints,
+        images: ImageHints,
         contacts: MachineContacts,
     ) -> PeerUpdate {
         let owners = store.owners().teams.iter();
@@ -106,7 +106,7 @@
     }
 
     /// The images on each owned machine.
-    pub fn own_images(&self) -> Hints {
+    pub fn own_images(&self) -> ImageHints {
         let owned = self.machines.values().filter(|machine| machine.is_owned);
         owned
             .map(|machine| (machine.id.clone(), machine.images().to_vec()))
@@ -114,8 +114,8 @@
     }
 
     /// The images on all machines, others' as far as siblings have told.
-    pub fn known_images(&self) -> Hints {
-        let mut known = self.hints.clone();
+    pub fn known_images(&self) -> ImageHints {
+        let mut known = self.image_hints.clone();
         known.extend(self.own_images());
         known
     }
@@ -146,7 +146,7 @@
         if let Some(refused) = update.refused {
             self.refused = refused;
         }
-        self.hints.extend(update.images);
+        self.image_hints.extend(update.images);
         let sender = ProcessId::new(from.clone(), incarnation);
         self.release_from(&sender, update.revision, outbox.now);
         for command in std::mem::take(&mut update.commands) {
--- a/src/core/shard/tests.rs
+++ b/src/core/shard/tests.rs
@@ -214,7 +214,13 @@
     };
     shard.apply_reported_task(&store, &id, task.clone(), &shown, outbox.now);
     let news = |shard: &Shard, store: &StoreReplica| {
-        let news = shard.update_for(&"n1".into(), store, None, Hints::new(), Default::default());
+        let news = shard.update_for(
+            &"n1".into(),
+            store,
+            None,
+            ImageHints::new(),
+            Default::default(),
+        );
         (news.reconciled.len(), news.observations.len())
     };
     assert_eq!(news(&shard, &store), (0, 0));
@@ -258,7 +264,7 @@
         commands: vec![],
         demand: CapacityDemand::default(),
         refused: None,
-        images: Hints::new(),
+        images: ImageHints::new(),
         contacts: Default::default(),
     };
     shard.take_update(&mut outbox, &store, &"n1".into(), 1, news(&[]));
--- a/src/core/test_support.rs
+++ b/src/core/test_support.rs
@@ -4,7 +4,7 @@
 use crate::core::Core;
 use crate::core::effects::outbox::Outbox;
 use crate::core::effects::{Effect, Input, StoreCall, StoreReply};
-use crate::core::messages::shard_update::Hints;
+use crate::core::messages::shard_update::ImageHints;
 use crate::core::model::time::Time;
 use crate::core::records::job_record::JobRecord;
 use crate::core::records::keys::{LEADER_KEY, MAP_PREFIX, node_key};
@@ -52,7 +52,7 @@
     let rng = rand::rngs::StdRng::seed_from_u64(1);
     let outbox = Outbox::new(rng, &config);
     (
-        Shard::new(&config, 1, Hints::new(), 0.0),
+        Shard::new(&config, 1, ImageHints::new(), 0.0),
         outbox,
         StoreReplica::new(&config),
     )
