--- a/src/core/controller/hello.rs
+++ b/src/core/controller/hello.rs
@@ -64,7 +64,10 @@
             number,
             wants_extension: self.ownership.wants_extension(now),
             wants_consent: self.ownership.wanted_consents(),
-            running: self.leased_shard().map(Shard::running).unwrap_or_default(),
+            running: self
+                .leased_shard()
+                .map(Shard::all_task_counts)
+                .unwrap_or_default(),
             unresponsive: self.unresponsive.all(now),
             update: None,
             final_states_after: self.wanted_final_states(),
@@ -91,8 +94,11 @@
         let scope = self.peers.take_image_scope(node);
         let shard = self.shard.as_ref()?;
         let (images, contacts) = match scope {
-            ImageScope::Known => (shard.known_images(), self.contacts.with(shard.contacts())),
-            ImageScope::Own => (shard.own_images(), shard.contacts()),
+            ImageScope::Known => (
+                shard.images_on_all_machines(),
+                self.contacts.with(shard.contacts()),
+            ),
+            ImageScope::Own => (shard.images_on_owned_machines(), shard.contacts()),
             ImageScope::None => (ImageHints::default(), MachineContacts::default()),
         };
         let contacts = if self.acts_on_failures() {
@@ -101,7 +107,7 @@
             MachineContacts::default()
         };
         let refused = self.leader.as_ref().map(Leader::unavailable_offers);
-        Some(shard.update_for(node, &self.store, refused, images, contacts))
+        Some(shard.peer_update_for(node, &self.store, refused, images, contacts))
     }
 
     /// A sibling sends a request.
@@ -185,7 +191,7 @@
             leader.set_demand(&sender.node, update.demand.clone());
         }
         match self.shard.as_mut() {
-            Some(shard) => shard.take_update(
+            Some(shard) => shard.apply_peer_update(
                 &mut self.outbox,
                 &self.store,
                 &sender.node,
--- a/src/core/controller/inputs.rs
+++ b/src/core/controller/inputs.rs
@@ -64,7 +64,7 @@
             Pending::OwnershipLease(call) => self.ownership_reply(call, reply),
             Pending::Records(writes) => {
                 if let Some(shard) = self.shard.as_mut() {
-                    shard.records_written(&mut self.outbox, &mut self.store, writes, reply);
+                    shard.handle_records_reply(&mut self.outbox, &mut self.store, writes, reply);
                 }
             }
             Pending::Map(write) => {
@@ -74,7 +74,7 @@
             }
             Pending::Grant(write) => {
                 if let Some(shard) = self.shard.as_mut() {
-                    shard.grant_written(&mut self.outbox, &mut self.store, write, reply);
+                    shard.handle_grant_reply(&mut self.outbox, &mut self.store, write, reply);
                 }
             }
             Pending::Types(write) => self.machine_types_written(&write, &reply),
--- a/src/core/controller/ownership.rs
+++ b/src/core/controller/ownership.rs
@@ -242,7 +242,7 @@
         tracing::info!(%reason, "stepping down: lease and shard are given up");
         self.ownership.step_down(now + pause);
         if let Some(shard) = self.shard.take() {
-            self.image_hints = shard.known_images();
+            self.image_hints = shard.images_on_all_machines();
             self.unresponsive.note(shard.unresponsive(now), now);
         }
         self.leader = None;
--- a/src/core/controller/user_requests.rs
+++ b/src/core/controller/user_requests.rs
@@ -272,7 +272,7 @@
             JobStatus::Cancelled => return (JobStatus::Cancelled, 0, 0),
             _ => {}
         }
-        let counts = self.shard.as_ref().and_then(|shard| shard.counts(id));
+        let counts = self.shard.as_ref().and_then(|shard| shard.task_counts(id));
         let (done, running) = counts
             .or_else(|| self.peers.running(id))
             .unwrap_or((record.done.len(), 0));
--- a/src/core/shard/commands.rs
+++ b/src/core/shard/commands.rs
@@ -9,7 +9,7 @@
 use crate::core::machines::starts_in_flight::{AttemptKey, Fence};
 use crate::core::model::time::Time;
 use crate::core::shard::Shard;
-use crate::core::shard::owned_jobs::describe;
+use crate::core::shard::owned_jobs::describe_attempt;
 use crate::core::store::replica::StoreReplica;
 use crate::ids::{Attempt, JobId, MachineId, TaskId};
 use crate::wire::{DirectCommands, Heartbeat};
@@ -40,7 +40,7 @@
             return;
         };
         let mut tracked = TrackedAttempt::new(now);
-        describe(&mut tracked, &self.config, &job.spec);
+        describe_attempt(&mut tracked, &self.config, &job.spec);
         tracked.priority = job.priority;
         tracked.opportunistic = job.is_opportunistic(&self.config);
         let placed = Task::Placed(machine_id.clone(), attempt);
--- a/src/core/shard/grants.rs
+++ b/src/core/shard/grants.rs
@@ -75,9 +75,9 @@
         self.basis
     }
 
-    /// Reads the record from the store replica. `gained_at` is the revision at which the team was gained:
+    /// Reads the record from the store replica. `gained_at_revision` is the revision at which the team was gained:
     /// until the replica has reached it, there may be a record that the replica does not show.
-    fn observe(&mut self, store: &StoreReplica, team: &Team, gained_at: Version) {
+    fn observe(&mut self, store: &StoreReplica, team: &Team, gained_at_revision: Version) {
         let kept_since = store.grants_kept_since(team).or(self.grants_kept_since);
         let stored = store.ledger(team);
         let version = stored.map_or(0, |stored| stored.version);
@@ -91,7 +91,7 @@
         }
         // Others rely on a record for as long as it exists, so nothing starts beside it.
         let has_record_to_delete = self.has_no_record && version != 0;
-        self.basis = if store.revision() < gained_at || has_record_to_delete {
+        self.basis = if store.revision() < gained_at_revision || has_record_to_delete {
             Basis::Undecided
         } else if self.holder.ledger().is_some() {
             let (own, outstanding) = (self.holder.grant(), self.holder.outstanding());
@@ -126,12 +126,12 @@
     }
 
     /// Reads the records of all owned teams from the store replica.
-    pub(crate) fn follow_grants(&mut self, store: &StoreReplica) {
+    pub(crate) fn read_grant_records(&mut self, store: &StoreReplica) {
         for (name, team) in &mut self.teams {
-            let gained_at = team.gained_at;
+            let gained_at_revision = team.gained_at_revision;
             if let Some(grant) = &mut team.grant {
                 let before = grant.basis;
-                grant.observe(store, name, gained_at);
+                grant.observe(store, name, gained_at_revision);
                 self.changed |= grant.basis != before;
             }
         }
@@ -287,7 +287,7 @@
     }
 
     /// Handles the reply to a write of a record.
-    pub(crate) fn grant_written(
+    pub(crate) fn handle_grant_reply(
         &mut self,
         outbox: &mut Outbox,
         store: &mut StoreReplica,
--- a/src/core/shard/grants/tests.rs
+++ b/src/core/shard/grants/tests.rs
@@ -98,14 +98,14 @@
             .apply_write(&put(&teams_key(), &chunk, None), self.version);
         let unresponsive = UnresponsiveMachines::default();
         self.shard
-            .follow_map(&mut self.outbox, &self.store, &unresponsive);
-        self.shard.follow_grants(&self.store);
+            .apply_map_changes(&mut self.outbox, &self.store, &unresponsive);
+        self.shard.read_grant_records(&self.store);
     }
 
     /// The store replica has read up to the revision of the shard map.
     fn synced(&mut self) {
         self.store.read_up_to(self.version);
-        self.shard.follow_grants(&self.store);
+        self.shard.read_grant_records(&self.store);
     }
 
     fn reconcile(&mut self) {
@@ -178,8 +178,8 @@
             self.version = version;
         }
         self.shard
-            .grant_written(&mut self.outbox, &mut self.store, written, reply);
-        self.shard.follow_grants(&self.store);
+            .handle_grant_reply(&mut self.outbox, &mut self.store, written, reply);
+        self.shard.read_grant_records(&self.store);
     }
 }
 
@@ -367,7 +367,7 @@
         ..(*spec).clone()
     }));
     let taken_at = (0.0, 0);
-    scene.shard.take_job(
+    scene.shard.apply_job_record(
         &scene.store,
         &"req-000001".into(),
         &Rc::new(waiting),
--- a/src/core/shard/map_changes.rs
+++ b/src/core/shard/map_changes.rs
@@ -8,7 +8,7 @@
 use crate::core::records::shard_map::{ShardMap, ShardOwner};
 use crate::core::shard::Shard;
 use crate::core::shard::owned_team::OwnedTeam;
-use crate::core::shard::progress_records::write_rate;
+use crate::core::shard::progress_records::write_rate_per_controller;
 use crate::core::store::replica::StoreReplica;
 use crate::ids::{FencingToken, MachineId, Node, Team, Version};
 use std::collections::{BTreeMap, BTreeSet};
@@ -27,7 +27,7 @@
 
 impl Shard {
     /// Adopts what the shard map assigns to this process and gives up what it assigns to others.
-    pub(crate) fn follow_map(
+    pub(crate) fn apply_map_changes(
         &mut self,
         outbox: &mut Outbox,
         store: &StoreReplica,
@@ -74,7 +74,7 @@
     /// Divides the store's write rate among the controllers that own teams.
     fn share_write_rate(&mut self, map: &ShardMap) {
         let writers: BTreeSet<&Node> = map.teams.values().map(|owner| &owner.node).collect();
-        let rate = write_rate(&self.config, writers.len().max(1));
+        let rate = write_rate_per_controller(&self.config, writers.len().max(1));
         self.record_rate.set_rate(rate);
     }
 
@@ -173,7 +173,7 @@
         let grant = self.new_team_grant(&team, token);
         let owned = OwnedTeam::new(token, store.map_revision(), unreconciled, grant);
         self.teams.insert(team.clone(), owned);
-        self.follow_grants(store);
+        self.read_grant_records(store);
         self.reconcile_when_known(store);
         let now = (outbox.now, outbox.wall_ms);
         let is_of_team =
@@ -181,7 +181,7 @@
         for (id, stored) in store.jobs() {
             // A write of this process that is newer than the replica waits for the replica to catch up.
             if is_of_team(&stored.record) && stored.version <= store.revision() {
-                self.take_job(store, id, &stored.record, stored.version, now);
+                self.apply_job_record(store, id, &stored.record, stored.version, now);
             }
         }
     }
--- a/src/core/shard/mod.rs
+++ b/src/core/shard/mod.rs
@@ -41,7 +41,7 @@
 use crate::core::scheduling::forecast::Forecast;
 use crate::core::scheduling::placement::Weights;
 use crate::core::shard::owned_team::OwnedTeam;
-use crate::core::shard::progress_records::{Unrecorded, write_rate};
+use crate::core::shard::progress_records::{UnrecordedJobs, write_rate_per_controller};
 use crate::core::store::replica::StoreReplica;
 use crate::ids::{JobId, MachineId, Node, Team};
 use std::collections::{BTreeMap, BTreeSet};
@@ -83,7 +83,7 @@
     /// Starts that were held back because another attempt of the task may still run.
     pub(crate) starts_held_back: u64,
     /// Jobs whose progress or end is not recorded in the store yet.
-    pub(crate) unrecorded: Unrecorded,
+    pub(crate) unrecorded: UnrecordedJobs,
     /// Jobs with tasks that may run on machines that have not been reconciled.
     pub(crate) unreconciled_jobs: BTreeSet<JobId>,
     next_machine_check: Time,
@@ -121,7 +121,7 @@
 impl Shard {
     /// An empty shard of the process `incarnation`; `image_hints` are the images of machines that siblings have told of.
     pub fn new(config: &Rc<Config>, incarnation: u64, image_hints: ImageHints, now: Time) -> Self {
-        let rate = write_rate(config, config.controllers());
+        let rate = write_rate_per_controller(config, config.controllers());
         Self {
             config: config.clone(),
             incarnation,
@@ -136,7 +136,7 @@
             task_index: TaskIndex::default(),
             starts_in_flight: StartsInFlight::default(),
             starts_held_back: 0,
-            unrecorded: Unrecorded::default(),
+            unrecorded: UnrecordedJobs::default(),
             unreconciled_jobs: BTreeSet::new(),
             next_machine_check: now,
             next_shard_log: now,
@@ -169,15 +169,15 @@
         unresponsive: &UnresponsiveMachines,
     ) {
         let now = outbox.now;
-        self.follow_map(outbox, store, unresponsive);
-        self.follow_grants(store);
+        self.apply_map_changes(outbox, store, unresponsive);
+        self.read_grant_records(store);
         self.follow_job_records(store, now, outbox.wall_ms);
         self.check_machines(store, catalog, now);
         self.reconcile_when_known(store);
         self.record_progress(outbox);
         self.record_dependent_cancellations(outbox, store);
         self.place_when_due(outbox, store, catalog);
-        self.count_running(now);
+        self.count_running_tasks(now);
         self.send_direct_commands(outbox);
         self.log_shard_when_due(now);
     }
@@ -187,7 +187,7 @@
         for id in store.take_changed() {
             if let Some(stored) = store.job(&id) {
                 let (record, version) = (stored.record.clone(), stored.version);
-                self.take_job(store, &id, &record, version, (now, wall_ms));
+                self.apply_job_record(store, &id, &record, version, (now, wall_ms));
             }
         }
     }
--- a/src/core/shard/opportunistic/tests.rs
+++ b/src/core/shard/opportunistic/tests.rs
@@ -8,7 +8,7 @@
 use crate::core::scheduling::opportunistic::*;
 use crate::core::scheduling::packing::Plan;
 use crate::core::scheduling::packing::candidate::{PackingCandidate, TaskDemand};
-use crate::core::shard::owned_jobs::describe;
+use crate::core::shard::owned_jobs::describe_attempt;
 use crate::core::store::replica::StoreReplica;
 use crate::core::test_support::{config, record, service, shard, types};
 use crate::ids::{Attempt, FencingToken, TaskId, TypeName, Zone};
@@ -182,7 +182,7 @@
     let mut tracked = TrackedAttempt::new(0.0);
     let mut spec = (*opportunistic_array(30.0)).clone();
     (spec.checkpoint_interval_s, spec.checkpoint_write_s) = (5.0, 2.0);
-    describe(&mut tracked, &shard.config, &spec);
+    describe_attempt(&mut tracked, &shard.config, &spec);
     machine.attempts.insert(
         (TaskId::parse("req-000001/0").unwrap(), Attempt(1)),
         tracked,
@@ -229,7 +229,7 @@
     assert_eq!(machine.idle_since, 0.0);
     let other = (TaskId::parse("req-000002/0").unwrap(), Attempt(1));
     let mut tracked = TrackedAttempt::new(0.0);
-    describe(&mut tracked, &shard.config, &service("chat", "x", 1.0));
+    describe_attempt(&mut tracked, &shard.config, &service("chat", "x", 1.0));
     machine.attempts.insert(other.clone(), tracked);
     assert!(!machine.holds_only_opportunistic());
     machine.note_end(&other, 60.0);
--- a/src/core/shard/owned_jobs.rs
+++ b/src/core/shard/owned_jobs.rs
@@ -24,7 +24,7 @@
 impl Shard {
     /// Follows a job's record that is new or has changed. `now` is the steady clock, `wall_ms` the time
     /// of day.
-    pub(crate) fn take_job(
+    pub(crate) fn apply_job_record(
         &mut self,
         store: &StoreReplica,
         id: &JobId,
@@ -72,7 +72,7 @@
         // of the shard map. A leader that gives the team to itself knows its own write before its next
         // sync brings the jobs that came before that; so the versions decide, not when a job appeared
         // here. Progress is recorded only of tasks that have run.
-        let never_started = version > team.gained_at && record.done.is_empty();
+        let never_started = version > team.gained_at_revision && record.done.is_empty();
         let reconciled = team.unreconciled.is_empty() || never_started;
         let age = wall_ms.saturating_sub(ready_ms) as f64 / MS_PER_S;
         let mut job = Job::new(spec.clone(), record.clone(), version, now - age, reconciled);
@@ -101,7 +101,7 @@
         self.inherit_urgency(store, id, (now, wall_ms));
         self.changed = true;
         if all_done {
-            self.note_progress(id, now);
+            self.queue_for_recording(id, now);
         }
         for (machine_id, task, attempt) in exits {
             let key = (task.clone(), attempt);
@@ -166,7 +166,7 @@
 }
 
 /// Describes an attempt by the specification of its job.
-pub(crate) fn describe(tracked: &mut TrackedAttempt, config: &Config, spec: &JobSpec) {
+pub(crate) fn describe_attempt(tracked: &mut TrackedAttempt, config: &Config, spec: &JobSpec) {
     tracked.resources = Some(Resources::of(spec));
     tracked.team = Some(spec.team.clone());
     tracked.image = Some((spec.image.clone(), spec.image_gb));
@@ -180,13 +180,16 @@
 }
 
 /// Describes an attempt of a cancelled job by what its record keeps of it.
-pub(crate) fn describe_terminating(tracked: &mut TrackedAttempt, terminating: &TerminatingTasks) {
+pub(crate) fn describe_terminating_attempt(
+    tracked: &mut TrackedAttempt,
+    terminating: &TerminatingTasks,
+) {
     tracked.resources = Some(terminating.need);
     tracked.team = Some(terminating.team.clone());
 }
 
 /// Describes an attempt by the stored record of its job, if that is known.
-pub(super) fn describe_stored(
+pub(super) fn describe_stored_attempt(
     tracked: &mut TrackedAttempt,
     config: &Config,
     store: &StoreReplica,
@@ -197,10 +200,10 @@
     };
     match (&stored.record.spec, &stored.record.terminating) {
         (Some(spec), _) => {
-            describe(tracked, config, spec);
+            describe_attempt(tracked, config, spec);
             tracked.opportunistic &= store.inherited(id).is_none();
         }
-        (None, Some(terminating)) => describe_terminating(tracked, terminating),
+        (None, Some(terminating)) => describe_terminating_attempt(tracked, terminating),
         (None, None) => {}
     }
 }
--- a/src/core/shard/owned_jobs/attempts.rs
+++ b/src/core/shard/owned_jobs/attempts.rs
@@ -1,6 +1,6 @@
 //! The attempts of a job that may be on machines.
 
-use super::describe;
+use super::describe_attempt;
 use crate::core::jobs::job::{Job, Task};
 use crate::core::machines::machine::{Machine, TrackedAttempt};
 use crate::core::machines::starts_in_flight::AttemptKey;
@@ -43,7 +43,7 @@
         let spec = job.spec.clone();
         let config = self.config.clone();
         self.each_attempt(id, |at, tracked| {
-            describe(tracked, &config, &spec);
+            describe_attempt(tracked, &config, &spec);
             let index = at.task.index;
             if tracked.exited() {
                 exits.push((at.machine_id.clone(), at.task.clone(), at.attempt));
@@ -82,7 +82,7 @@
     }
 
     /// The first attempt of a task that may still be on a machine, if there is one.
-    pub(in crate::core::shard) fn other_attempt(
+    pub(in crate::core::shard) fn find_live_attempt(
         &self,
         task: &TaskId,
     ) -> Option<(MachineId, Attempt)> {
--- a/src/core/shard/owned_jobs/gangs.rs
+++ b/src/core/shard/owned_jobs/gangs.rs
@@ -7,7 +7,7 @@
 impl Shard {
     /// One task of a gang is done, so all of them are: they complete together, and the machines of the
     /// others may be lost before their heartbeats show it.
-    pub(in crate::core::shard) fn gang_done(&mut self, id: &JobId) {
+    pub(in crate::core::shard) fn complete_gang(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -22,7 +22,7 @@
     }
 
     /// One task of a gang is lost: the others cannot continue without it, so they are stopped at once.
-    pub(in crate::core::shard) fn gang_lost_one(&mut self, id: &JobId, attempt: Attempt) {
+    pub(in crate::core::shard) fn stop_rest_of_gang(&mut self, id: &JobId, attempt: Attempt) {
         let gang = self.jobs.get(id);
         let Some(job) = gang.filter(|job| job.is_gang() && job.spec.tasks > 1) else {
             return;
--- a/src/core/shard/owned_jobs/running_counts.rs
+++ b/src/core/shard/owned_jobs/running_counts.rs
@@ -11,12 +11,12 @@
 
 impl Shard {
     /// Tasks done and running of a job.
-    pub fn counts(&self, id: &JobId) -> Option<(u32, u32)> {
+    pub fn task_counts(&self, id: &JobId) -> Option<(u32, u32)> {
         self.running.get(id).copied()
     }
 
     /// Tasks done and running of all jobs that run.
-    pub fn running(&self) -> Vec<(JobId, u32, u32)> {
+    pub fn all_task_counts(&self) -> Vec<(JobId, u32, u32)> {
         self.running
             .iter()
             .map(|(id, &(done, running))| (id.clone(), done, running))
@@ -24,7 +24,7 @@
     }
 
     /// Counts running tasks when it is due, and notes which jobs have proven to run.
-    pub(in crate::core::shard) fn count_running(&mut self, now: Time) {
+    pub(in crate::core::shard) fn count_running_tasks(&mut self, now: Time) {
         let lease_s = self.config.deployment.workers.lease_s;
         if now < self.running_at + lease_s / COUNTS_PER_LEASE {
             return;
--- a/src/core/shard/owned_team.rs
+++ b/src/core/shard/owned_team.rs
@@ -17,7 +17,7 @@
     /// The fencing token under which the shard map assigns the team to this process.
     token: FencingToken,
     /// Revision of the store replica when the team was assigned to this process.
-    pub gained_at: Version,
+    pub gained_at_revision: Version,
     /// Machines that may still run tasks of the team which no heartbeat has shown yet.
     pub unreconciled: BTreeSet<MachineId>,
     /// Attempts numbered so far under the present token.
@@ -30,13 +30,13 @@
     /// A team assigned under `token`, of which nothing is known yet about the machines in `unreconciled`.
     pub(crate) fn new(
         token: FencingToken,
-        gained_at: Version,
+        gained_at_revision: Version,
         unreconciled: BTreeSet<MachineId>,
         grant: Option<TeamGrant>,
     ) -> Self {
         Self {
             token,
-            gained_at,
+            gained_at_revision,
             unreconciled,
             attempts: 0,
             grant,
@@ -55,7 +55,7 @@
 
     /// An attempt number above all earlier ones, whichever process gave them: the token is their high part. None once
     /// the token's numbers are used up.
-    fn next_attempt(&mut self) -> Option<Attempt> {
+    fn allocate_attempt_number(&mut self) -> Option<Attempt> {
         self.attempts += 1;
         let number = self.token.0 * ATTEMPTS_PER_TOKEN + self.attempts;
         (self.attempts < ATTEMPTS_PER_TOKEN).then_some(Attempt(number))
@@ -74,8 +74,8 @@
 
 impl Shard {
     /// A new attempt number for a task of `team`. None if the team is not owned, or if its token has no more numbers.
-    pub(crate) fn next_attempt(&mut self, team: &Team) -> Option<Attempt> {
-        self.teams.get_mut(team)?.next_attempt()
+    pub(crate) fn allocate_attempt_number(&mut self, team: &Team) -> Option<Attempt> {
+        self.teams.get_mut(team)?.allocate_attempt_number()
     }
 
     /// Whether this shard has started an attempt since it was assigned the team.
--- a/src/core/shard/progress_records.rs
+++ b/src/core/shard/progress_records.rs
@@ -38,13 +38,13 @@
 /// Queues of the jobs with something to record, in the order in which they are served. A job may be queued more
 /// than once; entries that have been recorded meanwhile are skipped.
 #[derive(Default)]
-pub struct Unrecorded {
+pub struct UnrecordedJobs {
     completed: VecDeque<JobId>,
     /// Jobs with progress, with the time since when each is queued.
     progressed: VecDeque<(Time, JobId)>,
 }
 
-impl Unrecorded {
+impl UnrecordedJobs {
     fn add(&mut self, id: &JobId, job: &Job, now: Time) {
         if job.all_done() {
             self.completed.push_back(id.clone());
@@ -118,13 +118,13 @@
 
 /// Writes per second of one controller. Controllers with teams write independently; together they leave a part of
 /// the store's rate for user requests and the shard map.
-pub fn write_rate(config: &Config, writers: usize) -> f64 {
+pub fn write_rate_per_controller(config: &Config, writers: usize) -> f64 {
     config.deployment.state.write_rps * PART_OF_WRITE_RATE / writers as f64
 }
 
 impl Shard {
     /// Notes that a job has progress, or its end, to be recorded.
-    pub(crate) fn note_progress(&mut self, id: &JobId, now: Time) {
+    pub(crate) fn queue_for_recording(&mut self, id: &JobId, now: Time) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -243,7 +243,7 @@
     }
 
     /// Handles the store's reply to a transaction of records.
-    pub(crate) fn records_written(
+    pub(crate) fn handle_records_reply(
         &mut self,
         outbox: &mut Outbox,
         store: &mut StoreReplica,
@@ -275,7 +275,7 @@
         let Some(stored) = store.job(id) else { return };
         let (record, version) = (stored.record.clone(), stored.version);
         self.forget_recorded(id, &record);
-        self.take_job(store, id, &record, version, (outbox.now, outbox.wall_ms));
+        self.apply_job_record(store, id, &record, version, (outbox.now, outbox.wall_ms));
     }
 
     /// A job's record was not, or possibly not, committed: it is queued again. `with_others`: the transaction held
--- a/src/core/shard/progress_records/tests.rs
+++ b/src/core/shard/progress_records/tests.rs
@@ -27,14 +27,14 @@
         machines: vec![],
     };
     map(&mut store, 5, vec![mine]);
-    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     let id = JobId::from("req-000001");
     store.apply_write(&put(&job_key(&id), &record(false), None), 9);
-    shard.take_job(&store, &id, &Rc::new(record(false)), 9, (0.0, 0));
+    shard.apply_job_record(&store, &id, &Rc::new(record(false)), 9, (0.0, 0));
     let done = |shard: &mut Shard, index| {
         let job = shard.jobs.get_mut(&id).unwrap();
         job.set(index, Task::Done, None);
-        shard.note_progress(&id, 0.0);
+        shard.queue_for_recording(&id, 0.0);
     };
     let write_after = |shard: &mut Shard, outbox: &mut Outbox, now: Time| {
         outbox.begin(now, 0);
@@ -44,7 +44,7 @@
     done(&mut shard, 0);
     let effect = write_after(&mut shard, &mut outbox, 10.0).expect("progress is recorded");
     let (writes, _) = sent_records(&mut outbox, effect);
-    shard.records_written(&mut outbox, &mut store, writes, StoreReply::Rejected);
+    shard.handle_records_reply(&mut outbox, &mut store, writes, StoreReply::Rejected);
     assert!(write_after(&mut shard, &mut outbox, 20.0).is_none());
     assert!(write_after(&mut shard, &mut outbox, 30.0).is_none());
     done(&mut shard, 1);
@@ -65,15 +65,15 @@
         machines: vec![],
     };
     map(&mut store, 5, vec![mine]);
-    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     let id = |number: u32| JobId::from(format!("req-{number:06}"));
     for number in 0..11 {
         store.apply_write(&put(&job_key(&id(number)), &record(false), None), 9);
-        shard.take_job(&store, &id(number), &Rc::new(record(false)), 9, (0.0, 0));
+        shard.apply_job_record(&store, &id(number), &Rc::new(record(false)), 9, (0.0, 0));
         let job = shard.jobs.get_mut(&id(number)).unwrap();
         job.set(0, Task::Done, None);
         job.set(1, Task::Done, None);
-        shard.note_progress(&id(number), 1.0);
+        shard.queue_for_recording(&id(number), 1.0);
     }
     let sent = |shard: &mut Shard, outbox: &mut Outbox, now| {
         outbox.begin(now, 0);
@@ -93,14 +93,14 @@
             .all(|(_, sent)| sent.preconditions.len() == sent.writes.len())
     );
     let (second_writes, _) = first.remove(1);
-    shard.records_written(
+    shard.handle_records_reply(
         &mut outbox,
         &mut store,
         second_writes,
         StoreReply::Committed(12),
     );
     let (first_writes, _) = first.remove(0);
-    shard.records_written(&mut outbox, &mut store, first_writes, StoreReply::Conflict);
+    shard.handle_records_reply(&mut outbox, &mut store, first_writes, StoreReply::Conflict);
     let again = sent(&mut shard, &mut outbox, 1.1);
     assert_eq!(again.len(), 8, "at once, each by itself");
     assert!(again.iter().all(|(_, sent)| sent.writes.len() == 1));
--- a/src/core/shard/reconciliation.rs
+++ b/src/core/shard/reconciliation.rs
@@ -66,7 +66,7 @@
             None => return,
         };
         for attempt in attempts {
-            self.gang_lost_one(gang, attempt);
+            self.stop_rest_of_gang(gang, attempt);
         }
     }
 
--- a/src/core/shard/round.rs
+++ b/src/core/shard/round.rs
@@ -281,7 +281,7 @@
             return true;
         }
         let team = &startable.team_limits.name;
-        let Some(attempt) = self.next_attempt(team) else {
+        let Some(attempt) = self.allocate_attempt_number(team) else {
             return false;
         };
         for placement in placements {
--- a/src/core/shard/sibling_updates.rs
+++ b/src/core/shard/sibling_updates.rs
@@ -27,8 +27,8 @@
 
 impl Coverage<'_> {
     /// Whether the sender knew that this shard owns the team, so that its silence about a task means something.
-    fn includes(&self, team: &Team, gained_at: Version) -> bool {
-        self.revision >= gained_at && self.teams.contains(team)
+    fn includes(&self, team: &Team, gained_at_revision: Version) -> bool {
+        self.revision >= gained_at_revision && self.teams.contains(team)
     }
 }
 
@@ -39,7 +39,7 @@
     }
 
     /// What this shard tells the sibling `node`. `refused`: the offers that the cloud refuses, if this process leads.
-    pub fn update_for(
+    pub fn peer_update_for(
         &self,
         node: &Node,
         store: &StoreReplica,
@@ -106,7 +106,7 @@
     }
 
     /// The images on each owned machine.
-    pub fn own_images(&self) -> ImageHints {
+    pub fn images_on_owned_machines(&self) -> ImageHints {
         let owned = self.machines.values().filter(|machine| machine.is_owned);
         owned
             .map(|machine| (machine.id.clone(), machine.images().to_vec()))
@@ -114,9 +114,9 @@
     }
 
     /// The images on all machines, others' as far as siblings have told.
-    pub fn known_images(&self) -> ImageHints {
+    pub fn images_on_all_machines(&self) -> ImageHints {
         let mut known = self.image_hints.clone();
-        known.extend(self.own_images());
+        known.extend(self.images_on_owned_machines());
         known
     }
 
@@ -130,7 +130,7 @@
     }
 
     /// Adopts the update of a sibling's process.
-    pub fn take_update(
+    pub fn apply_peer_update(
         &mut self,
         outbox: &mut Outbox,
         store: &StoreReplica,
@@ -255,7 +255,7 @@
         let is_covered = |tracked: &TrackedAttempt| match &tracked.team {
             None => true,
             Some(team) => match self.teams.get(team) {
-                Some(owned) => coverage.includes(team, owned.gained_at),
+                Some(owned) => coverage.includes(team, owned.gained_at_revision),
                 None => coverage.teams.contains(team),
             },
         };
@@ -270,7 +270,7 @@
     /// No team that the update covers has to wait for this machine any more.
     fn reconciled_elsewhere(&mut self, id: &MachineId, coverage: &Coverage) {
         for (name, owned) in &mut self.teams {
-            if coverage.includes(name, owned.gained_at) {
+            if coverage.includes(name, owned.gained_at_revision) {
                 owned.unreconciled.remove(id);
             }
         }
--- a/src/core/shard/soon_ready/tests.rs
+++ b/src/core/shard/soon_ready/tests.rs
@@ -6,7 +6,7 @@
 use crate::core::records::keys::job_key;
 use crate::core::records::shard_map::ShardEntry;
 use crate::core::records::versioned::put;
-use crate::core::shard::owned_jobs::describe;
+use crate::core::shard::owned_jobs::describe_attempt;
 use crate::core::test_support::{map, owner as process, shard, types};
 use crate::ids::{Attempt, TaskId, Version};
 use crate::wire::TaskState;
@@ -42,7 +42,7 @@
             machines,
         };
         map(&mut store, 1, vec![mine]);
-        shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+        shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
         Self {
             shard,
             outbox,
@@ -69,7 +69,7 @@
         let id = JobId::from(format!("req-{id:06}"));
         let job = self.shard.jobs.get_mut(&id).unwrap();
         let mut tracked = TrackedAttempt::new(0.0);
-        describe(&mut tracked, &self.shard.config, &job.spec);
+        describe_attempt(&mut tracked, &self.shard.config, &job.spec);
         tracked.phase = Phase::Seen(TaskState::Running);
         tracked.started_at = started_at;
         job.set(
--- a/src/core/shard/tests.rs
+++ b/src/core/shard/tests.rs
@@ -5,7 +5,7 @@
 use crate::core::records::keys::job_key;
 use crate::core::records::shard_map::{ShardEntry, ShardOwner};
 use crate::core::records::versioned::put;
-use crate::core::shard::owned_jobs::describe_terminating;
+use crate::core::shard::owned_jobs::describe_terminating_attempt;
 use crate::core::test_support::{map, owner, record, shard};
 use crate::ids::{Attempt, FencingToken, TaskId, Version};
 
@@ -20,7 +20,7 @@
         machines: vec!["m-1".into()],
     };
     map(&mut store, 5, vec![mine]);
-    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     store.set_current_as_of(9.0);
     shard.expire_machines(&store, 60.0);
     assert!(!shard.machines[&MachineId::from("m-1")].known_empty);
@@ -57,7 +57,7 @@
     };
     map(&mut store, 5, vec![chain, other]);
     outbox.begin(21.0, 0);
-    shard.follow_map(&mut outbox, &store, &unresponsive);
+    shard.apply_map_changes(&mut outbox, &store, &unresponsive);
     let answered = |shard: &Shard, id: &str| shard.machines[&MachineId::from(id)].last_answered;
     assert!((14.0..14.1).contains(&answered(&shard, "m-1")));
     assert_eq!(answered(&shard, "m-2"), 21.0);
@@ -78,7 +78,7 @@
             machines,
         }],
     );
-    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     let first = shard.machines.get_mut(&MachineId::from("m-1")).unwrap();
     first.token_confirmed = true;
     first.total = Resources {
@@ -90,7 +90,7 @@
     for (id, image) in [("req-000001", "a"), ("req-000002", "b")] {
         let mut record = record(false);
         Rc::make_mut(record.spec.as_mut().unwrap()).image = image.into();
-        shard.take_job(&store, &id.into(), &Rc::new(record), 9, (0.0, 0));
+        shard.apply_job_record(&store, &id.into(), &Rc::new(record), 9, (0.0, 0));
     }
     let started = |shard: &Shard| shard.machines[&MachineId::from("m-1")].attempts.len();
     outbox.begin(0.1, 0);
@@ -121,7 +121,7 @@
         machines: vec!["m-1".into()],
     };
     map(&mut store, 5, vec![mine]);
-    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     let heartbeat = |sequence| crate::wire::Heartbeat {
         machine: "m-1".into(),
         address: "a".into(),
@@ -176,7 +176,7 @@
     };
     map(&mut store, 6, vec![mine]);
     outbox.begin(1.0 + lease * 0.8, 0);
-    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     shard.declare_unresponsive(&current, 1.0 + lease * 0.8);
     let machine = &shard.machines[&MachineId::from("m-1")];
     assert!(!machine.unresponsive && machine.token == FencingToken(10));
@@ -197,7 +197,7 @@
         machines: vec![],
     };
     map(&mut store, 5, vec![mine, other]);
-    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     shard.listeners.insert("n1".into());
     let id = MachineId::from("m-1");
     shard.machines.get_mut(&id).unwrap().token_confirmed = true;
@@ -214,7 +214,7 @@
     };
     shard.apply_reported_task(&store, &id, task.clone(), &shown, outbox.now);
     let news = |shard: &Shard, store: &StoreReplica| {
-        let news = shard.update_for(
+        let news = shard.peer_update_for(
             &"n1".into(),
             store,
             None,
@@ -244,7 +244,7 @@
         machines: vec!["m-1".into()],
     };
     map(&mut store, 5, vec![mine, other]);
-    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     let id = MachineId::from("m-1");
     let mut machine = Machine::named(id.clone(), FencingToken(9), 0.0);
     let mut tracked = TrackedAttempt::new(0.0);
@@ -267,12 +267,12 @@
         images: ImageHints::new(),
         contacts: Default::default(),
     };
-    shard.take_update(&mut outbox, &store, &"n1".into(), 1, news(&[]));
+    shard.apply_peer_update(&mut outbox, &store, &"n1".into(), 1, news(&[]));
     assert!(
         shard.machines.contains_key(&id)
             && !shard.teams[&Team::from("red")].unreconciled.is_empty()
     );
-    shard.take_update(&mut outbox, &store, &"n1".into(), 1, news(&["red"]));
+    shard.apply_peer_update(&mut outbox, &store, &"n1".into(), 1, news(&["red"]));
     assert!(
         !shard.machines.contains_key(&id)
             && shard.teams[&Team::from("red")].unreconciled.is_empty()
@@ -299,7 +299,7 @@
         machines: vec![],
     };
     map(&mut store, 5, vec![share_of(9), other.clone()]);
-    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     shard
         .teams
         .get_mut(&Team::from("red"))
@@ -308,16 +308,16 @@
         .clear();
     let id = JobId::from("req-000001");
     store.apply_write(&put(&job_key(&id), &record(false), None), 7);
-    shard.take_job(&store, &id, &Rc::new(record(false)), 7, (1.0, 0));
+    shard.apply_job_record(&store, &id, &Rc::new(record(false)), 7, (1.0, 0));
     assert_eq!(shard.jobs[&id].unreconciled(), 0);
     map(&mut store, 8, vec![share_of(11), other]);
     store.apply_write(
         &put(&job_key(&"req-000002".into()), &record(false), None),
         9,
     );
-    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     assert!(!shard.teams[&Team::from("red")].unreconciled.is_empty());
-    shard.take_job(&store, &id, &Rc::new(record(false)), 7, (1.0, 0));
+    shard.apply_job_record(&store, &id, &Rc::new(record(false)), 7, (1.0, 0));
     assert_eq!(
         shard.jobs[&id].unreconciled(),
         2,
@@ -341,14 +341,14 @@
         machines: vec!["m-1".into()],
     };
     map(&mut store, 105, vec![mine, other]);
-    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     let ids = ["req-000001", "req-000002", "req-000003"].map(JobId::from);
     for (id, version, done) in [
         (&ids[0], 100, false),
         (&ids[1], 107, true),
         (&ids[2], 108, false),
     ] {
-        shard.take_job(&store, id, &Rc::new(record(done)), version, (1.0, 0));
+        shard.apply_job_record(&store, id, &Rc::new(record(done)), version, (1.0, 0));
     }
     let unreconciled = ids.map(|id| shard.jobs[&id].unreconciled());
     assert_eq!(
@@ -386,7 +386,7 @@
         machines: vec!["m-1".into()],
     };
     map(&mut store, 60, vec![mine(vec!["red".into()])]);
-    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     outbox.begin(1.0, now_ms);
     let used = |shard: &Shard, store: &StoreReplica| shard.usage(store, now_ms).gpus(&"red".into());
     assert_eq!(used(&shard, &store), 0.0, "long gone");
@@ -398,7 +398,7 @@
     // What is seen is counted where it is, and not twice.
     let machine = shard.machines.get_mut(&MachineId::from("m-1")).unwrap();
     let mut tracked = TrackedAttempt::new(0.0);
-    describe_terminating(
+    describe_terminating_attempt(
         &mut tracked,
         store
             .job(&"req-000100".into())
@@ -500,7 +500,7 @@
         machines: ids.clone(),
     };
     map(&mut store, 5, vec![mine]);
-    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     for (index, id) in (0..).zip(&ids) {
         let machine = shard.machines.get_mut(id).unwrap();
         machine.token_confirmed = true;
@@ -538,7 +538,7 @@
         machines: vec![],
     };
     map(&mut store, 5, vec![mine]);
-    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     let mut waiting = JobRecord {
         accepted_ms: 10_000,
         ..record(false)
@@ -554,10 +554,10 @@
         );
     };
     done(&mut store, "req-000001", 55_000);
-    shard.take_job(&store, &id, &Rc::new(waiting.clone()), 9, (now, wall_ms));
+    shard.apply_job_record(&store, &id, &Rc::new(waiting.clone()), 9, (now, wall_ms));
     assert!(shard.jobs.is_empty(), "one of them is not done");
     done(&mut store, "req-000002", 40_000);
-    shard.take_job(&store, &id, &Rc::new(waiting), 9, (now, wall_ms));
+    shard.apply_job_record(&store, &id, &Rc::new(waiting), 9, (now, wall_ms));
     let job = &shard.jobs[&id];
     assert_eq!(job.submitted, 95.0, "5 s ago, with the last of them");
     assert_eq!(
--- a/src/core/shard/tracking.rs
+++ b/src/core/shard/tracking.rs
@@ -19,7 +19,7 @@
 use crate::core::model::time::Time;
 use crate::core::scheduling::catalog::Catalog;
 use crate::core::shard::Shard;
-use crate::core::shard::owned_jobs::describe_stored;
+use crate::core::shard::owned_jobs::describe_stored_attempt;
 use crate::core::store::replica::StoreReplica;
 use crate::ids::{JobId, MachineId, TaskId};
 use crate::wire::{Command, Exit, Heartbeat, HeartbeatResponse, ReportedTask, TaskState};
@@ -265,7 +265,7 @@
             TrackedAttempt::new(now)
         });
         if tracked.team.is_none() {
-            describe_stored(tracked, &self.config, store, &task.job);
+            describe_stored_attempt(tracked, &self.config, store, &task.job);
         }
         let changed = std::mem::replace(&mut tracked.phase, phase.clone()) != *phase;
         if tracked.has_image() && tracked.started_at.is_none() {
--- a/src/core/shard/tracking/attempt_end.rs
+++ b/src/core/shard/tracking/attempt_end.rs
@@ -46,9 +46,9 @@
             job.set(task.index, Task::Done, zone);
             job.failures.prove();
             if job.is_gang() {
-                self.gang_done(&task.job);
+                self.complete_gang(&task.job);
             }
-            return self.note_progress(&task.job, now);
+            return self.queue_for_recording(&task.job, now);
         }
         tracked.may_forget = true;
         if is_placed_here {
@@ -80,7 +80,7 @@
     /// The task that was placed in this attempt has lost it. It waits, or is where another attempt of it
     /// may be: a surplus attempt is stopped, but until it has ended no other may start.
     fn attempt_lost(&mut self, machine_id: &MachineId, task: &TaskId, attempt: Attempt) {
-        let other = self.other_attempt(task);
+        let other = self.find_live_attempt(task);
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -93,7 +93,7 @@
             let zone = self.machines.get(&machine).map(|machine| &machine.zone);
             job.set(task.index, Task::Placed(machine, attempt), zone);
         }
-        self.gang_lost_one(&task.job, attempt);
+        self.stop_rest_of_gang(&task.job, attempt);
     }
 
     /// Drops all attempts on a machine, in order ([`Self::drop_attempt`]).
--- a/src/core/shard/tracking/tests.rs
+++ b/src/core/shard/tracking/tests.rs
@@ -38,7 +38,7 @@
             .store
             .apply_write(&put(&job_key(&JOB.into()), &job, None), 7);
         let (shard, store) = (&mut fixture.shard, &fixture.store);
-        shard.take_job(store, &JOB.into(), &Rc::new(job), 7, (0.0, 0));
+        shard.apply_job_record(store, &JOB.into(), &Rc::new(job), 7, (0.0, 0));
         fixture.heartbeat("m-1", &[]);
         fixture.heartbeat("m-2", &[]);
         fixture
@@ -59,7 +59,7 @@
         map(&mut self.store, version, vec![first, rest]);
         let unresponsive = UnresponsiveMachines::default();
         self.shard
-            .follow_map(&mut self.outbox, &self.store, &unresponsive);
+            .apply_map_changes(&mut self.outbox, &self.store, &unresponsive);
     }
 
     /// The leader removes the first machine, which is deleted, from the shard map.
@@ -72,7 +72,7 @@
         map(&mut self.store, 8, vec![rest]);
         let unresponsive = UnresponsiveMachines::default();
         self.shard
-            .follow_map(&mut self.outbox, &self.store, &unresponsive);
+            .apply_map_changes(&mut self.outbox, &self.store, &unresponsive);
     }
 
     /// The next heartbeat of a machine.
@@ -130,7 +130,7 @@
             contacts: Default::default(),
         };
         self.shard
-            .take_update(&mut self.outbox, &self.store, &"n1".into(), 1, update);
+            .apply_peer_update(&mut self.outbox, &self.store, &"n1".into(), 1, update);
     }
 
     /// Starts a task on the first machine; returns the direct message with the start.
--- a/src/core/shard/usage.rs
+++ b/src/core/shard/usage.rs
@@ -78,7 +78,7 @@
         for (name, team) in unreconciled {
             let since = CancelledSince {
                 wall_ms: recently_cancelled_ms,
-                version: team.gained_at,
+                version: team.gained_at_revision,
             };
             if store.undescribed_cancellation_since(since) {
                 usage.mark_unknown(name);
