--- a/src/core/controller/acquired_machines.rs
+++ b/src/core/controller/acquired_machines.rs
@@ -45,7 +45,7 @@
         match reply {
             WorkerReply::Executed(heartbeat) if heartbeat.machine == *machine_id => {
                 let now = self.outbox.now;
-                shard.apply_inspection(&self.store, &self.catalog, &heartbeat, now);
+                shard.apply_inspection_reply(&self.store, &self.catalog, &heartbeat, now);
             }
             WorkerReply::Fenced(heartbeat) if heartbeat.machine == *machine_id => {
                 // Its agent epoch has advanced; it is inspected once more for each later epoch.
--- a/src/core/controller/heartbeat_routing.rs
+++ b/src/core/controller/heartbeat_routing.rs
@@ -176,7 +176,7 @@
     /// workers reach this controller.
     pub(crate) fn relayed_heartbeat(&mut self, request: RequestId, heartbeat: &Heartbeat) {
         if let Some(shard) = self.shard.as_mut() {
-            shard.note_relayed(&heartbeat.machine, self.outbox.now);
+            shard.record_relayed_heartbeat(&heartbeat.machine, self.outbox.now);
         }
         let response = match self.handle_heartbeat(heartbeat) {
             Some(Answer {
--- a/src/core/controller/hello.rs
+++ b/src/core/controller/hello.rs
@@ -46,7 +46,8 @@
     fn refresh_machine_knowledge(&mut self) {
         let now = self.outbox.now;
         if let Some(shard) = &self.shard {
-            self.unresponsive.note(shard.unresponsive(now), now);
+            self.unresponsive
+                .note(shard.unresponsive_machines(now), now);
         }
         if self.store.complete() {
             self.unresponsive.prune(self.store.owners());
@@ -91,8 +92,11 @@
         let scope = self.peers.take_image_scope(node);
         let shard = self.shard.as_ref()?;
         let (images, contacts) = match scope {
-            ImageScope::Known => (shard.known_images(), self.contacts.with(shard.contacts())),
-            ImageScope::Own => (shard.own_images(), shard.contacts()),
+            ImageScope::Known => (
+                shard.known_images(),
+                self.contacts.with(shard.machine_contacts()),
+            ),
+            ImageScope::Own => (shard.own_images(), shard.machine_contacts()),
             ImageScope::None => (ImageHints::default(), MachineContacts::default()),
         };
         let contacts = if self.acts_on_failures() {
--- a/src/core/controller/inputs.rs
+++ b/src/core/controller/inputs.rs
@@ -45,7 +45,7 @@
     fn worker_reply(&mut self, call: CallId, reply: WorkerReply) {
         match (self.outbox.finish(call), self.shard.as_mut()) {
             (Some(Pending::DirectCommands { machine }), Some(shard)) => {
-                shard.commands_answered(&self.store, &machine, call, reply, self.outbox.now);
+                shard.handle_command_reply(&self.store, &machine, call, reply, self.outbox.now);
             }
             (Some(Pending::Inspection { machine }), Some(_)) => {
                 self.inspection_answered(&machine, reply);
--- a/src/core/controller/ownership.rs
+++ b/src/core/controller/ownership.rs
@@ -243,7 +243,8 @@
         self.ownership.step_down(now + pause);
         if let Some(shard) = self.shard.take() {
             self.image_hints = shard.known_images();
-            self.unresponsive.note(shard.unresponsive(now), now);
+            self.unresponsive
+                .note(shard.unresponsive_machines(now), now);
         }
         self.leader = None;
     }
--- a/src/core/membership/process_pause/tests.rs
+++ b/src/core/membership/process_pause/tests.rs
@@ -40,7 +40,7 @@
     machine.is_owned = true;
     shard.machines.insert("m-1".into(), machine);
     outbox.begin(8.0, 8_000);
-    shard.heard = 8.0;
+    shard.last_heartbeat = 8.0;
     store.set_current_as_of(8.0);
     let is_unresponsive = |shard: &Shard| shard.machines[&MachineId::from("m-1")].unresponsive;
     shard.catching_up = true;
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -201,7 +201,7 @@
         };
         if let Some(shard) = self.shard.as_mut() {
             leader.set_demand(&self.config.node, shard.demand.clone());
-            shard.refused = leader.unavailable_offers();
+            shard.refused_offers = leader.unavailable_offers();
         }
         leader.set_catching_up(catching_up);
         leader.advance(
--- a/src/core/shard/acquired_machines.rs
+++ b/src/core/shard/acquired_machines.rs
@@ -11,7 +11,7 @@
 
 impl Shard {
     /// Addresses and agent epochs of the machines of this shard.
-    pub(crate) fn contacts(&self) -> MachineContacts {
+    pub(crate) fn machine_contacts(&self) -> MachineContacts {
         self.machines
             .values()
             .filter(|machine| machine.is_owned && machine.token_confirmed)
@@ -26,7 +26,7 @@
     }
 
     /// Applies the heartbeat with which a machine has answered the inspection.
-    pub(crate) fn apply_inspection(
+    pub(crate) fn apply_inspection_reply(
         &mut self,
         store: &StoreReplica,
         catalog: &Catalog,
--- a/src/core/shard/capacity_planning.rs
+++ b/src/core/shard/capacity_planning.rs
@@ -126,7 +126,7 @@
     ) {
         let now = outbox.now;
         let types = catalog.types();
-        let unavailable = self.refused.clone();
+        let unavailable = self.refused_offers.clone();
         let mut plan = Plan::new(
             types,
             &unavailable,
@@ -292,7 +292,7 @@
             (machine.spot && has_opportunistic_work) || kept_for_starved.contains(&machine.id);
         let is_closed =
             is_spare && !is_kept_for_opportunistic && now - machine.idle_since > patience;
-        self.changed |= machine.releasing && !is_closed;
+        self.changed_since_round |= machine.releasing && !is_closed;
         machine.releasing = is_closed;
         if !is_idle && is_spare {
             demand.opportunistic_only_machines.push(machine.id.clone());
--- a/src/core/shard/commands.rs
+++ b/src/core/shard/commands.rs
@@ -21,11 +21,11 @@
 
 /// Direct messages to a machine that may arrive late, at which it gets a new token. This bounds the number
 /// of starts that must be tracked for a worker that never answers.
-pub(super) const GIVEN_UP_MESSAGES: usize = 8;
+pub(super) const MAX_UNANSWERED_MESSAGES: usize = 8;
 
 impl Shard {
     /// Issues the start of a task.
-    pub(crate) fn start(
+    pub(crate) fn start_task(
         &mut self,
         job_id: &JobId,
         index: u32,
@@ -65,7 +65,7 @@
     }
 
     /// Requests the stop of an attempt, and of all tasks of its gang if it belongs to one.
-    pub(crate) fn stop(
+    pub(crate) fn stop_attempt(
         &mut self,
         machine_id: &MachineId,
         task: &TaskId,
@@ -153,7 +153,7 @@
     }
 
     /// A direct message was answered, or its answer is no longer awaited.
-    pub fn commands_answered(
+    pub fn handle_command_reply(
         &mut self,
         store: &StoreReplica,
         machine_id: &MachineId,
@@ -175,7 +175,7 @@
                 let machine = self.machines.get_mut(machine_id);
                 if let Some(machine) = machine.filter(|machine| machine.is_owned) {
                     machine.unreachable = true;
-                    machine.needs_new_token |= given_up >= GIVEN_UP_MESSAGES;
+                    machine.needs_new_token |= given_up >= MAX_UNANSWERED_MESSAGES;
                 }
             }
         }
--- a/src/core/shard/consolidation.rs
+++ b/src/core/shard/consolidation.rs
@@ -71,7 +71,7 @@
             machine.draining = true;
         }
         for (task, attempt) in source.replicas {
-            self.stop(&source.id, &task, attempt, 0.0);
+            self.stop_attempt(&source.id, &task, attempt, 0.0);
         }
     }
 
--- a/src/core/shard/grants.rs
+++ b/src/core/shard/grants.rs
@@ -132,7 +132,7 @@
             if let Some(grant) = &mut team.grant {
                 let before = grant.basis;
                 grant.observe(store, name, gained_at);
-                self.changed |= grant.basis != before;
+                self.changed_since_round |= grant.basis != before;
             }
         }
     }
@@ -299,7 +299,7 @@
         } else {
             store.want_sync();
         }
-        self.changed = true;
+        self.changed_since_round = true;
         let team = self
             .teams
             .get_mut(&written.team)
--- a/src/core/shard/lease_expiry.rs
+++ b/src/core/shard/lease_expiry.rs
@@ -29,7 +29,7 @@
     /// machines.
     pub(crate) fn declare_unresponsive(&mut self, store: &StoreReplica, now: Time) {
         let workers = &self.config.deployment.workers;
-        let receives_nothing = now > self.heard + workers.report_s;
+        let receives_nothing = now > self.last_heartbeat + workers.report_s;
         let store_is_outdated = now > store.current_as_of() + workers.report_s;
         if self.catching_up || receives_nothing || store_is_outdated {
             return;
@@ -43,7 +43,7 @@
     }
 
     /// The machines of this shard that are unresponsive, for the siblings.
-    pub(crate) fn unresponsive(&self, now: Time) -> Vec<Unresponsive> {
+    pub(crate) fn unresponsive_machines(&self, now: Time) -> Vec<Unresponsive> {
         self.machines
             .values()
             .filter(|machine| machine.is_owned && machine.unresponsive)
@@ -98,6 +98,6 @@
         }
         self.drop_attempts(machine_id, now);
         self.machines.remove(machine_id);
-        self.changed = true;
+        self.changed_since_round = true;
     }
 }
--- a/src/core/shard/map_changes.rs
+++ b/src/core/shard/map_changes.rs
@@ -33,7 +33,7 @@
         store: &StoreReplica,
         unresponsive: &UnresponsiveMachines,
     ) {
-        if self.map_seen.replace(store.map_changes()) == Some(store.map_changes()) {
+        if self.last_map_change.replace(store.map_changes()) == Some(store.map_changes()) {
             return;
         }
         let assigned = self.assigned_teams(store);
@@ -125,7 +125,7 @@
         if is_gained {
             self.uninspected_machines.insert(id.clone());
         }
-        self.changed = true;
+        self.changed_since_round = true;
     }
 
     /// Of an earlier process of this very controller nothing is expected: it has ended and answers nobody.
@@ -174,7 +174,7 @@
         let owned = OwnedTeam::new(token, store.map_revision(), unreconciled, grant);
         self.teams.insert(team.clone(), owned);
         self.follow_grants(store);
-        self.reconcile_when_known(store);
+        self.reconcile_teams(store);
         let now = (outbox.now, outbox.wall_ms);
         let is_of_team =
             |record: &JobRecord| record.spec.as_ref().is_some_and(|spec| spec.team == team);
--- a/src/core/shard/mod.rs
+++ b/src/core/shard/mod.rs
@@ -69,13 +69,13 @@
     pub(crate) machines: BTreeMap<MachineId, Machine>,
     pub(crate) teams: BTreeMap<Team, OwnedTeam>,
     /// Change count of the shard map when it was followed last.
-    map_seen: Option<u64>,
+    last_map_change: Option<u64>,
     /// Machines with commands that are to be sent at once.
     pub(crate) unsent_commands: BTreeSet<MachineId>,
     /// Machines that were gained and have not been asked yet which tasks they run.
     pub(crate) uninspected_machines: BTreeSet<MachineId>,
     /// Something has changed since the last round of placement.
-    pub(crate) changed: bool,
+    pub(crate) changed_since_round: bool,
     /// The machines on which tasks of each job may run.
     pub(crate) task_index: TaskIndex,
     /// Start commands that may still reach machines.
@@ -96,16 +96,16 @@
     /// Rate of the writes to the store that record jobs.
     pub(crate) record_rate: TokenBucket,
     /// Done and running tasks of each job, for display.
-    pub(crate) running: BTreeMap<JobId, (u32, u32)>,
+    pub(crate) task_counts: BTreeMap<JobId, (u32, u32)>,
     /// When `running` was counted.
-    pub(crate) running_at: Time,
+    pub(crate) task_counts_at: Time,
     pub(crate) weights: Weights,
     pub(crate) forecast: Forecast,
     /// What the shard lacks and can spare, for the leader.
     pub(crate) demand: CapacityDemand,
     pub(crate) next_plan: Time,
     /// Offers that the cloud refuses at present, as the leader has told.
-    pub(crate) refused: BTreeSet<MachineOffer>,
+    pub(crate) refused_offers: BTreeSet<MachineOffer>,
     /// Images that machines hold, as far as siblings have told.
     pub(crate) image_hints: ImageHints,
     /// Siblings that want to know of the owned machines.
@@ -113,7 +113,7 @@
     /// Siblings have to be told of something before the next regular exchange.
     pub(crate) sync_soon: bool,
     /// When the last heartbeat of a worker arrived.
-    pub(crate) heard: Time,
+    pub(crate) last_heartbeat: Time,
     /// The process was paused and has not read yet what happened meanwhile.
     pub(crate) catching_up: bool,
 }
@@ -129,10 +129,10 @@
             dependency_cancelled: BTreeMap::new(),
             machines: BTreeMap::new(),
             teams: BTreeMap::new(),
-            map_seen: None,
+            last_map_change: None,
             unsent_commands: BTreeSet::new(),
             uninspected_machines: BTreeSet::new(),
-            changed: true,
+            changed_since_round: true,
             task_index: TaskIndex::default(),
             starts_in_flight: StartsInFlight::default(),
             starts_held_back: 0,
@@ -144,17 +144,17 @@
             rounds: 0,
             last_round: now,
             record_rate: TokenBucket::new(rate, rate, now),
-            running: BTreeMap::new(),
-            running_at: Time::NEG_INFINITY,
+            task_counts: BTreeMap::new(),
+            task_counts_at: Time::NEG_INFINITY,
             weights: Weights::default(),
             forecast: Forecast::new(config),
             demand: CapacityDemand::default(),
             next_plan: now,
-            refused: BTreeSet::new(),
+            refused_offers: BTreeSet::new(),
             image_hints,
             listeners: BTreeSet::new(),
             sync_soon: false,
-            heard: Time::NEG_INFINITY,
+            last_heartbeat: Time::NEG_INFINITY,
             catching_up: false,
         }
     }
@@ -173,7 +173,7 @@
         self.follow_grants(store);
         self.follow_job_records(store, now, outbox.wall_ms);
         self.check_machines(store, catalog, now);
-        self.reconcile_when_known(store);
+        self.reconcile_teams(store);
         self.record_progress(outbox);
         self.record_dependent_cancellations(outbox, store);
         self.place_when_due(outbox, store, catalog);
@@ -220,11 +220,11 @@
     fn place_when_due(&mut self, outbox: &mut Outbox, store: &StoreReplica, catalog: &Catalog) {
         let workers = &self.config.deployment.workers;
         let since_round = outbox.now - self.last_round;
-        let is_due = self.changed && since_round >= workers.lease_s * ROUND_LEASES;
+        let is_due = self.changed_since_round && since_round >= workers.lease_s * ROUND_LEASES;
         if !is_due && since_round <= workers.report_s * IDLE_ROUND_HEARTBEATS {
             return;
         }
-        self.changed = false;
+        self.changed_since_round = false;
         self.last_round = outbox.now;
         self.rounds += 1;
         self.drain_reclaimed_machines(outbox.now);
@@ -261,7 +261,7 @@
     }
 
     /// Notes that a sibling has relayed a heartbeat of this machine, so its worker does not reach this controller.
-    pub(crate) fn note_relayed(&mut self, id: &MachineId, now: Time) {
+    pub(crate) fn record_relayed_heartbeat(&mut self, id: &MachineId, now: Time) {
         if let Some(machine) = self.machines.get_mut(id) {
             machine.last_relayed = now;
         }
--- a/src/core/shard/opportunistic.rs
+++ b/src/core/shard/opportunistic.rs
@@ -42,7 +42,7 @@
             .map(|(key, tracked)| (key.clone(), tracked.checkpoint_write_s))
             .collect();
         for ((task, attempt), grace) in stops {
-            self.stop(id, &task, attempt, grace);
+            self.stop_attempt(id, &task, attempt, grace);
         }
     }
 }
--- a/src/core/shard/owned_jobs.rs
+++ b/src/core/shard/owned_jobs.rs
@@ -99,7 +99,7 @@
         self.forecast.arrived(&job.spec, job.submitted);
         self.jobs.insert(id.clone(), job);
         self.inherit_urgency(store, id, (now, wall_ms));
-        self.changed = true;
+        self.changed_since_round = true;
         if all_done {
             self.note_progress(id, now);
         }
@@ -108,7 +108,7 @@
             let machine = self.machines.get(&machine_id);
             let tracked = machine.and_then(|machine| machine.attempts.get(&key));
             if let Some(Phase::Exited(reason)) = tracked.map(|tracked| tracked.phase.clone()) {
-                self.task_exited(&machine_id, &task, attempt, reason, now);
+                self.handle_task_exit(&machine_id, &task, attempt, reason, now);
             }
         }
     }
@@ -135,7 +135,7 @@
             return;
         }
         job.priority = job.priority.max(urgency.priority);
-        self.changed = true;
+        self.changed_since_round = true;
         self.each_attempt(id, |_, tracked| {
             tracked.priority = tracked.priority.max(urgency.priority);
             tracked.opportunistic = false;
@@ -145,7 +145,7 @@
     /// A job is done or cancelled, and recorded so: its attempts are stopped, and their exits may be
     /// forgotten.
     fn end_job(&mut self, id: &JobId) {
-        self.changed |= self.jobs.remove(id).is_some();
+        self.changed_since_round |= self.jobs.remove(id).is_some();
         let mut stopped = Vec::new();
         self.each_attempt(id, |at, tracked| {
             tracked.may_forget = true;
--- a/src/core/shard/owned_jobs/running_counts.rs
+++ b/src/core/shard/owned_jobs/running_counts.rs
@@ -12,12 +12,12 @@
 impl Shard {
     /// Tasks done and running of a job.
     pub fn counts(&self, id: &JobId) -> Option<(u32, u32)> {
-        self.running.get(id).copied()
+        self.task_counts.get(id).copied()
     }
 
     /// Tasks done and running of all jobs that run.
     pub fn running(&self) -> Vec<(JobId, u32, u32)> {
-        self.running
+        self.task_counts
             .iter()
             .map(|(id, &(done, running))| (id.clone(), done, running))
             .collect()
@@ -26,11 +26,11 @@
     /// Counts running tasks when it is due, and notes which jobs have proven to run.
     pub(in crate::core::shard) fn count_running(&mut self, now: Time) {
         let lease_s = self.config.deployment.workers.lease_s;
-        if now < self.running_at + lease_s / COUNTS_PER_LEASE {
+        if now < self.task_counts_at + lease_s / COUNTS_PER_LEASE {
             return;
         }
-        self.running_at = now;
-        self.running.clear();
+        self.task_counts_at = now;
+        self.task_counts.clear();
         // A task that has run for a lease proves that its job does not fail on every machine.
         let proof_s = lease_s;
         let machines = self.machines.values();
@@ -49,7 +49,7 @@
             {
                 job.failures.prove();
             }
-            let (done, running) = self.running.entry(task.job.clone()).or_default();
+            let (done, running) = self.task_counts.entry(task.job.clone()).or_default();
             *done = job.done.len();
             *running += 1;
         }
--- a/src/core/shard/reconciliation.rs
+++ b/src/core/shard/reconciliation.rs
@@ -7,7 +7,7 @@
 
 impl Shard {
     /// Once every machine is reconciled, tasks of a team that no heartbeat has shown run nowhere.
-    pub(crate) fn reconcile_when_known(&mut self, store: &StoreReplica) {
+    pub(crate) fn reconcile_teams(&mut self, store: &StoreReplica) {
         self.strike_reconciled_machines(store);
         for incomplete_gang in self.reconcile_jobs() {
             self.lose_all_attempts(&incomplete_gang);
@@ -51,7 +51,7 @@
                 continue;
             }
             job.reconcile();
-            self.changed = true;
+            self.changed_since_round = true;
             if job.is_gang() && job.placed() > 0 && !job.waiting().is_empty() {
                 incomplete_gangs.push(id);
             }
--- a/src/core/shard/round.rs
+++ b/src/core/shard/round.rs
@@ -75,7 +75,7 @@
             };
             starts += self.schedule_job(&id, &mut snapshots, usage, round);
             if starts >= MAX_STARTS_PER_ROUND {
-                self.changed = true;
+                self.changed_since_round = true;
                 return;
             }
         }
@@ -287,7 +287,7 @@
         for placement in placements {
             usage.add(team, startable.need.cpus, startable.need.gpus);
             if let Some(snapshot) = snapshots.get(placement.snapshot) {
-                self.start(id, placement.task, &snapshot.id, attempt, now);
+                self.start_task(id, placement.task, &snapshot.id, attempt, now);
             }
         }
         true
@@ -310,7 +310,7 @@
         let preemptions =
             preemption::choose_preemptions(self, &unplaced_tasks, snapshots, usage, round.now);
         for preemption in preemptions {
-            self.stop(
+            self.stop_attempt(
                 &preemption.machine,
                 &preemption.task,
                 preemption.attempt,
--- a/src/core/shard/round/reclaimed_machines.rs
+++ b/src/core/shard/round/reclaimed_machines.rs
@@ -31,7 +31,7 @@
             }
         }
         for (machine, task, attempt, grace) in stops {
-            self.stop(&machine, &task, attempt, grace);
+            self.stop_attempt(&machine, &task, attempt, grace);
         }
     }
 }
--- a/src/core/shard/sibling_updates.rs
+++ b/src/core/shard/sibling_updates.rs
@@ -144,7 +144,7 @@
             self.listeners.remove(from);
         }
         if let Some(refused) = update.refused {
-            self.refused = refused;
+            self.refused_offers = refused;
         }
         self.image_hints.extend(update.images);
         let sender = ProcessId::new(from.clone(), incarnation);
--- a/src/core/shard/tests.rs
+++ b/src/core/shard/tests.rs
@@ -150,12 +150,12 @@
     current.set_current_as_of(1.0 + lease * 0.75);
     shard.declare_unresponsive(&current, 1.0 + lease * 0.75);
     assert!(
-        shard.unresponsive(lease).is_empty(),
+        shard.unresponsive_machines(lease).is_empty(),
         "hearing nobody says nothing of one"
     );
-    shard.heard = 1.0 + lease * 0.75;
+    shard.last_heartbeat = 1.0 + lease * 0.75;
     shard.declare_unresponsive(&current, 1.0 + lease * 0.75);
-    assert_eq!(shard.unresponsive(lease).len(), 1);
+    assert_eq!(shard.unresponsive_machines(lease).len(), 1);
     assert_eq!(
         handle_heartbeat(&mut shard, &mut outbox, 1.0 + lease * 0.78, 2),
         503
--- a/src/core/shard/tracking.rs
+++ b/src/core/shard/tracking.rs
@@ -61,7 +61,7 @@
             let origin = HeartbeatOrigin::Periodic;
             self.apply_heartbeat(store, heartbeat, new_epoch, origin, now);
         }
-        self.heard = now;
+        self.last_heartbeat = now;
         self.respond(store, heartbeat, now)
     }
 
@@ -123,7 +123,7 @@
             return;
         };
         machine.reclaimed_at = heartbeat.reclaim_notice_s.map(|left| now + left);
-        self.changed |= machine.reclaimed_at.is_some();
+        self.changed_since_round |= machine.reclaimed_at.is_some();
         if heartbeat.token != machine.token {
             return;
         }
@@ -131,7 +131,7 @@
         if newly_confirmed {
             machine.idle_since = now;
             self.sync_soon = true;
-            self.changed = true;
+            self.changed_since_round = true;
         }
         machine.unreachable = false;
         machine.previous_owner = None;
@@ -228,7 +228,7 @@
         let Some(changed) = self.record_phase(store, machine_id, &key, &phase, now) else {
             return;
         };
-        self.changed |= changed;
+        self.changed_since_round |= changed;
         let (task, attempt) = &key;
         if !self.jobs.contains_key(&task.job) {
             let job_is_over = store
@@ -244,7 +244,7 @@
         }
         self.reconcile_with_job(machine_id, &key);
         if changed && let Phase::Exited(reason) = phase {
-            self.task_exited(machine_id, task, *attempt, reason, now);
+            self.handle_task_exit(machine_id, task, *attempt, reason, now);
         }
     }
 
--- a/src/core/shard/tracking/attempt_end.rs
+++ b/src/core/shard/tracking/attempt_end.rs
@@ -19,7 +19,7 @@
 
 impl Shard {
     /// A machine has shown for the first time that an attempt has ended.
-    pub(in crate::core::shard) fn task_exited(
+    pub(in crate::core::shard) fn handle_task_exit(
         &mut self,
         machine_id: &MachineId,
         task: &TaskId,
@@ -53,7 +53,7 @@
         tracked.may_forget = true;
         if is_placed_here {
             self.delay_retry(machine_id, task, reason, now);
-            self.attempt_lost(machine_id, task, attempt);
+            self.handle_lost_attempt(machine_id, task, attempt);
         }
     }
 
@@ -79,7 +79,7 @@
 
     /// The task that was placed in this attempt has lost it. It waits, or is where another attempt of it
     /// may be: a surplus attempt is stopped, but until it has ended no other may start.
-    fn attempt_lost(&mut self, machine_id: &MachineId, task: &TaskId, attempt: Attempt) {
+    fn handle_lost_attempt(&mut self, machine_id: &MachineId, task: &TaskId, attempt: Attempt) {
         let other = self.other_attempt(task);
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -129,7 +129,7 @@
             return;
         }
         self.task_index.remove(&task.job, machine_id);
-        self.changed = true;
-        self.attempt_lost(machine_id, task, attempt);
+        self.changed_since_round = true;
+        self.handle_lost_attempt(machine_id, task, attempt);
     }
 }
--- a/src/core/shard/tracking/cordon.rs
+++ b/src/core/shard/tracking/cordon.rs
@@ -89,7 +89,7 @@
                     "machine uncordoned: what failed on it fails elsewhere too"
                 );
                 machine.cordoned_until = now;
-                self.changed = true;
+                self.changed_since_round = true;
             }
         }
     }
--- a/src/core/shard/tracking/tests.rs
+++ b/src/core/shard/tracking/tests.rs
@@ -6,7 +6,7 @@
 use crate::core::records::keys::job_key;
 use crate::core::records::shard_map::{ShardEntry, ShardOwner};
 use crate::core::records::versioned::put;
-use crate::core::shard::commands::GIVEN_UP_MESSAGES;
+use crate::core::shard::commands::MAX_UNANSWERED_MESSAGES;
 use crate::core::test_support::{map, owner, record, shard};
 use crate::ids::{Attempt, FencingToken};
 use std::rc::Rc;
@@ -135,7 +135,7 @@
 
     /// Starts a task on the first machine; returns the direct message with the start.
     fn start(&mut self, index: u32) -> CallId {
-        self.shard.start(
+        self.shard.start_task(
             &JOB.into(),
             index,
             &"m-1".into(),
@@ -163,7 +163,7 @@
         };
         let store = &self.store;
         self.shard
-            .commands_answered(store, &machine, call, reply, self.outbox.now);
+            .handle_command_reply(store, &machine, call, reply, self.outbox.now);
     }
 
     fn tracks(&self, index: u32) -> bool {
@@ -256,7 +256,9 @@
     fixture.heartbeat("m-1", &[]);
     let refused = fixture.start(1);
     fixture.reply(refused, WorkerReply::NotSent);
-    fixture.shard.stop(&"m-1".into(), &task(0), Attempt(1), 0.0);
+    fixture
+        .shard
+        .stop_attempt(&"m-1".into(), &task(0), Attempt(1), 0.0);
     for _ in 0..5 {
         fixture.heartbeat("m-1", &[]);
     }
@@ -376,7 +378,7 @@
     let first = fixture.start(0);
     fixture
         .shard
-        .start(&JOB.into(), 1, &"m-1".into(), Attempt(1), 0.0);
+        .start_task(&JOB.into(), 1, &"m-1".into(), Attempt(1), 0.0);
     let running = |index| reported(index, 1, TaskState::Running, None);
     let answer = fixture.next_heartbeat("m-1", &[running(0), running(1)]);
     fixture.reply(first, WorkerReply::Executed(answer));
@@ -459,7 +461,9 @@
         fixture.tracks(0),
         "the answer is older than the last heartbeat"
     );
-    fixture.shard.stop(&"m-1".into(), &task(0), Attempt(1), 0.0);
+    fixture
+        .shard
+        .stop_attempt(&"m-1".into(), &task(0), Attempt(1), 0.0);
     fixture.assign(
         8,
         ShardOwner {
@@ -510,12 +514,12 @@
     let mut fixture = Fixture::new();
     let needs_new_token =
         |fixture: &Fixture| fixture.shard.machines[&MachineId::from("m-1")].needs_new_token;
-    for attempt in 1..=GIVEN_UP_MESSAGES {
+    for attempt in 1..=MAX_UNANSWERED_MESSAGES {
         assert!(!needs_new_token(&fixture));
         let number = Attempt(attempt as u64);
         fixture
             .shard
-            .start(&JOB.into(), 0, &"m-1".into(), number, 0.0);
+            .start_task(&JOB.into(), 0, &"m-1".into(), number, 0.0);
         let (call, commands) = fixture.send_direct().unwrap();
         let starts = commands
             .iter()
