--- a/src/core/controller/hello.rs
+++ b/src/core/controller/hello.rs
@@ -46,7 +46,8 @@
     fn refresh_machine_knowledge(&mut self) {
         let now = self.outbox.now;
         if let Some(shard) = &self.shard {
-            self.unresponsive.note(shard.unresponsive(now), now);
+            self.unresponsive
+                .note(shard.unresponsive_machines(now), now);
         }
         if self.store.complete() {
             self.unresponsive.prune(self.store.owners());
@@ -96,9 +97,9 @@
         let (images, contacts) = match scope {
             ImageScope::Known => (
                 shard.images_on_all_machines(),
-                self.contacts.with(shard.contacts()),
+                self.contacts.with(shard.machine_contacts()),
             ),
-            ImageScope::Own => (shard.images_on_owned_machines(), shard.contacts()),
+            ImageScope::Own => (shard.images_on_owned_machines(), shard.machine_contacts()),
             ImageScope::None => (ImageHints::default(), MachineContacts::default()),
         };
         let contacts = if self.acts_on_failures() {
