--- a/src/core/controller/inputs.rs
+++ b/src/core/controller/inputs.rs
@@ -35,7 +35,7 @@
             Some(Pending::Cloud(None)) => self.catalog_reply(reply),
             Some(Pending::Cloud(Some(operation))) => {
                 if let Some(leader) = self.leader.as_mut() {
-                    leader.cloud_reply(&mut self.outbox, operation, reply);
+                    leader.handle_cloud_reply(&mut self.outbox, operation, reply);
                 }
             }
             _ => {}
@@ -69,7 +69,7 @@
             }
             Pending::Map(write) => {
                 if let Some(leader) = self.leader.as_mut() {
-                    leader.map_written(&mut self.outbox, &mut self.store, &write, &reply);
+                    leader.handle_map_reply(&mut self.outbox, &mut self.store, &write, &reply);
                 }
             }
             Pending::Grant(write) => {
--- a/src/core/controller/ownership.rs
+++ b/src/core/controller/ownership.rs
@@ -171,7 +171,7 @@
         let exhausted = self
             .leader
             .as_ref()
-            .filter(|leader| leader.tokens_exhausted());
+            .filter(|leader| leader.tokens_running_low());
         if let Some(exhausted) = exhausted {
             // The key's new revision provides fresh fencing tokens. It stays this process's key.
             return Some(exhausted.key_version());
--- a/src/core/controller/ownership/tests.rs
+++ b/src/core/controller/ownership/tests.rs
@@ -28,9 +28,9 @@
     while let Some(leader) = core
         .leader
         .as_mut()
-        .filter(|leader| !leader.tokens_exhausted())
+        .filter(|leader| !leader.tokens_running_low())
     {
-        assert!(leader.take_token().is_some());
+        assert!(leader.consume_token().is_some());
     }
     core.write_keys(5);
     let effects = core.outbox.take_effects();
--- a/src/core/leader/assignment.rs
+++ b/src/core/leader/assignment.rs
@@ -34,7 +34,8 @@
     pub(super) fn assign_team(&mut self, team: &Team, to: &ProcessId) {
         if let Some(owner) = self.new_owner(to) {
             let keeps_grants = self.keeps_grants(&owner);
-            self.editor.carry_grants(team, &owner, keeps_grants);
+            self.editor
+                .update_grants_kept_since(team, &owner, keeps_grants);
             self.editor.set_team(team, owner);
         }
     }
@@ -56,7 +57,7 @@
     }
 
     /// How many teams the controller owns.
-    pub(super) fn teams_of(&self, node: &Node) -> usize {
+    pub(super) fn team_count(&self, node: &Node) -> usize {
         let owners = self.editor.owners().teams.values();
         owners.filter(|owner| owner.node == *node).count()
     }
@@ -90,7 +91,7 @@
 
     /// The machines of live controllers that have teams.
     fn machine_counts(&self, live: &LiveProcesses) -> BTreeMap<Node, MachineCount> {
-        let with_teams = live.nodes().filter(|node| self.teams_of(node) > 0);
+        let with_teams = live.nodes().filter(|node| self.team_count(node) > 0);
         let mut counts: BTreeMap<Node, MachineCount> = with_teams
             .map(|node| (node.clone(), MachineCount::default()))
             .collect();
--- a/src/core/leader/failover.rs
+++ b/src/core/leader/failover.rs
@@ -85,7 +85,7 @@
         let silent = |node: &Node| acts_on_failures && peers.detector().stage(node) != Stage::Alive;
         let node = live
             .nodes()
-            .min_by_key(|node| (silent(node), self.teams_of(node)))?;
+            .min_by_key(|node| (silent(node), self.team_count(node)))?;
         live.process_of(node)
     }
 
--- a/src/core/leader/grants.rs
+++ b/src/core/leader/grants.rs
@@ -10,7 +10,7 @@
 
 impl Leader {
     /// Notes the live processes that keep to grants; none, unless all of them do.
-    pub(crate) fn note_grant_keepers(&mut self, store: &StoreReplica) {
+    pub(crate) fn update_grant_keepers(&mut self, store: &StoreReplica) {
         let records = store.nodes().values().map(|stored| &stored.record);
         let all_keep_grants = records.clone().all(|record| record.keeps_grants);
         self.grant_keepers = if all_keep_grants {
@@ -23,7 +23,7 @@
     }
 
     /// Notes for teams without such a note that their owners keep to grants, from the owners' tokens on.
-    pub(super) fn note_grants(&mut self) {
+    pub(super) fn record_grants_kept_since(&mut self) {
         let owners = self.editor.owners();
         let unnoted = owners.teams.iter().filter(|(team, owner)| {
             !owners.grants_kept_since.contains_key(*team) && self.keeps_grants(owner)
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -105,13 +105,13 @@
     }
 
     /// Whether the leader key is to be claimed anew, since the fencing tokens under it are running out.
-    pub fn tokens_exhausted(&self) -> bool {
-        self.editor.tokens_exhausted() && !self.map_writer.write_in_flight()
+    pub fn tokens_running_low(&self) -> bool {
+        self.editor.tokens_running_low() && !self.map_writer.write_in_flight()
     }
 
     /// Uses up a fencing token.
     #[cfg(test)]
-    pub(crate) fn take_token(&mut self) -> Option<FencingToken> {
+    pub(crate) fn consume_token(&mut self) -> Option<FencingToken> {
         self.editor.next_token()
     }
 
@@ -160,7 +160,7 @@
         self.demands.retain(|node, _| live.has_node(node));
         if self.map_writer.may_write(outbox) && !live.is_empty() {
             self.map_writer.reload_if_needed(&mut self.editor, store);
-            self.note_grant_keepers(store);
+            self.update_grant_keepers(store);
             if self.may_assign(&live, ownership, now) {
                 let preconditions =
                     self.fail_over_shards(store, ownership, peers, unresponsive, &live, now);
@@ -168,7 +168,7 @@
                 self.serve_claims(store, &live, now);
                 self.renew_tokens(&live);
                 self.rebalance(&live, now);
-                self.note_grants();
+                self.record_grants_kept_since();
                 self.map_writer
                     .write(outbox, &mut self.editor, self.key_version, preconditions);
             }
@@ -186,7 +186,7 @@
     }
 
     /// Takes in the outcome of a write of the shard map.
-    pub fn map_written(
+    pub fn handle_map_reply(
         &mut self,
         outbox: &mut Outbox,
         store: &mut StoreReplica,
--- a/src/core/leader/rebalance.rs
+++ b/src/core/leader/rebalance.rs
@@ -30,12 +30,12 @@
     /// Moves a team from the controller with the most to the one with the fewest, such as a controller that
     /// came back; the team's tasks keep running where they are.
     fn balance_teams(&mut self, live: &LiveProcesses) {
-        let most = live.nodes().max_by_key(|node| self.teams_of(node));
-        let fewest = live.nodes().min_by_key(|node| self.teams_of(node));
+        let most = live.nodes().max_by_key(|node| self.team_count(node));
+        let fewest = live.nodes().min_by_key(|node| self.team_count(node));
         let (Some(most), Some(fewest)) = (most, fewest) else {
             return;
         };
-        if self.teams_of(most) < self.teams_of(fewest) + 2 {
+        if self.team_count(most) < self.team_count(fewest) + 2 {
             return;
         }
         let team = self.team_without_queue(most);
@@ -59,11 +59,11 @@
     /// Spreads the machines of controllers without a team over those that have teams. A claimed machine stays:
     /// it may not be able to reach another controller.
     fn redistribute_teamless_shards(&mut self, live: &LiveProcesses) {
-        let with_teams = live.nodes().filter(|node| self.teams_of(node) > 0);
+        let with_teams = live.nodes().filter(|node| self.team_count(node) > 0);
         let with_teams: Vec<&Node> = with_teams.collect();
         let machines = self.editor.owners().machines.iter();
         let teamless: Vec<(MachineId, Node)> = machines
-            .filter(|(_, owner)| live.has_node(&owner.node) && self.teams_of(&owner.node) == 0)
+            .filter(|(_, owner)| live.has_node(&owner.node) && self.team_count(&owner.node) == 0)
             .filter(|(id, _)| !self.claimed.contains_key(*id))
             .map(|(id, owner)| (id.clone(), owner.node.clone()))
             .collect();
@@ -77,7 +77,7 @@
     /// Moves one machine from the shard with the least queued work, if that has none, to the one with the most:
     /// an idle machine, else the one with the most free GPUs.
     fn move_to_longest_queue(&mut self, live: &LiveProcesses) {
-        let with_teams = live.nodes().filter(|node| self.teams_of(node) > 0);
+        let with_teams = live.nodes().filter(|node| self.team_count(node) > 0);
         let queues = with_teams.filter_map(|node| Some((node, self.demands.get(node)?.queued)));
         let queues: Vec<(&Node, f64)> = queues.collect();
         let longest = queues
--- a/src/core/leader/scaling.rs
+++ b/src/core/leader/scaling.rs
@@ -46,7 +46,7 @@
     }
 
     /// Takes in the cloud's reply to a request.
-    pub fn cloud_reply(
+    pub fn handle_cloud_reply(
         &mut self,
         outbox: &mut Outbox,
         operation: CloudOperation,
--- a/src/core/leader/shard_map_editor.rs
+++ b/src/core/leader/shard_map_editor.rs
@@ -103,7 +103,7 @@
     }
 
     /// Whether so many changes are numbered that the leader key should be claimed anew.
-    pub fn tokens_exhausted(&self) -> bool {
+    pub fn tokens_running_low(&self) -> bool {
         self.changes as f64 > f64::from(1 << CHANGE_BITS) * EXHAUSTED_FRACTION
     }
 
@@ -124,7 +124,12 @@
     }
 
     /// Notes for a team that gets a new owner whether its owners have kept to its grants without a gap.
-    pub fn carry_grants(&mut self, team: &Team, owner: &ShardOwner, keeps_grants: bool) {
+    pub fn update_grants_kept_since(
+        &mut self,
+        team: &Team,
+        owner: &ShardOwner,
+        keeps_grants: bool,
+    ) {
         let before = self.owners.grants_kept_since.get(team).copied();
         let since = keeps_grants.then(|| before.unwrap_or(owner.token));
         self.set_grants_kept_since(team, since);
--- a/src/core/leader/shard_map_editor/tests.rs
+++ b/src/core/leader/shard_map_editor/tests.rs
@@ -88,7 +88,7 @@
 fn tokens_count_as_exhausted_long_before_they_run_out() {
     let mut editor = ShardMapEditor::new(7, &BTreeMap::new(), 4.0);
     let mut changes = 0;
-    while !editor.tokens_exhausted() {
+    while !editor.tokens_running_low() {
         assert!(editor.next_token().is_some());
         changes += 1;
     }
--- a/src/core/shard/grants/tests.rs
+++ b/src/core/shard/grants/tests.rs
@@ -403,13 +403,13 @@
     tell(&mut store, "n0", true, 1);
     tell(&mut store, "n1", false, 2);
     let mut leader = Leader::new(&config, 3, &store, 0.0);
-    leader.note_grant_keepers(&store);
+    leader.update_grant_keepers(&store);
     assert!(
         !leader.keeps_grants(&owner("n0")),
         "n1 would be asked to go on without"
     );
     tell(&mut store, "n1", true, 4);
-    leader.note_grant_keepers(&store);
+    leader.update_grant_keepers(&store);
     assert!(leader.keeps_grants(&owner("n0")));
 }
 
@@ -480,7 +480,7 @@
             token: FencingToken(index as u64 + 1),
             ..owner(node)
         };
-        map.carry_grants(&team, &owner, *keeps);
+        map.update_grants_kept_since(&team, &owner, *keeps);
         map.set_team(&team, owner);
         noted.push(map.owners().grants_kept_since.get(&team).map(|term| term.0));
     }
