--- a/src/core/membership/process_pause/tests.rs
+++ b/src/core/membership/process_pause/tests.rs
@@ -66,10 +66,10 @@
     let catalog = Catalog::with_types(types());
     outbox.begin(100.0, 100_000);
     shard.catching_up = true;
-    shard.plan_when_due(&outbox, &store, &catalog);
+    shard.plan_capacity_when_due(&outbox, &store, &catalog);
     assert!(shard.demand.surplus_machines.is_empty());
     shard.catching_up = false;
-    shard.plan_when_due(&outbox, &store, &catalog);
+    shard.plan_capacity_when_due(&outbox, &store, &catalog);
     assert_eq!(
         shard.demand.surplus_machines,
         vec![MachineId::from("m-1")],
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -185,7 +185,7 @@
             &self.catalog,
             &self.unresponsive,
         );
-        shard.plan_when_due(&self.outbox, &self.store, &self.catalog);
+        shard.plan_capacity_when_due(&self.outbox, &self.store, &self.catalog);
         if !shard.has_machines() {
             // There is no worker to hear from, so silence is no evidence of a failure.
             self.peers.note_worker_contact(now);
--- a/src/core/shard/capacity_planning.rs
+++ b/src/core/shard/capacity_planning.rs
@@ -30,10 +30,10 @@
 
 /// Machines may be rented without regard to cost for an opportunistic job that has not been served for this
 /// many times `cancel_s`.
-const STARVED_CANCEL_TIMES: f64 = 3.0;
+const STARVATION_CANCEL_PERIODS: f64 = 3.0;
 
 /// Lease durations after which a machine without heartbeats is reported to the leader.
-const UNHEARD_LEASES: f64 = 3.0;
+const SILENT_MACHINE_LEASES: f64 = 3.0;
 
 /// Capacity plans per lease duration.
 const PLANS_PER_LEASE: f64 = 10.0;
@@ -82,7 +82,7 @@
 
 impl Shard {
     /// Updates the shard's capacity demand, at fixed intervals.
-    pub(crate) fn plan_when_due(
+    pub(crate) fn plan_capacity_when_due(
         &mut self,
         outbox: &Outbox,
         store: &StoreReplica,
@@ -94,7 +94,7 @@
         }
         self.next_plan = now + self.config.deployment.workers.lease_s / PLANS_PER_LEASE;
         let mut demand = CapacityDemand::default();
-        self.plan(outbox, store, catalog, &mut demand);
+        self.plan_capacity(outbox, store, catalog, &mut demand);
         self.report_machines_needing_attention(&mut demand, now);
         demand.teams_out_of_attempts = self.teams_short_of_attempts();
         self.sync_soon |= demand.machine_demands != self.demand.machine_demands;
@@ -107,7 +107,7 @@
         let list_lag = self.config.deployment.cloud.list_lag_s;
         for machine in self.machines.values().filter(|machine| machine.is_owned) {
             let last_heard = machine.known_since.max(machine.last_answered);
-            if now > last_heard + lease * UNHEARD_LEASES + list_lag {
+            if now > last_heard + lease * SILENT_MACHINE_LEASES + list_lag {
                 demand.unheard_machines.push(machine.id.clone());
             } else if machine.needs_new_token && !machine.address.is_empty() {
                 demand
@@ -117,7 +117,7 @@
         }
     }
 
-    fn plan(
+    fn plan_capacity(
         &mut self,
         outbox: &Outbox,
         store: &StoreReplica,
@@ -182,22 +182,22 @@
         demand: &mut CapacityDemand,
     ) {
         plan.reserve_opportunistic();
-        let busy = work
+        let machine_seconds_needed = work
             .iter()
             .map(|waiting| machine_seconds(types, &waiting.tasks.spec, waiting.tasks.count));
-        let mut rentals = worthwhile_rentals(types, busy.sum());
-        let patience = self.config.deployment.workers.cancel_s * STARVED_CANCEL_TIMES;
+        let mut rental_budget = worthwhile_rentals(types, machine_seconds_needed.sum());
+        let max_unserved_s = self.config.deployment.workers.cancel_s * STARVATION_CANCEL_PERIODS;
         let has_no_machines = !self.has_machines();
         for waiting in work {
-            let is_out_of_patience = waiting.unserved_s > patience;
+            let has_waited_too_long = waiting.unserved_s > max_unserved_s;
             if let Some(job) = self.jobs.get_mut(&waiting.job) {
-                job.starved |= is_out_of_patience;
+                job.starved |= has_waited_too_long;
             }
-            let is_starved = has_no_machines || is_out_of_patience;
+            let is_starved = has_no_machines || has_waited_too_long;
             if is_starved {
-                rentals = rentals.max(1);
+                rental_budget = rental_budget.max(1);
             }
-            plan.place_opportunistic(waiting.tasks, is_starved, &mut rentals, demand);
+            plan.place_opportunistic(waiting.tasks, is_starved, &mut rental_budget, demand);
         }
     }
 
@@ -206,7 +206,7 @@
     fn pending_work(&self, catalog: &Catalog, usage: &mut Usage, now: Time) -> PendingWork {
         let types = catalog.types();
         let mut work = PendingWork::default();
-        for id in self.queue(usage, now) {
+        for id in self.queued_jobs(usage, now) {
             let Some(job) = self.jobs.get(&id) else {
                 continue;
             };
@@ -250,7 +250,7 @@
         now: Time,
         demand: &mut CapacityDemand,
     ) {
-        let kept_for_starved = self.machines_of_starved_jobs();
+        let kept_for_starved = self.machines_kept_for_starved_jobs();
         let mut to_empty = Vec::new();
         for candidate in candidates {
             let is_closed_but_occupied =
@@ -281,7 +281,7 @@
             return false;
         };
         // A replacement would have to boot and to fetch the images that this one has cached.
-        let patience = catalog.boot_s(&machine.type_name) + machine.longest_fetch();
+        let idle_timeout_s = catalog.boot_s(&machine.type_name) + machine.longest_fetch();
         let is_idle = machine.idle();
         let is_spare =
             machine.token_confirmed && machine.holds_only_opportunistic() && !candidate.is_in_use;
@@ -291,7 +291,7 @@
         let is_kept_for_opportunistic =
             (machine.spot && has_opportunistic_work) || kept_for_starved.contains(&machine.id);
         let is_closed =
-            is_spare && !is_kept_for_opportunistic && now - machine.idle_since > patience;
+            is_spare && !is_kept_for_opportunistic && now - machine.idle_since > idle_timeout_s;
         self.changed |= machine.releasing && !is_closed;
         machine.releasing = is_closed;
         if !is_idle && is_spare {
--- a/src/core/shard/consolidation.rs
+++ b/src/core/shard/consolidation.rs
@@ -35,7 +35,7 @@
 /// Whether an attempt prevents its machine from being emptied.
 enum Movability {
     /// It ends soon without being moved.
-    EndsByItself,
+    RunsToCompletion,
     /// A replica that can be moved.
     Movable,
     /// It must not be moved.
@@ -53,12 +53,12 @@
         let mut sources: Vec<Source> = candidates
             .iter()
             .filter(|candidate| !candidate.has_planned_tasks)
-            .filter_map(|candidate| self.source(candidate, catalog, now))
+            .filter_map(|candidate| self.consolidation_source(candidate, catalog, now))
             .collect();
         sources.sort_by(|one, other| other.price_per_replica.total_cmp(&one.price_per_replica));
         let Some(source) = sources
             .into_iter()
-            .find(|source| self.fits_elsewhere(source, candidates, now))
+            .find(|source| self.replicas_fit_elsewhere(source, candidates, now))
         else {
             return;
         };
@@ -76,22 +76,28 @@
     }
 
     /// The machine as one to be emptied; `None` if it must not be, or if no replica is on it.
-    fn source(&self, candidate: &PackingCandidate, catalog: &Catalog, now: Time) -> Option<Source> {
+    fn consolidation_source(
+        &self,
+        candidate: &PackingCandidate,
+        catalog: &Catalog,
+        now: Time,
+    ) -> Option<Source> {
         let machine = self.machines.get(candidate.machine.as_ref()?)?;
         if !machine.usable(now) {
             return None;
         }
         // GPU machines often fetch many times as fast as others.
         let has_gpus = |of_type: &&MachineType| (of_type.gpus > 0.0) == (machine.total.gpus > 0.0);
-        let alike: Vec<MachineType> = catalog.types().iter().filter(has_gpus).cloned().collect();
+        let similar_types: Vec<MachineType> =
+            catalog.types().iter().filter(has_gpus).cloned().collect();
         let mut replicas = Vec::new();
         for (key, tracked) in &machine.attempts {
             if tracked.exited() {
                 continue;
             }
             let job = self.jobs.get(&key.0.job)?;
-            match self.movability(job, tracked, &alike, now) {
-                Movability::EndsByItself => {}
+            match self.movability(job, tracked, &similar_types, now) {
+                Movability::RunsToCompletion => {}
                 Movability::Movable => replicas.push(key.clone()),
                 Movability::Pinned => return None,
             }
@@ -116,7 +122,7 @@
         now: Time,
     ) -> Movability {
         match job.spec.kind {
-            Kind::Array => Movability::EndsByItself,
+            Kind::Array => Movability::RunsToCompletion,
             Kind::Gang => Movability::Pinned,
             // Few machines have such an image cached, and a replica that had to fetch it would be missed.
             Kind::Service if needs_cached_image(&self.config, types, &job.spec) => {
@@ -138,8 +144,13 @@
     }
 
     /// Whether every replica fits, beside what is planned, on machines in use that have its image cached.
-    fn fits_elsewhere(&self, source: &Source, candidates: &[PackingCandidate], now: Time) -> bool {
-        let Some(from) = self.machines.get(&source.id) else {
+    fn replicas_fit_elsewhere(
+        &self,
+        source: &Source,
+        candidates: &[PackingCandidate],
+        now: Time,
+    ) -> bool {
+        let Some(source_machine) = self.machines.get(&source.id) else {
             return false;
         };
         // A replica that waited for opportunistic tasks to stop would be missed meanwhile.
@@ -159,13 +170,15 @@
             let job_zones = tasks_in_zone
                 .entry(&task.job)
                 .or_insert_with(|| job.zones.clone());
-            if let Some(in_zone) = job_zones.get_mut(&from.zone) {
+            if let Some(in_zone) = job_zones.get_mut(&source_machine.zone) {
                 *in_zone = in_zone.saturating_sub(1);
             }
             let target = targets
                 .iter_mut()
                 .filter(|target| target.free.holds(&job.need()))
-                .filter(|target| self.can_take(target.candidate, job, source, job_zones, now))
+                .filter(|target| {
+                    self.can_host_replica(target.candidate, job, source, job_zones, now)
+                })
                 .min_by(|one, other| one.free.gpus.total_cmp(&other.free.gpus));
             let Some(target) = target else {
                 return false;
@@ -179,7 +192,7 @@
     }
 
     /// Whether a replica of the job may move to this machine, apart from the resources it needs.
-    fn can_take(
+    fn can_host_replica(
         &self,
         candidate: &PackingCandidate,
         job: &Job,
--- a/src/core/shard/opportunistic.rs
+++ b/src/core/shard/opportunistic.rs
@@ -9,7 +9,7 @@
     /// Machines other than spot instances that are kept for starved jobs: one for each job that runs on no
     /// spot instance. If it were returned, it would be rented again only once the job had starved again, so a
     /// job of long tasks would never end.
-    pub(crate) fn machines_of_starved_jobs(&self) -> BTreeSet<MachineId> {
+    pub(crate) fn machines_kept_for_starved_jobs(&self) -> BTreeSet<MachineId> {
         let is_spot = |id: &MachineId| self.machines.get(id).is_some_and(|machine| machine.spot);
         let mut kept = BTreeSet::new();
         let starved = self
--- a/src/core/shard/opportunistic/tests.rs
+++ b/src/core/shard/opportunistic/tests.rs
@@ -28,24 +28,24 @@
     Rc::new(spec)
 }
 
-fn spot(type_name: &str) -> MachineOffer {
+fn spot_offer(type_name: &str) -> MachineOffer {
     MachineOffer::from((TypeName::from(type_name), Zone::from("a"), true))
 }
 
 /// The demand of a shard without machines for an opportunistic job.
-fn demanded(
+fn demand_for(
     spec: &Rc<JobSpec>,
     starved: bool,
     unavailable: &BTreeSet<MachineOffer>,
 ) -> CapacityDemand {
     let (types, mut demand) = (types(), CapacityDemand::default());
     let mut plan = Plan::new(&types, unavailable, Vec::new(), 400);
-    let mut rentals = worthwhile_rentals(&types, machine_seconds(&types, spec, spec.tasks));
+    let mut rental_budget = worthwhile_rentals(&types, machine_seconds(&types, spec, spec.tasks));
     if starved {
-        rentals = rentals.max(1);
+        rental_budget = rental_budget.max(1);
     }
     let tasks = TaskDemand::expected(&types, spec.clone(), spec.tasks);
-    plan.place_opportunistic(tasks, starved, &mut rentals, &mut demand);
+    plan.place_opportunistic(tasks, starved, &mut rental_budget, &mut demand);
     demand
 }
 
@@ -55,25 +55,27 @@
     let config = config();
     let spec = opportunistic_array(30.0);
     assert!(is_opportunistic(&config, &spec));
-    let with = |change: fn(&mut JobSpec)| {
+    let is_opportunistic_with = |change: fn(&mut JobSpec)| {
         let mut spec = (*spec).clone();
         change(&mut spec);
         is_opportunistic(&config, &spec)
     };
-    assert!(!with(|spec| spec.priority = Priority::Normal));
-    assert!(!with(|spec| spec.deadline_s = Some(600.0)));
+    assert!(!is_opportunistic_with(
+        |spec| spec.priority = Priority::Normal
+    ));
+    assert!(!is_opportunistic_with(|spec| spec.deadline_s = Some(600.0)));
     assert!(
-        !with(|spec| spec.class = "chat".into()),
+        !is_opportunistic_with(|spec| spec.class = "chat".into()),
         "its class has an objective on starts"
     );
 }
 
-/// An opportunistic array demanded 50 machines of every type and took all that the cloud had (inc-df01).
+/// An opportunistic array demand_for 50 machines of every type and took all that the cloud had (inc-df01).
 #[test]
 fn only_cost_effective_machines_are_rented_and_no_more_than_the_work_is_worth() {
-    let none = BTreeSet::new();
+    let none_unavailable = BTreeSet::new();
     // 100 tasks of 30 s, eight at a time: 375 machine seconds, 20 s for each rental.
-    let demand = demanded(&opportunistic_array(30.0), false, &none);
+    let demand = demand_for(&opportunistic_array(30.0), false, &none_unavailable);
     assert!(
         demand
             .machine_demands
@@ -88,16 +90,16 @@
     );
     // Seconds of work are over before a machine is up.
     assert_eq!(
-        demanded(&opportunistic_array(1.0), false, &none).machines_wanted(),
+        demand_for(&opportunistic_array(1.0), false, &none_unavailable).machines_wanted(),
         0
     );
-    let cheap: BTreeSet<MachineOffer> = ["a", "b"]
+    let cheap_spot_offers: BTreeSet<MachineOffer> = ["a", "b"]
         .iter()
         .map(|zone| MachineOffer::from((TypeName::from("g8"), Zone::from(*zone), true)))
         .collect();
     // The other type is nearly as cheap, but takes four at a time: the work is worth no 25 of them.
     assert_eq!(
-        demanded(&opportunistic_array(30.0), false, &cheap).machines_wanted(),
+        demand_for(&opportunistic_array(30.0), false, &cheap_spot_offers).machines_wanted(),
         18
     );
 }
@@ -106,7 +108,7 @@
 #[test]
 fn a_starved_job_may_rent_one_machine_of_any_type() {
     let types = types();
-    let all: BTreeSet<MachineOffer> = types
+    let all_spot_offers: BTreeSet<MachineOffer> = types
         .iter()
         .flat_map(|machine_type| {
             machine_type
@@ -116,10 +118,10 @@
         })
         .collect();
     assert_eq!(
-        demanded(&opportunistic_array(1.0), false, &all).machines_wanted(),
+        demand_for(&opportunistic_array(1.0), false, &all_spot_offers).machines_wanted(),
         0
     );
-    let demand = demanded(&opportunistic_array(1.0), true, &all);
+    let demand = demand_for(&opportunistic_array(1.0), true, &all_spot_offers);
     assert_eq!(demand.machines_wanted(), 1);
     assert!(!demand.machine_demands[0].offer.spot);
 }
@@ -158,13 +160,13 @@
 fn an_expensive_spot_instance_is_not_cost_effective() {
     let mut types = types();
     let spec = opportunistic_array(30.0);
-    assert!(is_cost_effective(&types, &spot("g4"), &spec));
+    assert!(is_cost_effective(&types, &spot_offer("g4"), &spec));
     types[0].spot_price *= 2.0;
-    assert!(!is_cost_effective(&types, &spot("g4"), &spec));
-    assert!(is_cost_effective(&types, &spot("g8"), &spec));
+    assert!(!is_cost_effective(&types, &spot_offer("g4"), &spec));
+    assert!(is_cost_effective(&types, &spot_offer("g8"), &spec));
     let MachineOffer {
         type_name, zone, ..
-    } = spot("g8");
+    } = spot_offer("g8");
     assert!(
         !is_cost_effective(&types, &MachineOffer::from((type_name, zone, false)), &spec),
         "only spot instances are"
@@ -197,25 +199,25 @@
     for spot in [false, true] {
         let (mut shard, mut outbox, store) = shard_with_an_opportunistic_task(spot);
         let catalog = Catalog::with_types(types());
-        let grace = |shard: &Shard| {
+        let stop_grace = |shard: &Shard| {
             let machine = &shard.machines[&MachineId::from("m-1")];
             machine.attempts.values().next().unwrap().stop
         };
         outbox.begin(5.0, 5_000);
-        shard.plan_when_due(&outbox, &store, &catalog);
+        shard.plan_capacity_when_due(&outbox, &store, &catalog);
         assert_eq!(
             shard.demand.opportunistic_only_machines,
             vec![MachineId::from("m-1")]
         );
-        assert_eq!(grace(&shard), None, "not idle for long");
+        assert_eq!(stop_grace(&shard), None, "not idle for long");
         outbox.begin(100.0, 100_000);
         shard
             .machines
             .get_mut(&MachineId::from("m-1"))
             .unwrap()
             .last_answered = 100.0;
-        shard.plan_when_due(&outbox, &store, &catalog);
-        assert_eq!(grace(&shard), if spot { None } else { Some(2.0) });
+        shard.plan_capacity_when_due(&outbox, &store, &catalog);
+        assert_eq!(stop_grace(&shard), if spot { None } else { Some(2.0) });
     }
 }
 
--- a/src/core/shard/preemption.rs
+++ b/src/core/shard/preemption.rs
@@ -66,7 +66,7 @@
 }
 
 /// What stopping an attempt loses.
-struct Loss {
+struct PreemptionLoss {
     /// Lost work, in seconds.
     cost: Time,
     /// Seconds to write a checkpoint.
@@ -103,7 +103,7 @@
         now: Time,
     ) -> Option<Self> {
         let job = shard.jobs.get(unplaced.job)?;
-        let teams_beyond_guarantee = if shard.is_guaranteed(job, usage) {
+        let teams_beyond_guarantee = if shard.is_within_guarantee(job, usage) {
             teams_beyond_guarantee(shard, &job.spec.team, usage)
         } else {
             Vec::new()
@@ -128,7 +128,7 @@
     ) -> Option<(&'s mut MachineSnapshot, Vec<Victim>)> {
         let mut best: Option<((Time, Time), &mut MachineSnapshot, Vec<Victim>)> = None;
         for snapshot in snapshots {
-            if !self.is_eligible(snapshot, tasks_in_zone) || !self.may_fit(snapshot) {
+            if !self.is_eligible(snapshot, tasks_in_zone) || !self.can_free_enough(snapshot) {
                 continue;
             }
             let Some(machine) = self.shard.machines.get(&snapshot.id) else {
@@ -161,7 +161,7 @@
 
     /// Whether preemption can free enough resources at all. It cannot on most machines, which is found
     /// here without looking at their attempts.
-    fn may_fit(&self, snapshot: &MachineSnapshot) -> bool {
+    fn can_free_enough(&self, snapshot: &MachineSnapshot) -> bool {
         let preemptible_priorities = if self.teams_beyond_guarantee.is_empty() {
             self.job.priority as usize
         } else {
@@ -218,7 +218,7 @@
             if !self.may_preempt(task, tracked) {
                 continue;
             }
-            let loss = loss(self.shard, task, tracked, self.now);
+            let loss = estimate_loss(self.shard, task, tracked, self.now);
             if let (Some(resources), Some(loss)) = (tracked.resources, loss) {
                 let preemption = Preemption {
                     machine: machine.id.clone(),
@@ -257,10 +257,15 @@
 }
 
 /// What stopping an attempt loses; `None` if that is unknown, so that it must not be stopped.
-fn loss(shard: &Shard, task: &TaskId, tracked: &TrackedAttempt, now: Time) -> Option<Loss> {
+fn estimate_loss(
+    shard: &Shard,
+    task: &TaskId,
+    tracked: &TrackedAttempt,
+    now: Time,
+) -> Option<PreemptionLoss> {
     let checkpoint_s = tracked.checkpoint_write_s;
     if tracked.opportunistic && tracked.team.is_some() {
-        return Some(Loss {
+        return Some(PreemptionLoss {
             cost: 0.0,
             grace_s: checkpoint_s,
         });
@@ -268,7 +273,7 @@
     let Some(job) = shard.jobs.get(&task.job) else {
         // A task of another shard's team on a machine that moved here: its owner restarts it elsewhere.
         let can_checkpoint = tracked.team.is_some() && checkpoint_s > 0.0;
-        return can_checkpoint.then_some(Loss {
+        return can_checkpoint.then_some(PreemptionLoss {
             cost: checkpoint_s,
             grace_s: checkpoint_s,
         });
@@ -286,5 +291,5 @@
         }
         _ => (run_time, 0.0),
     };
-    Some(Loss { cost, grace_s })
+    Some(PreemptionLoss { cost, grace_s })
 }
--- a/src/core/shard/round.rs
+++ b/src/core/shard/round.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy)]
 struct RoundContext {
     /// Whether machines are about to send their first heartbeat.
-    expects_machines: bool,
+    expects_first_heartbeats: bool,
     /// See [`Shard::avoids_stranding_gpus`].
     avoids_stranding_gpus: bool,
     now: Time,
@@ -53,7 +53,7 @@
 }
 
 /// The machines chosen for the tasks of a job.
-struct Choice {
+struct SelectedMachines {
     /// Indices of snapshots, one for each placed task.
     snapshots: Vec<usize>,
     /// Tasks for which no machine was found and others should be preempted.
@@ -63,13 +63,13 @@
 impl Shard {
     /// Starts waiting tasks where resources are free, and adds them to `usage`.
     pub(crate) fn schedule(&mut self, now: Time, usage: &mut Usage, catalog: &Catalog) {
-        let mut snapshots = self.snapshots(now);
+        let mut snapshots = self.snapshot_machines(now);
         self.reserve_for_cached_images(&mut snapshots, catalog, now);
-        let expects_machines = self.expects_machines(now);
+        let expects_first_heartbeats = self.expects_first_heartbeats(now);
         let mut starts = 0;
-        for id in self.queue(usage, now) {
+        for id in self.queued_jobs(usage, now) {
             let round = RoundContext {
-                expects_machines,
+                expects_first_heartbeats,
                 avoids_stranding_gpus: self.avoids_stranding_gpus(&id, catalog, now),
                 now,
             };
@@ -88,8 +88,10 @@
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
-        let patience = self.config.deployment.workers.cancel_s;
-        let has_waited_long = job.waits_since.is_some_and(|since| now - since > patience);
+        let max_wait_s = self.config.deployment.workers.cancel_s;
+        let has_waited_long = job
+            .waits_since
+            .is_some_and(|since| now - since > max_wait_s);
         !has_waited_long
             && !job.is_opportunistic(&self.config)
             && fits_without_gpus(catalog.types(), &job.spec)
@@ -104,13 +106,13 @@
         usage: &mut Usage,
         round: RoundContext,
     ) -> usize {
-        let Some(startable) = self.startable_within_limit(id, usage, round.now) else {
+        let Some(startable) = self.startable_tasks_within_limit(id, usage, round.now) else {
             return 0;
         };
-        let Some(choice) = self.choose_for(id, &startable, snapshots, round) else {
+        let Some(selected) = self.choose_machines_for_job(id, &startable, snapshots, round) else {
             return 0;
         };
-        let Some(mut placements) = self.place_once(id, &startable, &choice) else {
+        let Some(mut placements) = self.pair_tasks_with_machines(id, &startable, &selected) else {
             return 0;
         };
         for placement in &placements {
@@ -125,21 +127,21 @@
             placements.len(),
             startable.is_gang,
         ));
-        if !self.start_placed(id, &startable, &placements, snapshots, usage, round.now) {
+        if !self.start_placed_tasks(id, &startable, &placements, snapshots, usage, round.now) {
             return 0;
         }
-        if choice.unplaced > 0 {
-            self.make_room(id, choice.unplaced, snapshots, usage, round);
+        if selected.unplaced > 0 {
+            self.preempt_for_unplaced_tasks(id, selected.unplaced, snapshots, usage, round);
         }
         if let Some(job) = self.jobs.get_mut(id) {
-            job.waits_since = (choice.unplaced > 0).then(|| job.waits_since.unwrap_or(round.now));
+            job.waits_since = (selected.unplaced > 0).then(|| job.waits_since.unwrap_or(round.now));
         }
         placements.len()
     }
 
     /// The waiting tasks of a job that may be started now within its team's limit; `None` if there are none,
     /// or not all tasks of a gang.
-    fn startable_within_limit(
+    fn startable_tasks_within_limit(
         &self,
         id: &JobId,
         usage: &Usage,
@@ -149,7 +151,7 @@
         let team_limits = team_limits(&self.config, &job.spec)?.clone();
         let need = job.need();
         let is_gang = job.is_gang();
-        let mut tasks = self.startable(job, now);
+        let mut tasks = self.startable_tasks(job, now);
         if tasks.is_empty() || (is_gang && tasks.len() != job.spec.tasks as usize) {
             return None;
         }
@@ -170,13 +172,13 @@
     /// Chooses machines for the tasks. Resources reserved for other images are used only if no others are
     /// free, or if the job has been interrupted: it is missed now, while the tasks that the resources are
     /// reserved for may never arrive.
-    fn choose_for(
+    fn choose_machines_for_job(
         &self,
         id: &JobId,
         startable: &StartableTasks,
         snapshots: &[MachineSnapshot],
         round: RoundContext,
-    ) -> Option<Choice> {
+    ) -> Option<SelectedMachines> {
         let job = self.jobs.get(id)?;
         let wanted = startable.tasks.len();
         let request = PlacementRequest {
@@ -198,10 +200,10 @@
         } else {
             wanted - chosen.len()
         };
-        if round.expects_machines {
-            self.leave_to_expected_machines(job, &mut chosen, wanted, snapshots, round.now);
+        if round.expects_first_heartbeats {
+            self.exclude_machines_with_shared_fetch(job, &mut chosen, wanted, snapshots, round.now);
         }
-        Some(Choice {
+        Some(SelectedMachines {
             snapshots: chosen,
             unplaced,
         })
@@ -209,7 +211,7 @@
 
     /// Drops the machines on which the image would wait for another's fetch: machines that are about to
     /// send their first heartbeat can start these tasks sooner.
-    fn leave_to_expected_machines(
+    fn exclude_machines_with_shared_fetch(
         &self,
         job: &Job,
         chosen: &mut Vec<usize>,
@@ -220,7 +222,7 @@
         chosen.retain(|index| {
             snapshots
                 .get(*index)
-                .is_some_and(|snapshot| !self.fetch_is_shared(&snapshot.id, &job.spec, now))
+                .is_some_and(|snapshot| !self.would_share_fetch_rate(&snapshot.id, &job.spec, now))
         });
         if job.is_gang() && chosen.len() < wanted {
             chosen.clear();
@@ -229,46 +231,46 @@
 
     /// Pairs the tasks with the chosen machines, without tasks that may be running already; `None` if
     /// there are such tasks in a gang.
-    fn place_once(
+    fn pair_tasks_with_machines(
         &mut self,
         id: &JobId,
         startable: &StartableTasks,
-        choice: &Choice,
+        selected: &SelectedMachines,
     ) -> Option<Vec<Placement>> {
         let mut placements: Vec<Placement> = startable
             .tasks
             .iter()
-            .zip(&choice.snapshots)
+            .zip(&selected.snapshots)
             .map(|(&task, &snapshot)| Placement { task, snapshot })
             .collect();
-        self.hold_back_second_attempts(id, &mut placements);
-        let is_partial_gang = startable.is_gang && placements.len() < choice.snapshots.len();
+        self.exclude_tasks_with_live_attempts(id, &mut placements);
+        let is_partial_gang = startable.is_gang && placements.len() < selected.snapshots.len();
         (!is_partial_gang).then_some(placements)
     }
 
     /// The last safeguard against running a task twice: a task is not started while an attempt of it may
     /// be on some machine. Such a task should not be waiting at all, so this is logged and counted.
-    fn hold_back_second_attempts(&mut self, id: &JobId, placements: &mut Vec<Placement>) {
+    fn exclude_tasks_with_live_attempts(&mut self, id: &JobId, placements: &mut Vec<Placement>) {
         if placements.is_empty() {
             return;
         }
-        let on_machines = self.tasks_on_machines(id);
+        let tasks_with_attempts = self.tasks_on_machines(id);
         let before = placements.len();
-        placements.retain(|placement| !on_machines.contains(&placement.task));
-        let held_back = before - placements.len();
-        if held_back > 0 {
+        placements.retain(|placement| !tasks_with_attempts.contains(&placement.task));
+        let excluded = before - placements.len();
+        if excluded > 0 {
             tracing::error!(
                 job = %id,
-                tasks = held_back,
+                tasks = excluded,
                 "waiting tasks held back: attempts of them may be running"
             );
-            self.starts_held_back += held_back as u64;
+            self.starts_held_back += excluded as u64;
         }
     }
 
     /// Starts the placed tasks as one attempt, and adds them to `usage`; false if the team's fencing token has
     /// no attempt numbers left.
-    fn start_placed(
+    fn start_placed_tasks(
         &mut self,
         id: &JobId,
         startable: &StartableTasks,
@@ -294,7 +296,7 @@
     }
 
     /// Preempts tasks for those of a job that found no machine, and reserves machines for a gang.
-    fn make_room(
+    fn preempt_for_unplaced_tasks(
         &mut self,
         id: &JobId,
         unplaced: usize,
--- a/src/core/shard/round/machine_choice.rs
+++ b/src/core/shard/round/machine_choice.rs
@@ -42,7 +42,7 @@
 }
 
 impl EligibleMachine<'_> {
-    fn candidate(&self) -> Candidate {
+    fn to_candidate(&self) -> Candidate {
         Candidate {
             free: self.free,
             total: self.snapshot.total,
@@ -108,12 +108,14 @@
         let mut tasks_in_zone: BTreeMap<Zone, u32> = BTreeMap::new();
         let mut chosen = Vec::new();
         for _ in 0..request.tasks {
-            let mut open: Vec<&mut EligibleMachine> = eligible
+            let mut allowed: Vec<&mut EligibleMachine> = eligible
                 .iter_mut()
                 .filter(|machine| job.zone_allows(&machine.snapshot.zone, &tasks_in_zone))
                 .collect();
-            let candidates: Vec<Candidate> =
-                open.iter().map(|machine| machine.candidate()).collect();
+            let candidates: Vec<Candidate> = allowed
+                .iter()
+                .map(|machine| machine.to_candidate())
+                .collect();
             let best = best_fit(
                 &need,
                 &candidates,
@@ -121,7 +123,7 @@
                 late_start,
                 self.weights,
             );
-            let Some(machine) = best.and_then(|position| open.get_mut(position)) else {
+            let Some(machine) = best.and_then(|position| allowed.get_mut(position)) else {
                 break;
             };
             machine.free = machine.free.less(&need);
@@ -152,12 +154,12 @@
         zone: Option<&Zone>,
     ) -> Vec<EligibleMachine<'s>> {
         let spec = &job.spec;
-        let needs_spot = prefers_spot_only(job, request.tasks, snapshots);
+        let spot_only = should_use_spot_only(job, request.tasks, snapshots);
         let is_eligible = |snapshot: &MachineSnapshot| {
-            let free = snapshot.usable_part(snapshot.free, request.avoids_stranding_gpus);
+            let free = snapshot.usable_resources(snapshot.free, request.avoids_stranding_gpus);
             !snapshot.is_reserved
                 && free.holds(&job.need())
-                && (snapshot.spot || !needs_spot)
+                && (snapshot.spot || !spot_only)
                 && zone.is_none_or(|zone| snapshot.zone == *zone)
                 && snapshot.is_allowed_for(spec)
                 && !is_avoided(job, &snapshot.id)
@@ -167,7 +169,7 @@
             .enumerate()
             .filter(|(_, snapshot)| is_eligible(snapshot))
             .collect();
-        self.limit_probes(job, eligible)
+        self.select_probe_machines(job, eligible)
             .into_iter()
             .map(|(index, snapshot)| {
                 let unreserved = if request.respects_image_reservations {
@@ -178,7 +180,7 @@
                 EligibleMachine {
                     index,
                     snapshot,
-                    free: snapshot.usable_part(unreserved, request.avoids_stranding_gpus),
+                    free: snapshot.usable_resources(unreserved, request.avoids_stranding_gpus),
                     ready_in: self.ready_in(&snapshot.id, &spec.image, spec.image_gb, now),
                 }
             })
@@ -187,7 +189,7 @@
 
     /// A job that fails everywhere is probed only on machines that have its image cached, if there are any, and
     /// preferably on those where it has not failed yet.
-    fn limit_probes<'s>(
+    fn select_probe_machines<'s>(
         &self,
         job: &Job,
         eligible: Vec<(usize, &'s MachineSnapshot)>,
@@ -212,17 +214,18 @@
     }
 
     /// Whether machines of this shard are likely to send their first heartbeat soon.
-    pub(super) fn expects_machines(&self, now: Time) -> bool {
-        let patience = self.config.deployment.workers.report_s * FIRST_HEARTBEAT_INTERVALS;
+    pub(super) fn expects_first_heartbeats(&self, now: Time) -> bool {
+        let heartbeat_window_s =
+            self.config.deployment.workers.report_s * FIRST_HEARTBEAT_INTERVALS;
         self.machines.values().any(|machine| {
             machine.is_owned
                 && !machine.reconciled()
-                && now < machine.heartbeat_expected_since + patience
+                && now < machine.heartbeat_expected_since + heartbeat_window_s
         })
     }
 
     /// Whether the job's image would have to share the machine's fetch rate with other images.
-    pub(super) fn fetch_is_shared(&self, id: &MachineId, spec: &JobSpec, now: Time) -> bool {
+    pub(super) fn would_share_fetch_rate(&self, id: &MachineId, spec: &JobSpec, now: Time) -> bool {
         self.machines.get(id).is_some_and(|machine| {
             machine.ready_in(&spec.image, spec.image_gb, now)
                 > machine.fetch_s(spec.image_gb) * UNSHARED_FETCH_FACTOR
@@ -248,7 +251,7 @@
 
 /// Whether the job is placed on spot instances only: it may use them and enough of them have resources free,
 /// so the more expensive machines are left to jobs that must not use spot instances.
-fn prefers_spot_only(job: &Job, tasks: usize, snapshots: &[MachineSnapshot]) -> bool {
+fn should_use_spot_only(job: &Job, tasks: usize, snapshots: &[MachineSnapshot]) -> bool {
     let fits_on_spot = |snapshot: &&MachineSnapshot| {
         let free = snapshot.free_for_image(Some(&job.spec.image));
         snapshot.spot && free.holds(&job.need())
--- a/src/core/shard/round/queue.rs
+++ b/src/core/shard/round/queue.rs
@@ -33,7 +33,7 @@
 
 impl Shard {
     /// Jobs with waiting tasks, in the order in which they are served.
-    pub(crate) fn queue(&self, usage: &Usage, now: Time) -> Vec<JobId> {
+    pub(crate) fn queued_jobs(&self, usage: &Usage, now: Time) -> Vec<JobId> {
         let mut queue: Vec<(QueueRank, &JobId)> = Vec::new();
         for (id, job) in &self.jobs {
             // Where its other tasks are matters to such a job, so all of them must be known.
@@ -50,7 +50,7 @@
     fn queue_rank(&self, job: &Job, usage: &Usage, now: Time) -> QueueRank {
         QueueRank {
             priority: Reverse(job.priority),
-            is_beyond_guarantee: !self.is_guaranteed(job, usage),
+            is_beyond_guarantee: !self.is_within_guarantee(job, usage),
             is_deferred: self.is_deferred(job),
             // Deadlines that have passed are all the same: such jobs are served by age.
             start_deadline: start_deadline(&self.config, job).max(now),
@@ -59,7 +59,7 @@
     }
 
     /// Whether one more task of the job stays within its team's guaranteed quota.
-    pub(crate) fn is_guaranteed(&self, job: &Job, usage: &Usage) -> bool {
+    pub(crate) fn is_within_guarantee(&self, job: &Job, usage: &Usage) -> bool {
         let need = job.need();
         team_limits(&self.config, &job.spec)
             .is_some_and(|team_limits| usage.guaranteed(team_limits, need.cpus, need.gpus))
@@ -74,7 +74,7 @@
 
     /// The waiting tasks of a job that may be started now. Of a job that fails everywhere only one task at a
     /// time is started as a probe, unless it is a gang.
-    pub(super) fn startable(&self, job: &Job, now: Time) -> Vec<u32> {
+    pub(super) fn startable_tasks(&self, job: &Job, now: Time) -> Vec<u32> {
         let is_probe = job.failures.fails_everywhere();
         if is_probe && (job.placed() > 0 || !job.failures.may_probe(now)) {
             return Vec::new();
--- a/src/core/shard/round/snapshot.rs
+++ b/src/core/shard/round/snapshot.rs
@@ -60,7 +60,11 @@
 
     /// The part of `free` that a task may use. A task that avoids stranding GPUs uses only what the
     /// machine's free GPUs do not need.
-    pub(super) fn usable_part(&self, free: Resources, avoids_stranding_gpus: bool) -> Resources {
+    pub(super) fn usable_resources(
+        &self,
+        free: Resources,
+        avoids_stranding_gpus: bool,
+    ) -> Resources {
         if avoids_stranding_gpus {
             free.beside_free_gpus(&self.total)
         } else {
@@ -111,7 +115,7 @@
 
 impl Shard {
     /// Snapshots of all usable machines, in the order of their ids.
-    pub(super) fn snapshots(&self, now: Time) -> Vec<MachineSnapshot> {
+    pub(super) fn snapshot_machines(&self, now: Time) -> Vec<MachineSnapshot> {
         self.machines
             .values()
             .filter(|machine| machine.usable(now))
--- a/src/core/shard/soon_ready.rs
+++ b/src/core/shard/soon_ready.rs
@@ -35,9 +35,9 @@
         types: &[MachineType],
         now: Time,
     ) -> SoonReadyJobs {
-        let ending = self.ending_jobs(now + longest_boot(types));
+        let ending_jobs = self.jobs_ending_by(now + longest_boot(types));
         let mut demands = Vec::new();
-        for spec in self.ready_after(store, &ending) {
+        for spec in self.jobs_ready_after(store, &ending_jobs) {
             let Some(team_limits) = team_limits(&self.config, &spec) else {
                 continue;
             };
@@ -52,12 +52,12 @@
         }
         SoonReadyJobs {
             demands,
-            released: self.resources_of(&ending),
+            released: self.resources_held_by(&ending_jobs),
         }
     }
 
     /// Jobs all of whose unfinished tasks are running and are expected to end by the given time.
-    fn ending_jobs(&self, by: Time) -> BTreeSet<&JobId> {
+    fn jobs_ending_by(&self, by: Time) -> BTreeSet<&JobId> {
         let last_end = self.expected_ends();
         let is_ending = |id: &JobId, job: &Job| {
             job.spec.kind != Kind::Service
@@ -90,14 +90,20 @@
 
     /// Unfinished jobs of this shard's teams all of whose dependencies are done or in `ending`, at least one of
     /// them in `ending`.
-    fn ready_after(&self, store: &StoreReplica, ending: &BTreeSet<&JobId>) -> Vec<Rc<JobSpec>> {
+    fn jobs_ready_after(
+        &self,
+        store: &StoreReplica,
+        ending_jobs: &BTreeSet<&JobId>,
+    ) -> Vec<Rc<JobSpec>> {
         let is_done = |id: &JobId| {
             store
                 .job(id)
                 .is_some_and(|job| job.record.status == JobStatus::Done)
         };
-        let dependents: BTreeSet<&JobId> =
-            ending.iter().flat_map(|id| store.dependents(id)).collect();
+        let dependents: BTreeSet<&JobId> = ending_jobs
+            .iter()
+            .flat_map(|id| store.dependents(id))
+            .collect();
         let mut specs = Vec::new();
         for id in dependents {
             let Some(job) = store.job(id).filter(|_| !store.dependency_cancelled(id)) else {
@@ -110,7 +116,7 @@
             let is_ready = spec
                 .dependencies
                 .iter()
-                .all(|id| is_done(id) || ending.contains(id));
+                .all(|id| is_done(id) || ending_jobs.contains(id));
             if is_ready && self.teams.contains_key(&spec.team) {
                 specs.push(spec.clone());
             }
@@ -119,7 +125,7 @@
     }
 
     /// Resources of the jobs' live attempts that were not told to stop, by machine.
-    fn resources_of(&self, jobs: &BTreeSet<&JobId>) -> Vec<(MachineId, Resources)> {
+    fn resources_held_by(&self, jobs: &BTreeSet<&JobId>) -> Vec<(MachineId, Resources)> {
         let mut used = Vec::new();
         for machine in self.machines.values() {
             let sum = machine
--- a/src/core/shard/soon_ready/tests.rs
+++ b/src/core/shard/soon_ready/tests.rs
@@ -7,7 +7,7 @@
 use crate::core::records::shard_map::ShardEntry;
 use crate::core::records::versioned::put;
 use crate::core::shard::owned_jobs::describe;
-use crate::core::test_support::{map, owner as process, shard, types};
+use crate::core::test_support::{map, owner, shard, types};
 use crate::ids::{Attempt, TaskId, Version};
 use crate::wire::TaskState;
 
@@ -36,12 +36,12 @@
     fn new() -> Self {
         let (mut shard, mut outbox, mut store) = shard();
         let machines = vec!["m-1".into()];
-        let mine = ShardEntry {
-            owner: process("n0"),
+        let shard_entry = ShardEntry {
+            owner: owner("n0"),
             teams: vec!["red".into()],
             machines,
         };
-        map(&mut store, 1, vec![mine]);
+        map(&mut store, 1, vec![shard_entry]);
         shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
         Self {
             shard,
@@ -148,7 +148,7 @@
     fixture.run(1, 0, Some(0.0));
     fixture.run(2, 0, Some(0.0));
     assert_eq!(fixture.soon_ready(20.0).demands.len(), 1);
-    let elsewhere = fixture.shard.jobs.remove(&JobId::from("req-000002"));
+    let removed_job = fixture.shard.jobs.remove(&JobId::from("req-000002"));
     assert!(
         fixture.soon_ready(20.0).demands.is_empty(),
         "a dependency runs in another shard"
@@ -156,7 +156,7 @@
     fixture
         .shard
         .jobs
-        .insert("req-000002".into(), elsewhere.unwrap());
+        .insert("req-000002".into(), removed_job.unwrap());
     let (id, cancelled) = record(2, 1, &[]);
     fixture.accept((id, cancelled.cancelled(1)), 5);
     assert!(
