--- a/src/core/controller/acquired_machines.rs
+++ b/src/core/controller/acquired_machines.rs
@@ -38,7 +38,7 @@
     }
 
     /// An inspected machine has answered. Of one that has not, the next heartbeat is awaited.
-    pub(crate) fn inspection_answered(&mut self, machine_id: &MachineId, reply: WorkerReply) {
+    pub(crate) fn handle_inspection_reply(&mut self, machine_id: &MachineId, reply: WorkerReply) {
         let Some(shard) = self.shard.as_mut() else {
             return;
         };
--- a/src/core/controller/acquired_machines/tests.rs
+++ b/src/core/controller/acquired_machines/tests.rs
@@ -53,9 +53,9 @@
     assert_eq!(inspections(&mut core), [("10.0.0.1:9000".into(), commands)]);
     assert_eq!(inspections(&mut core), [], "once");
     let earlier = heartbeat("m-1", 1, 7, FencingToken(8));
-    core.inspection_answered(&"m-1".into(), WorkerReply::Executed(earlier));
+    core.handle_inspection_reply(&"m-1".into(), WorkerReply::Executed(earlier));
     assert!(!machine(&core).reconciled(), "it has not shown the token");
-    core.inspection_answered(
+    core.handle_inspection_reply(
         &"m-1".into(),
         WorkerReply::Executed(heartbeat("m-1", 1, 8, TOKEN)),
     );
@@ -67,9 +67,9 @@
     let mut core = core_with_acquired_machine(NOW);
     inspections(&mut core);
     let fenced = || WorkerReply::Fenced(heartbeat("m-1", 4, 1, FencingToken(8)));
-    core.inspection_answered(&"m-1".into(), fenced());
+    core.handle_inspection_reply(&"m-1".into(), fenced());
     assert_eq!(inspections(&mut core)[0].1.agent_epoch, 4);
-    core.inspection_answered(&"m-1".into(), fenced());
+    core.handle_inspection_reply(&"m-1".into(), fenced());
     assert_eq!(
         inspections(&mut core),
         [],
@@ -84,7 +84,7 @@
 fn an_agent_epoch_that_has_just_begun_does_not_end_with_the_one_before() {
     let lease = running_core(2, NOW).config.deployment.workers.lease_s;
     let mut core = core_with_acquired_machine(NOW - lease);
-    core.inspection_answered(
+    core.handle_inspection_reply(
         &"m-1".into(),
         WorkerReply::Executed(heartbeat("m-1", 2, 1, TOKEN)),
     );
@@ -104,7 +104,7 @@
         HeartbeatOrigin::Periodic,
     );
     gone.end_epoch();
-    core.inspection_answered(
+    core.handle_inspection_reply(
         &"m-1".into(),
         WorkerReply::Executed(heartbeat("m-1", 1, 8, TOKEN)),
     );
--- a/src/core/controller/deferred_heartbeats.rs
+++ b/src/core/controller/deferred_heartbeats.rs
@@ -16,7 +16,7 @@
 const CLAIM_WAIT_HEARTBEATS: f64 = 0.4;
 
 /// Part of a heartbeat interval for which the heartbeat of a machine whose owner has failed is deferred.
-const HAND_OVER_WAIT_HEARTBEATS: f64 = 0.7;
+const OWNER_CHANGE_WAIT_HEARTBEATS: f64 = 0.7;
 
 /// Heartbeats deferred at once at most, as a part of the limit on sockets.
 const DEFERRED_PER_SOCKET: f64 = 0.25;
@@ -27,10 +27,10 @@
     /// The machine is claimed, and will be owned by this controller.
     Claim,
     /// The machine's owner has failed, and the next one is not known yet. The failed one may answer again.
-    HandOver,
+    Failover,
     /// The machine's owner does not answer its heartbeats any more, or has lost the machine: the shard map
     /// must name another owner.
-    Change,
+    MapChange,
 }
 
 /// A heartbeat that is answered once the shard map has changed.
@@ -68,7 +68,7 @@
     }
 
     /// Whether no further heartbeat may be deferred.
-    pub fn are_full(&self) -> bool {
+    pub fn is_full(&self) -> bool {
         self.heartbeats.len() >= self.limit
     }
 
@@ -76,7 +76,7 @@
     fn wait_s(&self, reason: DeferralReason) -> Time {
         let intervals = match reason {
             DeferralReason::Claim => CLAIM_WAIT_HEARTBEATS,
-            DeferralReason::HandOver | DeferralReason::Change => HAND_OVER_WAIT_HEARTBEATS,
+            DeferralReason::Failover | DeferralReason::MapChange => OWNER_CHANGE_WAIT_HEARTBEATS,
         };
         self.interval_s * intervals
     }
@@ -123,7 +123,9 @@
                 Disposition::Wait => self.deferred_heartbeats.heartbeats.push(deferred),
                 Disposition::Answer => self.answer_deferred(deferred),
                 Disposition::Redirect(owner) => self.redirect(deferred.request, Some(owner)),
-                Disposition::RouteAgain => self.heartbeat(deferred.request, deferred.heartbeat),
+                Disposition::RouteAgain => {
+                    self.receive_heartbeat(deferred.request, deferred.heartbeat)
+                }
                 Disposition::GiveUp => self.give_up_deferred(&deferred),
             }
         }
@@ -174,8 +176,10 @@
 
     fn give_up_deferred(&mut self, deferred: &DeferredHeartbeat) {
         match deferred.reason {
-            DeferralReason::Claim => self.send_elsewhere(deferred.request, &deferred.owner.node),
-            DeferralReason::HandOver | DeferralReason::Change => {
+            DeferralReason::Claim => {
+                self.send_to_next_controller(deferred.request, &deferred.owner.node)
+            }
+            DeferralReason::Failover | DeferralReason::MapChange => {
                 self.redirect_to_reachable(deferred.request);
             }
         }
@@ -206,11 +210,13 @@
     let before = &deferred.owner;
     match deferred.reason {
         DeferralReason::Claim => None,
-        DeferralReason::HandOver => Some(Disposition::Redirect(owner.node.clone())),
-        DeferralReason::Change if !owner.is(&before.node, before.incarnation) => {
+        DeferralReason::Failover => Some(Disposition::Redirect(owner.node.clone())),
+        DeferralReason::MapChange if !owner.is(&before.node, before.incarnation) => {
             Some(Disposition::Redirect(owner.node.clone()))
         }
-        DeferralReason::Change => (owner.token != before.token).then_some(Disposition::RouteAgain),
+        DeferralReason::MapChange => {
+            (owner.token != before.token).then_some(Disposition::RouteAgain)
+        }
     }
 }
 
--- a/src/core/controller/deferred_heartbeats/tests.rs
+++ b/src/core/controller/deferred_heartbeats/tests.rs
@@ -46,7 +46,7 @@
 }
 
 fn worker_sends_heartbeat(core: &mut Core, token: FencingToken) {
-    core.heartbeat(RequestId(1), heartbeat("m-1", 1, 5, token));
+    core.receive_heartbeat(RequestId(1), heartbeat("m-1", 1, 5, token));
 }
 
 /// The worker's heartbeat is deferred until the shard map names n2.
@@ -115,8 +115,8 @@
 #[test]
 fn a_heartbeat_is_relayed_again_once_its_owner_has_a_new_token() {
     let mut core = core_whose_sibling_fails(0.0);
-    core.relays.mark(&"m-1".into(), core.outbox.now);
-    core.heartbeat_relayed(
+    core.relays.mark_relayed(&"m-1".into(), core.outbox.now);
+    core.finish_heartbeat_relay(
         RequestId(1),
         &owner("n0"),
         heartbeat("m-1", 1, 5, FencingToken(9)),
--- a/src/core/controller/failure_detection.rs
+++ b/src/core/controller/failure_detection.rs
@@ -50,10 +50,10 @@
     }
 
     /// Updates the stage of every sibling by the evidence that there is now.
-    pub(crate) fn judge_siblings(&mut self) {
-        self.add_stored_evidence();
+    pub(crate) fn update_sibling_stages(&mut self) {
+        self.add_store_evidence();
         for change in self.peers.detector_mut().judge(self.outbox.now) {
-            log_change(&change);
+            log_stage_change(&change);
         }
         if self.abandoned_lease_is_settled() {
             self.detection.withdraw_abandoned_lease();
@@ -62,7 +62,7 @@
 
     /// Adds what the store shows of the siblings: whether they have keys, and whether the shard map
     /// names them.
-    fn add_stored_evidence(&mut self) {
+    fn add_store_evidence(&mut self) {
         if !self.store.complete() {
             return;
         }
@@ -161,7 +161,7 @@
             PartialFailure::CutFromWorkers => {
                 self.end_lease(lease);
                 let pause = worker_lease * UNREACHABLE_PAUSE_LEASES;
-                self.step_down(StepDownReason::UnreachableForWorkers, pause);
+                self.step_down(StepDownReason::UnreachableByWorkers, pause);
             }
             PartialFailure::RefusedByState => {
                 let incarnation = self.ownership.incarnation();
@@ -229,7 +229,7 @@
 
     /// The version of the leader's key, if the leader has failed and this controller is to take over:
     /// of the controllers that may, the first by name does, so that they do not compete.
-    pub(crate) fn failed_leader(&self) -> Option<Version> {
+    pub(crate) fn failed_leader_key_version(&self) -> Option<Version> {
         let leader = self.store.leader()?;
         let node = &leader.record.node;
         let takes_over = self.acts_on_failures()
@@ -237,12 +237,12 @@
             && self.peers.detector().has_failed(node)
             && self.reads_store()
             && self.ownership.holds_lease(self.outbox.now)
-            && !self.has_rival();
+            && !self.has_preferred_successor();
         takes_over.then_some(leader.version)
     }
 
     /// Whether a sibling whose name is before this controller's could lead as well.
-    fn has_rival(&self) -> bool {
+    fn has_preferred_successor(&self) -> bool {
         self.peers
             .nodes()
             .filter(|node| **node < self.config.node)
@@ -273,7 +273,7 @@
 }
 
 /// Logs that a sibling is judged differently.
-fn log_change(change: &StageChange<Node>) {
+fn log_stage_change(change: &StageChange<Node>) {
     let StageChange {
         of,
         from,
--- a/src/core/controller/failure_detection/tests.rs
+++ b/src/core/controller/failure_detection/tests.rs
@@ -56,10 +56,10 @@
 fn a_leader_suspected_by_a_minority_keeps_its_key() {
     let mut core = core_without_its_leader();
     assert_eq!(core.peers.detector().stage(&"n0".into()), Stage::Suspected);
-    assert_eq!(core.failed_leader(), None);
+    assert_eq!(core.failed_leader_key_version(), None);
     core.apply_detection_report(&process("n2", 1), report(suspicion("n0")));
-    core.judge_siblings();
-    assert_eq!(core.failed_leader(), None, "two of five");
+    core.update_sibling_stages();
+    assert_eq!(core.failed_leader_key_version(), None, "two of five");
 }
 
 #[test]
@@ -68,10 +68,10 @@
     for other in ["n2", "n3"] {
         core.apply_detection_report(&process(other, 1), report(suspicion("n0")));
     }
-    core.judge_siblings();
-    assert_eq!(core.failed_leader(), Some(10));
+    core.update_sibling_stages();
+    assert_eq!(core.failed_leader_key_version(), Some(10));
     core.outbox.take_effects();
-    core.keep_ownership();
+    core.maintain_ownership();
     let claims = store_calls(&mut core)
         .into_iter()
         .filter_map(|call| match call {
@@ -87,16 +87,16 @@
 fn only_siblings_with_keys_count_as_rivals() {
     let mut core = core_without_its_leader();
     let now = core.outbox.now;
-    assert!(!core.has_rival(), "n0 is not heard");
+    assert!(!core.has_preferred_successor(), "n0 is not heard");
     core.peers.answered(&"n0".into(), 2, now);
-    assert!(core.has_rival());
+    assert!(core.has_preferred_successor());
     core.store.apply_write(
         &crate::wire::Write::Delete {
             key: "ochredrum/node/n0".into(),
         },
         21,
     );
-    assert!(!core.has_rival());
+    assert!(!core.has_preferred_successor());
 }
 
 #[test]
@@ -191,7 +191,7 @@
     for other in ["n2", "n3"] {
         core.apply_detection_report(&process(other, 1), report(suspicion("n0")));
     }
-    core.judge_siblings();
-    assert_eq!(core.failed_leader(), None);
+    core.update_sibling_stages();
+    assert_eq!(core.failed_leader_key_version(), None);
     assert!(core.detection_report().is_none());
 }
--- a/src/core/controller/heartbeat_routing.rs
+++ b/src/core/controller/heartbeat_routing.rs
@@ -19,14 +19,14 @@
 use crate::ids::Node;
 use crate::wire::{Heartbeat, HeartbeatResponse, redirect_to};
 use failure_detector::Stage;
-use relays::Route;
+use relays::RelayDecision;
 
 /// HTTP status that sends a worker to another controller.
 const MISDIRECTED: u16 = 421;
 
 impl Core {
     /// Answers a worker's heartbeat, or sends the worker to its machine's owner.
-    pub(crate) fn heartbeat(&mut self, request: RequestId, heartbeat: Heartbeat) {
+    pub(crate) fn receive_heartbeat(&mut self, request: RequestId, heartbeat: Heartbeat) {
         if let Some(answer) = self.handle_heartbeat(&heartbeat) {
             self.peers.note_worker_contact(self.outbox.now);
             return self.outbox.answer(request, answer);
@@ -51,21 +51,23 @@
     /// A machine whose owner did not answer here: its heartbeat is relayed or deferred, or its worker is
     /// sent on.
     fn route_to_owner(&mut self, request: RequestId, heartbeat: Heartbeat, owner: ShardOwner) {
-        if self.has_left(&heartbeat, &owner) && !self.must_try_owner(&heartbeat, &owner) {
-            match self.relays.begin(&heartbeat.machine, self.outbox.now) {
-                Route::Relay => return self.relay_heartbeat(request, owner, heartbeat),
-                Route::Elsewhere => return self.send_elsewhere(request, &owner.node),
-                Route::Owner => {}
+        if self.has_left_owner(&heartbeat, &owner) && !self.must_try_owner(&heartbeat, &owner) {
+            match self.relays.begin_relay(&heartbeat.machine, self.outbox.now) {
+                RelayDecision::Relay => return self.relay_heartbeat(request, owner, heartbeat),
+                RelayDecision::TryNextController => {
+                    return self.send_to_next_controller(request, &owner.node);
+                }
+                RelayDecision::TryOwner => {}
             }
         }
-        if self.may_claim(&heartbeat, &owner) {
-            return self.claim(request, heartbeat, &owner);
+        if self.should_claim(&heartbeat, &owner) {
+            return self.claim_machine(request, heartbeat, &owner);
         }
-        if self.awaits_hand_over(&heartbeat, &owner) {
-            return self.defer_or_redirect(request, heartbeat, &owner, DeferralReason::HandOver);
+        if self.awaits_failover(&heartbeat, &owner) {
+            return self.defer_or_redirect(request, heartbeat, &owner, DeferralReason::Failover);
         }
-        if self.is_overtaken(&heartbeat, &owner) {
-            return self.defer_or_redirect(request, heartbeat, &owner, DeferralReason::Change);
+        if self.shard_map_may_be_stale(&heartbeat, &owner) {
+            return self.defer_or_redirect(request, heartbeat, &owner, DeferralReason::MapChange);
         }
         self.redirect_to_sibling(request, Some(owner.node));
     }
@@ -80,7 +82,7 @@
     }
 
     /// Whether a worker has been at its machine's owner, which this controller can reach, and is here now.
-    fn has_left(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
+    fn has_left_owner(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
         // A relayed machine may not have received its owner's new token yet.
         let knows_owner =
             heartbeat.token == owner.token || self.relays.contains(&heartbeat.machine);
@@ -91,7 +93,7 @@
 
     /// Whether a machine's owner answers no worker, so that this one is not to be sent there. Of an owner
     /// that is only suspected here this is certain if the worker comes from it.
-    fn awaits_hand_over(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
+    fn awaits_failover(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
         if !self.acts_on_failures() {
             return false;
         }
@@ -103,7 +105,7 @@
 
     /// Whether the shard map that is known here is older than what the worker has seen, or may be because
     /// only siblings reach the store. It would send workers to owners that have lost their machines.
-    fn is_overtaken(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
+    fn shard_map_may_be_stale(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
         let is_cut_off =
             !self.reads_store() && self.peers.sibling_reading_store(self.outbox.now).is_some();
         self.acts_on_failures() && (heartbeat.token > owner.token || is_cut_off)
@@ -118,7 +120,7 @@
         owner: &ShardOwner,
         reason: DeferralReason,
     ) {
-        if self.deferred_heartbeats.are_full() || !self.reads_store() {
+        if self.deferred_heartbeats.is_full() || !self.reads_store() {
             return self.redirect_to_reachable(request);
         }
         self.defer_heartbeat(request, heartbeat, owner, reason);
@@ -148,7 +150,7 @@
 
     /// Makes a worker try the next controller. If it were sent to an owner that it can't reach, it would
     /// wait there in vain for 4 s of its lease, which then could expire before its machine had a new owner.
-    pub(crate) fn send_elsewhere(&mut self, request: RequestId, owner: &Node) {
+    pub(crate) fn send_to_next_controller(&mut self, request: RequestId, owner: &Node) {
         self.peers.note_redirect(owner, self.outbox.now);
         self.outbox.answer(request, Answer::unavailable());
     }
@@ -174,7 +176,7 @@
 
     /// Answers a heartbeat that a sibling relays. It is never relayed again from here, and is no sign that
     /// workers reach this controller.
-    pub(crate) fn relayed_heartbeat(&mut self, request: RequestId, heartbeat: &Heartbeat) {
+    pub(crate) fn answer_relayed_heartbeat(&mut self, request: RequestId, heartbeat: &Heartbeat) {
         if let Some(shard) = self.shard.as_mut() {
             shard.note_relayed(&heartbeat.machine, self.outbox.now);
         }
@@ -191,14 +193,14 @@
     }
 
     /// The owner has answered a relayed heartbeat, or refused it or not answered (None).
-    pub(crate) fn heartbeat_relayed(
+    pub(crate) fn finish_heartbeat_relay(
         &mut self,
         request: RequestId,
         owner: &ShardOwner,
         heartbeat: Heartbeat,
         response: Option<HeartbeatResponse>,
     ) {
-        self.relays.end();
+        self.relays.end_relay();
         match response {
             Some(response) => {
                 let answer = Answer {
@@ -210,9 +212,9 @@
             }
             // A controller that gives up its shard answers no heartbeats: the map is about to change.
             None if self.acts_on_failures() => {
-                self.defer_or_redirect(request, heartbeat, owner, DeferralReason::Change);
+                self.defer_or_redirect(request, heartbeat, owner, DeferralReason::MapChange);
             }
-            None => self.send_elsewhere(request, &owner.node),
+            None => self.send_to_next_controller(request, &owner.node),
         }
     }
 }
--- a/src/core/controller/heartbeat_routing/relays.rs
+++ b/src/core/controller/heartbeat_routing/relays.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 /// Leases of relaying after which a worker is sent to its owner once more.
-const RELAY_LEASES: f64 = 10.0;
+const MAX_RELAY_LEASES: f64 = 10.0;
 
 /// Leases after which a worker that sent no further heartbeat here has found its owner.
 const FORGET_LEASES: f64 = 1.0;
@@ -20,28 +20,28 @@
 
 /// The relaying of one machine's heartbeats.
 struct RelayedMachine {
-    since: Time,
-    last: Time,
+    relayed_since: Time,
+    last_heartbeat: Time,
 }
 
 impl RelayedMachine {
     fn new(now: Time) -> Self {
         Self {
-            since: now,
-            last: now,
+            relayed_since: now,
+            last_heartbeat: now,
         }
     }
 }
 
 /// What is to be done with the heartbeat of a worker that can't reach its owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Route {
+pub(super) enum RelayDecision {
     /// It is relayed to the owner.
     Relay,
     /// The machine's heartbeats have been relayed for long: the worker is to try its owner once more.
-    Owner,
+    TryOwner,
     /// Too many relays are in flight: the worker is to try another controller.
-    Elsewhere,
+    TryNextController,
 }
 
 /// Machines whose heartbeats are relayed, and workers that were sent to their owners.
@@ -54,7 +54,7 @@
     /// When each token of the shard map was first seen here.
     first_seen: BTreeMap<FencingToken, Time>,
     /// The shard map for which that holds.
-    map_seen: Option<u64>,
+    last_map_change: Option<u64>,
     /// Workers that were sent to their machines' owners, and under which tokens.
     sent_to_owner: BTreeMap<MachineId, FencingToken>,
 }
@@ -75,33 +75,33 @@
             limit,
             next_prune: 0.0,
             first_seen: BTreeMap::new(),
-            map_seen: None,
+            last_map_change: None,
             sent_to_owner: BTreeMap::new(),
         }
     }
 
-    /// A worker that can't reach its owner has sent a heartbeat. If the route is [`Route::Relay`],
-    /// [`Self::end`] must follow.
-    pub(super) fn begin(&mut self, machine: &MachineId, now: Time) -> Route {
+    /// A worker that can't reach its owner has sent a heartbeat. If the route is [`RelayDecision::Relay`],
+    /// [`Self::end_relay`] must follow.
+    pub(super) fn begin_relay(&mut self, machine: &MachineId, now: Time) -> RelayDecision {
         self.prune(now);
         if self.in_flight >= self.limit {
-            return Route::Elsewhere;
+            return RelayDecision::TryNextController;
         }
         let relayed = self
             .machines
             .entry(machine.clone())
             .or_insert_with(|| RelayedMachine::new(now));
-        relayed.last = now;
-        if now - relayed.since > self.lease_s * RELAY_LEASES {
+        relayed.last_heartbeat = now;
+        if now - relayed.relayed_since > self.lease_s * MAX_RELAY_LEASES {
             self.machines.remove(machine);
-            return Route::Owner;
+            return RelayDecision::TryOwner;
         }
         self.in_flight += 1;
-        Route::Relay
+        RelayDecision::Relay
     }
 
     /// A relay was answered or has failed.
-    pub(super) fn end(&mut self) {
+    pub(super) fn end_relay(&mut self) {
         self.in_flight -= 1;
     }
 
@@ -111,9 +111,9 @@
     }
 
     /// Notes the tokens in the shard map, and when they first appeared.
-    pub(crate) fn follow(&mut self, store: &StoreReplica, now: Time) {
-        let is_first = self.map_seen.is_none();
-        if self.map_seen.replace(store.map_changes()) == Some(store.map_changes()) {
+    pub(crate) fn track_tokens(&mut self, store: &StoreReplica, now: Time) {
+        let is_first = self.last_map_change.is_none();
+        if self.last_map_change.replace(store.map_changes()) == Some(store.map_changes()) {
             return;
         }
         let owners = store.owners();
@@ -157,12 +157,12 @@
         let forget_s = self.lease_s * FORGET_LEASES;
         self.next_prune = now + forget_s;
         self.machines
-            .retain(|_, relayed| now - relayed.last <= forget_s);
+            .retain(|_, relayed| now - relayed.last_heartbeat <= forget_s);
     }
 
     /// Begins to relay a machine's heartbeats.
     #[cfg(test)]
-    pub(crate) fn mark(&mut self, machine: &MachineId, now: Time) {
+    pub(crate) fn mark_relayed(&mut self, machine: &MachineId, now: Time) {
         let relayed = RelayedMachine::new(now);
         self.machines.insert(machine.clone(), relayed);
         self.in_flight += 1;
--- a/src/core/controller/heartbeat_routing/relays/tests.rs
+++ b/src/core/controller/heartbeat_routing/relays/tests.rs
@@ -9,8 +9,8 @@
     let mut relays = HeartbeatRelays::new(&config);
     let machine = MachineId::from("m-1");
     let mut now = 0.0;
-    while relays.begin(&machine, now) == Route::Relay {
-        relays.end();
+    while relays.begin_relay(&machine, now) == RelayDecision::Relay {
+        relays.end_relay();
         now += 1.0;
     }
     assert!(
@@ -18,11 +18,14 @@
         "once more to the owner: {now}"
     );
     assert_eq!(
-        relays.begin(&machine, now + 5.0),
-        Route::Relay,
+        relays.begin_relay(&machine, now + 5.0),
+        RelayDecision::Relay,
         "which it still does not reach"
     );
-    assert_eq!(relays.begin(&"m-2".into(), now + lease * 3.0), Route::Relay);
+    assert_eq!(
+        relays.begin_relay(&"m-2".into(), now + lease * 3.0),
+        RelayDecision::Relay
+    );
     assert_eq!(
         relays.machines.len(),
         1,
@@ -30,7 +33,7 @@
     );
     relays.in_flight = relays.limit;
     assert_eq!(
-        relays.begin(&"m-3".into(), now + lease * 3.0),
-        Route::Elsewhere
+        relays.begin_relay(&"m-3".into(), now + lease * 3.0),
+        RelayDecision::TryNextController
     );
 }
--- a/src/core/controller/heartbeat_routing/tests.rs
+++ b/src/core/controller/heartbeat_routing/tests.rs
@@ -11,7 +11,7 @@
     let mut core = Core::new(config(), 1);
     core.relays.in_flight = 1;
     let heartbeat = heartbeat("m-1", 1, 1, FencingToken(9));
-    core.heartbeat_relayed(RequestId(1), &owner("n1"), heartbeat, None);
+    core.finish_heartbeat_relay(RequestId(1), &owner("n1"), heartbeat, None);
     let effects = core.outbox.take_effects();
     let is_unavailable = |effect: &Effect| {
         matches!(effect, Effect::Answer(RequestId(1), answer)
@@ -39,7 +39,7 @@
             machines,
         };
         crate::core::test_support::map(&mut core.store, version, vec![shard]);
-        core.relays.follow(&core.store, 10.0);
+        core.relays.track_tokens(&core.store, 10.0);
     };
     map(&mut core, 1, 3);
     assert!(
@@ -52,7 +52,7 @@
         !core.relays.must_try_owner(&machine, FencingToken(9), 11.0),
         "once"
     );
-    core.relays.mark(&"m-2".into(), 11.0);
+    core.relays.mark_relayed(&"m-2".into(), 11.0);
     assert!(
         !core
             .relays
--- a/src/core/controller/hello.rs
+++ b/src/core/controller/hello.rs
@@ -113,7 +113,7 @@
             }
             MeshMessage::Poll(id) => self.relayed_request(request, UserRequest::Poll(id)),
             MeshMessage::Cancel(id) => self.relayed_request(request, UserRequest::Cancel(id)),
-            MeshMessage::Heartbeat(heartbeat) => self.relayed_heartbeat(request, &heartbeat),
+            MeshMessage::Heartbeat(heartbeat) => self.answer_relayed_heartbeat(request, &heartbeat),
             MeshMessage::Cancelled(_) => {
                 self.store.want_sync();
                 self.outbox.mesh_answer(request, MeshReply::Noted);
@@ -224,7 +224,7 @@
                     Some(MeshReply::HeartbeatResponse(response)) => response,
                     _ => None,
                 };
-                self.heartbeat_relayed(request, &owner, *heartbeat, response);
+                self.finish_heartbeat_relay(request, &owner, *heartbeat, response);
             }
             _ => {}
         }
--- a/src/core/controller/inputs.rs
+++ b/src/core/controller/inputs.rs
@@ -13,7 +13,7 @@
             Input::User(request, what) => self.user_request(request, what),
             Input::Health(request) => self.health(request),
             Input::Status(request) => self.answer_status(request),
-            Input::Heartbeat(request, heartbeat) => self.heartbeat(request, heartbeat),
+            Input::Heartbeat(request, heartbeat) => self.receive_heartbeat(request, heartbeat),
             Input::Mesh(request, message) => self.mesh_message(request, message),
             Input::State(call, reply) => {
                 if let Some(pending) = self.outbox.finish(call) {
@@ -48,7 +48,7 @@
                 shard.commands_answered(&self.store, &machine, call, reply, self.outbox.now);
             }
             (Some(Pending::Inspection { machine }), Some(_)) => {
-                self.inspection_answered(&machine, reply);
+                self.handle_inspection_reply(&machine, reply);
             }
             _ => {}
         }
@@ -61,7 +61,7 @@
         match pending {
             Pending::Sync { sent } => self.store_read(sent, reply),
             Pending::UserWrite(write) => self.user_write_answered(write, reply),
-            Pending::OwnershipLease(call) => self.ownership_reply(call, reply),
+            Pending::OwnershipLease(call) => self.handle_ownership_reply(call, reply),
             Pending::Records(writes) => {
                 if let Some(shard) = self.shard.as_mut() {
                     shard.records_written(&mut self.outbox, &mut self.store, writes, reply);
--- a/src/core/controller/machine_claims.rs
+++ b/src/core/controller/machine_claims.rs
@@ -10,7 +10,7 @@
     /// Whether a machine is to be claimed: neither its worker nor this controller reaches its owner, which is
     /// registered all the same. A worker that has not shown the owner's token may be about to reach the owner,
     /// unless it is in this controller's zone, where other siblings are heard and the owner is not.
-    pub(crate) fn may_claim(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
+    pub(crate) fn should_claim(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
         let now = self.outbox.now;
         let owner_is_live = self.store.is_registered(&owner.node, owner.incarnation);
         let shows_owners_token = heartbeat.token == owner.token;
@@ -26,15 +26,20 @@
 
     /// Claims a machine; its heartbeat is answered as soon as the shard map gives it to this controller. Without
     /// capacity for that the worker is sent to the owner.
-    pub(crate) fn claim(&mut self, request: RequestId, heartbeat: Heartbeat, owner: &ShardOwner) {
+    pub(crate) fn claim_machine(
+        &mut self,
+        request: RequestId,
+        heartbeat: Heartbeat,
+        owner: &ShardOwner,
+    ) {
         let now = self.outbox.now;
         let owners = self.store.owners();
-        let is_claimed = !self.deferred_heartbeats.are_full()
+        let is_claimed = !self.deferred_heartbeats.is_full()
             && self
                 .claims
                 .add(&heartbeat.machine, owner.token, owners, now);
         if !is_claimed {
-            return self.send_elsewhere(request, &owner.node);
+            return self.send_to_next_controller(request, &owner.node);
         }
         tracing::debug!(
             machine = %heartbeat.machine,
--- a/src/core/controller/ownership.rs
+++ b/src/core/controller/ownership.rs
@@ -21,7 +21,7 @@
     /// Its lease has expired in the store.
     LeaseExpired,
     /// Workers reach siblings, but not this controller.
-    UnreachableForWorkers,
+    UnreachableByWorkers,
     /// The store refuses this controller, but answers siblings.
     RefusedByStore,
 }
@@ -30,7 +30,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Self::LeaseExpired => "the lease has expired",
-            Self::UnreachableForWorkers => "workers reach siblings only",
+            Self::UnreachableByWorkers => "workers reach siblings only",
             Self::RefusedByStore => "the store refuses this controller alone",
         })
     }
@@ -47,7 +47,7 @@
 impl Core {
     /// Creates or renews the lease, and writes the process's key and, if there is no leader, the
     /// leader's key.
-    pub(crate) fn keep_ownership(&mut self) {
+    pub(crate) fn maintain_ownership(&mut self) {
         if !self.store.complete() {
             return;
         }
@@ -66,7 +66,7 @@
 
     fn create_lease(&mut self) {
         let sent = self.outbox.now;
-        self.end_predecessor();
+        self.end_predecessor_leases();
         self.ownership.creation_sent();
         let ttl_ms = self.ownership.ttl_ms();
         self.outbox.state(
@@ -86,7 +86,7 @@
 
     /// Ends the leases of earlier processes of this controller: they have certainly ended, so the keys
     /// that are attached to their leases need not wait for the leases to expire.
-    fn end_predecessor(&mut self) {
+    fn end_predecessor_leases(&mut self) {
         let keys = [self.store.node(&self.config.node), self.store.leader()];
         let leases: BTreeSet<u64> = keys
             .into_iter()
@@ -158,13 +158,13 @@
         }
         Some(KeyWrite {
             key: LEADER_KEY.to_owned(),
-            version: self.claimable_leader_version()?,
+            version: self.leader_key_version_to_claim()?,
             call: OwnershipCall::Claim { lease },
         })
     }
 
     /// The version of the leader's key, or 0 if it does not exist, if this process is to write it.
-    fn claimable_leader_version(&self) -> Option<Version> {
+    fn leader_key_version_to_claim(&self) -> Option<Version> {
         if self.store.leader().is_none() && self.ownership.holds_lease(self.outbox.now) {
             return Some(0);
         }
@@ -176,26 +176,26 @@
             // The key's new revision provides fresh fencing tokens. It stays this process's key.
             return Some(exhausted.key_version());
         }
-        let version = self.failed_leader()?;
+        let version = self.failed_leader_key_version()?;
         tracing::info!("taking over leadership: the leader has failed");
         Some(version)
     }
 
     /// The store has replied to a call that concerns the lease or its keys. Replies that belong to a
     /// lease which is not held any more are ignored.
-    pub(crate) fn ownership_reply(&mut self, call: OwnershipCall, reply: StoreReply) {
+    pub(crate) fn handle_ownership_reply(&mut self, call: OwnershipCall, reply: StoreReply) {
         let held = self.ownership.lease_id();
         match call {
             OwnershipCall::Create { sent } if self.ownership.awaits_creation() => {
-                self.lease_creation_answered(sent, &reply);
+                self.handle_lease_creation_reply(sent, &reply);
             }
             OwnershipCall::Register { lease } | OwnershipCall::Claim { lease }
                 if held == Some(lease) =>
             {
-                self.key_write_answered(&reply);
+                self.handle_key_write_reply(&reply);
             }
             OwnershipCall::Renew { lease, sent } if held == Some(lease) => {
-                self.renewal_answered(sent, &reply);
+                self.handle_renewal_reply(sent, &reply);
             }
             OwnershipCall::Create { .. }
             | OwnershipCall::Register { .. }
@@ -205,7 +205,7 @@
         }
     }
 
-    fn lease_creation_answered(&mut self, sent: Time, reply: &StoreReply) {
+    fn handle_lease_creation_reply(&mut self, sent: Time, reply: &StoreReply) {
         if let StoreReply::Lease(lease) = reply {
             return self.ownership.created(*lease, sent);
         }
@@ -213,7 +213,7 @@
         self.ownership.creation_failed(self.outbox.now + delay);
     }
 
-    fn key_write_answered(&mut self, reply: &StoreReply) {
+    fn handle_key_write_reply(&mut self, reply: &StoreReply) {
         let delay = self.outbox.jitter(self.ownership.retry_delay());
         self.ownership.key_write_finished(self.outbox.now + delay);
         // Whether it was written is read from the store replica once that is up to date.
@@ -223,7 +223,7 @@
         }
     }
 
-    fn renewal_answered(&mut self, sent: Time, reply: &StoreReply) {
+    fn handle_renewal_reply(&mut self, sent: Time, reply: &StoreReply) {
         let now = self.outbox.now;
         let retry_delay = match reply {
             StoreReply::Done => return self.ownership.renewed(sent, now),
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -159,9 +159,9 @@
             .is_catching_up(self.store.current_as_of(), now);
         self.sync_when_due();
         self.time_out_user_requests();
-        self.judge_siblings();
-        self.relays.follow(&self.store, now);
-        self.keep_ownership();
+        self.update_sibling_stages();
+        self.relays.track_tokens(&self.store, now);
+        self.maintain_ownership();
         self.catalog_when_due();
         self.take_roles();
         if self.ownership.holds_lease(now) {
--- a/src/core/test_support.rs
+++ b/src/core/test_support.rs
@@ -202,7 +202,7 @@
         for sibling in siblings {
             core.peers.answered(&Node::from(*sibling), 1, now);
         }
-        core.judge_siblings();
+        core.update_sibling_stages();
         now += 0.1;
     }
 }
