--- a/src/core/shard/grants.rs
+++ b/src/core/shard/grants.rs
@@ -1,11 +1,11 @@
 //! Quota grants: the owner of a team with a limit starts the team's tasks under a grant
 //! ([`quota_ledger`]).
 //!
-//! The record of grants tells a team's new owner how much its predecessors may have started at most, so
-//! that it can use the rest of the limit at once instead of counting everything that they might have
-//! started. It relies on a record only if every owner since the record was begun has kept to its grants;
-//! the shard map says since when that is so. Every write of an owner has the version of the map's teams as
-//! a precondition too, so a process that has lost a team cannot enlarge its grant any more.
+//! The record of grants bounds what a team's earlier owners may have started. A new owner can therefore use
+//! the rest of the limit at once and does not have to count everything that they might have started. It
+//! relies on the record only if every owner since the record's creation has kept to its grants; the shard map
+//! says since which fencing token that holds. Every write by an owner also has the version of the map's list
+//! of teams as a precondition, so a process that has lost a team can no longer enlarge its grant.
 
 use crate::config::{Config, TeamLimits};
 use crate::core::effects::outbox::Outbox;
@@ -21,29 +21,31 @@
 use crate::wire::{Precondition, Transaction, Write};
 use quota_ledger::{Demand, Ended, Holder, HolderId, Outcome, Proposal};
 
-/// Seconds before a failed write is retried.
+/// Average delay before a failed write is retried, in seconds.
 const RETRY_PAUSE_S: Time = 0.1;
 
-/// Retry pauses between attempts to delete a record.
-const DELETE_PAUSES: f64 = 10.0;
+/// Delay between two attempts to delete a record, in multiples of [`RETRY_PAUSE_S`].
+const RETRY_PAUSES_PER_DELETE: f64 = 10.0;
 
-/// A process's grant for one of the teams it owns.
+/// The quota grant of this process for one team that it owns.
 pub struct TeamGrant {
     holder: Holder,
-    /// The fencing token since which all owners have kept to their grants, as far as it was ever known
-    /// here: a process that has worked under a grant does so for as long as it owns the team.
+    /// The fencing token since which all owners have kept to their grants; `None` until the shard map has
+    /// named one. It is kept if the map no longer names one, as a process that has worked under a grant does
+    /// so for as long as it owns the team.
     grants_kept_since: Option<FencingToken>,
-    /// The team does without a record: it has no limit, or the state service refuses the record.
-    has_no_record: bool,
-    /// The version of the record that was read last; 0 if there was none.
+    /// The team must not have a record, because it has no limit or because the store rejects the record.
+    is_record_disabled: bool,
+    /// The version of the record at the last read: 0 if there was no record, `None` before the first read.
     seen_version: Option<Version>,
-    /// Nothing is written before this time.
+    /// Earliest time of the next write of the record.
     write_after: Time,
     basis: Basis,
 }
 
 impl TeamGrant {
-    /// No grant yet; `None` if grants are disabled or the team's name makes no valid key.
+    /// Creates the state of a team without a grant. Returns `None` if grants are disabled or if the team's
+    /// name cannot be part of a key.
     fn new(
         config: &Config,
         team_limits: &TeamLimits,
@@ -63,20 +65,20 @@
         Some(Self {
             holder: Holder::new(id, limit, headroom),
             grants_kept_since: None,
-            has_no_record: !limit.is_limited(),
+            is_record_disabled: !limit.is_limited(),
             seen_version: None,
             write_after: Time::NEG_INFINITY,
             basis: Basis::Undecided,
         })
     }
 
-    /// How the owner accounts for the team's quota at present.
+    /// How the owner accounts for the team's quota, as of the last read of the record.
     pub fn basis(&self) -> Basis {
         self.basis
     }
 
-    /// Reads the record from the store replica. `gained_at_revision` is the revision at which the team was gained:
-    /// until the replica has reached it, there may be a record that the replica does not show.
+    /// Reads the record from the store replica. `gained_at_revision` is the revision at which the team was
+    /// gained. Until the replica has reached it, a record may exist that the replica does not show.
     fn observe(&mut self, store: &StoreReplica, team: &Team, gained_at_revision: Version) {
         let kept_since = store.grants_kept_since(team).or(self.grants_kept_since);
         let stored = store.ledger(team);
@@ -84,13 +86,13 @@
         if self.seen_version != Some(version) || kept_since != self.grants_kept_since {
             self.grants_kept_since = kept_since;
             self.seen_version = Some(version);
-            let reliable = stored
+            let reliable_ledger = stored
                 .and_then(|stored| stored.ledger.as_ref())
                 .filter(|ledger| kept_since.is_some_and(|since| ledger.began() >= since.0));
-            self.holder.observe(version, reliable.cloned());
+            self.holder.observe(version, reliable_ledger.cloned());
         }
-        // Others rely on a record for as long as it exists, so nothing starts beside it.
-        let has_record_to_delete = self.has_no_record && version != 0;
+        // Other processes rely on a record for as long as it exists, so no task starts until it is deleted.
+        let has_record_to_delete = self.is_record_disabled && version != 0;
         self.basis = if store.revision() < gained_at_revision || has_record_to_delete {
             Basis::Undecided
         } else if self.holder.ledger().is_some() {
@@ -103,11 +105,11 @@
         };
     }
 
-    /// The next change of the record, if one is needed and allowed now.
-    fn next_write(&mut self, now: Time, demand: &Demand) -> Option<Proposal> {
-        let may_begin = self.grants_kept_since.is_some() || self.holder.ledger().is_some();
+    /// Proposes the next change of the record if one is needed and allowed at this time.
+    fn propose_change(&mut self, now: Time, demand: &Demand) -> Option<Proposal> {
+        let may_create_record = self.grants_kept_since.is_some() || self.holder.ledger().is_some();
         let is_undecided = self.basis == Basis::Undecided;
-        if is_undecided || self.has_no_record || !may_begin || now < self.write_after {
+        if is_undecided || self.is_record_disabled || !may_create_record || now < self.write_after {
             return None;
         }
         self.holder.propose(now, demand)
@@ -115,7 +117,8 @@
 }
 
 impl Shard {
-    /// The grant for a team that this process has gained, if grants are enabled.
+    /// Creates the grant state of a team that this process has gained. Returns `None` if the team has no
+    /// quota settings or if grants are disabled.
     pub(crate) fn new_team_grant(&self, team: &Team, token: FencingToken) -> Option<TeamGrant> {
         TeamGrant::new(
             &self.config,
@@ -125,7 +128,7 @@
         )
     }
 
-    /// Reads the records of all owned teams from the store replica.
+    /// Reads the grant records of all owned teams from the store replica.
     pub(crate) fn read_grant_records(&mut self, store: &StoreReplica) {
         for (name, team) in &mut self.teams {
             let gained_at_revision = team.gained_at_revision;
@@ -137,7 +140,8 @@
         }
     }
 
-    /// Requests what the teams need beyond their grants, and returns what they do not need.
+    /// Writes changed grants: requests resources that teams need beyond their grants, and returns those that
+    /// they do not need. Deletes the records of teams that must not have one.
     pub(crate) fn write_grants(
         &mut self,
         outbox: &mut Outbox,
@@ -146,26 +150,27 @@
     ) {
         let names: Vec<Team> = self.teams.keys().cloned().collect();
         for name in names {
-            // Starts wait for these few writes, so they are not subject to the rate limit of job records.
+            // Task starts wait for these writes and the writes are few, so the rate limit of job records does
+            // not hold them back.
             if !outbox.may_write() {
                 return;
             }
             let grant = self.teams.get(&name).and_then(|team| team.grant.as_ref());
-            let Some(has_no_record) = grant.map(|grant| grant.has_no_record) else {
+            let Some(is_record_disabled) = grant.map(|grant| grant.is_record_disabled) else {
                 continue;
             };
-            if has_no_record {
+            if is_record_disabled {
                 if let Some(version) = store.ledger(&name).map(|stored| stored.version) {
                     self.delete_record(outbox, store, &name, version);
                 }
-            } else if let Some(proposal) = self.next_grant_write(&name, usage, outbox.now) {
+            } else if let Some(proposal) = self.propose_grant_change(&name, usage, outbox.now) {
                 self.write_record(outbox, store, &name, &proposal, true);
             }
         }
     }
 
-    /// The next change of a team's record that its usage requires.
-    fn next_grant_write(&mut self, name: &Team, usage: &Usage, now: Time) -> Option<Proposal> {
+    /// Proposes the next change of a team's record that the team's usage requires.
+    fn propose_grant_change(&mut self, name: &Team, usage: &Usage, now: Time) -> Option<Proposal> {
         let team = self.teams.get_mut(name)?;
         let is_reconciled = team.unreconciled.is_empty() && usage.is_known(name);
         let (used, inherited) = usage.own_and_inherited(name);
@@ -182,10 +187,10 @@
             ended,
             inherited,
         };
-        team.grant.as_mut()?.next_write(now, &demand)
+        team.grant.as_mut()?.propose_change(now, &demand)
     }
 
-    /// Reduces the grants of teams that other controllers have gained to what tasks started here may still use.
+    /// Reduces the grants of lost teams to what tasks that were started here may still use.
     pub(crate) fn release_grants(
         &mut self,
         outbox: &mut Outbox,
@@ -211,28 +216,28 @@
         }
     }
 
-    /// Writes a team's record. If `is_proposal`, the process writes as the team's owner, and so only while the
-    /// shard map names it as such.
+    /// Writes a team's record. If `as_owner` is set, the write also requires that the shard map's teams have
+    /// not changed, so it succeeds only while this process owns the team.
     fn write_record(
         &mut self,
         outbox: &mut Outbox,
         store: &StoreReplica,
         name: &Team,
         proposal: &Proposal,
-        is_proposal: bool,
+        as_owner: bool,
     ) {
         let (Some(key), Some(team)) = (quota_key(name), self.teams.get(name)) else {
             return;
         };
         let write = put(&key, &proposal.ledger, None);
         let mut preconditions = vec![precondition(&key, proposal.expected_version)];
-        if is_proposal {
+        if as_owner {
             preconditions.push(precondition(&teams_key(), teams_version(store)));
         }
         let pending = GrantWrite {
             team: name.clone(),
             term: team.token(),
-            proposed: is_proposal,
+            proposed: as_owner,
             write,
         };
         self.commit_grant(outbox, preconditions, pending);
@@ -252,7 +257,7 @@
         outbox.state(Pending::Grant(pending), StoreCall::Commit(transaction));
     }
 
-    /// Deletes a team's record, so that no process relies on it.
+    /// Deletes a team's record so that no process relies on it.
     fn delete_record(
         &mut self,
         outbox: &mut Outbox,
@@ -271,7 +276,7 @@
         else {
             return;
         };
-        grant.write_after = outbox.now + outbox.jitter(RETRY_PAUSE_S * DELETE_PAUSES);
+        grant.write_after = outbox.now + outbox.jitter(RETRY_PAUSE_S * RETRY_PAUSES_PER_DELETE);
         let preconditions = vec![
             precondition(&key, version),
             precondition(&teams_key(), teams_version(store)),
@@ -286,7 +291,7 @@
         self.commit_grant(outbox, preconditions, pending);
     }
 
-    /// Handles the reply to a write of a record.
+    /// Handles the store's reply to a write or deletion of a grant record.
     pub(crate) fn handle_grant_reply(
         &mut self,
         outbox: &mut Outbox,
@@ -321,16 +326,16 @@
                 tracing::error!(
                     team = %written.team,
                     bytes = written.write.bytes(),
-                    "store rejected a quota grant record"
+                    "store rejected a quota grant record: the team continues without grants"
                 );
-                grant.has_no_record = true;
+                grant.is_record_disabled = true;
             }
             _ => grant.write_after = outbox.now + outbox.jitter(RETRY_PAUSE_S),
         }
     }
 }
 
-/// The version of the shard map's list of teams; 0 if there is none.
+/// Returns the version of the shard map's list of teams; 0 if the list does not exist.
 fn teams_version(store: &StoreReplica) -> Version {
     store
         .map()
--- a/src/core/shard/grants/tests.rs
+++ b/src/core/shard/grants/tests.rs
@@ -18,8 +18,9 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-const RED: &str = "red";
-const FEATURES: &str = "[quota_ledger]\nenabled = true\nheadroom = 0.125\ngive_back_leases = 1.0\n";
+const TEAM: &str = "red";
+const FEATURE_SETTINGS: &str =
+    "[quota_ledger]\nenabled = true\nheadroom = 0.125\ngive_back_leases = 1.0\n";
 
 fn config() -> Config {
     config_with_limit(16.0)
@@ -29,20 +30,21 @@
     let limited = format!("teams = [{{ name = \"red\", gpus = 4.0, gpus_max = {gpus:?} }}]");
     let text = crate::config::TEST_SETTINGS.replace(r#"teams = [{ name = "red" }]"#, &limited);
     let mut config = Config::parse(&text).unwrap();
-    config.features = Features::parse(FEATURES).unwrap();
+    config.features = Features::parse(FEATURE_SETTINGS).unwrap();
     config
 }
 
-/// A shard that has just gained the team under `token`, whose owners have kept to their grants since the
-/// fencing token `kept_since`.
-struct Scene {
+/// A shard that owns the team, and the store replica that it reads. `new` assigns the team under `token`; the
+/// team's owners have kept to their grants since the fencing token `kept_since`.
+struct Fixture {
     shard: Shard,
     outbox: Outbox,
     store: StoreReplica,
+    /// Version of the last write to the replica.
     version: Version,
 }
 
-impl Scene {
+impl Fixture {
     fn new(token: u64, kept_since: Option<u64>, stored: Option<serde_json::Value>) -> Self {
         Self::with(config(), token, kept_since, stored)
     }
@@ -54,20 +56,20 @@
         stored: Option<serde_json::Value>,
     ) -> Self {
         let (shard, outbox, store) = share_with(config);
-        let mut scene = Self {
+        let mut fixture = Self {
             shard,
             outbox,
             store,
             version: 10,
         };
         if let Some(value) = stored {
-            scene.store(&value);
+            fixture.put_record(&value);
         }
-        scene.assign("n0", token, kept_since);
-        scene
+        fixture.assign("n0", token, kept_since);
+        fixture
     }
 
-    fn store(&mut self, value: &serde_json::Value) {
+    fn put_record(&mut self, value: &serde_json::Value) {
         self.version += 1;
         let write = Write::Put {
             key: key(),
@@ -86,10 +88,10 @@
         };
         let shards = vec![ShardEntry {
             owner,
-            teams: vec![RED.into()],
+            teams: vec![TEAM.into()],
             machines: vec!["m-1".into()],
         }];
-        let grants_kept_since = kept_since.map(|token| (Team::from(RED), FencingToken(token)));
+        let grants_kept_since = kept_since.map(|token| (Team::from(TEAM), FencingToken(token)));
         let chunk = ShardMapChunk {
             shards,
             grants_kept_since: grants_kept_since.into_iter().collect(),
@@ -102,8 +104,8 @@
         self.shard.read_grant_records(&self.store);
     }
 
-    /// The store replica has read up to the revision of the shard map.
-    fn synced(&mut self) {
+    /// Advances the store replica to the revision of the shard map and reads the grant records again.
+    fn sync(&mut self) {
         self.store.read_up_to(self.version);
         self.shard.read_grant_records(&self.store);
     }
@@ -111,14 +113,14 @@
     fn reconcile(&mut self) {
         self.shard
             .teams
-            .get_mut(&Team::from(RED))
+            .get_mut(&Team::from(TEAM))
             .unwrap()
             .unreconciled
             .clear();
     }
 
     fn basis(&self) -> Basis {
-        self.shard.teams[&Team::from(RED)]
+        self.shard.teams[&Team::from(TEAM)]
             .grant
             .as_ref()
             .unwrap()
@@ -134,15 +136,15 @@
             .allows(&self.shard.config.deployment.teams[0], 0.0, gpus)
     }
 
-    /// Adds a running task that was started here.
-    fn add_running_task(&mut self, gpus: f64) {
+    /// Adds an attempt that this shard started under the token 9 and that has not exited.
+    fn add_own_running_task(&mut self, gpus: f64) {
         let machine = self.shard.machines.get_mut(&"m-1".into()).unwrap();
         let mut tracked = TrackedAttempt::new(0.0);
         tracked.resources = Some(Resources {
             gpus,
             ..Resources::default()
         });
-        tracked.team = Some(RED.into());
+        tracked.team = Some(TEAM.into());
         let task = TaskId {
             job: "req-000009".into(),
             index: 0,
@@ -152,15 +154,15 @@
             .insert((task, Attempt((9 << 16) + 1)), tracked);
     }
 
-    /// The transaction that is written to the state service now.
-    fn write(&mut self) -> Option<(CallId, Transaction)> {
+    /// Lets the shard write grants. Returns the transaction that it sent, if it sent one.
+    fn write_grants(&mut self) -> Option<(CallId, Transaction)> {
         let usage = self.usage();
         self.shard
             .write_grants(&mut self.outbox, &self.store, &usage);
-        self.effects()
+        self.take_sent_transaction()
     }
 
-    fn effects(&mut self) -> Option<(CallId, Transaction)> {
+    fn take_sent_transaction(&mut self) -> Option<(CallId, Transaction)> {
         self.outbox
             .take_effects()
             .into_iter()
@@ -170,9 +172,9 @@
             })
     }
 
-    fn answer(&mut self, call: CallId, reply: StoreReply) {
+    fn reply_to(&mut self, call: CallId, reply: StoreReply) {
         let Some(Pending::Grant(written)) = self.outbox.finish(call) else {
-            panic!("a grant")
+            panic!("not a grant write")
         };
         if let StoreReply::Committed(version) = reply {
             self.version = version;
@@ -184,11 +186,11 @@
 }
 
 fn key() -> String {
-    quota_key(&RED.into()).unwrap()
+    quota_key(&TEAM.into()).unwrap()
 }
 
-/// A record that was begun under the fencing token `began`, in which another process has a grant.
-fn held_by_other(began: u64, gpus: f64) -> serde_json::Value {
+/// Creates a record that was begun under the fencing token `began` and in which another process has a grant.
+fn record_of_other_holder(began: u64, gpus: f64) -> serde_json::Value {
     let holder = HolderId {
         term: began,
         incarnation: 7,
@@ -199,15 +201,15 @@
 
 #[test]
 fn a_new_owner_can_use_the_limit_less_grants_of_others() {
-    let mut scene = Scene::new(9, Some(5), Some(held_by_other(5, 10.0)));
-    assert_eq!(scene.basis(), Basis::Undecided);
+    let mut fixture = Fixture::new(9, Some(5), Some(record_of_other_holder(5, 10.0)));
+    assert_eq!(fixture.basis(), Basis::Undecided);
     assert!(
-        !scene.allows(1.0),
-        "there may be a record that it has not read"
+        !fixture.allows(1.0),
+        "the replica may not show an existing record yet"
     );
-    scene.synced();
-    assert!(!scene.allows(1.0), "it has no grant yet");
-    let (call, transaction) = scene.write().unwrap();
+    fixture.sync();
+    assert!(!fixture.allows(1.0), "no grant has been committed");
+    let (call, transaction) = fixture.write_grants().unwrap();
     let guarded: Vec<&str> = transaction
         .preconditions
         .iter()
@@ -216,20 +218,26 @@
     assert_eq!(
         guarded,
         [key().as_str(), teams_key().as_str()],
-        "fenced by the map"
+        "the version of the shard map fences the write"
+    );
+    fixture.reply_to(call, StoreReply::Committed(30));
+    assert!(
+        fixture.allows(2.0),
+        "the headroom is an eighth of the limit"
+    );
+    assert!(
+        !fixture.allows(7.0),
+        "10 of 16 GPUs are granted to another process"
     );
-    scene.answer(call, StoreReply::Committed(30));
-    assert!(scene.allows(2.0), "its headroom, an eighth of the limit");
-    assert!(!scene.allows(7.0), "10 of 16 are granted to another");
 }
 
 #[test]
 fn a_record_is_relied_on_only_if_all_owners_have_kept_to_their_grants() {
     for (since, relied_on) in [(Some(5), true), (Some(6), false), (None, false)] {
-        let mut scene = Scene::new(9, since, Some(held_by_other(5, 10.0)));
-        scene.synced();
+        let mut fixture = Fixture::new(9, since, Some(record_of_other_holder(5, 10.0)));
+        fixture.sync();
         let counting = Basis::Counting { beginning: None };
-        assert_eq!(scene.basis() != counting, relied_on, "{since:?}");
+        assert_eq!(fixture.basis() != counting, relied_on, "{since:?}");
     }
 }
 
@@ -241,35 +249,41 @@
         serde_json::json!({"v": 1, "b": 5, "g": [{"h": {"t": 1, "i": 1, "n": ""}, "a": {}}]}),
         serde_json::json!({"v": 1, "b": 5, "g": [], "f": {"g": u64::MAX}}),
     ] {
-        let mut scene = Scene::new(9, Some(5), Some(damaged));
-        scene.synced();
-        assert_eq!(scene.basis(), Basis::Counting { beginning: None });
-        assert!(scene.allows(16.0), "as without a record");
-        assert!(scene.write().is_none(), "what runs is not known yet");
-        scene.reconcile();
-        let (_, transaction) = scene.write().unwrap();
+        let mut fixture = Fixture::new(9, Some(5), Some(damaged));
+        fixture.sync();
+        assert_eq!(fixture.basis(), Basis::Counting { beginning: None });
+        assert!(
+            fixture.allows(16.0),
+            "the limit applies as without a record"
+        );
+        assert!(
+            fixture.write_grants().is_none(),
+            "the team is not reconciled"
+        );
+        fixture.reconcile();
+        let (_, transaction) = fixture.write_grants().unwrap();
         assert_eq!(
             transaction.preconditions[0].version, 11,
-            "in place of the damaged one"
+            "the damaged record is replaced"
         );
     }
 }
 
 #[test]
 fn starts_stay_within_a_record_whose_creation_has_an_unknown_outcome() {
-    let mut scene = Scene::new(9, Some(9), None);
-    scene.synced();
-    scene.reconcile();
-    let (call, _) = scene.write().unwrap();
-    scene.answer(call, StoreReply::Unknown);
+    let mut fixture = Fixture::new(9, Some(9), None);
+    fixture.sync();
+    fixture.reconcile();
+    let (call, _) = fixture.write_grants().unwrap();
+    fixture.reply_to(call, StoreReply::Unknown);
     assert_eq!(
-        scene.basis(),
+        fixture.basis(),
         Basis::Counting {
             beginning: Some(Amount::covering(0.0, 2.0))
         }
     );
-    assert!(scene.allows(2.0) && !scene.allows(3.0));
-    // It was carried out all the same, and others rely on it.
+    assert!(fixture.allows(2.0) && !fixture.allows(3.0));
+    // The write was executed, and other processes rely on the record.
     let ledger = TeamLedger::begin(
         &HolderId {
             term: 9,
@@ -278,67 +292,70 @@
         },
         Amount::covering(0.0, 2.0),
     );
-    scene.store(&serde_json::to_value(ledger).unwrap());
-    scene.synced();
-    assert!(scene.allows(2.0) && !scene.allows(3.0));
+    fixture.put_record(&serde_json::to_value(ledger).unwrap());
+    fixture.sync();
+    assert!(fixture.allows(2.0) && !fixture.allows(3.0));
 }
 
 #[test]
 fn an_owner_that_loses_the_team_returns_its_unused_grant() {
-    let mut scene = Scene::new(9, Some(9), None);
-    scene.synced();
-    scene.reconcile();
-    let (call, _) = scene.write().unwrap();
-    scene.answer(call, StoreReply::Committed(30));
-    scene.assign("n1", 12, Some(9));
-    let (_, transaction) = scene.effects().unwrap();
+    let mut fixture = Fixture::new(9, Some(9), None);
+    fixture.sync();
+    fixture.reconcile();
+    let (call, _) = fixture.write_grants().unwrap();
+    fixture.reply_to(call, StoreReply::Committed(30));
+    fixture.assign("n1", 12, Some(9));
+    let (_, transaction) = fixture.take_sent_transaction().unwrap();
     assert_eq!(
         transaction.preconditions.len(),
         1,
-        "it no longer owns the team and only returns its grant"
+        "a process that lost the team writes without the precondition on the shard map"
     );
     let Write::Put { value, .. } = &transaction.writes[0] else {
-        panic!("a record")
+        panic!("not a put of a record")
     };
     let ledger = TeamLedger::decode(value).unwrap();
-    assert!(ledger.grants().is_empty(), "nothing of it runs: {ledger:?}");
+    assert!(
+        ledger.grants().is_empty(),
+        "no task runs under the grant: {ledger:?}"
+    );
 }
 
 #[test]
 fn running_tasks_stay_granted_when_the_team_is_lost() {
-    let mut scene = Scene::new(9, Some(9), None);
-    scene.synced();
-    scene.reconcile();
-    let (call, _) = scene.write().unwrap();
-    scene.answer(call, StoreReply::Committed(30));
-    scene.add_running_task(1.5);
-    scene.assign("n1", 12, Some(9));
-    let (_, transaction) = scene.effects().unwrap();
+    let mut fixture = Fixture::new(9, Some(9), None);
+    fixture.sync();
+    fixture.reconcile();
+    let (call, _) = fixture.write_grants().unwrap();
+    fixture.reply_to(call, StoreReply::Committed(30));
+    fixture.add_own_running_task(1.5);
+    fixture.assign("n1", 12, Some(9));
+    let (_, transaction) = fixture.take_sent_transaction().unwrap();
     let Write::Put { value, .. } = &transaction.writes[0] else {
-        panic!("a record")
+        panic!("not a put of a record")
     };
     let ledger = TeamLedger::decode(value).unwrap();
     assert_eq!(ledger.grants()[0].amount, Amount::covering(0.0, 1.5));
 }
 
-/// Tasks that cannot be granted now must not keep resources on machines from other teams.
+/// Tasks that cannot be granted now must not reserve resources on machines that other teams could use.
 #[test]
 fn requests_do_not_exceed_the_limit_less_grants_of_others() {
-    let mut scene = Scene::new(9, Some(5), Some(held_by_other(5, 10.0)));
-    scene.synced();
-    let team_limits = scene.shard.config.deployment.teams[0].clone();
+    let mut fixture = Fixture::new(9, Some(5), Some(record_of_other_holder(5, 10.0)));
+    fixture.sync();
+    let team_limits = fixture.shard.config.deployment.teams[0].clone();
     let need = Resources {
         gpus: 1.0,
         ..Resources::default()
     };
-    let mut usage = scene.usage();
+    let mut usage = fixture.usage();
     assert_eq!(
         usage.tasks_within_limit(&team_limits, &need, 16),
         6,
-        "of 16 others hold 10"
+        "other holders have 10 of 16 GPUs"
     );
     assert_eq!(usage.admit_under_grant(&team_limits, &need, 6, false), 0);
-    let (waiting, next) = usage.blocked_by_grant(&RED.into());
+    let (waiting, next) = usage.blocked_by_grant(&TEAM.into());
     assert_eq!(
         (waiting, next),
         (Amount::covering(0.0, 6.0), Amount::covering(0.0, 1.0))
@@ -346,17 +363,17 @@
     assert_eq!(
         usage.admit_under_grant(&team_limits, &need, 6, true),
         0,
-        "a gang starts whole"
+        "a gang is admitted only as a whole"
     );
 }
 
-/// Tasks of other owners count up to those owners' grants, however many there may be.
+/// Tasks that other owners may have started count at most as much as those owners' grants.
 #[test]
 fn unknown_usage_counts_up_to_the_outstanding_grants() {
-    let mut scene = Scene::new(9, Some(5), Some(held_by_other(5, 10.0)));
-    scene.synced();
-    let (_, inherited) = scene.usage().own_and_inherited(&RED.into());
-    assert_eq!(inherited, Amount::ZERO, "nothing may run yet");
+    let mut fixture = Fixture::new(9, Some(5), Some(record_of_other_holder(5, 10.0)));
+    fixture.sync();
+    let (_, inherited) = fixture.usage().own_and_inherited(&TEAM.into());
+    assert_eq!(inherited, Amount::ZERO, "no task may be running");
     let spec = record(false).spec.unwrap();
     let mut waiting = JobRecord {
         tasks: 1000,
@@ -366,19 +383,19 @@
         tasks: 1000,
         ..(*spec).clone()
     }));
-    let taken_at = (0.0, 0);
-    scene.shard.apply_job_record(
-        &scene.store,
+    let now = (0.0, 0);
+    fixture.shard.apply_job_record(
+        &fixture.store,
         &"req-000001".into(),
         &Rc::new(waiting),
         3,
-        taken_at,
+        now,
     );
-    let (_, inherited) = scene.usage().own_and_inherited(&RED.into());
+    let (_, inherited) = fixture.usage().own_and_inherited(&TEAM.into());
     let expected = Amount::covering(1000.0, 10.0);
     assert_eq!(
         inherited, expected,
-        "of a thousand tasks that may run; CPUs are not limited"
+        "GPUs of 1000 tasks count up to the grants; CPUs are not limited"
     );
 }
 
@@ -394,124 +411,133 @@
         consents: Vec::new(),
         claims: Vec::new(),
     };
-    let tell = |store: &mut StoreReplica, node: &str, keeps: bool, version: Version| {
+    let register = |store: &mut StoreReplica, node: &str, keeps_grants: bool, version: Version| {
         store.apply_write(
-            &put(&node_key(&node.into()), &process(node, keeps), None),
+            &put(&node_key(&node.into()), &process(node, keeps_grants), None),
             version,
         );
     };
-    tell(&mut store, "n0", true, 1);
-    tell(&mut store, "n1", false, 2);
+    register(&mut store, "n0", true, 1);
+    register(&mut store, "n1", false, 2);
     let mut leader = Leader::new(&config, 3, &store, 0.0);
     leader.update_grant_keepers(&store);
     assert!(
         !leader.keeps_grants(&owner("n0")),
-        "n1 would be asked to go on without"
+        "n1 does not keep to grants"
     );
-    tell(&mut store, "n1", true, 4);
+    register(&mut store, "n1", true, 4);
     leader.update_grant_keepers(&store);
     assert!(leader.keeps_grants(&owner("n0")));
 }
 
 #[test]
-fn a_record_that_the_state_service_refuses_is_deleted_and_not_begun_again() {
-    let mut scene = Scene::new(9, Some(5), Some(held_by_other(5, 10.0)));
-    scene.synced();
-    let (call, _) = scene.write().unwrap();
-    scene.answer(call, StoreReply::Rejected);
+fn a_record_that_the_store_rejects_is_deleted_and_not_created_again() {
+    let mut fixture = Fixture::new(9, Some(5), Some(record_of_other_holder(5, 10.0)));
+    fixture.sync();
+    let (call, _) = fixture.write_grants().unwrap();
+    fixture.reply_to(call, StoreReply::Rejected);
     assert!(
-        !scene.allows(1.0),
-        "others may rely on the record as long as it is there"
+        !fixture.allows(1.0),
+        "others may rely on the record while it exists"
     );
-    let (call, transaction) = scene.write().unwrap();
+    let (call, transaction) = fixture.write_grants().unwrap();
     assert!(
         matches!(&transaction.writes[..], [Write::Delete { .. }]),
         "{transaction:?}"
     );
-    scene.answer(call, StoreReply::Committed(40));
-    assert_eq!(scene.basis(), Basis::Counting { beginning: None });
-    scene.reconcile();
-    assert!(scene.write().is_none(), "it is not begun again");
+    fixture.reply_to(call, StoreReply::Committed(40));
+    assert_eq!(fixture.basis(), Basis::Counting { beginning: None });
+    fixture.reconcile();
+    assert!(
+        fixture.write_grants().is_none(),
+        "the record is not created again"
+    );
 }
 
-/// The limit may be configured again later, and then no process may rely on earlier grants.
+/// If the limit is configured again later, no process may rely on grants from before its removal.
 #[test]
 fn a_team_whose_limit_was_removed_starts_after_its_record_is_deleted() {
-    let mut scene = Scene::with(
+    let mut fixture = Fixture::with(
         config_with_limit(0.0),
         9,
         Some(5),
-        Some(held_by_other(5, 10.0)),
+        Some(record_of_other_holder(5, 10.0)),
     );
-    scene.synced();
-    assert!(!scene.allows(1.0));
-    let (call, transaction) = scene.write().unwrap();
+    fixture.sync();
+    assert!(!fixture.allows(1.0));
+    let (call, transaction) = fixture.write_grants().unwrap();
     assert!(
         matches!(&transaction.writes[..], [Write::Delete { .. }]),
         "{transaction:?}"
     );
-    scene.answer(call, StoreReply::Committed(40));
-    assert!(scene.allows(1000.0) && scene.write().is_none());
+    fixture.reply_to(call, StoreReply::Committed(40));
+    assert!(fixture.allows(1000.0) && fixture.write_grants().is_none());
 }
 
 #[test]
 fn a_changed_limit_applies_to_later_grants() {
     for (limit, granted) in [(8.0, 0.0), (12.0, 1.5), (32.0, 4.0)] {
-        let stored = Some(held_by_other(5, 10.0));
-        let mut scene = Scene::with(config_with_limit(limit), 9, Some(5), stored);
-        scene.synced();
-        let (call, _) = scene.write().unwrap();
-        scene.answer(call, StoreReply::Committed(30));
+        let stored = Some(record_of_other_holder(5, 10.0));
+        let mut fixture = Fixture::with(config_with_limit(limit), 9, Some(5), stored);
+        fixture.sync();
+        let (call, _) = fixture.write_grants().unwrap();
+        fixture.reply_to(call, StoreReply::Committed(30));
         let expected = Basis::Granted {
             own: Amount::covering(0.0, granted),
             outstanding: Amount::covering(0.0, 10.0),
         };
-        assert_eq!(scene.basis(), expected, "limit {limit}");
+        assert_eq!(fixture.basis(), expected, "limit {limit}");
     }
 }
 
-/// What the leader notes in the map for a team that goes to `keepers` and others, one after the other.
-fn noted(owners: &[(&str, bool)]) -> Vec<Option<u64>> {
+/// Assigns a team to `owners` one after the other; the flag says whether the owner keeps to its grants.
+/// Returns the team's `grants_kept_since` in the shard map after each assignment.
+fn grants_kept_since_after(owners: &[(&str, bool)]) -> Vec<Option<u64>> {
     let mut map = ShardMapEditor::new(1, &BTreeMap::new(), 4.0);
-    let team = Team::from(RED);
-    let mut noted = Vec::new();
-    for (index, (node, keeps)) in owners.iter().enumerate() {
+    let team = Team::from(TEAM);
+    let mut kept_since = Vec::new();
+    for (index, (node, keeps_grants)) in owners.iter().enumerate() {
         let owner = ShardOwner {
             token: FencingToken(index as u64 + 1),
             ..owner(node)
         };
-        map.update_grants_kept_since(&team, &owner, *keeps);
+        map.update_grants_kept_since(&team, &owner, *keeps_grants);
         map.set_team(&team, owner);
-        noted.push(map.owners().grants_kept_since.get(&team).map(|term| term.0));
+        kept_since.push(
+            map.owners()
+                .grants_kept_since
+                .get(&team)
+                .map(|token| token.0),
+        );
     }
-    noted
+    kept_since
 }
 
 #[test]
-fn an_owner_that_does_not_keep_to_grants_resets_the_note() {
+fn an_owner_that_does_not_keep_to_grants_resets_grants_kept_since() {
     assert_eq!(
-        noted(&[("n0", true), ("n1", true), ("n0", true)]),
+        grants_kept_since_after(&[("n0", true), ("n1", true), ("n0", true)]),
         [Some(1), Some(1), Some(1)]
     );
     assert_eq!(
-        noted(&[("n0", true), ("n1", false), ("n0", true)]),
+        grants_kept_since_after(&[("n0", true), ("n1", false), ("n0", true)]),
         [Some(1), None, Some(3)]
     );
 }
 
-/// A leader of a version without grants writes the teams without the note.
+/// A leader of a release without quota grants writes the teams without this field.
 #[test]
-fn the_note_is_optional_in_the_shard_map() {
+fn grants_kept_since_is_optional_in_the_shard_map() {
     let chunk = ShardMapChunk {
         shards: vec![ShardEntry {
             owner: owner("n0"),
-            teams: vec![RED.into()],
+            teams: vec![TEAM.into()],
             machines: vec![],
         }],
-        grants_kept_since: [(Team::from(RED), FencingToken(3))].into(),
+        grants_kept_since: [(Team::from(TEAM), FencingToken(3))].into(),
     };
     let mut stored = serde_json::to_value(&chunk).unwrap();
-    assert_eq!(stored["q"], serde_json::json!({ RED: 3 }));
+    assert_eq!(stored["q"], serde_json::json!({ TEAM: 3 }));
     stored.as_object_mut().unwrap().remove("q");
     let read: ShardMapChunk = serde_json::from_value(stored).unwrap();
     assert!(read.grants_kept_since.is_empty());
--- a/src/core/shard/map_changes.rs
+++ b/src/core/shard/map_changes.rs
@@ -1,4 +1,4 @@
-//! Follows the shard map: which machines and teams this process gains and loses.
+//! Applies changes of the shard map: the machines and teams that this process gains and loses.
 
 use crate::core::effects::outbox::Outbox;
 use crate::core::machines::machine::{Machine, TrackedAttempt};
@@ -13,20 +13,21 @@
 use crate::ids::{FencingToken, MachineId, Node, Team, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the shard map says of one machine, seen from this process.
-struct Assignment<'a> {
+/// The shard map's entry for one machine, from the point of view of this process.
+struct MachineAssignment<'a> {
     owner: &'a ShardOwner,
-    /// Whether this process is the owner.
-    is_ours: bool,
-    /// When the machine was last answered under the token before the present one, if its owner then has declared it
-    /// unresponsive.
+    /// Whether `owner` is this process.
+    is_owned_here: bool,
+    /// When the machine's last heartbeat under the previous token was answered; `None` unless the owner at
+    /// that time declared the machine unresponsive.
     last_answered: Option<Time>,
-    /// Revision of the store replica in which the map was read.
+    /// The store replica's `map_revision` when the map was read.
     revision: Version,
 }
 
 impl Shard {
-    /// Adopts what the shard map assigns to this process and gives up what it assigns to others.
+    /// Takes over teams and machines that the shard map assigns to this process, and gives up those that it
+    /// assigns to other processes. Does nothing if the map has not changed since the last call.
     pub(crate) fn apply_map_changes(
         &mut self,
         outbox: &mut Outbox,
@@ -39,8 +40,8 @@
         let assigned = self.assigned_teams(store);
         let lost = self.lost_teams(&assigned);
         self.release_grants(outbox, store, &lost);
-        self.share_write_rate(store.owners());
-        self.follow_machines(store, unresponsive, outbox.now);
+        self.divide_write_rate(store.owners());
+        self.apply_machine_assignments(store, unresponsive, outbox.now);
         self.remove_deleted_machines(store.owners(), outbox.now);
         self.remove_lost_teams(lost);
         for (team, token) in assigned {
@@ -48,11 +49,11 @@
                 self.gain_team(outbox, store, team, token);
             }
         }
-        self.adopt_known_images();
+        self.seed_image_caches();
         self.forget_attempts_of_other_teams();
     }
 
-    /// The teams that the map assigns to this process, with their fencing tokens.
+    /// Returns the teams that the map assigns to this process, with their fencing tokens.
     fn assigned_teams(&self, store: &StoreReplica) -> BTreeMap<Team, FencingToken> {
         let teams = store.owners().teams.iter();
         let ours = teams.filter(|(_, owner)| owner.is(&self.config.node, self.incarnation));
@@ -60,8 +61,9 @@
             .collect()
     }
 
-    /// Teams that are no longer owned. Under another token a team may have been elsewhere since this process last read
-    /// the map, so it is lost and gained anew.
+    /// Returns the owned teams that the map no longer assigns to this process under the same token. A team
+    /// with a new token may have had another owner since this process last read the map, so it is lost and
+    /// then gained again.
     fn lost_teams(&self, assigned: &BTreeMap<Team, FencingToken>) -> Vec<Team> {
         let is_kept = |team: &Team, owned: &OwnedTeam| assigned.get(team) == Some(&owned.token());
         let lost = self
@@ -71,14 +73,14 @@
         lost.map(|(team, _)| team.clone()).collect()
     }
 
-    /// Divides the store's write rate among the controllers that own teams.
-    fn share_write_rate(&mut self, map: &ShardMap) {
+    /// Divides the write rate of job records equally among the controllers that own teams.
+    fn divide_write_rate(&mut self, map: &ShardMap) {
         let writers: BTreeSet<&Node> = map.teams.values().map(|owner| &owner.node).collect();
         let rate = write_rate_per_controller(&self.config, writers.len().max(1));
         self.record_rate.set_rate(rate);
     }
 
-    fn follow_machines(
+    fn apply_machine_assignments(
         &mut self,
         store: &StoreReplica,
         unresponsive: &UnresponsiveMachines,
@@ -86,41 +88,42 @@
     ) {
         for (id, owner) in &store.owners().machines {
             let previous = owner.previous_token;
-            let assignment = Assignment {
+            let assignment = MachineAssignment {
                 owner,
-                is_ours: owner.is(&self.config.node, self.incarnation),
+                is_owned_here: owner.is(&self.config.node, self.incarnation),
                 last_answered: previous.and_then(|token| unresponsive.answered(id, token)),
                 revision: store.map_revision(),
             };
             if self.machines.contains_key(id) {
-                self.follow_known_machine(id, &assignment, now);
-            } else if assignment.is_ours {
+                self.update_machine_owner(id, &assignment, now);
+            } else if assignment.is_owned_here {
                 self.add_machine(id, &assignment, now);
             }
         }
     }
 
-    /// A known machine has another owner or another token: its attempts stay known, its authorization starts anew.
-    fn follow_known_machine(&mut self, id: &MachineId, assignment: &Assignment, now: Time) {
+    /// Updates a known machine whose owner or token has changed. Its attempts are kept; the machine has to
+    /// confirm the new token.
+    fn update_machine_owner(&mut self, id: &MachineId, assignment: &MachineAssignment, now: Time) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
         let token = assignment.owner.token;
-        if machine.is_owned == assignment.is_ours && machine.token == token {
+        if machine.is_owned == assignment.is_owned_here && machine.token == token {
             return;
         }
-        // A fresh token does not show whether an earlier owner has stopped answering the machine.
-        let unreleased = machine.previous_owner.take();
-        let unreleased = unreleased.filter(|_| machine.is_owned);
-        let is_gained = assignment.is_ours && !machine.is_owned;
-        machine.change_owner(token, assignment.is_ours, now);
+        // A new token does not prove that the previous owner has stopped answering the machine.
+        let unreleased_owner = machine.previous_owner.take();
+        let unreleased_owner = unreleased_owner.filter(|_| machine.is_owned);
+        let is_gained = assignment.is_owned_here && !machine.is_owned;
+        machine.change_owner(token, assignment.is_owned_here, now);
         if let (true, Some(last_answered)) = (is_gained, assignment.last_answered) {
             machine.last_answered = last_answered;
             machine.heartbeat_expected_since = last_answered;
         }
-        let previous_owner = assignment.owner.previous_owner.clone().or(unreleased);
-        machine.previous_owner =
-            previous_owner.filter(|process| assignment.is_ours && process.node != self.config.node);
+        let previous_owner = assignment.owner.previous_owner.clone().or(unreleased_owner);
+        machine.previous_owner = previous_owner
+            .filter(|process| assignment.is_owned_here && process.node != self.config.node);
         machine.owned_since_revision = assignment.revision;
         if is_gained {
             self.uninspected_machines.insert(id.clone());
@@ -128,8 +131,9 @@
         self.changed_since_round = true;
     }
 
-    /// Of an earlier process of this very controller nothing is expected: it has ended and answers nobody.
-    fn add_machine(&mut self, id: &MachineId, assignment: &Assignment, now: Time) {
+    /// Adds a machine that this process has gained. An earlier process of the same controller is not kept as
+    /// the previous owner: it has ended and no longer answers the machine.
+    fn add_machine(&mut self, id: &MachineId, assignment: &MachineAssignment, now: Time) {
         let last_answered = assignment.last_answered.unwrap_or(now);
         let mut machine = Machine::named(id.clone(), assignment.owner.token, last_answered);
         machine.is_owned = true;
@@ -140,7 +144,8 @@
         self.machines.insert(id.clone(), machine);
     }
 
-    /// The leader removes a machine from the map only after the cloud has deleted it.
+    /// Removes machines that are no longer in the map. The leader removes a machine from the map only after
+    /// the cloud has deleted it.
     fn remove_deleted_machines(&mut self, map: &ShardMap, now: Time) {
         self.starts_in_flight
             .retain(|id| map.machines.contains_key(id));
@@ -159,8 +164,9 @@
         }
     }
 
-    /// Nothing of a gained team is started until every machine in the map has shown what it runs or is known to be
-    /// empty. Jobs that are submitted later can't have been started by anybody else.
+    /// Takes over a team. A task that an earlier owner may have started is not started until every machine in
+    /// the map has reported its tasks or is known to be empty. Jobs that are submitted later cannot have been
+    /// started by another process.
     fn gain_team(
         &mut self,
         outbox: &mut Outbox,
@@ -179,15 +185,16 @@
         let is_of_team =
             |record: &JobRecord| record.spec.as_ref().is_some_and(|spec| spec.team == team);
         for (id, stored) in store.jobs() {
-            // A write of this process that is newer than the replica waits for the replica to catch up.
+            // A record that this process wrote after the replica's revision is applied once the replica has
+            // reached it.
             if is_of_team(&stored.record) && stored.version <= store.revision() {
                 self.apply_job_record(store, id, &stored.record, stored.version, now);
             }
         }
     }
 
-    /// Owned machines start out with the images that their earlier owners have told of.
-    fn adopt_known_images(&mut self) {
+    /// Initializes the image caches of owned machines with the images that siblings have reported.
+    fn seed_image_caches(&mut self) {
         let owned = self
             .machines
             .values_mut()
@@ -199,7 +206,8 @@
         }
     }
 
-    /// Other shards' machines are known only for attempts of this shard's teams.
+    /// Drops the attempts of other shards' teams on machines that this shard does not own, and the machines
+    /// that have no attempts left.
     fn forget_attempts_of_other_teams(&mut self) {
         let (teams, index) = (&self.teams, &mut self.task_index);
         let is_ours = |tracked: &TrackedAttempt| {
--- a/src/core/shard/owned_jobs.rs
+++ b/src/core/shard/owned_jobs.rs
@@ -1,5 +1,5 @@
-//! The jobs of a shard: reading them from their records, the urgency they inherit from their dependents, and
-//! their ends.
+//! The unfinished jobs of a shard's teams: creating them from their records, updating the urgency that they
+//! inherit from jobs that depend on them, and removing them when they end.
 
 mod attempts;
 mod gangs;
@@ -18,12 +18,12 @@
 use crate::wire::{Exit, JobSpec};
 use std::rc::Rc;
 
-/// Milliseconds in a second.
+/// Milliseconds per second.
 const MS_PER_S: f64 = 1e3;
 
 impl Shard {
-    /// Follows a job's record that is new or has changed. `now` is the steady clock, `wall_ms` the time
-    /// of day.
+    /// Applies a job record that is new or has changed. `now` is the time of the steady clock, `wall_ms` the
+    /// wall-clock time in milliseconds.
     pub(crate) fn apply_job_record(
         &mut self,
         store: &StoreReplica,
@@ -33,12 +33,12 @@
         (now, wall_ms): (Time, u64),
     ) {
         if record.is_final() {
-            return self.end_job(id);
+            return self.remove_ended_job(id);
         }
         if let Some(job) = self.jobs.get_mut(id) {
             job.version = version;
             job.record = record.clone();
-            return self.inherit_urgency(store, id, (now, wall_ms));
+            return self.update_urgency(store, id, (now, wall_ms));
         }
         let is_owned = record
             .spec
@@ -51,14 +51,15 @@
             self.dependency_cancelled.entry(id.clone()).or_insert(now);
             return;
         }
-        if let Some(job) = self.runnable_job(store, record, version, (now, wall_ms)) {
+        if let Some(job) = self.create_runnable_job(store, record, version, (now, wall_ms)) {
             self.add_job(store, id, job, (now, wall_ms));
         }
     }
 
-    /// The job of a record; None if its team is not of this shard, or if not all of its dependencies are
-    /// done, durably and as read here. The store replica reports it as changed with the last of them.
-    fn runnable_job(
+    /// Creates the job of a record. Returns `None` if the shard does not own the job's team, or until the
+    /// store replica has read that all of the job's dependencies are done. The replica reports the job as
+    /// changed when the last one is done.
+    fn create_runnable_job(
         &self,
         store: &StoreReplica,
         record: &Rc<JobRecord>,
@@ -68,22 +69,22 @@
         let spec = record.spec.as_ref()?;
         let team = self.teams.get(&spec.team)?;
         let ready_ms = store.ready_ms(record)?;
-        // The team's former owner may have started every job that it could read before it saw the change
-        // of the shard map. A leader that gives the team to itself knows its own write before its next
-        // sync brings the jobs that came before that; so the versions decide, not when a job appeared
-        // here. Progress is recorded only of tasks that have run.
+        // The team's previous owner may have started every job that it read before it saw the change of the
+        // shard map. The versions decide which jobs these are, not the time at which a job appeared here: a
+        // leader that assigns the team to itself knows its own write before its next sync brings jobs that
+        // were written earlier. A job with recorded progress has been started.
         let never_started = version > team.gained_at_revision && record.done.is_empty();
         let reconciled = team.unreconciled.is_empty() || never_started;
         let age = wall_ms.saturating_sub(ready_ms) as f64 / MS_PER_S;
         let mut job = Job::new(spec.clone(), record.clone(), version, now - age, reconciled);
         if job.is_gang() && !job.done.is_empty() {
-            // The tasks of a gang complete together.
+            // The tasks of a gang complete together, so one recorded task means that all are done.
             (0..spec.tasks).for_each(|index| job.set(index, Task::Done, None));
         }
         Some(job)
     }
 
-    /// Adds a new job, with the attempts of it that may be on machines already.
+    /// Adds a new job and places those of its tasks that may already be on machines.
     fn add_job(
         &mut self,
         store: &StoreReplica,
@@ -92,13 +93,13 @@
         (now, wall_ms): (Time, u64),
     ) {
         let all_done = job.all_done();
-        let exits = self.find_attempts(id, &mut job);
+        let exits = self.place_existing_attempts(id, &mut job);
         if job.unreconciled() > 0 {
             self.unreconciled_jobs.insert(id.clone());
         }
         self.forecast.arrived(&job.spec, job.submitted);
         self.jobs.insert(id.clone(), job);
-        self.inherit_urgency(store, id, (now, wall_ms));
+        self.update_urgency(store, id, (now, wall_ms));
         self.changed_since_round = true;
         if all_done {
             self.queue_for_recording(id, now);
@@ -113,59 +114,62 @@
         }
     }
 
-    /// Sets a job's deadline, and raises its priority to that of the most urgent job that depends on it.
-    fn inherit_urgency(&mut self, store: &StoreReplica, id: &JobId, (now, wall_ms): (Time, u64)) {
+    /// Sets a job's deadline to the earliest among its own and those of its dependents, and raises its
+    /// priority to the highest of its dependents'.
+    fn update_urgency(&mut self, store: &StoreReplica, id: &JobId, (now, wall_ms): (Time, u64)) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        let on_clock = |ms: u64| now + (ms as f64 - wall_ms as f64) / MS_PER_S;
+        let to_steady_clock = |ms: u64| now + (ms as f64 - wall_ms as f64) / MS_PER_S;
         let finish = self.config.finish_objective(&job.spec.class);
-        let own = job.spec.deadline_s.filter(|_| finish.is_none());
-        let own = own.map(|due| on_clock(job.record.accepted_ms) + due);
+        let own_deadline = job.spec.deadline_s.filter(|_| finish.is_none());
+        let own_deadline = own_deadline.map(|due| to_steady_clock(job.record.accepted_ms) + due);
         let inherited = store.inherited(id);
-        let of_dependents = inherited.and_then(|urgency| urgency.due_ms).map(on_clock);
-        job.deadline = [own, of_dependents]
+        let dependents_deadline = inherited
+            .and_then(|urgency| urgency.due_ms)
+            .map(to_steady_clock);
+        job.deadline = [own_deadline, dependents_deadline]
             .into_iter()
             .flatten()
             .min_by(Time::total_cmp);
         let Some(urgency) = inherited else { return };
-        let newly_needed = !std::mem::replace(&mut job.needed, true);
-        let more_urgent = urgency.priority > job.priority;
-        if !newly_needed && !more_urgent {
+        let is_newly_needed = !std::mem::replace(&mut job.needed, true);
+        let is_more_urgent = urgency.priority > job.priority;
+        if !is_newly_needed && !is_more_urgent {
             return;
         }
         job.priority = job.priority.max(urgency.priority);
         self.changed_since_round = true;
-        self.each_attempt(id, |_, tracked| {
+        self.for_each_attempt(id, |_, tracked| {
             tracked.priority = tracked.priority.max(urgency.priority);
             tracked.opportunistic = false;
         });
     }
 
-    /// A job is done or cancelled, and recorded so: its attempts are stopped, and their exits may be
-    /// forgotten.
-    fn end_job(&mut self, id: &JobId) {
+    /// Removes a job that is recorded as done or cancelled. Stops its attempts and lets workers forget their
+    /// exits.
+    fn remove_ended_job(&mut self, id: &JobId) {
         self.changed_since_round |= self.jobs.remove(id).is_some();
         let mut stopped = Vec::new();
-        self.each_attempt(id, |at, tracked| {
+        self.for_each_attempt(id, |location, tracked| {
             tracked.may_forget = true;
             if tracked.request_immediate_stop() {
-                stopped.push(at.machine_id.clone());
+                stopped.push(location.machine_id.clone());
             }
         });
         self.unsent_commands.extend(stopped);
     }
 
-    /// Workers may forget the exits of tasks that are recorded as done.
-    pub(crate) fn forget_recorded(&mut self, id: &JobId, record: &JobRecord) {
-        self.each_attempt(id, |at, tracked| {
+    /// Lets workers forget the exits of tasks that are recorded as done.
+    pub(crate) fn allow_forgetting_recorded_exits(&mut self, id: &JobId, record: &JobRecord) {
+        self.for_each_attempt(id, |location, tracked| {
             let is_done = tracked.phase == Phase::Exited(Exit::Done);
-            tracked.may_forget |= is_done && record.done.contains(at.task.index);
+            tracked.may_forget |= is_done && record.done.contains(location.task.index);
         });
     }
 }
 
-/// Describes an attempt by the specification of its job.
+/// Sets an attempt's resources, team, image and scheduling properties from the specification of its job.
 pub(crate) fn describe_attempt(tracked: &mut TrackedAttempt, config: &Config, spec: &JobSpec) {
     tracked.resources = Some(Resources::of(spec));
     tracked.team = Some(spec.team.clone());
@@ -179,7 +183,8 @@
     };
 }
 
-/// Describes an attempt of a cancelled job by what its record keeps of it.
+/// Sets the resources and the team of a cancelled job's attempt. A cancelled job's record keeps no
+/// specification.
 pub(crate) fn describe_terminating_attempt(
     tracked: &mut TrackedAttempt,
     terminating: &TerminatingTasks,
@@ -188,7 +193,7 @@
     tracked.team = Some(terminating.team.clone());
 }
 
-/// Describes an attempt by the stored record of its job, if that is known.
+/// Sets an attempt's properties from the stored record of its job, if the store replica has one.
 pub(super) fn describe_stored_attempt(
     tracked: &mut TrackedAttempt,
     config: &Config,
--- a/src/core/shard/owned_jobs/attempts.rs
+++ b/src/core/shard/owned_jobs/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of a job that may be on machines.
+//! Lookup of a job's attempts on machines.
 
 use super::describe_attempt;
 use crate::core::jobs::job::{Job, Task};
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 use std::ops::RangeInclusive;
 
-/// Where an attempt of a task may be.
+/// An attempt of a task and the machine that it may be on.
 pub(super) struct AttemptLocation<'a> {
     pub(super) machine_id: &'a MachineId,
     zone: &'a Zone,
@@ -17,8 +17,8 @@
     attempt: Attempt,
 }
 
-/// The keys of all attempts of a job.
-fn keys_of_job(job: &JobId) -> RangeInclusive<AttemptKey> {
+/// Returns the range of keys of all attempts of a job.
+fn attempt_keys_of_job(job: &JobId) -> RangeInclusive<AttemptKey> {
     let task = |index| TaskId {
         job: job.clone(),
         index,
@@ -26,15 +26,15 @@
     (task(0), Attempt(0))..=(task(u32::MAX), Attempt(u64::MAX))
 }
 
-/// The keys of all attempts of a task.
-fn keys_of_task(task: &TaskId) -> RangeInclusive<AttemptKey> {
+/// Returns the range of keys of all attempts of a task.
+fn attempt_keys_of_task(task: &TaskId) -> RangeInclusive<AttemptKey> {
     (task.clone(), Attempt(0))..=(task.clone(), Attempt(u64::MAX))
 }
 
 impl Shard {
-    /// Places the tasks of a new job whose attempts may be on machines that sent heartbeats before the job
-    /// was known here. Returns the attempts that have exited.
-    pub(super) fn find_attempts(
+    /// Marks tasks of a new job as placed if an attempt may be on a machine. Such attempts were reported in
+    /// heartbeats before this shard knew the job. Returns the attempts that have exited.
+    pub(super) fn place_existing_attempts(
         &mut self,
         id: &JobId,
         job: &mut Job,
@@ -42,27 +42,31 @@
         let mut exits = Vec::new();
         let spec = job.spec.clone();
         let config = self.config.clone();
-        self.each_attempt(id, |at, tracked| {
+        self.for_each_attempt(id, |location, tracked| {
             describe_attempt(tracked, &config, &spec);
-            let index = at.task.index;
+            let index = location.task.index;
             if tracked.exited() {
-                exits.push((at.machine_id.clone(), at.task.clone(), at.attempt));
+                exits.push((
+                    location.machine_id.clone(),
+                    location.task.clone(),
+                    location.attempt,
+                ));
             } else if matches!(job.task(index), Some(Task::Waiting | Task::Unreconciled)) {
-                let placed = Task::Placed(at.machine_id.clone(), at.attempt);
-                job.set(index, placed, Some(at.zone));
+                let placed = Task::Placed(location.machine_id.clone(), location.attempt);
+                job.set(index, placed, Some(location.zone));
                 job.began |= tracked.started_at.is_some();
             }
         });
         exits
     }
 
-    /// Visits every attempt of a job that may be on a machine, ordered by machine, task and attempt.
-    pub(super) fn each_attempt(
+    /// Calls `visit` for every tracked attempt of a job, ordered by machine, task and attempt.
+    pub(super) fn for_each_attempt(
         &mut self,
         id: &JobId,
         mut visit: impl FnMut(&AttemptLocation, &mut TrackedAttempt),
     ) {
-        let keys = keys_of_job(id);
+        let keys = attempt_keys_of_job(id);
         for machine_id in self.task_index.machines_of(id) {
             let Some(machine) = self.machines.get_mut(&machine_id) else {
                 continue;
@@ -81,12 +85,12 @@
         }
     }
 
-    /// The first attempt of a task that may still be on a machine, if there is one.
+    /// Returns the first attempt of a task that has not exited, ordered by machine and attempt.
     pub(in crate::core::shard) fn find_live_attempt(
         &self,
         task: &TaskId,
     ) -> Option<(MachineId, Attempt)> {
-        let keys = keys_of_task(task);
+        let keys = attempt_keys_of_task(task);
         self.task_index
             .machines_of(&task.job)
             .into_iter()
@@ -98,12 +102,12 @@
             })
     }
 
-    /// The tasks of a job of which an attempt may be on some machine.
+    /// Returns the indexes of the job's tasks that have an attempt that has not exited.
     pub(in crate::core::shard) fn tasks_on_machines(&mut self, id: &JobId) -> BTreeSet<u32> {
         let mut tasks = BTreeSet::new();
-        self.each_attempt(id, |at, tracked| {
+        self.for_each_attempt(id, |location, tracked| {
             if !tracked.exited() {
-                tasks.insert(at.task.index);
+                tasks.insert(location.task.index);
             }
         });
         tasks
--- a/src/core/shard/owned_jobs/gangs.rs
+++ b/src/core/shard/owned_jobs/gangs.rs
@@ -1,12 +1,12 @@
-//! Gang scheduling: the tasks of a gang run, complete and stop together.
+//! Completion and loss of gangs: the tasks of a gang run, complete and stop together.
 
 use crate::core::jobs::job::Task;
 use crate::core::shard::Shard;
 use crate::ids::{Attempt, JobId, TaskId};
 
 impl Shard {
-    /// One task of a gang is done, so all of them are: they complete together, and the machines of the
-    /// others may be lost before their heartbeats show it.
+    /// Marks all tasks of a gang as done after one of them is. They complete together, and the machines of
+    /// the others may be lost before a heartbeat reports their completion.
     pub(in crate::core::shard) fn complete_gang(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -21,17 +21,18 @@
         }
     }
 
-    /// One task of a gang is lost: the others cannot continue without it, so they are stopped at once.
+    /// Stops the tasks of a gang that are placed in `attempt`, without grace, after one task of it was lost.
+    /// They cannot continue without the lost task.
     pub(in crate::core::shard) fn stop_rest_of_gang(&mut self, id: &JobId, attempt: Attempt) {
         let gang = self.jobs.get(id);
         let Some(job) = gang.filter(|job| job.is_gang() && job.spec.tasks > 1) else {
             return;
         };
         for index in 0..job.spec.tasks {
-            let Some(Task::Placed(machine_id, placed)) = job.task(index) else {
+            let Some(Task::Placed(machine_id, placed_attempt)) = job.task(index) else {
                 continue;
             };
-            if *placed != attempt {
+            if *placed_attempt != attempt {
                 continue;
             }
             let job = id.clone();
--- a/src/core/shard/owned_jobs/running_counts.rs
+++ b/src/core/shard/owned_jobs/running_counts.rs
@@ -1,4 +1,4 @@
-//! Numbers of done and running tasks of each job, for display.
+//! Counts of done and running tasks of each job, for display.
 
 use crate::core::machines::machine::Phase;
 use crate::core::model::time::Time;
@@ -6,16 +6,17 @@
 use crate::ids::JobId;
 use crate::wire::TaskState;
 
-/// Counts in the time of a lease.
+/// How often tasks are counted within the duration of a worker lease.
 const COUNTS_PER_LEASE: f64 = 20.0;
 
 impl Shard {
-    /// Tasks done and running of a job.
+    /// The numbers of done and running tasks of a job; `None` if none of its tasks was running at the last
+    /// count.
     pub fn task_counts(&self, id: &JobId) -> Option<(u32, u32)> {
         self.task_counts.get(id).copied()
     }
 
-    /// Tasks done and running of all jobs that run.
+    /// The numbers of done and running tasks of every job that had a running task at the last count.
     pub fn all_task_counts(&self) -> Vec<(JobId, u32, u32)> {
         self.task_counts
             .iter()
@@ -23,7 +24,7 @@
             .collect()
     }
 
-    /// Counts running tasks when it is due, and notes which jobs have proven to run.
+    /// Counts running tasks if a count is due, and marks jobs with a long-running task as proven to run.
     pub(in crate::core::shard) fn count_running_tasks(&mut self, now: Time) {
         let lease_s = self.config.deployment.workers.lease_s;
         if now < self.task_counts_at + lease_s / COUNTS_PER_LEASE {
@@ -31,7 +32,7 @@
         }
         self.task_counts_at = now;
         self.task_counts.clear();
-        // A task that has run for a lease proves that its job does not fail on every machine.
+        // A task that has run for the duration of a lease proves that its job does not fail on every machine.
         let proof_s = lease_s;
         let machines = self.machines.values();
         for ((task, _), tracked) in machines.flat_map(|machine| &machine.attempts) {
--- a/src/core/shard/owned_team.rs
+++ b/src/core/shard/owned_team.rs
@@ -1,33 +1,34 @@
-//! A team that the shard owns, and the numbers of its tasks' attempts.
+//! The state of a team that the shard owns, and the numbering of its tasks' attempts.
 
 use crate::core::shard::Shard;
 use crate::core::shard::grants::TeamGrant;
 use crate::ids::{Attempt, FencingToken, MachineId, Team, Version};
 use std::collections::BTreeSet;
 
-/// Attempt numbers that one fencing token of a team provides.
+/// Size of the range of attempt numbers that belongs to one fencing token of a team.
 const ATTEMPTS_PER_TOKEN: u64 = 1 << 16;
 
-/// Attempts of one fencing token after which the leader is asked for another one: half of them, so that the new one
-/// arrives long before they are used up.
+/// Number of attempts under one fencing token after which the leader is asked for a new token. Half of the
+/// range leaves ample time for the new token to arrive before the range is used up.
 const ATTEMPTS_BEFORE_RENEWAL: u64 = ATTEMPTS_PER_TOKEN / 2;
 
-/// A team that this shard owns.
+/// The state of a team that this shard owns.
 pub struct OwnedTeam {
     /// The fencing token under which the shard map assigns the team to this process.
     token: FencingToken,
-    /// Revision of the store replica when the team was assigned to this process.
+    /// The store replica's `map_revision` when this process learned that it owns the team.
     pub gained_at_revision: Version,
-    /// Machines that may still run tasks of the team which no heartbeat has shown yet.
+    /// Machines that may run tasks of the team that no heartbeat has reported yet.
     pub unreconciled: BTreeSet<MachineId>,
-    /// Attempts numbered so far under the present token.
+    /// How many attempt numbers were issued under the current token.
     attempts: u64,
-    /// The shard's part in the record of the team's quota grants.
+    /// The quota grant of this process for the team; `None` if grants do not apply to the team.
     pub(crate) grant: Option<TeamGrant>,
 }
 
 impl OwnedTeam {
-    /// A team assigned under `token`, of which nothing is known yet about the machines in `unreconciled`.
+    /// Creates the state of a team that was assigned under `token`. The machines in `unreconciled` have not
+    /// reported yet which of the team's tasks they run.
     pub(crate) fn new(
         token: FencingToken,
         gained_at_revision: Version,
@@ -48,43 +49,45 @@
         self.token
     }
 
-    /// Whether every machine has shown which of the team's tasks it runs.
+    /// Whether every machine has reported which of the team's tasks it runs.
     pub(crate) fn is_reconciled(&self) -> bool {
         self.unreconciled.is_empty()
     }
 
-    /// An attempt number above all earlier ones, whichever process gave them: the token is their high part. None once
-    /// the token's numbers are used up.
+    /// Issues an attempt number that is larger than all earlier ones of the team, including those that other
+    /// processes issued: the token forms the high part of the number. Returns `None` once the token's range
+    /// is used up.
     fn allocate_attempt_number(&mut self) -> Option<Attempt> {
         self.attempts += 1;
         let number = self.token.0 * ATTEMPTS_PER_TOKEN + self.attempts;
         (self.attempts < ATTEMPTS_PER_TOKEN).then_some(Attempt(number))
     }
 
-    /// Whether an attempt was numbered under the present token, that is by this shard.
-    fn has_numbered(&self, attempt: Attempt) -> bool {
+    /// Whether the attempt's number was issued under the current token, and so by this shard.
+    fn has_issued(&self, attempt: Attempt) -> bool {
         attempt.0 / ATTEMPTS_PER_TOKEN == self.token.0
     }
 
-    /// Whether the leader has to renew the token because its attempt numbers run out.
+    /// Whether the team needs a new token because few attempt numbers are left.
     fn is_short_of_attempts(&self) -> bool {
         self.attempts > ATTEMPTS_BEFORE_RENEWAL
     }
 }
 
 impl Shard {
-    /// A new attempt number for a task of `team`. None if the team is not owned, or if its token has no more numbers.
+    /// Issues an attempt number for a task of `team`. Returns `None` if the shard does not own the team or if
+    /// the token's range of numbers is used up.
     pub(crate) fn allocate_attempt_number(&mut self, team: &Team) -> Option<Attempt> {
         self.teams.get_mut(team)?.allocate_attempt_number()
     }
 
-    /// Whether this shard has started an attempt since it was assigned the team.
+    /// Whether this shard started the attempt under the team's current token.
     pub(crate) fn started_here(&self, team: &Team, attempt: Attempt) -> bool {
         let owned = self.teams.get(team);
-        owned.is_some_and(|owned| owned.has_numbered(attempt))
+        owned.is_some_and(|owned| owned.has_issued(attempt))
     }
 
-    /// Teams that need another fencing token because their attempt numbers run out.
+    /// Returns the teams that need a new fencing token because few attempt numbers are left.
     pub(crate) fn teams_short_of_attempts(&self) -> Vec<Team> {
         let short = self
             .teams
--- a/src/core/shard/progress_records.rs
+++ b/src/core/shard/progress_records.rs
@@ -1,8 +1,8 @@
-//! Recording of jobs' progress and ends in the store.
+//! Writes the progress and the completion of jobs to the store.
 //!
-//! Progress and ends are true no matter which controller records them, so a record's version is a sufficient
-//! precondition. Jobs that are due together go into one transaction. If that fails, each is tried again in a
-//! transaction of its own, so that no job waits for another's conflict.
+//! Progress and completion are facts that any controller may record, so the record's version is a sufficient
+//! precondition. Jobs that are due at the same time are written in one transaction. If that transaction
+//! fails, each job is retried in its own transaction, so that no job is delayed by another job's conflict.
 
 use crate::config::Config;
 use crate::core::effects::outbox::Outbox;
@@ -19,28 +19,28 @@
 use crate::wire::{BODY_LIMIT, Transaction};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Part of the store's write rate that records of jobs' progress and ends may take.
-const PART_OF_WRITE_RATE: f64 = 0.75;
+/// Fraction of the store's write rate that job records may use.
+const JOB_RECORDS_FRACTION: f64 = 0.75;
 
-/// Longest serialized form of a range of done tasks in a record, in bytes.
-const RANGE_BYTES: f64 = 15.0;
+/// Maximum serialized size of one range of done tasks in a record, in bytes.
+const MAX_RANGE_BYTES: f64 = 15.0;
 
-/// Bytes of values after which a transaction takes no further value: with its last value and the preconditions it
-/// stays within the limit on bodies.
-const TRANSACTION_BYTES: usize = BODY_LIMIT / 2;
+/// Size of the writes, in bytes, at which a transaction is sent. The other half of the body limit leaves room
+/// for the last write that was added and for the preconditions.
+const FULL_TRANSACTION_BYTES: usize = BODY_LIMIT / 2;
 
-/// Seconds before the next try after a conflict.
-const CONFLICT_PAUSE: Time = 0.1;
+/// Average delay before a retry after a conflict, in seconds.
+const CONFLICT_PAUSE_S: Time = 0.1;
 
-/// Seconds before the next try when the outcome is unknown or the store refuses.
-const FAILURE_PAUSE: Time = 0.3;
+/// Average delay before a retry when the outcome is unknown or the write was not executed, in seconds.
+const FAILURE_PAUSE_S: Time = 0.3;
 
-/// Queues of the jobs with something to record, in the order in which they are served. A job may be queued more
-/// than once; entries that have been recorded meanwhile are skipped.
+/// Queues of jobs with unrecorded progress or completion. Completed jobs come first. A job may be queued more
+/// than once; an entry is skipped if the job has been recorded since.
 #[derive(Default)]
 pub struct UnrecordedJobs {
     completed: VecDeque<JobId>,
-    /// Jobs with progress, with the time since when each is queued.
+    /// Jobs that have progress to record but are not complete, each with the time at which it was queued.
     progressed: VecDeque<(Time, JobId)>,
 }
 
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Takes the next job to record: a completed one, or one whose progress has waited for `delay` seconds. Each
-    /// entry looked at adds one to `visits`.
+    /// Removes and returns the next job to record: a completed job, or else a job whose progress has been
+    /// queued for at least `delay` seconds. Adds the number of examined entries to `visits`.
     fn next(
         &mut self,
         jobs: &BTreeMap<JobId, Job>,
@@ -62,11 +62,11 @@
         now: Time,
         visits: &mut u64,
     ) -> Option<JobId> {
-        self.next_completed(jobs, now, visits)
-            .or_else(|| self.next_progressed(jobs, delay, now, visits))
+        self.take_completed(jobs, now, visits)
+            .or_else(|| self.take_progressed(jobs, delay, now, visits))
     }
 
-    fn next_completed(
+    fn take_completed(
         &mut self,
         jobs: &BTreeMap<JobId, Job>,
         now: Time,
@@ -75,7 +75,7 @@
         for _ in 0..self.completed.len() {
             let id = self.completed.pop_front()?;
             *visits += 1;
-            match recordable(jobs, &id) {
+            match find_recordable(jobs, &id) {
                 Some(job) if now < job.write_after => self.completed.push_back(id),
                 Some(_) => return Some(id),
                 None => {}
@@ -84,7 +84,7 @@
         None
     }
 
-    fn next_progressed(
+    fn take_progressed(
         &mut self,
         jobs: &BTreeMap<JobId, Job>,
         delay: Time,
@@ -98,8 +98,8 @@
         {
             let (_, id) = self.progressed.pop_front()?;
             *visits += 1;
-            match recordable(jobs, &id) {
-                // It is queued as completed too.
+            match find_recordable(jobs, &id) {
+                // The job is in the queue of completed jobs as well.
                 Some(job) if job.all_done() => {}
                 Some(job) if now < job.write_after => self.progressed.push_back((now, id)),
                 Some(_) => return Some(id),
@@ -110,20 +110,21 @@
     }
 }
 
-/// A queued job, if it still has something to record and no write of it is pending.
-fn recordable<'a>(jobs: &'a BTreeMap<JobId, Job>, id: &JobId) -> Option<&'a Job> {
+/// Returns the job if it still has something to record and none of its writes is in flight.
+fn find_recordable<'a>(jobs: &'a BTreeMap<JobId, Job>, id: &JobId) -> Option<&'a Job> {
     jobs.get(id)
         .filter(|job| job.unrecorded_since.is_some() && !job.write_in_flight)
 }
 
-/// Writes per second of one controller. Controllers with teams write independently; together they leave a part of
-/// the store's rate for user requests and the shard map.
+/// Rate at which each of `writers` controllers may write job records, in writes per second. Controllers that
+/// own teams write independently of one another. Together they leave a part of the store's write rate to user
+/// requests and to the shard map.
 pub fn write_rate_per_controller(config: &Config, writers: usize) -> f64 {
-    config.deployment.state.write_rps * PART_OF_WRITE_RATE / writers as f64
+    config.deployment.state.write_rps * JOB_RECORDS_FRACTION / writers as f64
 }
 
 impl Shard {
-    /// Notes that a job has progress, or its end, to be recorded.
+    /// Queues a job whose progress or completion has to be recorded.
     pub(crate) fn queue_for_recording(&mut self, id: &JobId, now: Time) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Records completed jobs at once, and progress after a delay.
+    /// Records completed jobs at once and progress after a delay, within the rate limit of job records.
     pub(crate) fn record_progress(&mut self, outbox: &mut Outbox) {
         let mut batch = Vec::new();
         while outbox.may_write() && self.record_rate.has_token(outbox.now) {
@@ -144,7 +145,7 @@
                 .unrecorded
                 .next(&self.jobs, delay, outbox.now, &mut self.visits);
             let Some(id) = due else { break };
-            let Some(write) = self.next_record(&id, outbox.wall_ms) else {
+            let Some(write) = self.create_record_write(&id, outbox.wall_ms) else {
                 continue;
             };
             let Some(job) = self.jobs.get_mut(&id) else {
@@ -159,11 +160,12 @@
                 batch.push(write);
             }
         }
-        self.commit_batches(outbox, batch);
+        self.commit_in_batches(outbox, batch);
     }
 
-    /// The next record of a job; `None` if the store would refuse it.
-    fn next_record(&mut self, id: &JobId, wall_ms: u64) -> Option<RecordWrite> {
+    /// Creates the write of a job's current record. Returns `None` if the record is too large for the store;
+    /// the job then has nothing to record until it makes further progress.
+    fn create_record_write(&mut self, id: &JobId, wall_ms: u64) -> Option<RecordWrite> {
         let value_limit = self.config.deployment.state.value_kb * 1024.0;
         let job = self.jobs.get_mut(id)?;
         let record = if job.all_done() {
@@ -173,7 +175,8 @@
         };
         let write = put(&job_key(id), &record, None);
         let bytes = write.bytes();
-        // The job was accepted when values could be larger: its progress is recorded with its end only.
+        // The job was accepted under a larger limit on values, so its progress is not recorded before it
+        // completes.
         let too_large = !record.is_final() && bytes as f64 > value_limit;
         if too_large || bytes >= job.refused_bytes {
             job.unrecorded_since = None;
@@ -186,8 +189,8 @@
         })
     }
 
-    /// Records the cancellation of jobs with a cancelled dependency. Every controller derives it anyway, so these
-    /// writes come after all others.
+    /// Records the cancellation of jobs that depend on a cancelled job. Every controller derives this
+    /// cancellation from the dependency, so these writes have the lowest priority.
     pub(crate) fn record_dependent_cancellations(
         &mut self,
         outbox: &mut Outbox,
@@ -195,12 +198,15 @@
     ) {
         let now = outbox.now;
         let pause = self.config.deployment.workers.report_s;
-        let is_ours = |record: &JobRecord| {
+        let is_unfinished_of_owned_team = |record: &JobRecord| {
             let team = record.spec.as_ref().map(|spec| &spec.team);
             !record.is_final() && team.is_some_and(|team| self.teams.contains_key(team))
         };
-        self.dependency_cancelled
-            .retain(|id, _| store.job(id).is_some_and(|job| is_ours(&job.record)));
+        self.dependency_cancelled.retain(|id, _| {
+            store
+                .job(id)
+                .is_some_and(|job| is_unfinished_of_owned_team(&job.record))
+        });
         let mut batch = Vec::new();
         for (id, not_before) in &mut self.dependency_cancelled {
             if !outbox.may_write() {
@@ -221,18 +227,18 @@
                 write,
             });
         }
-        self.commit_batches(outbox, batch);
+        self.commit_in_batches(outbox, batch);
     }
 
-    /// Commits records in transactions within the store's limits.
-    fn commit_batches(&self, outbox: &mut Outbox, records: Vec<RecordWrite>) {
+    /// Commits records in transactions that stay within the store's limits on operations and bytes.
+    fn commit_in_batches(&self, outbox: &mut Outbox, records: Vec<RecordWrite>) {
         let max_operations = self.config.deployment.state.txn_ops;
         let mut batch = Vec::new();
         let mut bytes = 0;
         for record in records {
             bytes += record.write.bytes();
             batch.push(record);
-            if batch.len() >= max_operations || bytes >= TRANSACTION_BYTES {
+            if batch.len() >= max_operations || bytes >= FULL_TRANSACTION_BYTES {
                 commit(outbox, std::mem::take(&mut batch));
                 bytes = 0;
             }
@@ -242,7 +248,7 @@
         }
     }
 
-    /// Handles the store's reply to a transaction of records.
+    /// Handles the store's reply to a transaction of job records.
     pub(crate) fn handle_records_reply(
         &mut self,
         outbox: &mut Outbox,
@@ -250,20 +256,20 @@
         records: Vec<RecordWrite>,
         reply: StoreReply,
     ) {
-        let with_others = records.len() > 1;
+        let was_batched = records.len() > 1;
         for record in records {
             let id = &record.job;
             if let StoreReply::Committed(version) = reply {
                 store.apply_write(&record.write, version);
-                self.record_committed(outbox, store, id);
+                self.finish_record_write(outbox, store, id);
             } else {
-                self.record_not_committed(outbox, store, &record, &reply, with_others);
+                self.requeue_record(outbox, store, &record, &reply, was_batched);
             }
         }
     }
 
-    /// A job's record is committed: machines may forget tasks that are recorded as done.
-    fn record_committed(&mut self, outbox: &Outbox, store: &StoreReplica, id: &JobId) {
+    /// Updates a job whose record was committed, and lets workers forget the tasks that are recorded as done.
+    fn finish_record_write(&mut self, outbox: &Outbox, store: &StoreReplica, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -274,19 +280,19 @@
         job.write_alone = false;
         let Some(stored) = store.job(id) else { return };
         let (record, version) = (stored.record.clone(), stored.version);
-        self.forget_recorded(id, &record);
+        self.allow_forgetting_recorded_exits(id, &record);
         self.apply_job_record(store, id, &record, version, (outbox.now, outbox.wall_ms));
     }
 
-    /// A job's record was not, or possibly not, committed: it is queued again. `with_others`: the transaction held
-    /// records of other jobs.
-    fn record_not_committed(
+    /// Queues a job again whose record was not committed, or whose write has an unknown outcome.
+    /// `was_batched` says that the transaction also contained records of other jobs.
+    fn requeue_record(
         &mut self,
         outbox: &mut Outbox,
         store: &mut StoreReplica,
         record: &RecordWrite,
         reply: &StoreReply,
-        with_others: bool,
+        was_batched: bool,
     ) {
         let id = &record.job;
         let Some(job) = self.jobs.get_mut(id) else {
@@ -294,19 +300,24 @@
         };
         job.write_in_flight = false;
         match reply {
-            StoreReply::Conflict | StoreReply::Rejected if with_others => job.write_alone = true,
+            StoreReply::Conflict | StoreReply::Rejected if was_batched => job.write_alone = true,
             StoreReply::Rejected => {
                 let bytes = record.write.bytes();
-                tracing::error!(job = %id, bytes, "store rejected a job record");
+                tracing::error!(
+                    job = %id,
+                    bytes,
+                    "store rejected a job record: the job continues, records of this size are not retried"
+                );
                 job.refused_bytes = job.refused_bytes.min(bytes);
             }
             _ => {
-                // The job was cancelled meanwhile, or the outcome is unknown: a read shows it before the next try.
+                // The job was cancelled meanwhile, or the outcome is unknown. The store is read again before
+                // the retry.
                 store.want_sync();
                 let pause = if *reply == StoreReply::Conflict {
-                    CONFLICT_PAUSE
+                    CONFLICT_PAUSE_S
                 } else {
-                    FAILURE_PAUSE
+                    FAILURE_PAUSE_S
                 };
                 job.write_after = outbox.now + outbox.jitter(pause);
             }
@@ -316,7 +327,8 @@
     }
 }
 
-/// A job's record with as much of its progress as a value of the store may hold.
+/// Returns the job's record with as many of its largest ranges of done tasks as fit into a value of the
+/// store.
 fn progress_record(job: &Job, value_limit: f64) -> JobRecord {
     let mut done = job.done.clone();
     done.keep_largest(max_ranges(value_limit));
@@ -326,18 +338,18 @@
     }
 }
 
-/// The number of ranges that a value of this many bytes may hold: half of it, as the rest of a record keeps within
-/// the other half. At least one.
+/// Returns how many ranges of done tasks a value of at most `value_limit` bytes may hold, at least one.
+/// Ranges may use half of the value; the rest of the record fits into the other half.
 #[expect(
     clippy::cast_possible_truncation,
     reason = "the fraction is dropped; the cast saturates"
 )]
 fn max_ranges(value_limit: f64) -> usize {
-    let ranges = (value_limit / 2.0 / RANGE_BYTES) as usize;
+    let ranges = (value_limit / 2.0 / MAX_RANGE_BYTES) as usize;
     ranges.max(1)
 }
 
-/// Sends a transaction that writes records, if none of them has changed.
+/// Sends a transaction that writes the records on the condition that none of them has changed in the store.
 fn commit(outbox: &mut Outbox, records: Vec<RecordWrite>) {
     let preconditions = records
         .iter()
--- a/src/core/shard/shard_log.rs
+++ b/src/core/shard/shard_log.rs
@@ -1,5 +1,5 @@
-//! Periodic log of a shard's state, for the analysis of incidents: queued tasks by class, free resources by
-//! kind of machine, demanded machines, and teams whose tasks are not fully known.
+//! Periodic log of a shard's state, for the analysis of incidents: unfinished tasks by class, free resources
+//! by machine offer, requested machines, and teams that wait for reports of machines.
 
 use crate::core::messages::capacity_demand::MachineOffer;
 use crate::core::model::resources::Resources;
@@ -7,26 +7,26 @@
 use crate::core::shard::Shard;
 use std::collections::BTreeMap;
 
-/// The unfinished tasks of one class.
+/// Numbers of unfinished tasks of one job class.
 #[derive(Default)]
-struct ClassTasks {
+struct TaskCounts {
     waiting: usize,
     unreconciled: u32,
     placed: u32,
 }
 
-/// The machines of one kind.
+/// Numbers of owned machines of one offer.
 #[derive(Default)]
-struct MachineSummary {
+struct MachineCounts {
     usable: usize,
     unusable: usize,
     idle: usize,
-    /// Free resources of the usable machines.
+    /// Sum of the free resources of the usable machines.
     free: Resources,
 }
 
 impl Shard {
-    /// Logs the state of the shard once per lease duration.
+    /// Logs the state of the shard once per duration of a worker lease.
     pub(crate) fn log_shard_when_due(&mut self, now: Time) {
         if now < self.next_shard_log {
             return;
@@ -75,7 +75,7 @@
                 zone = %demand.offer.zone,
                 spot = demand.offer.spot,
                 urgency = ?demand.urgency,
-                "machines demanded"
+                "machines requested from the leader"
             );
         }
     }
@@ -87,14 +87,14 @@
                     team = %name,
                     machines = team.unreconciled.len(),
                     first_machine = %first,
-                    "team waits for heartbeats of machines"
+                    "team is not reconciled: waiting for heartbeats of machines"
                 );
             }
         }
     }
 
-    fn tasks_by_class(&self) -> BTreeMap<&str, ClassTasks> {
-        let mut classes: BTreeMap<&str, ClassTasks> = BTreeMap::new();
+    fn tasks_by_class(&self) -> BTreeMap<&str, TaskCounts> {
+        let mut classes: BTreeMap<&str, TaskCounts> = BTreeMap::new();
         for job in self.jobs.values() {
             let tasks = classes.entry(&job.spec.class).or_default();
             tasks.waiting += job.waiting().len();
@@ -104,8 +104,8 @@
         classes
     }
 
-    fn machines_by_offer(&self, now: Time) -> BTreeMap<MachineOffer, MachineSummary> {
-        let mut offers: BTreeMap<MachineOffer, MachineSummary> = BTreeMap::new();
+    fn machines_by_offer(&self, now: Time) -> BTreeMap<MachineOffer, MachineCounts> {
+        let mut offers: BTreeMap<MachineOffer, MachineCounts> = BTreeMap::new();
         for machine in self.machines.values().filter(|machine| machine.is_owned) {
             let offer = MachineOffer {
                 type_name: machine.type_name.clone(),
--- a/src/core/shard/sibling_updates.rs
+++ b/src/core/shard/sibling_updates.rs
@@ -1,8 +1,9 @@
-//! What the shards of sibling controllers tell one another.
+//! Exchange of state between the shards of sibling controllers.
 //!
-//! The owner of a machine reports the tasks of other shards' teams that run there and carries out their stops and
-//! forgets, so that tasks keep running when their machine or their team changes hands. Updates are level-triggered: each
-//! holds the whole present state, so that a lost or late one does no harm.
+//! The owner of a machine reports the tasks of other shards' teams that run on it. It also executes the stop
+//! and forget commands of those shards. Tasks therefore keep running when their machine or their team changes
+//! its owner. Updates are level-triggered: each one contains the complete current state, so a lost or late
+//! update does no harm.
 
 use crate::core::effects::outbox::Outbox;
 use crate::core::machines::machine::{Machine, Phase, TrackedAttempt};
@@ -19,26 +20,28 @@
 use crate::wire::{ReportedTask, TaskState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An update's claim to completeness: which teams it covers, as of which revision of the store.
+/// The teams whose tasks an update lists completely, and the store revision of the sender.
 struct Coverage<'a> {
     revision: Version,
     teams: &'a BTreeSet<Team>,
 }
 
 impl Coverage<'_> {
-    /// Whether the sender knew that this shard owns the team, so that its silence about a task means something.
+    /// Whether the sender knew that this shard owns the team. Only then does a task's absence from the update
+    /// mean that the task is not on the sender's machines.
     fn includes(&self, team: &Team, gained_at_revision: Version) -> bool {
         self.revision >= gained_at_revision && self.teams.contains(team)
     }
 }
 
 impl Shard {
-    /// Whether siblings have to be told of something before the next regular exchange. Asking clears it.
+    /// Returns whether siblings need an update before the next regular exchange, and clears the request.
     pub(crate) fn take_sync_soon(&mut self) -> bool {
         std::mem::take(&mut self.sync_soon)
     }
 
-    /// What this shard tells the sibling `node`. `refused`: the offers that the cloud refuses, if this process leads.
+    /// Creates this shard's update for the sibling `node`. `refused` contains the offers that the cloud
+    /// refuses; it is `None` unless this process is the leader.
     pub fn peer_update_for(
         &self,
         node: &Node,
@@ -50,7 +53,7 @@
         let owners = store.owners().teams.iter();
         let their_teams = owners.filter(|(_, owner)| owner.node == *node);
         let their_teams: BTreeSet<&Team> = their_teams.map(|(team, _)| team).collect();
-        let reported = self.machines_reported_to(node, store);
+        let reported = self.machines_to_report(node, store);
         let reconciled = reported
             .iter()
             .map(|machine| (machine.id.clone(), machine.token));
@@ -59,10 +62,10 @@
             .filter_map(|machine| observation(machine, &their_teams));
         PeerUpdate {
             revision: store.revision(),
-            listening: self.listening(),
+            listening: self.needs_observations(),
             reconciled: reconciled.collect(),
             observations: observations.collect(),
-            commands: self.commands_for(node, store),
+            commands: self.create_commands_for(node, store),
             demand: self.demand.clone(),
             refused,
             images,
@@ -71,25 +74,26 @@
         }
     }
 
-    /// Owned machines of which everything is known, if the sibling listens.
-    fn machines_reported_to(&self, node: &Node, store: &StoreReplica) -> Vec<&Machine> {
+    /// Returns the owned machines whose tasks are completely known, or none if the sibling does not need
+    /// observations.
+    fn machines_to_report(&self, node: &Node, store: &StoreReplica) -> Vec<&Machine> {
         if !self.listeners.contains(node) {
             return Vec::new();
         }
-        let is_known = |machine: &&Machine| {
-            machine.is_owned && machine.reconciled() && all_tasks_are_known(machine, store)
+        let is_reportable = |machine: &&Machine| {
+            machine.is_owned && machine.reconciled() && has_only_known_tasks(machine, store)
         };
-        self.machines.values().filter(is_known).collect()
+        self.machines.values().filter(is_reportable).collect()
     }
 
-    /// Stops and forgets for the attempts of this shard's teams on the sibling's machines.
-    fn commands_for(&self, node: &Node, store: &StoreReplica) -> Vec<TaskCommand> {
-        let is_theirs = |machine: &&Machine| {
+    /// Creates the stop and forget commands for attempts of this shard's teams on the sibling's machines.
+    fn create_commands_for(&self, node: &Node, store: &StoreReplica) -> Vec<TaskCommand> {
+        let is_owned_by_sibling = |machine: &&Machine| {
             let owner = store.owners().machines.get(&machine.id);
             !machine.is_owned && owner.is_some_and(|owner| owner.node == *node)
         };
         let mut commands = Vec::new();
-        for machine in self.machines.values().filter(is_theirs) {
+        for machine in self.machines.values().filter(is_owned_by_sibling) {
             for ((task, attempt), tracked) in &machine.attempts {
                 if tracked.stop.is_some() || tracked.may_forget {
                     commands.push(TaskCommand {
@@ -105,7 +109,7 @@
         commands
     }
 
-    /// The images on each owned machine.
+    /// Returns the images on each owned machine.
     pub fn images_on_owned_machines(&self) -> ImageHints {
         let owned = self.machines.values().filter(|machine| machine.is_owned);
         owned
@@ -113,23 +117,25 @@
             .collect()
     }
 
-    /// The images on all machines, others' as far as siblings have told.
+    /// Returns the images on all machines. Those on other shards' machines are known only if siblings
+    /// reported them.
     pub fn images_on_all_machines(&self) -> ImageHints {
         let mut known = self.image_hints.clone();
         known.extend(self.images_on_owned_machines());
         known
     }
 
-    /// Whether this shard waits for observations, or follows tasks on others' machines.
-    fn listening(&self) -> bool {
-        let follows_others = || {
+    /// Whether this shard needs observations: one of its teams is not reconciled, or it tracks attempts on
+    /// machines of other shards.
+    fn needs_observations(&self) -> bool {
+        let tracks_other_machines = || {
             let mut machines = self.machines.values();
             machines.any(|machine| !machine.is_owned && !machine.attempts.is_empty())
         };
-        self.teams.values().any(|team| !team.is_reconciled()) || follows_others()
+        self.teams.values().any(|team| !team.is_reconciled()) || tracks_other_machines()
     }
 
-    /// Adopts the update of a sibling's process.
+    /// Applies an update from the process `incarnation` of the sibling `from`.
     pub fn apply_peer_update(
         &mut self,
         outbox: &mut Outbox,
@@ -148,9 +154,9 @@
         }
         self.image_hints.extend(update.images);
         let sender = ProcessId::new(from.clone(), incarnation);
-        self.release_from(&sender, update.revision, outbox.now);
+        self.release_previous_owner(&sender, update.revision, outbox.now);
         for command in std::mem::take(&mut update.commands) {
-            self.carry_out(store, from, command);
+            self.apply_command(store, from, command);
         }
         let coverage = Coverage {
             revision: update.revision,
@@ -162,18 +168,19 @@
             .map(|observation| (observation.machine.clone(), observation))
             .collect();
         for (id, token) in update.reconciled {
-            // What a former owner says, or what is said under an earlier token, does not count.
+            // An observation by a previous owner or under an earlier token is outdated.
             let is_current =
                 |owner: &ShardOwner| owner.is(from, incarnation) && owner.token == token;
             if store.owners().machines.get(&id).is_some_and(is_current) {
                 let observation = observations.remove(&id);
-                self.take_observation(outbox, store, &id, token, &coverage, observation);
+                self.apply_observation(outbox, store, &id, token, &coverage, observation);
             }
         }
     }
 
-    /// A previous owner that has read the change of the map does not answer its former machines any more.
-    fn release_from(&mut self, sender: &ProcessId, revision: Version, now: Time) {
+    /// Marks machines as released by their previous owner if that owner's update shows that it has read the
+    /// change of the map. From then on it no longer answers them.
+    fn release_previous_owner(&mut self, sender: &ProcessId, revision: Version, now: Time) {
         for machine in self.machines.values_mut() {
             let is_previous_owner = machine.previous_owner.as_ref() == Some(sender);
             if is_previous_owner && revision >= machine.owned_since_revision {
@@ -182,8 +189,9 @@
         }
     }
 
-    /// A sibling's machine is reconciled: exactly these tasks of this shard's teams may run on it.
-    fn take_observation(
+    /// Applies the observation of a sibling's reconciled machine: of the teams that the update covers, only
+    /// the observed tasks may run on it. Without an observation, none of them does.
+    fn apply_observation(
         &mut self,
         outbox: &mut Outbox,
         store: &StoreReplica,
@@ -194,7 +202,7 @@
     ) {
         let now = outbox.now;
         if observation.is_none() && !self.machines.contains_key(id) {
-            return self.reconciled_elsewhere(id, coverage);
+            return self.mark_reconciled(id, coverage);
         }
         let machine = self
             .machines
@@ -203,13 +211,13 @@
         if machine.is_owned {
             return;
         }
-        // The machine has shown its owner's token, or its agent epoch is over.
+        // The machine has confirmed its owner's token, or its agent epoch has ended.
         self.starts_in_flight.shown(id, token, 0);
         let shown = match observation {
-            Some(observation) => self.take_observed_tasks(outbox, store, id, observation),
+            Some(observation) => self.apply_observed_tasks(outbox, store, id, observation),
             None => BTreeSet::new(),
         };
-        let Some(missing) = self.attempts_not_shown(id, &shown, coverage) else {
+        let Some(missing) = self.find_missing_attempts(id, &shown, coverage) else {
             return;
         };
         for (task, attempt) in missing {
@@ -219,11 +227,11 @@
         if self.machines.get(id).is_some_and(is_irrelevant) {
             self.machines.remove(id);
         }
-        self.reconciled_elsewhere(id, coverage);
+        self.mark_reconciled(id, coverage);
     }
 
-    /// Reconciles each observed task. Returns the attempts that were shown.
-    fn take_observed_tasks(
+    /// Applies each observed task. Returns the observed attempts.
+    fn apply_observed_tasks(
         &mut self,
         outbox: &mut Outbox,
         store: &StoreReplica,
@@ -243,9 +251,10 @@
         shown
     }
 
-    /// Attempts that the sender would have shown if they were on the machine. Nothing that was sent before the machine
-    /// changed hands can arrive any more, since its token has risen. None if the machine is not known any more.
-    fn attempts_not_shown(
+    /// Returns the tracked attempts that the sender would have reported if they were on the machine. Start
+    /// commands that were sent before the machine's owner changed can no longer take effect, since the
+    /// machine's token has increased. Returns `None` if the machine is no longer known.
+    fn find_missing_attempts(
         &self,
         id: &MachineId,
         shown: &BTreeSet<(TaskId, Attempt)>,
@@ -267,8 +276,8 @@
         Some(missing.collect())
     }
 
-    /// No team that the update covers has to wait for this machine any more.
-    fn reconciled_elsewhere(&mut self, id: &MachineId, coverage: &Coverage) {
+    /// Marks the machine as reconciled for every owned team that the update covers.
+    fn mark_reconciled(&mut self, id: &MachineId, coverage: &Coverage) {
         for (name, owned) in &mut self.teams {
             if coverage.includes(name, owned.gained_at_revision) {
                 owned.unreconciled.remove(id);
@@ -276,8 +285,9 @@
         }
     }
 
-    /// Carries out what a team's owner wants of one of the team's tasks on an owned machine.
-    fn carry_out(&mut self, store: &StoreReplica, from: &Node, command: TaskCommand) {
+    /// Applies a sibling's stop or forget command to an attempt on an owned machine, if the sibling owns the
+    /// attempt's team.
+    fn apply_command(&mut self, store: &StoreReplica, from: &Node, command: TaskCommand) {
         let Some(task) = TaskId::parse(&command.task) else {
             return;
         };
@@ -303,9 +313,9 @@
     }
 }
 
-/// The tasks of these teams on a machine; None if there are none.
+/// Creates the observation of a machine's tasks that belong to `teams`. Returns `None` if there are none.
 fn observation(machine: &Machine, teams: &BTreeSet<&Team>) -> Option<TaskObservation> {
-    let tasks = tasks_of(machine, teams);
+    let tasks = reported_tasks(machine, teams);
     (!tasks.is_empty()).then(|| TaskObservation {
         machine: machine.id.clone(),
         token: machine.token,
@@ -314,10 +324,10 @@
     })
 }
 
-/// Whether the team of every task on the machine is known. A leader owns a machine by its own write before it has read
-/// the jobs that were written earlier. It can't report a task whose team it does not know, and the team's owner would
-/// conclude that the task is not there.
-fn all_tasks_are_known(machine: &Machine, store: &StoreReplica) -> bool {
+/// Whether the machine has no task of an unfinished job whose team is unknown. A leader that assigns a
+/// machine to itself owns it before it has read the jobs that were written earlier. It cannot report a task
+/// whose team it does not know, and the team's owner would conclude that the task is not on the machine.
+fn has_only_known_tasks(machine: &Machine, store: &StoreReplica) -> bool {
     machine.attempts.iter().all(|((task, _), tracked)| {
         let is_final = || {
             let job = store.job(&task.job);
@@ -327,7 +337,7 @@
     })
 }
 
-fn tasks_of(machine: &Machine, teams: &BTreeSet<&Team>) -> Vec<ReportedTask> {
+fn reported_tasks(machine: &Machine, teams: &BTreeSet<&Team>) -> Vec<ReportedTask> {
     let is_of_teams = |tracked: &TrackedAttempt| {
         let team = tracked.team.as_ref();
         team.is_some_and(|team| teams.contains(team))
@@ -340,16 +350,16 @@
 }
 
 fn reported_task(task: &TaskId, attempt: Attempt, tracked: &TrackedAttempt) -> ReportedTask {
-    let (state, why) = match tracked.phase {
+    let (state, exit) = match tracked.phase {
         Phase::Issued => (TaskState::Fetching, None),
         Phase::Seen(state) => (state, None),
-        Phase::Exited(why) => (TaskState::Exited, Some(why)),
+        Phase::Exited(exit) => (TaskState::Exited, Some(exit)),
     };
     ReportedTask {
         task: task.to_string(),
         attempt,
         state,
-        exit: why,
+        exit,
         checkpointed: None,
     }
 }
--- a/src/core/shard/usage.rs
+++ b/src/core/shard/usage.rs
@@ -1,4 +1,4 @@
-//! How much of its quota each team may be using: everything that may be on a machine.
+//! Upper bound on the resources that each team may be using. Every task that may be on a machine is counted.
 
 use crate::core::scheduling::usage::Usage;
 use crate::core::shard::{OwnedTeam, Shard};
@@ -7,21 +7,21 @@
 use crate::ids::{JobId, Team};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Times `cancel_s` after which no task of a cancelled job can be left: once for its tasks to stop, and
-/// once more for differing clocks and transactions that are carried out late.
-const CANCELLED_JOB_CANCEL_TIMES: f64 = 2.0;
+/// Time after which no task of a cancelled job can be left, in multiples of `cancel_s`: one for the tasks to
+/// stop, and one for clock differences and transactions that the store executes late.
+const CANCEL_TIMES_PER_CANCELLED_JOB: f64 = 2.0;
 
 /// Milliseconds per second.
 const MS_PER_S: f64 = 1e3;
 
 impl Shard {
-    /// Resources of this shard's teams on all machines, and what may be on machines that have not reported
-    /// their tasks. `wall_ms` is the wall-clock time in milliseconds.
+    /// Computes the resources that this shard's teams may be using, including on machines that have not
+    /// reported their tasks. `wall_ms` is the wall-clock time in milliseconds.
     pub(crate) fn usage(&self, store: &StoreReplica, wall_ms: u64) -> Usage {
         let mut usage = Usage::default();
         self.add_attempts(&mut usage);
-        self.add_unreconciled(&mut usage);
-        self.add_cancelled(store, wall_ms, &mut usage);
+        self.add_unreconciled_tasks(&mut usage);
+        self.add_cancelled_jobs(store, wall_ms, &mut usage);
         for team_limits in &self.config.deployment.teams {
             let team = self.teams.get(&team_limits.name);
             if let Some(grant) = team.and_then(|team| team.grant.as_ref()) {
@@ -31,7 +31,7 @@
         usage
     }
 
-    /// Adds the live attempts on all machines.
+    /// Adds the attempts on all machines that have not exited.
     fn add_attempts(&self, usage: &mut Usage) {
         let mut has_attempt_of_unknown_team = false;
         let attempts = self.machines.values().flat_map(|machine| &machine.attempts);
@@ -43,7 +43,8 @@
                 (Some(resources), Some(team)) => {
                     usage.add_inherited(team, resources.cpus, resources.gpus);
                 }
-                // A task of a finished job whose record does not name its team.
+                // With `may_forget`, the attempt belongs to a finished job whose record does not name its
+                // team. Any team may be using its resources.
                 (_, None) => has_attempt_of_unknown_team |= tracked.may_forget,
                 (None, Some(_)) => {}
             }
@@ -53,18 +54,18 @@
         }
     }
 
-    /// Adds tasks of running jobs that may be on machines that have not reported.
-    fn add_unreconciled(&self, usage: &mut Usage) {
+    /// Adds tasks of unfinished jobs that may be on machines that have not reported their tasks.
+    fn add_unreconciled_tasks(&self, usage: &mut Usage) {
         for job in self.jobs.values().filter(|job| job.unreconciled() > 0) {
             let tasks = f64::from(job.unreconciled());
             usage.add_inherited(&job.spec.team, job.spec.cpus * tasks, job.spec.gpus * tasks);
         }
     }
 
-    /// Adds tasks of cancelled jobs that may be on machines that have not reported. Such tasks run on where
-    /// the stop has not arrived, so a team's new owner has to count them until every machine has
-    /// reported its tasks.
-    fn add_cancelled(&self, store: &StoreReplica, wall_ms: u64, usage: &mut Usage) {
+    /// Adds tasks of cancelled jobs that may be on machines that have not reported their tasks. Such a task
+    /// keeps running until the stop command arrives, so a team's new owner counts it until every machine has
+    /// reported.
+    fn add_cancelled_jobs(&self, store: &StoreReplica, wall_ms: u64, usage: &mut Usage) {
         let unreconciled: Vec<(&Team, &OwnedTeam)> = self
             .teams
             .iter()
@@ -73,7 +74,7 @@
         if unreconciled.is_empty() {
             return;
         }
-        let tracked = self.tracked_tasks_of_cancelled();
+        let tracked = self.counted_tasks_of_cancelled_jobs();
         let recently_cancelled_ms = wall_ms.saturating_sub(self.cancelled_job_lifetime_ms());
         for (name, team) in unreconciled {
             let since = CancelledSince {
@@ -93,18 +94,18 @@
         }
     }
 
-    /// How long tasks of a cancelled job may exist, in milliseconds.
+    /// How long tasks of a cancelled job may exist after the cancellation, in milliseconds.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         reason = "a product of positive settings; the cast saturates"
     )]
     fn cancelled_job_lifetime_ms(&self) -> u64 {
-        (self.config.deployment.workers.cancel_s * CANCELLED_JOB_CANCEL_TIMES * MS_PER_S) as u64
+        (self.config.deployment.workers.cancel_s * CANCEL_TIMES_PER_CANCELLED_JOB * MS_PER_S) as u64
     }
 
-    /// The tasks of cancelled jobs that are counted as attempts on their machines.
-    fn tracked_tasks_of_cancelled(&self) -> BTreeMap<&JobId, BTreeSet<u32>> {
+    /// Returns the tasks of ended jobs that [`Self::add_attempts`] counts.
+    fn counted_tasks_of_cancelled_jobs(&self) -> BTreeMap<&JobId, BTreeSet<u32>> {
         let mut tasks: BTreeMap<&JobId, BTreeSet<u32>> = BTreeMap::new();
         let attempts = self.machines.values().flat_map(|machine| &machine.attempts);
         for ((task, _), tracked) in attempts {
