--- a/src/core/controller/acquired_machines.rs
+++ b/src/core/controller/acquired_machines.rs
@@ -1,7 +1,7 @@
-//! Inspection of machines that this controller's shard has acquired. Their workers may still wait for an
-//! answer of a process that has ended; so each machine is sent a direct message without commands at once. Its
-//! token makes everything void that was sent under an earlier one, and its answer is a heartbeat that shows
-//! the token.
+//! Inspects machines that this controller's shard has acquired. Their workers may still wait for an answer
+//! from a process that has ended, so each machine is sent a direct message without commands at once. The
+//! message's fencing token invalidates everything that was sent under an earlier token. The machine's
+//! answer is a heartbeat that shows the new token.
 
 use crate::core::Core;
 use crate::core::effects::WorkerReply;
@@ -9,7 +9,7 @@
 use crate::wire::DirectCommands;
 
 impl Core {
-    /// Inspects acquired machines, in as many messages as may be in flight at once.
+    /// Sends inspections to acquired machines until the limit on direct messages in flight is reached.
     pub(crate) fn inspect_acquired_machines(&mut self) {
         let Some(shard) = self.shard.as_mut() else {
             return;
@@ -37,7 +37,7 @@
         }
     }
 
-    /// An inspected machine has answered. Of one that has not, the next heartbeat is awaited.
+    /// Handles the reply to an inspection. If the machine did not answer, its next heartbeat is awaited.
     pub(crate) fn handle_inspection_reply(&mut self, machine_id: &MachineId, reply: WorkerReply) {
         let Some(shard) = self.shard.as_mut() else {
             return;
--- a/src/core/controller/acquired_machines/tests.rs
+++ b/src/core/controller/acquired_machines/tests.rs
@@ -9,7 +9,8 @@
 const NOW: Time = 100.0;
 const TOKEN: FencingToken = FencingToken(9);
 
-/// A controller that has acquired machine m-1, last answered at `answered`, and knows its contact.
+/// A core whose shard has acquired machine m-1, which the former owner last answered at `answered`, and
+/// which knows the machine's address and agent epoch.
 fn core_with_acquired_machine(answered: Time) -> Core {
     let mut core = running_core(2, NOW);
     let id = MachineId::from("m-1");
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn an_acquired_machine_is_inspected_at_once_and_reconciled_by_its_answer() {
+fn acquired_machine_is_inspected_at_once_and_reconciled_by_its_answer() {
     let mut core = core_with_acquired_machine(NOW);
     let commands = DirectCommands {
         token: TOKEN,
@@ -51,10 +52,13 @@
         commands: Vec::new(),
     };
     assert_eq!(inspections(&mut core), [("10.0.0.1:9000".into(), commands)]);
-    assert_eq!(inspections(&mut core), [], "once");
+    assert_eq!(inspections(&mut core), [], "it is inspected only once");
     let earlier = heartbeat("m-1", 1, 7, FencingToken(8));
     core.handle_inspection_reply(&"m-1".into(), WorkerReply::Executed(earlier));
-    assert!(!machine(&core).reconciled(), "it has not shown the token");
+    assert!(
+        !machine(&core).reconciled(),
+        "its answer does not show the new token"
+    );
     core.handle_inspection_reply(
         &"m-1".into(),
         WorkerReply::Executed(heartbeat("m-1", 1, 8, TOKEN)),
@@ -63,7 +67,7 @@
 }
 
 #[test]
-fn a_machine_whose_agent_epoch_has_advanced_is_inspected_once_more() {
+fn machine_whose_agent_epoch_has_advanced_is_inspected_again() {
     let mut core = core_with_acquired_machine(NOW);
     inspections(&mut core);
     let fenced = || WorkerReply::Fenced(heartbeat("m-1", 4, 1, FencingToken(8)));
@@ -73,15 +77,15 @@
     assert_eq!(
         inspections(&mut core),
         [],
-        "the same epoch again proves nothing new"
+        "the epoch has not advanced again"
     );
 }
 
-/// The former owner has not answered the machine for nearly a lease, and its worker has just begun a new
-/// agent epoch. If the new owner took that for over a moment later, it would start the machine's tasks
-/// elsewhere while they run.
+/// The former owner has not answered the machine for nearly a lease, and the worker has just begun a new
+/// agent epoch. If the new owner considered that epoch over when the lease expires, it would start the
+/// machine's tasks elsewhere while they still run.
 #[test]
-fn an_agent_epoch_that_has_just_begun_does_not_end_with_the_one_before() {
+fn new_agent_epoch_does_not_end_with_the_previous_one() {
     let lease = running_core(2, NOW).config.deployment.workers.lease_s;
     let mut core = core_with_acquired_machine(NOW - lease);
     core.handle_inspection_reply(
@@ -95,7 +99,7 @@
 }
 
 #[test]
-fn an_answer_of_an_agent_epoch_that_is_over_changes_nothing() {
+fn answer_from_an_ended_agent_epoch_changes_nothing() {
     let mut core = core_with_acquired_machine(NOW);
     let shard = core.shard.as_mut().unwrap();
     let gone = shard.machines.get_mut(&MachineId::from("m-1")).unwrap();
@@ -112,7 +116,7 @@
 }
 
 #[test]
-fn without_the_feature_no_machine_is_inspected() {
+fn no_machine_is_inspected_when_failure_detection_is_off() {
     let mut core = core_with_acquired_machine(NOW);
     let mut config = (*core.config).clone();
     config.features = crate::features::Features::default();
--- a/src/core/controller/deferred_heartbeats.rs
+++ b/src/core/controller/deferred_heartbeats.rs
@@ -1,6 +1,7 @@
-//! Heartbeats whose answers wait for a change of the shard map, since their machines are about to have another
-//! owner. A worker that is sent to an owner that does not answer waits there for seconds of its lease; so
-//! its heartbeat is kept here for a moment instead, and it is then sent to a controller that answers.
+//! Defers heartbeats until the shard map has changed, because their machines are about to get another
+//! owner. A worker that is sent to an owner that does not answer would wait there for seconds of its lease.
+//! Instead, its heartbeat is kept here for less than one heartbeat interval, and is then answered or
+//! redirected.
 
 use crate::config::Config;
 use crate::core::Core;
@@ -11,47 +12,49 @@
 use crate::wire::Heartbeat;
 use failure_detector::Stage;
 
-/// Part of a heartbeat interval for which the heartbeat of a claimed machine is deferred. If the machine is
-/// not owned here by then, its worker tries another controller.
+/// Time for which the heartbeat of a claimed machine is deferred, in heartbeat intervals. If this
+/// controller does not own the machine by then, the worker tries another controller.
 const CLAIM_WAIT_HEARTBEATS: f64 = 0.4;
 
-/// Part of a heartbeat interval for which the heartbeat of a machine whose owner has failed is deferred.
+/// Time for which the heartbeat of a machine that awaits another owner is deferred, in heartbeat intervals.
 const OWNER_CHANGE_WAIT_HEARTBEATS: f64 = 0.7;
 
-/// Heartbeats deferred at once at most, as a part of the limit on sockets.
+/// Greatest number of deferred heartbeats, as a part of the limit on file descriptors.
 const DEFERRED_PER_SOCKET: f64 = 0.25;
 
-/// What a heartbeat waits for.
+/// The event that a deferred heartbeat awaits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeferralReason {
-    /// The machine is claimed, and will be owned by this controller.
+    /// This controller has claimed the machine, and the shard map is to make it the owner.
     Claim,
-    /// The machine's owner has failed, and the next one is not known yet. The failed one may answer again.
+    /// The machine's owner has failed. Either another owner takes over, or the present one answers again.
     Failover,
-    /// The machine's owner does not answer its heartbeats any more, or has lost the machine: the shard map
-    /// must name another owner.
+    /// The machine's owner no longer answers its heartbeats, or has lost the machine. The shard map must name
+    /// another owner or a new token.
     MapChange,
 }
 
-/// A heartbeat that is answered once the shard map has changed.
+/// A heartbeat whose answer is deferred, with the state that was known when it was received.
 struct DeferredHeartbeat {
     request: RequestId,
     heartbeat: Heartbeat,
-    /// The owner of the machine when the heartbeat was received.
+    /// The machine's owner and its token when the heartbeat was received.
     owner: ShardOwner,
     reason: DeferralReason,
+    /// When the worker is sent to another controller if nothing has changed.
     until: Time,
 }
 
-/// All heartbeats that are deferred.
+/// The heartbeats that this controller defers, and the limit on their number.
 pub struct DeferredHeartbeats {
     heartbeats: Vec<DeferredHeartbeat>,
     limit: usize,
+    /// Seconds between two heartbeats of a worker.
     interval_s: Time,
 }
 
 impl DeferredHeartbeats {
-    /// No heartbeat is deferred yet.
+    /// Creates an empty collection. Its limit depends on the settings.
     pub fn new(config: &Config) -> Self {
         let deployment = &config.deployment;
         let sockets = deployment.limits.fd_limit as f64;
@@ -67,12 +70,12 @@
         }
     }
 
-    /// Whether no further heartbeat may be deferred.
+    /// Whether the limit is reached, so that no further heartbeat may be deferred.
     pub fn is_full(&self) -> bool {
         self.heartbeats.len() >= self.limit
     }
 
-    /// Seconds for which a heartbeat is deferred.
+    /// Seconds for which a heartbeat with this reason is deferred.
     fn wait_s(&self, reason: DeferralReason) -> Time {
         let intervals = match reason {
             DeferralReason::Claim => CLAIM_WAIT_HEARTBEATS,
@@ -82,22 +85,22 @@
     }
 }
 
-/// What is to be done with a deferred heartbeat now.
+/// The action that is due for a deferred heartbeat.
 enum Disposition {
-    /// It stays deferred.
+    /// Keep it deferred.
     Wait,
-    /// Its machine is owned here: it is answered.
+    /// Answer it, because this controller owns its machine.
     Answer,
-    /// Its machine has an owner that answers: its worker is sent there.
+    /// Redirect its worker to the machine's owner, which answers workers.
     Redirect(Node),
-    /// Its owner, which its worker does not reach, has a new token for the machine: it is routed again.
+    /// Route it again, because the owner, which its worker cannot reach, has a new token for the machine.
     RouteAgain,
-    /// Its time is over: its worker tries another controller.
+    /// Send its worker to another controller, because the time limit has passed.
     GiveUp,
 }
 
 impl Core {
-    /// Keeps a heartbeat until the shard map has changed.
+    /// Defers a heartbeat until the shard map has changed, and requests a sync with the store.
     pub(super) fn defer_heartbeat(
         &mut self,
         request: RequestId,
@@ -116,7 +119,7 @@
         self.store.want_sync();
     }
 
-    /// Answers the heartbeats of machines that are owned here now, and sends workers on whose time is over.
+    /// Takes the action that is due for each deferred heartbeat.
     pub(crate) fn answer_deferred_heartbeats(&mut self) {
         for deferred in std::mem::take(&mut self.deferred_heartbeats.heartbeats) {
             match self.disposition(&deferred) {
@@ -153,7 +156,7 @@
         }
     }
 
-    /// Whether this controller may answer the heartbeats of its machines.
+    /// Whether this controller has a shard and may act as its owner.
     fn may_answer(&self) -> bool {
         self.shard.is_some() && self.ownership.holds_lease(self.outbox.now)
     }
@@ -185,7 +188,8 @@
         }
     }
 
-    /// Sends a worker to the next controller that answers, instead of one that would keep it waiting.
+    /// Redirects a worker to the next controller by name that answers siblings and can serve workers,
+    /// starting over from the first name. If there is none, answers that this controller is unavailable.
     pub(super) fn redirect_to_reachable(&mut self, request: RequestId) {
         let now = self.outbox.now;
         let serves = |node: &&Node| self.can_serve(node);
@@ -204,8 +208,8 @@
     }
 }
 
-/// What is to be done with a deferred heartbeat whose machine has this owner, which answers; None if that
-/// owner is not what the heartbeat waits for.
+/// The action for a deferred heartbeat whose machine has `owner`, which answers workers. None if the
+/// heartbeat must wait for another change.
 fn route_to_new_owner(owner: &ShardOwner, deferred: &DeferredHeartbeat) -> Option<Disposition> {
     let before = &deferred.owner;
     match deferred.reason {
--- a/src/core/controller/deferred_heartbeats/tests.rs
+++ b/src/core/controller/deferred_heartbeats/tests.rs
@@ -14,7 +14,8 @@
     }
 }
 
-/// n0 owns m-1; it answered until a second after the start, the others still do.
+/// A core whose sibling n0, the owner of m-1, stops answering one second after the start. `after` seconds
+/// have passed since then, during which n2 still answers.
 fn core_whose_sibling_fails(after: Time) -> Core {
     let mut core = running_core(2, START);
     map(&mut core.store, 30, vec![shard_with_machine(owner("n0"))]);
@@ -27,7 +28,8 @@
     core
 }
 
-/// Statuses of the answers to workers, and where they are redirected.
+/// Takes the effects, and returns the status of each answer to a worker and the controller that it
+/// redirects to.
 fn answers(core: &mut Core) -> Vec<(u16, Option<String>)> {
     let effects = core.outbox.take_effects();
     let answers = effects.into_iter().filter_map(|effect| match effect {
@@ -49,8 +51,9 @@
     core.receive_heartbeat(RequestId(1), heartbeat("m-1", 1, 5, token));
 }
 
-/// The worker's heartbeat is deferred until the shard map names n2.
-fn assert_sent_to_the_next_owner(mut core: Core) {
+/// Asserts that the worker's heartbeat is deferred until the shard map names n2, and is then redirected
+/// there.
+fn assert_deferred_until_next_owner(mut core: Core) {
     core.answer_deferred_heartbeats();
     assert_eq!(answers(&mut core), []);
     map(
@@ -66,15 +69,15 @@
 }
 
 #[test]
-fn a_worker_is_redirected_to_an_owner_that_answers() {
+fn worker_is_redirected_to_an_owner_that_answers() {
     let mut core = core_whose_sibling_fails(0.0);
     worker_sends_heartbeat(&mut core, FencingToken(3));
     assert_eq!(answers(&mut core), [(421, Some("n0".into()))]);
 }
 
-/// At the silent owner it would wait for 4 s of its lease.
+/// A worker that is redirected to the silent owner would wait there for 4 s of its lease.
 #[test]
-fn a_worker_that_left_a_silent_owner_is_deferred_and_redirected_to_the_next_owner() {
+fn worker_from_a_silent_owner_is_deferred_and_redirected_to_the_next_owner() {
     let mut core = core_whose_sibling_fails(2.5);
     core.store.apply_write(
         &crate::wire::Write::Delete {
@@ -83,11 +86,11 @@
         31,
     );
     worker_sends_heartbeat(&mut core, FencingToken(9));
-    assert_sent_to_the_next_owner(core);
+    assert_deferred_until_next_owner(core);
 }
 
 #[test]
-fn without_a_new_owner_a_deferred_worker_is_redirected_to_a_sibling_that_answers() {
+fn deferred_worker_is_redirected_to_a_sibling_that_answers_if_no_new_owner_appears() {
     let mut core = core_whose_sibling_fails(2.5);
     core.store.apply_write(
         &crate::wire::Write::Delete {
@@ -102,18 +105,18 @@
     assert_eq!(answers(&mut core), [(421, Some("n2".into()))]);
 }
 
-/// The shard map that is known here is older than what the worker has seen.
+/// The worker's later token shows that this controller's copy of the shard map is stale.
 #[test]
-fn a_worker_that_has_seen_a_later_token_is_not_redirected_by_the_old_shard_map() {
+fn worker_with_a_later_token_is_not_redirected_by_a_stale_shard_map() {
     let mut core = core_whose_sibling_fails(0.0);
     worker_sends_heartbeat(&mut core, FencingToken(10));
-    assert_sent_to_the_next_owner(core);
+    assert_deferred_until_next_owner(core);
 }
 
-/// An owner that does not answer a machine under its present token gets a new one. A worker that can't reach the
-/// owner must not be redirected there, where it would wait for 4 s.
+/// An owner that does not answer a machine under its present token gets a new token. A worker that can't
+/// reach the owner must not be redirected there, because it would wait for 4 s.
 #[test]
-fn a_heartbeat_is_relayed_again_once_its_owner_has_a_new_token() {
+fn deferred_heartbeat_is_relayed_again_once_its_owner_has_a_new_token() {
     let mut core = core_whose_sibling_fails(0.0);
     core.relays.mark_relayed(&"m-1".into(), core.outbox.now);
     core.finish_heartbeat_relay(
@@ -138,9 +141,10 @@
     assert!(effects.iter().any(relayed), "{effects:?}");
 }
 
-/// A controller that gave up its registration since no worker reached it would keep a worker waiting for 4 s.
+/// A controller that has ended its registration because no worker reached it would keep a worker waiting
+/// for 4 s.
 #[test]
-fn no_worker_is_redirected_to_a_sibling_that_is_not_registered() {
+fn worker_is_not_redirected_to_an_unregistered_sibling() {
     let mut core = core_whose_sibling_fails(2.5);
     for key in ["ochredrum/node/n0", "ochredrum/node/n2"] {
         core.store
@@ -151,7 +155,7 @@
 }
 
 #[test]
-fn a_controller_without_the_store_redirects_workers_to_one_with_it() {
+fn controller_that_cannot_read_the_store_redirects_workers_to_one_that_can() {
     let mut core = core_whose_sibling_fails(0.0);
     let now = core.outbox.now;
     answered_until(&mut core, &["n0", "n2"], now, now + 5.0);
@@ -160,7 +164,7 @@
 }
 
 #[test]
-fn the_number_of_deferred_heartbeats_is_bounded() {
+fn number_of_deferred_heartbeats_is_limited() {
     let mut core = core_whose_sibling_fails(2.5);
     core.store.apply_write(
         &crate::wire::Write::Delete {
@@ -178,6 +182,6 @@
     assert_eq!(
         answers(&mut core),
         [(421, Some("n2".into()))],
-        "the rest is redirected at once"
+        "the heartbeat beyond the limit is redirected at once"
     );
 }
--- a/src/core/controller/failure_detection.rs
+++ b/src/core/controller/failure_detection.rs
@@ -1,7 +1,7 @@
 //! Acts on failures of siblings and on partial failures of this controller.
 //!
-//! The [`failure_detector`] judges the siblings; here it is given its evidence, and its findings are
-//! acted on:
+//! The [`failure_detector`] assigns each sibling a stage. This module passes evidence to it and acts on the
+//! stages:
 //!
 //! - Suspicion alone changes no ownership. Workers are not redirected to a suspected sibling
 //!   ([`crate::core::controller::heartbeat_routing`]).
@@ -9,8 +9,8 @@
 //!   That is safe at any time, since each write of the shard map has that key as a precondition
 //!   (link 2 of the safety argument).
 //! - A shard is failed over only as link 1 of that argument allows. A controller that has partially
-//!   failed ends its own ownership, so that its lease need not expire first: it steps down, and its
-//!   lease is ended, by itself or, if the store refuses its calls, by a sibling.
+//!   failed steps down, so that the failover need not wait until its lease expires. The controller ends the
+//!   lease itself. If the store refuses its calls, a sibling ends the lease.
 
 use crate::core::Core;
 use crate::core::controller::ownership::StepDownReason;
@@ -22,34 +22,36 @@
 use failure_detector::{Evidence, OwnContact, PartialFailure, Stage, StageChange};
 use std::collections::BTreeSet;
 
-/// Part of the lease's lifetime by which a sibling's contact with the store has to be later than this
-/// controller's own, to show that the store answers siblings.
+/// Part of the ownership lease's lifetime by which a sibling's last contact with the store has to be later
+/// than this controller's own. Only such a contact shows that the store serves siblings but not this
+/// controller.
 const LATER_CONTACT_TTLS: f64 = 0.1;
 
-/// Worker leases between two checks of this controller for a partial failure. A check may look at all
-/// machines of the shard.
+/// Interval between two checks of this controller for a partial failure, in worker leases. A check may
+/// examine all machines of the shard, so it does not run on every step.
 const SELF_CHECK_LEASES: f64 = 0.005;
 
-/// Intervals between heartbeats within which a heartbeat that a sibling relayed is recent.
+/// Time for which a heartbeat that a sibling relayed counts as recent, in intervals between heartbeats.
 const RECENT_RELAY_INTERVALS: f64 = 2.0;
 
-/// Lifetimes of the lease after which the key of a process that has ended is gone: one since the last
-/// renewal, and some more since it answered a hello before its last renewal.
+/// Time after the last answer of a process that has ended until its key is gone, in lifetimes of the
+/// ownership lease. It is more than one, because the last renewal may be later than the last answer.
 const LEASE_EXPIRY_TTLS: f64 = 1.2;
 
-/// Worker leases for which an abandoned lease is reported to siblings.
+/// Time for which an abandoned lease is reported to siblings, in worker leases.
 const ABANDONED_LEASE_REPORT_LEASES: f64 = 2.0;
 
-/// Worker leases for which a controller that workers do not reach requests no lease.
+/// Time for which a controller that workers cannot reach requests no ownership lease, in worker leases.
 const UNREACHABLE_PAUSE_LEASES: f64 = 2.0;
 
 impl Core {
-    /// Whether this controller acts on failures that are detected.
+    /// Whether this controller takes part in failure detection and acts on the failures found. This is a
+    /// feature setting.
     pub(crate) fn acts_on_failures(&self) -> bool {
         self.config.features.acts_on_failures()
     }
 
-    /// Updates the stage of every sibling by the evidence that there is now.
+    /// Updates the stage of every sibling from the present evidence, and logs each change.
     pub(crate) fn update_sibling_stages(&mut self) {
         self.add_store_evidence();
         for change in self.peers.detector_mut().judge(self.outbox.now) {
@@ -60,8 +62,7 @@
         }
     }
 
-    /// Adds what the store shows of the siblings: whether they have keys, and whether the shard map
-    /// names them.
+    /// Adds evidence from the store: which siblings have no key, and which own nothing in the shard map.
     fn add_store_evidence(&mut self) {
         if !self.store.complete() {
             return;
@@ -81,14 +82,14 @@
         }
     }
 
-    /// The controllers that own at least one team or machine.
+    /// The controllers that own at least one team or machine in the shard map.
     fn owning_nodes(&self) -> BTreeSet<Node> {
         let processes = self.store.owners().owning_processes().into_iter();
         processes.map(|process| process.node).collect()
     }
 
-    /// Whether the lease that this controller's previous incarnation abandoned need not be reported
-    /// to siblings any more.
+    /// Whether reports to siblings may omit the lease that this controller's previous incarnation abandoned:
+    /// the key attached to it is gone, or it has been reported for long enough.
     fn abandoned_lease_is_settled(&self) -> bool {
         let Some((abandoned, since)) = self.detection.abandoned_lease() else {
             return false;
@@ -100,8 +101,7 @@
         (key_is_gone && self.reads_store()) || self.outbox.now - since > report_for
     }
 
-    /// The findings that this controller sends to siblings; none if it takes no part in failure
-    /// detection.
+    /// The report that this controller sends to siblings. None if it takes no part in failure detection.
     pub(crate) fn detection_report(&self) -> Option<DetectionReport> {
         let now = self.outbox.now;
         self.acts_on_failures().then(|| DetectionReport {
@@ -114,7 +114,7 @@
         })
     }
 
-    /// Applies the findings of a sibling's process.
+    /// Passes a sibling's opinions to the detector, and ends the lease that the sibling reports as abandoned.
     pub(crate) fn apply_detection_report(&mut self, from: &ProcessId, report: DetectionReport) {
         if !self.acts_on_failures() {
             return;
@@ -130,7 +130,8 @@
         }
     }
 
-    /// Ends the lease of a sibling's process that has stepped down but could not end it, once.
+    /// Ends the lease of a sibling's process that stepped down but could not end it. Repeated reports of
+    /// the same lease are ignored.
     fn end_abandoned_lease(&mut self, of: &Node, abandoned: &AbandonedLease) {
         let lease = abandoned.lease;
         let is_registered = self.store.node(of).is_some_and(|stored| {
@@ -145,8 +146,8 @@
         self.store.want_sync();
     }
 
-    /// Steps down if this controller has lost contact with workers or the store while others have it:
-    /// another owner can then do more for its shard.
+    /// Steps down if this controller has lost contact with workers or the store while siblings still have
+    /// it, so that a sibling can serve the shard.
     pub(crate) fn step_down_on_partial_failure(&mut self, lease: u64) {
         let now = self.outbox.now;
         let worker_lease = self.config.deployment.workers.lease_s;
@@ -173,7 +174,7 @@
         self.peers.send_hellos_soon(now);
     }
 
-    /// This controller's own contact with workers and the store, compared with that of its siblings.
+    /// This controller's contact with workers and the store, and that of its siblings for comparison.
     fn own_contact(&self) -> OwnContact {
         let workers = &self.config.deployment.workers;
         let mut contact = OwnContact {
@@ -183,7 +184,7 @@
             workers_silent_s: self.outbox.now - self.peers.last_worker_contact(),
             ..OwnContact::default()
         };
-        // This looks at all machines of the shard, so only if workers are silent.
+        // This examines all machines of the shard, so it runs only if workers are silent.
         if let Some(shard) = &self.shard
             && contact.workers_silent_s > workers.report_s
         {
@@ -215,10 +216,10 @@
         contact.others_served = self.peers.count_with_store_contact(later, now);
     }
 
-    /// Whether a renewal of the lease would keep a key alive under which this process can do nothing:
-    /// its ownership has ended, and neither the store nor any sibling is heard. Its requests may arrive
-    /// all the same, and its shard would then never be failed over. Renewals continue once it hears
-    /// the store.
+    /// Whether renewing the lease would keep the key of a process that cannot act: its ownership has ended,
+    /// and it receives nothing from the store or from any sibling. Its renewals may still reach the store,
+    /// and would then prevent the failover of its shard forever. Renewals resume once the store or a
+    /// sibling is heard.
     pub(crate) fn renewal_would_delay_failover(&self) -> bool {
         let now = self.outbox.now;
         self.acts_on_failures()
@@ -227,8 +228,8 @@
             && !self.peers.heard_any(now)
     }
 
-    /// The version of the leader's key, if the leader has failed and this controller is to take over:
-    /// of the controllers that may, the first by name does, so that they do not compete.
+    /// The version of the leader's key, if the leader has failed and this controller is to take over. Of the
+    /// controllers that could, the first by name takes over, so that they do not compete for the key.
     pub(crate) fn failed_leader_key_version(&self) -> Option<Version> {
         let leader = self.store.leader()?;
         let node = &leader.record.node;
@@ -241,7 +242,7 @@
         takes_over.then_some(leader.version)
     }
 
-    /// Whether a sibling whose name is before this controller's could lead as well.
+    /// Whether a sibling that could lead precedes this controller by name.
     fn has_preferred_successor(&self) -> bool {
         self.peers
             .nodes()
@@ -249,22 +250,23 @@
             .any(|node| self.can_serve(node))
     }
 
-    /// Whether a sibling has answered recently that it reads the store, and has a key there. One without
-    /// a key has stepped down: workers may not reach it.
+    /// Whether a sibling has recently answered that it reads the store, and has a key there. A sibling
+    /// without a key has stepped down, possibly because workers cannot reach it.
     pub(crate) fn can_serve(&self, sibling: &Node) -> bool {
         self.peers.reads_store(sibling, self.outbox.now) && self.store.node(sibling).is_some()
     }
 
-    /// Whether no worker is to be redirected to this process, since it would not be answered there.
+    /// Whether a worker that is redirected to this process would get no answer: it is this controller
+    /// itself, it has no key, or it has failed.
     pub(crate) fn is_unreachable_owner(&self, node: &Node, incarnation: u64) -> bool {
         *node == self.config.node
             || !self.store.is_registered(node, incarnation)
             || self.peers.detector().has_failed(node)
     }
 
-    /// Whether a controller has failed and its lease is about to expire, so that its shard is failed
-    /// over soon. If its key remains for longer it is alive but unreachable for a quorum: then its
-    /// machines are claimed.
+    /// Whether a controller has failed and its lease is about to expire, so that its shard is failed over
+    /// soon. If its key remains for longer, the controller is alive but cannot be reached by a quorum. Its
+    /// machines are then claimed.
     pub(crate) fn lease_expires_soon(&self, node: &Node) -> bool {
         let detector = self.peers.detector();
         let expires_after: Time = self.ownership.ttl() * LEASE_EXPIRY_TTLS;
@@ -272,7 +274,7 @@
     }
 }
 
-/// Logs that a sibling is judged differently.
+/// Logs that a sibling has reached another stage.
 fn log_stage_change(change: &StageChange<Node>) {
     let StageChange {
         of,
@@ -298,7 +300,7 @@
             tracing::info!(controller = %of, votes, key_gone, "controller has failed");
         }
         Stage::HandedOver => {
-            tracing::info!(controller = %of, "failed controller owns nothing any more");
+            tracing::info!(controller = %of, "failed controller no longer owns any team or machine");
         }
     }
 }
--- a/src/core/controller/failure_detection/tests.rs
+++ b/src/core/controller/failure_detection/tests.rs
@@ -10,7 +10,7 @@
 
 const START: Time = 100.0;
 
-/// The calls to the store since the last time.
+/// Takes the effects since the last call, and returns the calls to the store among them.
 fn store_calls(core: &mut Core) -> Vec<StoreCall> {
     let effects = core.outbox.take_effects();
     let calls = effects.into_iter().filter_map(|effect| match effect {
@@ -42,7 +42,7 @@
     ProcessId::new(node.into(), incarnation)
 }
 
-/// n0, which leads, has been silent for 2.5 s; the others answer.
+/// The leader n0 has been silent for 2.5 s. The other siblings answer.
 fn core_without_its_leader() -> Core {
     let mut core = running_core(4, START);
     answered_until(&mut core, &["n0", "n2", "n3", "n4"], START, START + 1.0);
@@ -53,17 +53,21 @@
 }
 
 #[test]
-fn a_leader_suspected_by_a_minority_keeps_its_key() {
+fn leader_suspected_by_a_minority_keeps_its_key() {
     let mut core = core_without_its_leader();
     assert_eq!(core.peers.detector().stage(&"n0".into()), Stage::Suspected);
     assert_eq!(core.failed_leader_key_version(), None);
     core.apply_detection_report(&process("n2", 1), report(suspicion("n0")));
     core.update_sibling_stages();
-    assert_eq!(core.failed_leader_key_version(), None, "two of five");
+    assert_eq!(
+        core.failed_leader_key_version(),
+        None,
+        "only two of five controllers suspect it"
+    );
 }
 
 #[test]
-fn a_leader_whose_failure_a_quorum_confirms_is_replaced() {
+fn leader_is_replaced_when_a_quorum_confirms_its_failure() {
     let mut core = core_without_its_leader();
     for other in ["n2", "n3"] {
         core.apply_detection_report(&process(other, 1), report(suspicion("n0")));
@@ -81,10 +85,10 @@
     assert_eq!(claims.collect::<Vec<_>>(), [[precondition(LEADER_KEY, 10)]]);
 }
 
-/// A controller that had just stepped down delayed the takeover of leadership: it was the first by name and
-/// read the store.
+/// A controller that has just stepped down still reads the store. If it is the first by name and counts as a
+/// candidate, the others wait for it, and the takeover of leadership is delayed.
 #[test]
-fn only_siblings_with_keys_count_as_rivals() {
+fn sibling_without_a_key_does_not_precede_as_successor() {
     let mut core = core_without_its_leader();
     let now = core.outbox.now;
     assert!(!core.has_preferred_successor(), "n0 is not heard");
@@ -100,7 +104,7 @@
 }
 
 #[test]
-fn a_controller_refused_alone_steps_down_and_reports_its_lease() {
+fn controller_refused_by_the_store_alone_steps_down_and_reports_its_lease() {
     let mut core = running_core(4, START);
     let incarnation = core.ownership.incarnation();
     let others = ["n0", "n2", "n3", "n4"];
@@ -110,7 +114,10 @@
         core.store_reply(pending, StoreReply::Refused);
     }
     core.step_down_on_partial_failure(OWN_LEASE);
-    assert!(core.shard.is_some(), "not for a second");
+    assert!(
+        core.shard.is_some(),
+        "one second without the store is too short"
+    );
     answered_until(&mut core, &others, START + 1.0, START + 2.0);
     core.step_down_on_partial_failure(OWN_LEASE);
     assert!(core.shard.is_none() && core.ownership.incarnation() != incarnation);
@@ -127,7 +134,7 @@
 }
 
 #[test]
-fn no_controller_steps_down_in_an_outage_for_all() {
+fn controller_does_not_step_down_when_the_store_serves_no_sibling() {
     let mut core = running_core(4, START);
     for node in ["n0", "n2", "n3", "n4"] {
         core.peers.answered(&node.into(), 1, START);
@@ -144,7 +151,7 @@
 }
 
 #[test]
-fn the_lease_of_a_sibling_that_stepped_down_is_ended_once() {
+fn abandoned_lease_of_a_sibling_is_ended_once() {
     let mut core = running_core(2, START);
     core.outbox.take_effects();
     let abandoned = |incarnation, lease| DetectionReport {
@@ -159,17 +166,22 @@
             .collect()
     };
     core.apply_detection_report(&process("n2", 1), abandoned(1, 9));
-    assert_eq!(ended(&mut core), [], "the reporting process itself");
+    assert_eq!(
+        ended(&mut core),
+        [],
+        "the lease of the reporting process itself"
+    );
     core.apply_detection_report(&process("n2", 2), abandoned(1, 8));
-    assert_eq!(ended(&mut core), [], "not the lease of its key");
+    assert_eq!(ended(&mut core), [], "the key has another lease");
     core.apply_detection_report(&process("n2", 2), abandoned(1, 9));
     core.apply_detection_report(&process("n2", 2), abandoned(1, 9));
     assert_eq!(ended(&mut core), [StoreCall::LeaseEnd { lease: 9 }]);
 }
 
-/// A controller that could send but not receive renewed its lease forever, could not act, and was not failed over.
+/// A controller that can send but not receive cannot act. If it renewed its lease forever, its shard would
+/// never be failed over.
 #[test]
-fn a_controller_that_hears_no_other_stops_renewing_its_lease() {
+fn controller_that_hears_no_sibling_stops_renewing_its_expired_lease() {
     let mut core = running_core(2, START);
     assert!(!core.renewal_would_delay_failover());
     let later = START + core.ownership.ttl() * 1.5;
@@ -178,12 +190,12 @@
     core.peers.answered(&"n2".into(), 1, later);
     assert!(
         !core.renewal_would_delay_failover(),
-        "an outage of the store for all"
+        "a sibling is heard, so only the store is unavailable"
     );
 }
 
 #[test]
-fn with_failure_detection_off_nothing_is_reported_or_applied() {
+fn reports_are_neither_sent_nor_applied_when_failure_detection_is_off() {
     let mut core = core_without_its_leader();
     let mut config = (*core.config).clone();
     config.features = crate::features::Features::default();
--- a/src/core/controller/heartbeat_routing.rs
+++ b/src/core/controller/heartbeat_routing.rs
@@ -1,10 +1,11 @@
-//! Which controller answers a worker's heartbeat.
+//! Routes a worker's heartbeat to the controller that answers it.
 //!
-//! A worker sends its heartbeats to one controller at a time; one that does not own its machine redirects it
-//! to the owner. A worker that has shown the owner's present fencing token was there already and has left
-//! again, so it cannot reach the owner: then its heartbeat is relayed, once, so that its lease does not
-//! expire meanwhile. While a token is new, the worker may have received it in a direct message
-//! ([`crate::core::controller::acquired_machines`]) and not have been at the owner yet.
+//! A worker sends its heartbeats to one controller at a time. A controller that does not own the worker's
+//! machine redirects the worker to the owner. If the worker shows the owner's present fencing token, it has
+//! been at the owner and left again, so it cannot reach the owner. Its heartbeats are then relayed, so that
+//! its lease does not expire. A relayed heartbeat is never relayed again. While a token is new, the worker
+//! may have received it in a direct message ([`crate::core::controller::acquired_machines`]) and may not
+//! have tried the owner yet.
 
 mod relays;
 
@@ -21,11 +22,12 @@
 use failure_detector::Stage;
 use relays::RelayDecision;
 
-/// HTTP status that sends a worker to another controller.
+/// HTTP status of an answer that redirects a worker to another controller.
 const MISDIRECTED: u16 = 421;
 
 impl Core {
-    /// Answers a worker's heartbeat, or sends the worker to its machine's owner.
+    /// Answers the heartbeat if this controller owns the worker's machine, and routes it to the owner
+    /// otherwise.
     pub(crate) fn receive_heartbeat(&mut self, request: RequestId, heartbeat: Heartbeat) {
         if let Some(answer) = self.handle_heartbeat(&heartbeat) {
             self.peers.note_worker_contact(self.outbox.now);
@@ -38,7 +40,8 @@
         }
     }
 
-    /// A machine without an owner: the leader assigns it.
+    /// Routes the heartbeat of a machine that has no owner. The leader notes the machine, so that it can
+    /// assign it. Any other controller redirects the worker to the leader.
     fn route_unassigned(&mut self, request: RequestId, heartbeat: &Heartbeat) {
         let holds_lease = self.ownership.holds_lease(self.outbox.now);
         if let Some(leader) = self.leader.as_mut().filter(|_| holds_lease) {
@@ -48,8 +51,8 @@
         self.redirect_to_sibling(request, leader);
     }
 
-    /// A machine whose owner did not answer here: its heartbeat is relayed or deferred, or its worker is
-    /// sent on.
+    /// Routes a heartbeat that this controller cannot answer itself: relays or defers it, claims the
+    /// machine, or redirects the worker.
     fn route_to_owner(&mut self, request: RequestId, heartbeat: Heartbeat, owner: ShardOwner) {
         if self.has_left_owner(&heartbeat, &owner) && !self.must_try_owner(&heartbeat, &owner) {
             match self.relays.begin_relay(&heartbeat.machine, self.outbox.now) {
@@ -72,7 +75,7 @@
         self.redirect_to_sibling(request, Some(owner.node));
     }
 
-    /// Whether a worker that knows its owner's token is to try that owner before its heartbeats are relayed.
+    /// Whether a worker that knows its owner's token must try the owner before its heartbeats are relayed.
     fn must_try_owner(&mut self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
         let now = self.outbox.now;
         self.acts_on_failures()
@@ -81,9 +84,10 @@
                 .must_try_owner(&heartbeat.machine, owner.token, now)
     }
 
-    /// Whether a worker has been at its machine's owner, which this controller can reach, and is here now.
+    /// Whether a worker has already been at its machine's owner and left it, and this controller can reach
+    /// that owner.
     fn has_left_owner(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
-        // A relayed machine may not have received its owner's new token yet.
+        // The worker of a relayed machine may not have received the owner's new token yet.
         let knows_owner =
             heartbeat.token == owner.token || self.relays.contains(&heartbeat.machine);
         owner.node != self.config.node
@@ -91,8 +95,8 @@
             && self.peers.hears(&owner.node, self.outbox.now)
     }
 
-    /// Whether a machine's owner answers no worker, so that this one is not to be sent there. Of an owner
-    /// that is only suspected here this is certain if the worker comes from it.
+    /// Whether a worker must not be sent to its machine's owner, because the owner answers no worker. If the
+    /// owner is only suspected, a worker that comes from it proves that.
     fn awaits_failover(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
         if !self.acts_on_failures() {
             return false;
@@ -103,16 +107,18 @@
             || (is_suspected && comes_from_owner)
     }
 
-    /// Whether the shard map that is known here is older than what the worker has seen, or may be because
-    /// only siblings reach the store. It would send workers to owners that have lost their machines.
+    /// Whether this controller's copy of the shard map is older than the worker's token, or may be out of
+    /// date because only siblings can read the store. A stale map names owners that have lost their
+    /// machines.
     fn shard_map_may_be_stale(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
         let is_cut_off =
             !self.reads_store() && self.peers.sibling_reading_store(self.outbox.now).is_some();
         self.acts_on_failures() && (heartbeat.token > owner.token || is_cut_off)
     }
 
-    /// Defers a heartbeat until the shard map has changed. Without the store the map does not change:
-    /// then the worker is redirected at once.
+    /// Defers a heartbeat until the shard map has changed. Redirects the worker at once if too many
+    /// heartbeats are deferred, or if this controller cannot read the store and so would not see the
+    /// change.
     fn defer_or_redirect(
         &mut self,
         request: RequestId,
@@ -126,7 +132,8 @@
         self.defer_heartbeat(request, heartbeat, owner, reason);
     }
 
-    /// The owner's answer, if this controller owns the machine and holds its ownership lease.
+    /// Passes a heartbeat to this controller's shard and returns the answer. None if the shard does not own
+    /// the machine, or if this controller does not hold its ownership lease.
     pub(super) fn handle_heartbeat(&mut self, heartbeat: &Heartbeat) -> Option<Answer> {
         let now = self.outbox.now;
         let holds_lease = self.ownership.holds_lease(now);
@@ -134,12 +141,12 @@
         shard.handle_heartbeat(&self.store, &self.catalog, heartbeat, now)
     }
 
-    /// Sends a worker to this controller, unless it is this one.
+    /// Redirects a worker to sibling `to`, or to any other controller if `to` is None or this controller.
     fn redirect_to_sibling(&mut self, request: RequestId, to: Option<Node>) {
         self.redirect(request, to.filter(|node| *node != self.config.node));
     }
 
-    /// Sends a worker to this controller, or to any other if none is named.
+    /// Redirects a worker to controller `to`, or to any other if that is None.
     pub(super) fn redirect(&mut self, request: RequestId, to: Option<Node>) {
         if let Some(node) = &to {
             self.peers.note_redirect(node, self.outbox.now);
@@ -148,8 +155,9 @@
         self.outbox.answer(request, answer);
     }
 
-    /// Makes a worker try the next controller. If it were sent to an owner that it can't reach, it would
-    /// wait there in vain for 4 s of its lease, which then could expire before its machine had a new owner.
+    /// Answers that this controller is unavailable, so that the worker tries the next one. A worker that is
+    /// redirected to an owner that it can't reach waits there for 4 s. Its lease could then expire before its
+    /// machine has a new owner.
     pub(crate) fn send_to_next_controller(&mut self, request: RequestId, owner: &Node) {
         self.peers.note_redirect(owner, self.outbox.now);
         self.outbox.answer(request, Answer::unavailable());
@@ -161,7 +169,7 @@
         tracing::debug!(
             machine = %heartbeat.machine,
             owner = %node,
-            "heartbeat relayed: its worker does not reach the owner"
+            "heartbeat relayed: its worker cannot reach the machine's owner"
         );
         self.peers.note_redirect(&node, now);
         self.peers.detector_mut().worker_left(&node, now);
@@ -174,8 +182,8 @@
         self.outbox.mesh(pending, &node, message);
     }
 
-    /// Answers a heartbeat that a sibling relays. It is never relayed again from here, and is no sign that
-    /// workers reach this controller.
+    /// Answers a heartbeat that a sibling has relayed. The heartbeat is not relayed further, and does not
+    /// count as evidence that workers can reach this controller.
     pub(crate) fn answer_relayed_heartbeat(&mut self, request: RequestId, heartbeat: &Heartbeat) {
         if let Some(shard) = self.shard.as_mut() {
             shard.record_relayed_heartbeat(&heartbeat.machine, self.outbox.now);
@@ -192,7 +200,8 @@
         self.outbox.mesh_answer(request, reply);
     }
 
-    /// The owner has answered a relayed heartbeat, or refused it or not answered (None).
+    /// Ends the relay of a heartbeat. `response` is None if the owner refused the heartbeat or did not
+    /// answer.
     pub(crate) fn finish_heartbeat_relay(
         &mut self,
         request: RequestId,
@@ -210,7 +219,7 @@
                 };
                 self.outbox.answer(request, answer);
             }
-            // A controller that gives up its shard answers no heartbeats: the map is about to change.
+            // A controller that gives up its shard answers no heartbeats, and the shard map changes soon.
             None if self.acts_on_failures() => {
                 self.defer_or_redirect(request, heartbeat, owner, DeferralReason::MapChange);
             }
--- a/src/core/controller/heartbeat_routing/relays.rs
+++ b/src/core/controller/heartbeat_routing/relays.rs
@@ -1,4 +1,5 @@
-//! The machines whose heartbeats this controller relays to their owners, and the limits on that.
+//! Records the machines whose heartbeats this controller relays to their owners, and limits the relays in
+//! number and duration.
 
 use crate::config::Config;
 use crate::core::model::time::Time;
@@ -6,19 +7,20 @@
 use crate::ids::{FencingToken, MachineId};
 use std::collections::BTreeMap;
 
-/// Leases of relaying after which a worker is sent to its owner once more.
+/// Time for which a machine's heartbeats are relayed before its worker has to try the owner again, in worker
+/// leases.
 const MAX_RELAY_LEASES: f64 = 10.0;
 
-/// Leases after which a worker that sent no further heartbeat here has found its owner.
+/// Time without a heartbeat here after which a worker is assumed to have reached its owner, in worker leases.
 const FORGET_LEASES: f64 = 1.0;
 
-/// Leases for which a token is new.
+/// Time for which a token counts as new, in worker leases.
 const NEW_TOKEN_LEASES: f64 = 0.5;
 
-/// Relays in flight at once at most, as a part of the limit on sockets.
+/// Greatest number of relays in flight, as a part of the limit on file descriptors.
 const RELAYS_PER_SOCKET: f64 = 0.05;
 
-/// The relaying of one machine's heartbeats.
+/// When the relaying of one machine's heartbeats began, and when its worker last sent one here.
 struct RelayedMachine {
     relayed_since: Time,
     last_heartbeat: Time,
@@ -33,34 +35,35 @@
     }
 }
 
-/// What is to be done with the heartbeat of a worker that can't reach its owner.
+/// The action for the heartbeat of a worker that can't reach its owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RelayDecision {
-    /// It is relayed to the owner.
+    /// The heartbeat is relayed to the owner.
     Relay,
-    /// The machine's heartbeats have been relayed for long: the worker is to try its owner once more.
+    /// The machine's heartbeats have been relayed for the longest time allowed, so the worker tries the
+    /// owner again.
     TryOwner,
-    /// Too many relays are in flight: the worker is to try another controller.
+    /// Too many relays are in flight, so the worker tries another controller.
     TryNextController,
 }
 
-/// Machines whose heartbeats are relayed, and workers that were sent to their owners.
+/// The machines whose heartbeats are relayed, and the workers that were sent to an owner with a new token.
 pub struct HeartbeatRelays {
     lease_s: Time,
     machines: BTreeMap<MachineId, RelayedMachine>,
     pub(super) in_flight: usize,
     limit: usize,
     next_prune: Time,
-    /// When each token of the shard map was first seen here.
+    /// When each token in the shard map was first seen by this process.
     first_seen: BTreeMap<FencingToken, Time>,
-    /// The shard map for which that holds.
+    /// The store replica's count of shard map changes when `first_seen` was last updated.
     last_map_change: Option<u64>,
-    /// Workers that were sent to their machines' owners, and under which tokens.
+    /// Machines whose workers were sent to the owner, and the token that the owner had.
     sent_to_owner: BTreeMap<MachineId, FencingToken>,
 }
 
 impl HeartbeatRelays {
-    /// No machine is relayed yet.
+    /// Creates the record without any machine. The limits depend on the settings.
     pub fn new(config: &Config) -> Self {
         let sockets = config.deployment.limits.fd_limit as f64;
         #[expect(
@@ -80,8 +83,8 @@
         }
     }
 
-    /// A worker that can't reach its owner has sent a heartbeat. If the route is [`RelayDecision::Relay`],
-    /// [`Self::end_relay`] must follow.
+    /// Decides about the heartbeat of a worker that can't reach its owner. After [`RelayDecision::Relay`] the
+    /// caller must call [`Self::end_relay`] once the relay is over.
     pub(super) fn begin_relay(&mut self, machine: &MachineId, now: Time) -> RelayDecision {
         self.prune(now);
         if self.in_flight >= self.limit {
@@ -100,24 +103,26 @@
         RelayDecision::Relay
     }
 
-    /// A relay was answered or has failed.
+    /// Ends a relay that was answered or has failed.
     pub(super) fn end_relay(&mut self) {
         self.in_flight -= 1;
     }
 
-    /// Whether a machine's heartbeats are relayed.
+    /// Whether this controller relays a machine's heartbeats.
     pub(super) fn contains(&self, machine: &MachineId) -> bool {
         self.machines.contains_key(machine)
     }
 
-    /// Notes the tokens in the shard map, and when they first appeared.
+    /// Records when each token in the shard map first appeared, and drops the records of tokens that are
+    /// gone.
     pub(crate) fn track_tokens(&mut self, store: &StoreReplica, now: Time) {
         let is_first = self.last_map_change.is_none();
         if self.last_map_change.replace(store.map_changes()) == Some(store.map_changes()) {
             return;
         }
         let owners = store.owners();
-        // How old the tokens of the first map are is unknown; a worker has probably shown them.
+        // The age of the first map's tokens is unknown. Workers have probably shown them to the owners
+        // already.
         let since = if is_first { Time::NEG_INFINITY } else { now };
         let known = std::mem::take(&mut self.first_seen);
         for owner in owners.machines.values() {
@@ -130,9 +135,9 @@
         });
     }
 
-    /// Whether a worker is to try its owner before its heartbeats are relayed, for it may know the token
-    /// without having been there. A worker whose heartbeats are relayed already could not reach that owner,
-    /// whatever its token.
+    /// Whether a worker must try its owner before its heartbeats are relayed. With a new token it must,
+    /// once: it may know the token without having been there. A worker whose heartbeats are relayed already
+    /// could not reach the owner, whatever its token.
     pub(super) fn must_try_owner(
         &mut self,
         machine: &MachineId,
@@ -149,7 +154,7 @@
         is_new && self.sent_to_owner.insert(machine.clone(), token) != Some(token)
     }
 
-    /// Forgets machines whose workers have found their owners.
+    /// Removes machines whose workers send no heartbeats here any more, at most once per time limit.
     fn prune(&mut self, now: Time) {
         if now < self.next_prune {
             return;
@@ -160,7 +165,7 @@
             .retain(|_, relayed| now - relayed.last_heartbeat <= forget_s);
     }
 
-    /// Begins to relay a machine's heartbeats.
+    /// Marks a machine as relayed, with one relay in flight.
     #[cfg(test)]
     pub(crate) fn mark_relayed(&mut self, machine: &MachineId, now: Time) {
         let relayed = RelayedMachine::new(now);
--- a/src/core/controller/heartbeat_routing/relays/tests.rs
+++ b/src/core/controller/heartbeat_routing/relays/tests.rs
@@ -1,9 +1,10 @@
 use super::*;
 use crate::core::test_support::config;
 
-/// A worker that can't reach its owner is relayed, and sent there again now and then.
+/// The owner may become reachable again, so a worker whose heartbeats are relayed must try it from time to
+/// time.
 #[test]
-fn relaying_is_interrupted_now_and_then_and_bounded() {
+fn relays_are_limited_in_duration_and_number() {
     let config = config();
     let lease = config.deployment.workers.lease_s;
     let mut relays = HeartbeatRelays::new(&config);
@@ -15,12 +16,12 @@
     }
     assert!(
         (lease * 10.0..lease * 10.0 + 2.0).contains(&now),
-        "once more to the owner: {now}"
+        "the worker tries the owner again at {now}"
     );
     assert_eq!(
         relays.begin_relay(&machine, now + 5.0),
         RelayDecision::Relay,
-        "which it still does not reach"
+        "the worker still cannot reach the owner"
     );
     assert_eq!(
         relays.begin_relay(&"m-2".into(), now + lease * 3.0),
@@ -29,7 +30,7 @@
     assert_eq!(
         relays.machines.len(),
         1,
-        "the first found its owner long ago"
+        "the first worker has reached its owner long ago"
     );
     relays.in_flight = relays.limit;
     assert_eq!(
--- a/src/core/controller/heartbeat_routing/tests.rs
+++ b/src/core/controller/heartbeat_routing/tests.rs
@@ -4,10 +4,10 @@
 use crate::core::test_support::{config, heartbeat, owner};
 use crate::ids::{FencingToken, MachineId};
 
-/// If a worker whose heartbeat could not be relayed were sent back to the owner that it can't reach, its
-/// lease would expire while it waited there.
+/// A worker whose heartbeat could not be relayed must not be sent back to the owner that it can't reach.
+/// Its lease could expire while it waits there.
 #[test]
-fn a_worker_that_is_not_relayed_is_not_sent_back_to_its_owner() {
+fn worker_is_not_sent_back_to_its_owner_after_a_failed_relay() {
     let mut core = Core::new(config(), 1);
     core.relays.in_flight = 1;
     let heartbeat = heartbeat("m-1", 1, 1, FencingToken(9));
@@ -21,10 +21,11 @@
     assert_eq!(core.relays.in_flight, 0);
 }
 
-/// While a token is new, a worker may know it from a direct message. It is sent to its owner once then, but not
-/// if its heartbeats are relayed already: it did not reach that owner, which got a new token meanwhile.
+/// A worker may know a new token from a direct message, without having been at the owner. It is then sent
+/// to the owner once. A worker whose heartbeats are relayed already could not reach that owner, and is not
+/// sent there when the owner gets a new token.
 #[test]
-fn a_worker_tries_the_owner_with_a_new_token_once_unless_it_is_relayed() {
+fn worker_tries_an_owner_with_a_new_token_once_unless_it_is_relayed() {
     let mut core = Core::new(config(), 1);
     let machine = MachineId::from("m-1");
     let owner_with = |token| ShardOwner {
@@ -44,20 +45,20 @@
     map(&mut core, 1, 3);
     assert!(
         !core.relays.must_try_owner(&machine, FencingToken(3), 10.0),
-        "known since this process began"
+        "the first map's tokens do not count as new"
     );
     map(&mut core, 2, 9);
     assert!(core.relays.must_try_owner(&machine, FencingToken(9), 11.0));
     assert!(
         !core.relays.must_try_owner(&machine, FencingToken(9), 11.0),
-        "once"
+        "it has tried already"
     );
     core.relays.mark_relayed(&"m-2".into(), 11.0);
     assert!(
         !core
             .relays
             .must_try_owner(&"m-2".into(), FencingToken(9), 11.0),
-        "it is relayed"
+        "its heartbeats are relayed already"
     );
     map(&mut core, 3, 12);
     let later = 10.0 + core.config.deployment.workers.lease_s;
@@ -65,6 +66,6 @@
         !core
             .relays
             .must_try_owner(&machine, FencingToken(12), later),
-        "no longer new"
+        "the token is no longer new"
     );
 }
--- a/src/core/controller/machine_claims.rs
+++ b/src/core/controller/machine_claims.rs
@@ -1,4 +1,4 @@
-//! When this controller claims a machine that can't reach its owner ([`crate::core::machines::claims`]).
+//! Claims machines that can't reach their owners. [`crate::core::machines::claims`] holds the claims.
 
 use crate::core::Core;
 use crate::core::controller::deferred_heartbeats::DeferralReason;
@@ -7,9 +7,10 @@
 use crate::wire::Heartbeat;
 
 impl Core {
-    /// Whether a machine is to be claimed: neither its worker nor this controller reaches its owner, which is
-    /// registered all the same. A worker that has not shown the owner's token may be about to reach the owner,
-    /// unless it is in this controller's zone, where other siblings are heard and the owner is not.
+    /// Whether this controller should claim a machine: neither it nor the machine's worker can reach the
+    /// owner, although the owner is registered in the store. A worker that has not shown the owner's token
+    /// may still reach the owner, unless it is in this controller's zone, where siblings are heard but not
+    /// the owner.
     pub(crate) fn should_claim(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
         let now = self.outbox.now;
         let owner_is_live = self.store.is_registered(&owner.node, owner.incarnation);
@@ -24,8 +25,9 @@
             && self.ownership.holds_lease(now)
     }
 
-    /// Claims a machine; its heartbeat is answered as soon as the shard map gives it to this controller. Without
-    /// capacity for that the worker is sent to the owner.
+    /// Claims a machine, and defers its heartbeat until the shard map assigns the machine to this
+    /// controller. If there is no capacity for the claim or the heartbeat, the worker is sent to the next
+    /// controller.
     pub(crate) fn claim_machine(
         &mut self,
         request: RequestId,
@@ -44,7 +46,7 @@
         tracing::debug!(
             machine = %heartbeat.machine,
             owner = %owner.node,
-            "claimed a machine that can't reach its owner"
+            "machine claimed: its worker cannot reach the owner"
         );
         self.defer_heartbeat(request, heartbeat, owner, DeferralReason::Claim);
     }
--- a/src/core/controller/ownership.rs
+++ b/src/core/controller/ownership.rs
@@ -1,5 +1,6 @@
-//! Keeps the ownership lease, the keys that are attached to it, and ends what this process owned when
-//! it steps down. What the lease entitles to is described in [`crate::core::membership::ownership`].
+//! Keeps this process's ownership lease alive, writes the keys that are attached to it, and releases the
+//! shard and leadership when the process steps down. [`crate::core::membership::ownership`] describes which
+//! actions the lease permits.
 
 use crate::core::Core;
 use crate::core::effects::pending::{OwnershipCall, Pending};
@@ -15,14 +16,14 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// Why a process steps down.
+/// The reason for which this process steps down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StepDownReason {
-    /// Its lease has expired in the store.
+    /// The store no longer has the lease.
     LeaseExpired,
-    /// Workers reach siblings, but not this controller.
+    /// Workers can reach siblings, but not this controller.
     UnreachableByWorkers,
-    /// The store refuses this controller, but answers siblings.
+    /// The store refuses this controller's calls, but serves its siblings.
     RefusedByStore,
 }
 
@@ -36,17 +37,17 @@
     }
 }
 
-/// A write of one of the keys that are attached to the lease.
+/// A write of the process's own key or of the leader's key.
 struct KeyWrite {
     key: String,
-    /// The version that the key must have; 0 if it must not exist.
+    /// The version that the key must still have. Zero if the key must not exist.
     version: Version,
     call: OwnershipCall,
 }
 
 impl Core {
-    /// Creates or renews the lease, and writes the process's key and, if there is no leader, the
-    /// leader's key.
+    /// Creates or renews the lease when that is due. Once there is a lease, also writes the process's own key
+    /// and, if this process is to lead, the leader's key, and checks this controller for a partial failure.
     pub(crate) fn maintain_ownership(&mut self) {
         if !self.store.complete() {
             return;
@@ -84,8 +85,8 @@
         );
     }
 
-    /// Ends the leases of earlier processes of this controller: they have certainly ended, so the keys
-    /// that are attached to their leases need not wait for the leases to expire.
+    /// Ends the leases of earlier processes of this controller. Those processes have ended, so the keys
+    /// that are attached to their leases need not remain until the leases expire.
     fn end_predecessor_leases(&mut self) {
         let keys = [self.store.node(&self.config.node), self.store.leader()];
         let leases: BTreeSet<u64> = keys
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Ends a lease in the store, and so deletes the keys that are attached to it.
+    /// Ends a lease in the store, which deletes the keys that are attached to it.
     pub(crate) fn end_lease(&mut self, lease: u64) {
         self.outbox.state(
             Pending::OwnershipLease(OwnershipCall::End),
@@ -109,7 +110,7 @@
         );
     }
 
-    /// Writes the next key that is missing or out of date, one at a time.
+    /// Writes the first key that is missing or out of date. Only one key write is in flight at a time.
     fn write_keys(&mut self, lease: u64) {
         let now = self.outbox.now;
         if !self.ownership.may_write_key(now) {
@@ -132,7 +133,7 @@
         );
     }
 
-    /// What this process writes into its own key and the leader's key.
+    /// The record that this process writes into its own key and into the leader's key.
     fn process_record(&self, lease: u64) -> ProcessRecord {
         let process = self.ownership.process();
         ProcessRecord {
@@ -151,7 +152,7 @@
         if stored.is_none_or(|stored| stored.record != *record) {
             return Some(KeyWrite {
                 key: node_key(&record.node),
-                // A precondition, so that a late write of an earlier process cannot replace it.
+                // The precondition prevents a delayed write of an earlier process from replacing this record.
                 version: stored.map_or(0, |stored| stored.version),
                 call: OwnershipCall::Register { lease },
             });
@@ -163,7 +164,8 @@
         })
     }
 
-    /// The version of the leader's key, or 0 if it does not exist, if this process is to write it.
+    /// If this process is to write the leader's key, the key's present version, or 0 if the key does not
+    /// exist.
     fn leader_key_version_to_claim(&self) -> Option<Version> {
         if self.store.leader().is_none() && self.ownership.holds_lease(self.outbox.now) {
             return Some(0);
@@ -173,7 +175,7 @@
             .as_ref()
             .filter(|leader| leader.tokens_running_low());
         if let Some(exhausted) = exhausted {
-            // The key's new revision provides fresh fencing tokens. It stays this process's key.
+            // The write gives the key a new revision, and so new fencing tokens. This process stays leader.
             return Some(exhausted.key_version());
         }
         let version = self.failed_leader_key_version()?;
@@ -181,8 +183,8 @@
         Some(version)
     }
 
-    /// The store has replied to a call that concerns the lease or its keys. Replies that belong to a
-    /// lease which is not held any more are ignored.
+    /// Handles the store's reply to a call for the lease or for its keys. A reply for a lease that this
+    /// process no longer has is ignored.
     pub(crate) fn handle_ownership_reply(&mut self, call: OwnershipCall, reply: StoreReply) {
         let held = self.ownership.lease_id();
         match call {
@@ -216,7 +218,7 @@
     fn handle_key_write_reply(&mut self, reply: &StoreReply) {
         let delay = self.outbox.jitter(self.ownership.retry_delay());
         self.ownership.key_write_finished(self.outbox.now + delay);
-        // Whether it was written is read from the store replica once that is up to date.
+        // The next sync of the store replica shows whether the key was written.
         self.store.want_sync();
         if *reply == StoreReply::LeaseGone {
             self.step_down(StepDownReason::LeaseExpired, 0.0);
@@ -236,10 +238,10 @@
     }
 
     /// Gives up the lease, the shard and leadership, as a restart would, and continues as a new
-    /// incarnation. That requests no lease for `pause` seconds.
+    /// incarnation. The new incarnation requests no lease for `pause` seconds.
     pub(crate) fn step_down(&mut self, reason: StepDownReason, pause: Time) {
         let now = self.outbox.now;
-        tracing::info!(%reason, "stepping down: lease and shard are given up");
+        tracing::info!(%reason, "stepping down: this controller gives up its lease and shard");
         self.ownership.step_down(now + pause);
         if let Some(shard) = self.shard.take() {
             self.image_hints = shard.known_images();
--- a/src/core/controller/ownership/tests.rs
+++ b/src/core/controller/ownership/tests.rs
@@ -3,10 +3,11 @@
 use crate::core::leader::Leader;
 use crate::core::test_support::config;
 
-/// A leader that runs out of fencing tokens writes its key again, with the key's revision as a
-/// precondition. Before, a fleet that had run for weeks under one leader made no changes any more.
+/// Fencing tokens are derived from the revision of the leader's key, so a leader that has used all of them
+/// must write the key again. Without that, a fleet that had one leader for weeks could no longer change its
+/// shard map.
 #[test]
-fn a_leader_out_of_fencing_tokens_claims_its_key_again() {
+fn leader_without_fencing_tokens_rewrites_its_key() {
     let mut core = Core::new(config(), 1);
     core.outbox.begin(1.0, 0);
     core.ownership.hold_unrenewed(5);
