--- a/src/core/controller/ownership.rs
+++ b/src/core/controller/ownership.rs
@@ -244,7 +244,7 @@
         tracing::info!(%reason, "stepping down: this controller gives up its lease and shard");
         self.ownership.step_down(now + pause);
         if let Some(shard) = self.shard.take() {
-            self.image_hints = shard.known_images();
+            self.image_hints = shard.images_on_all_machines();
             self.unresponsive
                 .note(shard.unresponsive_machines(now), now);
         }
