--- a/src/core/shard/capacity_planning.rs
+++ b/src/core/shard/capacity_planning.rs
@@ -1,8 +1,8 @@
-//! The capacity demand of a shard: what it lacks and what it can spare. Queued tasks, and tasks that are
-//! expected to arrive while a machine boots, are packed onto the existing machines; the machines that the
-//! others need are demanded at the lowest price per task. Machines that neither the queue nor the forecast
-//! uses can be spared. Those that stay unused for long are closed to placement, so that the leader may return
-//! them.
+//! The capacity demand of a shard: the machines that it lacks and those that it can spare. The plan packs
+//! queued tasks, and tasks that are expected to arrive while a machine boots, onto the existing machines. For
+//! the remaining tasks it demands machines at the lowest price per task. Machines that neither the queue nor
+//! the forecast uses are spare. Machines that stay unused for long are closed to placement, so that the
+//! leader may return them to the cloud.
 
 use crate::config::Config;
 use crate::core::effects::outbox::Outbox;
@@ -25,22 +25,22 @@
 use crate::wire::MachineType;
 use std::collections::BTreeSet;
 
-/// Machines with free GPUs that are reported to the leader at most.
+/// Maximum number of machines with free GPUs that are reported to the leader.
 const MAX_MACHINES_WITH_FREE_GPUS: usize = 6;
 
-/// Machines may be rented without regard to cost for an opportunistic job that has not been served for this
-/// many times `cancel_s`.
+/// Time without a placed task after which an opportunistic job counts as starved, in multiples of `cancel_s`.
+/// A machine may be rented for a starved job regardless of cost.
 const STARVATION_CANCEL_PERIODS: f64 = 3.0;
 
-/// Lease durations after which a machine without heartbeats is reported to the leader.
+/// Time without heartbeats after which a machine is reported to the leader, in lease durations.
 const SILENT_MACHINE_LEASES: f64 = 3.0;
 
-/// Capacity plans per lease duration.
+/// Number of capacity plans in one lease duration.
 const PLANS_PER_LEASE: f64 = 10.0;
 
-/// The most machines that a shard demands at once: as many as the cloud can be asked for within the time
-/// allowed for a cancellation. A shard that has to grow several times over must be able to demand
-/// that at once, because each further demand costs its users a boot time.
+/// The maximum number of machines that a shard demands at once: as many as the cloud's API allows to be
+/// requested within `cancel_s`. A shard that has to grow several times over must be able to demand all
+/// machines at once, because each further round of demand costs its users a boot time.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -52,12 +52,12 @@
     (calls * MAX_MACHINES_PER_RENTAL as f64) as u32
 }
 
-/// Tasks that need resources.
+/// Demand of tasks that have no machine yet.
 #[derive(Default)]
 struct PendingWork {
-    /// Queued tasks, then forecast ones, except opportunistic tasks.
+    /// Queued tasks of jobs that are not opportunistic, in queue order, followed by forecast tasks.
     ordinary: Vec<TaskDemand>,
-    /// Queued opportunistic tasks.
+    /// Queued tasks of opportunistic jobs, in queue order.
     opportunistic: Vec<OpportunisticDemand>,
 }
 
@@ -69,8 +69,8 @@
     unserved_s: Time,
 }
 
-/// How long a job has waited with none of its tasks on a machine, in seconds. The remaining tasks of a job
-/// that has begun must not wait forever either, even if they are too few to be worth a machine.
+/// Time for which a job has waited with none of its tasks on a machine, in seconds. Jobs that have begun are
+/// included, because their remaining tasks must not wait forever if they are too few to be worth a machine.
 fn unserved_time(job: &Job, now: Time) -> Time {
     if !job.began {
         return now - job.submitted;
@@ -81,7 +81,7 @@
 }
 
 impl Shard {
-    /// Updates the shard's capacity demand, at fixed intervals.
+    /// Updates the shard's capacity demand if the planning interval has passed since the last update.
     pub(crate) fn plan_capacity_when_due(
         &mut self,
         outbox: &Outbox,
@@ -101,13 +101,13 @@
         self.demand = demand;
     }
 
-    /// Reports the machines that have not been heard from for long, and those that need a new fencing token.
+    /// Reports the machines that have sent no heartbeat for long and those that need a new fencing token.
     fn report_machines_needing_attention(&self, demand: &mut CapacityDemand, now: Time) {
-        let lease = self.config.deployment.workers.lease_s;
-        let list_lag = self.config.deployment.cloud.list_lag_s;
+        let lease_s = self.config.deployment.workers.lease_s;
+        let list_lag_s = self.config.deployment.cloud.list_lag_s;
         for machine in self.machines.values().filter(|machine| machine.is_owned) {
             let last_heard = machine.known_since.max(machine.last_answered);
-            if now > last_heard + lease * SILENT_MACHINE_LEASES + list_lag {
+            if now > last_heard + lease_s * SILENT_MACHINE_LEASES + list_lag_s {
                 demand.unheard_machines.push(machine.id.clone());
             } else if machine.needs_new_token && !machine.address.is_empty() {
                 demand
@@ -133,7 +133,7 @@
             self.packing_candidates(now),
             max_machines_wanted(&self.config),
         );
-        // What is needed does not depend on how much of the limit has been granted yet.
+        // Demand counts against the teams' limits, not against the part of a limit that is already granted.
         let mut usage = self.usage(store, outbox.wall_ms).without_grants();
         let work = self.pending_work(catalog, &mut usage, now);
         for tasks in work.ordinary {
@@ -154,15 +154,15 @@
         self.report_unused(&plan.into_candidates(), catalog, now, demand);
     }
 
-    /// The machines on which a plan may place tasks.
+    /// The shard's machines on which a plan may place tasks. They include closed and draining machines.
     fn packing_candidates(&self, now: Time) -> Vec<PackingCandidate> {
-        let lease = self.config.deployment.workers.lease_s;
+        let lease_s = self.config.deployment.workers.lease_s;
         let is_usable = |machine: &&Machine| {
             let is_terminating = machine.reclaimed_at.is_some() || machine.is_cordoned(now);
             machine.is_owned
                 && !is_terminating
                 && !machine.unresponsive
-                && now <= machine.last_answered + lease
+                && now <= machine.last_answered + lease_s
                 && !machine.address.is_empty()
         };
         self.machines
@@ -172,8 +172,7 @@
             .collect()
     }
 
-    /// Plans opportunistic tasks on the resources that are left, and on as many rented machines as are
-    /// worthwhile for them.
+    /// Plans opportunistic tasks on the remaining resources and on as many new machines as the work is worth.
     fn plan_opportunistic(
         &mut self,
         plan: &mut Plan,
@@ -201,8 +200,8 @@
         }
     }
 
-    /// Queued tasks within their teams' limits, and tasks that are likely to arrive before a machine rented now
-    /// could run them. Adds the queued tasks to `usage`.
+    /// Queued tasks within their teams' limits, and tasks that are likely to arrive before a machine rented
+    /// now has booted. Adds the queued tasks to `usage`.
     fn pending_work(&self, catalog: &Catalog, usage: &mut Usage, now: Time) -> PendingWork {
         let types = catalog.types();
         let mut work = PendingWork::default();
@@ -232,17 +231,17 @@
                 work.ordinary.push(tasks);
             }
         }
-        let boot = longest_boot(types);
-        for spec in self.forecast.expected(&self.config, boot, now) {
+        let boot_s = longest_boot(types);
+        for spec in self.forecast.expected(&self.config, boot_s, now) {
             let count = spec.tasks;
             work.ordinary.push(TaskDemand::expected(types, spec, count));
         }
         work
     }
 
-    /// Reports what the plan does not use: idle machines, machines with free GPUs and teams without
-    /// queued tasks. Machines that have been unused for long are closed to placement, and opened again if
-    /// they are needed before the leader has taken them.
+    /// Reports idle machines, machines with free GPUs and teams without queued tasks. Machines that have been
+    /// unused for long are closed to placement. A closed machine is opened again if it is needed before the
+    /// leader has taken it.
     fn report_unused(
         &mut self,
         candidates: &[PackingCandidate],
@@ -251,23 +250,23 @@
         demand: &mut CapacityDemand,
     ) {
         let kept_for_starved = self.machines_kept_for_starved_jobs();
-        let mut to_empty = Vec::new();
+        let mut machines_to_empty = Vec::new();
         for candidate in candidates {
             let is_closed_but_occupied =
                 self.report_machine_use(candidate, &kept_for_starved, catalog, now, demand);
             if let (true, Some(id)) = (is_closed_but_occupied, &candidate.machine) {
-                to_empty.push(id.clone());
+                machines_to_empty.push(id.clone());
             }
         }
-        for id in to_empty {
+        for id in machines_to_empty {
             self.stop_opportunistic_tasks(&id);
         }
         self.report_free_gpus(now, demand);
         demand.teams_without_queue = self.teams_without_queue();
     }
 
-    /// Closes or opens a machine and reports it if the plan does not use it. Returns whether it is closed
-    /// while opportunistic tasks are still on it.
+    /// Closes or opens a machine for placement, and reports it if the plan does not use it. Returns true if
+    /// the machine is closed and opportunistic tasks are still on it.
     fn report_machine_use(
         &mut self,
         candidate: &PackingCandidate,
@@ -280,13 +279,13 @@
         let Some(machine) = machine.and_then(|id| self.machines.get_mut(id)) else {
             return false;
         };
-        // A replacement would have to boot and to fetch the images that this one has cached.
+        // A replacement would have to boot and to fetch the images that this machine has cached.
         let idle_timeout_s = catalog.boot_s(&machine.type_name) + machine.longest_fetch();
         let is_idle = machine.idle();
         let is_spare =
             machine.token_confirmed && machine.holds_only_opportunistic() && !candidate.is_in_use;
         machine.draining &= !candidate.has_planned_tasks && !is_idle;
-        // Opportunistic tasks keep only spot instances, and machines rented because a job was starved.
+        // Opportunistic work keeps only spot instances and machines rented for starved jobs.
         let has_opportunistic_work = candidate.has_opportunistic_tasks || !is_idle;
         let is_kept_for_opportunistic =
             (machine.spot && has_opportunistic_work) || kept_for_starved.contains(&machine.id);
@@ -307,7 +306,8 @@
         is_closed && !is_idle
     }
 
-    /// Reports the machines with the most free GPUs among those that were not reported as spare.
+    /// Reports the machines with the most GPUs that are free or run work of at most normal priority. Machines
+    /// that were already reported as spare or as running only opportunistic tasks are left out.
     fn report_free_gpus(&self, now: Time, demand: &mut CapacityDemand) {
         let is_reported = |id| {
             demand.spare_machines.contains(id) || demand.opportunistic_only_machines.contains(id)
@@ -324,7 +324,7 @@
         demand.machines_with_free_gpus = with_free_gpus;
     }
 
-    /// The teams without waiting tasks whose tasks on all machines are known.
+    /// The teams that have no waiting task and whose tasks on all machines are known.
     fn teams_without_queue(&self) -> Vec<Team> {
         let has_queue = |team: &Team| {
             self.jobs
@@ -339,7 +339,7 @@
     }
 }
 
-/// A machine as a candidate of a plan.
+/// Describes an existing machine as a candidate for a plan.
 fn packing_candidate(machine: &Machine) -> PackingCandidate {
     let offer = MachineOffer {
         type_name: machine.type_name.clone(),
--- a/src/core/shard/consolidation.rs
+++ b/src/core/shard/consolidation.rs
@@ -1,8 +1,8 @@
-//! Consolidation of service replicas. As services end, the remaining replicas keep machines up on which
-//! little else runs. When nothing waits and the plan has resources to spare, the replicas of one machine at a
-//! time move to others that have their images cached, where they are up again at once. The empty machine can
-//! then run tasks that need all of it, or is returned. Moving replicas is a drain, which the protocol
-//! allows.
+//! Consolidation of service replicas. After some services have ended, the remaining replicas occupy machines
+//! that are otherwise nearly empty. If no task waits and the plan demands no machines, the replicas of one
+//! machine at a time move to machines that have their images cached, where they restart at once. The emptied
+//! machine can then run tasks that need a whole machine, or is returned to the cloud. The move is a drain,
+//! which the protocol allows.
 
 use crate::core::jobs::job::{Job, zone_allows};
 use crate::core::machines::machine::{Machine, Phase, TrackedAttempt};
@@ -17,33 +17,34 @@
 use crate::wire::{Kind, MachineType, TaskState};
 use std::collections::BTreeMap;
 
-/// A machine that might be emptied, with the replicas that would have to move.
+/// A machine that could be emptied, with the replicas that would have to move.
 struct Source {
     id: MachineId,
     replicas: Vec<(TaskId, Attempt)>,
-    /// The machine's price for each replica that has to move.
+    /// The machine's price divided by the number of replicas.
     price_per_replica: f64,
 }
 
-/// A machine that may take replicas.
+/// A machine that could receive replicas.
 struct Target<'c> {
     candidate: &'c PackingCandidate,
-    /// Resources left beside the replicas moved so far.
+    /// Resources that the replicas assigned so far leave free.
     free: Resources,
 }
 
 /// Whether an attempt prevents its machine from being emptied.
 enum Movability {
-    /// It ends soon without being moved.
+    /// A task of an array, which ends without being moved.
     RunsToCompletion,
-    /// A replica that can be moved.
+    /// A service replica that may be moved.
     Movable,
-    /// It must not be moved.
+    /// An attempt that must not be moved.
     Pinned,
 }
 
 impl Shard {
-    /// Empties the machine with the highest price per replica among those whose replicas all fit elsewhere.
+    /// Drains the machine with the highest price per replica among those whose replicas all fit on other
+    /// machines.
     pub(crate) fn consolidate(
         &mut self,
         candidates: &[PackingCandidate],
@@ -65,7 +66,7 @@
         tracing::info!(
             machine = %source.id,
             replicas = source.replicas.len(),
-            "replicas move to empty a machine"
+            "draining a machine: its service replicas restart on other machines"
         );
         if let Some(machine) = self.machines.get_mut(&source.id) {
             machine.draining = true;
@@ -75,7 +76,7 @@
         }
     }
 
-    /// The machine as one to be emptied; `None` if it must not be, or if no replica is on it.
+    /// The candidate as a machine to empty. `None` if it must not be emptied or runs no replica.
     fn consolidation_source(
         &self,
         candidate: &PackingCandidate,
@@ -86,8 +87,9 @@
         if !machine.usable(now) {
             return None;
         }
-        // GPU machines often fetch many times as fast as others.
-        let has_gpus = |of_type: &&MachineType| (of_type.gpus > 0.0) == (machine.total.gpus > 0.0);
+        // Only types of the same class are compared, since GPU machines often fetch images many times faster.
+        let has_gpus =
+            |machine_type: &&MachineType| (machine_type.gpus > 0.0) == (machine.total.gpus > 0.0);
         let similar_types: Vec<MachineType> =
             catalog.types().iter().filter(has_gpus).cloned().collect();
         let mut replicas = Vec::new();
@@ -113,7 +115,7 @@
         })
     }
 
-    /// Whether an attempt can be moved; `types` are the machine types similar to its machine's.
+    /// Classifies an attempt. `types` are the machine types that are similar to the type of its machine.
     fn movability(
         &self,
         job: &Job,
@@ -124,13 +126,13 @@
         match job.spec.kind {
             Kind::Array => Movability::RunsToCompletion,
             Kind::Gang => Movability::Pinned,
-            // Few machines have such an image cached, and a replica that had to fetch it would be missed.
+            // Few machines have such an image cached, and the service would lack the replica during a fetch.
             Kind::Service if needs_cached_image(&self.config, types, &job.spec) => {
                 Movability::Pinned
             }
             Kind::Service => {
                 let is_running = tracked.phase == Phase::Seen(TaskState::Running);
-                // A start that is stopped early does not count as one to its user.
+                // The user does not count a start as successful if the replica is stopped soon after it.
                 let counts_as_started = tracked
                     .started_at
                     .is_some_and(|started| now - started > self.config.deployment.workers.cancel_s);
@@ -143,7 +145,8 @@
         }
     }
 
-    /// Whether every replica fits, beside what is planned, on machines in use that have its image cached.
+    /// Whether every replica fits on another machine that is in use, has its image cached and has enough
+    /// resources beside the planned tasks.
     fn replicas_fit_elsewhere(
         &self,
         source: &Source,
@@ -153,7 +156,8 @@
         let Some(source_machine) = self.machines.get(&source.id) else {
             return false;
         };
-        // A replica that waited for opportunistic tasks to stop would be missed meanwhile.
+        // Resources of opportunistic tasks do not count as free: the service would lack the replica until
+        // these tasks have stopped.
         let mut targets: Vec<Target> = candidates
             .iter()
             .map(|candidate| Target {
@@ -166,7 +170,7 @@
             let Some(job) = self.jobs.get(&task.job) else {
                 return false;
             };
-            // Each move counts for the next replica of the same job.
+            // The zones of a job include the moves of its replicas so far.
             let job_zones = tasks_in_zone
                 .entry(&task.job)
                 .or_insert_with(|| job.zones.clone());
@@ -191,7 +195,7 @@
         true
     }
 
-    /// Whether a replica of the job may move to this machine, apart from the resources it needs.
+    /// Whether a replica of the job may move to this machine. Free resources are not checked here.
     fn can_host_replica(
         &self,
         candidate: &PackingCandidate,
--- a/src/core/shard/opportunistic.rs
+++ b/src/core/shard/opportunistic.rs
@@ -1,4 +1,4 @@
-//! Machines that a shard keeps for opportunistic tasks or frees of them.
+//! Machines that a shard keeps for opportunistic tasks, and machines on which it stops these tasks.
 
 use crate::core::machines::machine::TrackedAttempt;
 use crate::core::shard::Shard;
@@ -6,9 +6,9 @@
 use std::collections::BTreeSet;
 
 impl Shard {
-    /// Machines other than spot instances that are kept for starved jobs: one for each job that runs on no
-    /// spot instance. If it were returned, it would be rented again only once the job had starved again, so a
-    /// job of long tasks would never end.
+    /// The machines that are kept for starved jobs, one for each job that runs on no spot instance. If the
+    /// machine were returned, another would be rented only after the job had starved again. A job of long
+    /// tasks would then never end.
     pub(crate) fn machines_kept_for_starved_jobs(&self) -> BTreeSet<MachineId> {
         let is_spot = |id: &MachineId| self.machines.get(id).is_some_and(|machine| machine.spot);
         let mut kept = BTreeSet::new();
@@ -26,8 +26,8 @@
         kept
     }
 
-    /// Stops the opportunistic tasks of a machine that is to be returned. Tasks that cannot write a checkpoint
-    /// run to their end.
+    /// Stops the opportunistic tasks of a machine that is to be returned. Tasks that cannot write a
+    /// checkpoint run to completion.
     pub(crate) fn stop_opportunistic_tasks(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get(id) else {
             return;
@@ -41,8 +41,8 @@
             .filter(|(_, tracked)| can_checkpoint(tracked))
             .map(|(key, tracked)| (key.clone(), tracked.checkpoint_write_s))
             .collect();
-        for ((task, attempt), grace) in stops {
-            self.stop_attempt(id, &task, attempt, grace);
+        for ((task, attempt), grace_s) in stops {
+            self.stop_attempt(id, &task, attempt, grace_s);
         }
     }
 }
--- a/src/core/shard/opportunistic/tests.rs
+++ b/src/core/shard/opportunistic/tests.rs
@@ -16,7 +16,8 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// 100 tasks; eight fit on the cheap machine type and four on the expensive one.
+/// An array of 100 tasks. Eight tasks fit on a machine of the cheap type and four on one of the expensive
+/// type.
 fn opportunistic_array(estimate_s: f64) -> Rc<JobSpec> {
     let mut spec = (*service("idle-hours", "x", 1.0)).clone();
     spec.kind = Kind::Array;
@@ -32,7 +33,7 @@
     MachineOffer::from((TypeName::from(type_name), Zone::from("a"), true))
 }
 
-/// The demand of a shard without machines for an opportunistic job.
+/// The capacity demand for an opportunistic job in a shard without machines.
 fn demand_for(
     spec: &Rc<JobSpec>,
     starved: bool,
@@ -49,7 +50,7 @@
     demand
 }
 
-/// A job with a deadline, or of a class with an objective on starts, is not opportunistic.
+/// A job is not opportunistic if it has a deadline or if its class has an objective on start times.
 #[test]
 fn only_low_priority_jobs_without_deadline_or_objective_are_opportunistic() {
     let config = config();
@@ -70,7 +71,8 @@
     );
 }
 
-/// An opportunistic array demand_for 50 machines of every type and took all that the cloud had (inc-df01).
+/// Guards against an opportunistic array that demands 50 machines of every type and so rents all machines of
+/// the cloud (inc-df01).
 #[test]
 fn only_cost_effective_machines_are_rented_and_no_more_than_the_work_is_worth() {
     let none_unavailable = BTreeSet::new();
@@ -88,7 +90,7 @@
         demand.queued, 0.0,
         "opportunistic tasks do not count as queued"
     );
-    // Seconds of work are over before a machine is up.
+    // One second per task is too little work to be worth a machine's boot time.
     assert_eq!(
         demand_for(&opportunistic_array(1.0), false, &none_unavailable).machines_wanted(),
         0
@@ -97,14 +99,15 @@
         .iter()
         .map(|zone| MachineOffer::from((TypeName::from("g8"), Zone::from(*zone), true)))
         .collect();
-    // The other type is nearly as cheap, but takes four at a time: the work is worth no 25 of them.
+    // The other type is nearly as cheap but runs only four tasks at a time. The work is not worth the 25
+    // machines that all tasks would need.
     assert_eq!(
         demand_for(&opportunistic_array(30.0), false, &cheap_spot_offers).machines_wanted(),
         18
     );
 }
 
-/// A job that has waited for long may rent one machine of any type, so that it is served at all.
+/// A starved job may rent one machine of any type, so that it runs even if no spot instance is available.
 #[test]
 fn a_starved_job_may_rent_one_machine_of_any_type() {
     let types = types();
@@ -126,7 +129,7 @@
     assert!(!demand.machine_demands[0].offer.spot);
 }
 
-/// Resources of opportunistic tasks are free for all other tasks, so nothing is rented beside them.
+/// Resources of opportunistic tasks count as free for all other tasks, so no machine is rented for these.
 #[test]
 fn other_tasks_are_planned_on_the_resources_of_opportunistic_tasks() {
     let (types, unavailable) = (types(), BTreeSet::new());
@@ -148,14 +151,14 @@
         &mut demand,
     );
     assert_eq!(demand.machines_wanted(), 0);
-    // Other opportunistic tasks do not fit there.
+    // Further opportunistic tasks may not use the same resources.
     plan.reserve_opportunistic();
     let tasks = TaskDemand::expected(&types, opportunistic_array(30.0), 1);
     plan.place_opportunistic(tasks, false, &mut 1, &mut demand);
     assert_eq!(demand.machines_wanted(), 1);
 }
 
-/// A spot instance is not worth renting if its price per task is more than half above the lowest.
+/// A spot instance is not worth renting if its price per task is more than 1.5 times the lowest.
 #[test]
 fn an_expensive_spot_instance_is_not_cost_effective() {
     let mut types = types();
@@ -173,7 +176,7 @@
     );
 }
 
-/// A shard with one machine of 64 CPUs, whose token is confirmed, on which one task of the array runs.
+/// A shard with one machine of 64 CPUs that has confirmed its token and runs one task of the array.
 fn shard_with_an_opportunistic_task(spot: bool) -> (Shard, Outbox, StoreReplica) {
     let (mut shard, outbox, store) = shard();
     let mut machine = Machine::named("m-1".into(), FencingToken(9), 0.0);
@@ -193,7 +196,7 @@
     (shard, outbox, store)
 }
 
-/// Other machines than spot instances stayed up for as long as opportunistic tasks arrived.
+/// Guards against machines other than spot instances that are kept as long as opportunistic tasks arrive.
 #[test]
 fn a_machine_with_only_opportunistic_tasks_is_emptied_unless_it_is_a_spot_instance() {
     for spot in [false, true] {
@@ -221,7 +224,7 @@
     }
 }
 
-/// The end of an opportunistic task does not restart the time for which a machine has been unused.
+/// The end of an opportunistic task does not reset the idle time of a machine.
 #[test]
 fn idle_time_includes_time_with_only_opportunistic_tasks() {
     let (mut shard, _, _) = shard_with_an_opportunistic_task(false);
@@ -238,7 +241,7 @@
     assert_eq!(machine.idle_since, 60.0);
 }
 
-/// Preempting a job that others depend on would make those late.
+/// Preempting a job that others depend on would delay the others.
 #[test]
 fn a_job_that_others_depend_on_is_not_opportunistic() {
     let config = config();
@@ -254,7 +257,7 @@
     assert!(!job.is_opportunistic(&config));
 }
 
-/// Beside an attempt whose resources are unknown nothing counts as free.
+/// A machine with an attempt of unknown size has no free resources.
 #[test]
 fn no_resources_are_free_beside_an_attempt_of_unknown_size() {
     let (mut shard, _, _) = shard_with_an_opportunistic_task(false);
--- a/src/core/shard/preemption.rs
+++ b/src/core/shard/preemption.rs
@@ -1,5 +1,5 @@
-//! Preemption: which running tasks are stopped so that a task of higher priority, or one within its team's
-//! guaranteed quota, can run. The tasks that lose the least work are preempted first, and every task that
+//! Preemption: the choice of running tasks to stop so that a task of higher priority, or one within its
+//! team's guaranteed quota, can run. The tasks that lose the least work are preempted first. Every task that
 //! can write a checkpoint gets the time to do so.
 
 use crate::core::jobs::job::Job;
@@ -13,33 +13,34 @@
 use crate::wire::{Kind, Priority};
 use std::collections::BTreeMap;
 
-/// What preempting a replica costs at least, in seconds, so that work which loses nothing goes first.
+/// Minimum cost of preempting a service replica, in seconds. It is above zero so that attempts which lose no
+/// work are preempted before replicas.
 const REPLICA_BASE_LOSS_S: Time = 1.0;
 
-/// An attempt that is to be stopped.
+/// An attempt to stop so that another job's task can run.
 pub(crate) struct Preemption {
-    /// Its machine.
+    /// The machine on which the attempt runs.
     pub(crate) machine: MachineId,
-    /// Its task.
+    /// The task that has to wait again.
     pub(crate) task: TaskId,
-    /// The attempt.
+    /// Number of the attempt that the stop applies to.
     pub(crate) attempt: Attempt,
-    /// Seconds that it gets to write a checkpoint.
+    /// Seconds that the attempt has to write a checkpoint; 0 if it cannot write one.
     pub(crate) grace_s: Time,
 }
 
-/// Tasks of a job for which no machine has the resources free.
+/// Tasks of a job for which no machine has enough free resources.
 pub(crate) struct UnplacedTasks<'a> {
-    /// The job.
+    /// The job that the tasks belong to, and for which others are preempted.
     pub(crate) job: &'a JobId,
-    /// How many tasks there are.
+    /// Number of tasks without a machine.
     pub(crate) tasks: usize,
-    /// Whether they leave CPUs and memory to GPUs ([`Shard::avoids_stranding_gpus`]).
+    /// See [`Shard::avoids_stranding_gpus`].
     pub(crate) avoids_stranding_gpus: bool,
 }
 
-/// Chooses the attempts to stop for tasks that found no machine, and assigns the resources that this will free
-/// to these tasks.
+/// Chooses the attempts to stop for tasks that found no machine. The resources that the stops will release
+/// are assigned to these tasks in the snapshots.
 pub(crate) fn choose_preemptions(
     shard: &Shard,
     unplaced: &UnplacedTasks,
@@ -65,11 +66,11 @@
     preemptions
 }
 
-/// What stopping an attempt loses.
+/// The loss caused by stopping an attempt.
 struct PreemptionLoss {
     /// Lost work, in seconds.
     cost: Time,
-    /// Seconds to write a checkpoint.
+    /// Seconds that the attempt needs to write a checkpoint; 0 if it cannot write one.
     grace_s: Time,
 }
 
@@ -78,7 +79,7 @@
     preemption: Preemption,
     /// Lost work, in seconds.
     cost: Time,
-    /// What stopping it frees.
+    /// Resources that the stop will release.
     resources: Resources,
 }
 
@@ -87,9 +88,10 @@
     shard: &'a Shard,
     job_id: &'a JobId,
     job: &'a Job,
-    /// What each task needs.
+    /// Resources of each task.
     need: Resources,
-    /// Teams that use more than they are guaranteed, if the job is within its own team's guarantee.
+    /// Other teams that use more than their guaranteed quota. Empty if the job itself is beyond its team's
+    /// guarantee.
     teams_beyond_guarantee: Vec<&'a Team>,
     avoids_stranding_gpus: bool,
     now: Time,
@@ -119,8 +121,8 @@
         })
     }
 
-    /// The machine on which one more task can run at the lowest cost, and the attempts to stop there. Equal
-    /// costs are decided by how soon the task could run.
+    /// The machine on which one more task can run at the lowest cost, and the attempts to stop there. Among
+    /// machines of equal cost, the one on which the task's image is ready first is chosen.
     fn cheapest_machine<'s>(
         &self,
         snapshots: &'s mut [MachineSnapshot],
@@ -149,7 +151,7 @@
         best.map(|(_, snapshot, victims)| (snapshot, victims))
     }
 
-    /// Whether one more task may run on the machine once it is empty.
+    /// Whether one more task could run on the machine if the machine were empty.
     fn is_eligible(&self, snapshot: &MachineSnapshot, tasks_in_zone: &BTreeMap<Zone, u32>) -> bool {
         let would_strand_gpus = self.avoids_stranding_gpus && snapshot.total.gpus > 0.0;
         !snapshot.is_reserved()
@@ -159,8 +161,8 @@
             && self.job.zone_allows(&snapshot.zone, tasks_in_zone)
     }
 
-    /// Whether preemption can free enough resources at all. It cannot on most machines, which is found
-    /// here without looking at their attempts.
+    /// Whether preemption could free enough resources at all. Most machines fail this check, which saves the
+    /// walk over their attempts.
     fn can_free_enough(&self, snapshot: &MachineSnapshot) -> bool {
         let preemptible_priorities = if self.teams_beyond_guarantee.is_empty() {
             self.job.priority as usize
@@ -177,8 +179,8 @@
             .holds(&self.need)
     }
 
-    /// Whether the attempt may be preempted: it is of lower priority, or its team uses more than it is
-    /// guaranteed. Services are never preempted for the latter reason.
+    /// Whether the attempt may be preempted: it has a lower priority, or its team uses more than its
+    /// guaranteed quota. Services are never preempted for the second reason.
     fn may_preempt(&self, task: &TaskId, tracked: &TrackedAttempt) -> bool {
         if tracked.exited() || tracked.stop.is_some() || task.job == *self.job_id {
             return false;
@@ -196,8 +198,8 @@
         tracked.priority < self.job.priority || (is_beyond_guarantee() && is_known_non_service())
     }
 
-    /// Attempts on a machine whose end frees enough resources for a task, those that lose the least work
-    /// first. `free` is what is free once the stops issued before are carried out.
+    /// The attempts to stop on a machine so that one more task fits, those with the least lost work first.
+    /// `None` if the task does not fit even then. `free` are the resources that pending stops leave free.
     fn cheapest_victims(&self, machine: &Machine, mut free: Resources) -> Option<Vec<Victim>> {
         let mut candidates = self.candidate_victims(machine);
         candidates.sort_by(|one, other| one.cost.total_cmp(&other.cost));
@@ -212,6 +214,7 @@
         free.holds(&self.need).then_some(victims)
     }
 
+    /// All attempts on a machine that may be preempted.
     fn candidate_victims(&self, machine: &Machine) -> Vec<Victim> {
         let mut victims = Vec::new();
         for ((task, attempt), tracked) in &machine.attempts {
@@ -237,12 +240,12 @@
     }
 }
 
-/// Lost work of all victims, in seconds.
+/// Sum of the lost work of all victims, in seconds.
 fn total_cost(victims: &[Victim]) -> Time {
     victims.iter().fold(0.0, |sum, victim| sum + victim.cost)
 }
 
-/// Other teams with a guarantee that use more than they are guaranteed.
+/// Teams other than `team` that have a guaranteed quota and use more than it.
 fn teams_beyond_guarantee<'a>(shard: &'a Shard, team: &Team, usage: &Usage) -> Vec<&'a Team> {
     shard
         .config
@@ -256,7 +259,8 @@
         .collect()
 }
 
-/// What stopping an attempt loses; `None` if that is unknown, so that it must not be stopped.
+/// Estimates the loss caused by stopping an attempt. `None` if it is unknown; the attempt must not be stopped
+/// then.
 fn estimate_loss(
     shard: &Shard,
     task: &TaskId,
@@ -271,7 +275,8 @@
         });
     }
     let Some(job) = shard.jobs.get(&task.job) else {
-        // A task of another shard's team on a machine that moved here: its owner restarts it elsewhere.
+        // The task belongs to a team of another shard, on a machine that moved to this shard. The team's
+        // owner restarts the task elsewhere.
         let can_checkpoint = tracked.team.is_some() && checkpoint_s > 0.0;
         return can_checkpoint.then_some(PreemptionLoss {
             cost: checkpoint_s,
@@ -280,7 +285,7 @@
     };
     let run_time = tracked.started_at.map_or(0.0, |started| now - started);
     let (cost, grace_s) = match job.spec.kind {
-        // A stopped replica is missed until another is up.
+        // The service lacks a stopped replica until another one is running.
         Kind::Service => {
             let cancel_s = shard.config.deployment.workers.cancel_s;
             (run_time.min(cancel_s) + REPLICA_BASE_LOSS_S, 0.0)
--- a/src/core/shard/round.rs
+++ b/src/core/shard/round.rs
@@ -1,4 +1,4 @@
-//! A round of placement: which waiting tasks are started on which machines, and in what order.
+//! The placement round: starts waiting tasks on machines, in queue order.
 
 mod machine_choice;
 mod queue;
@@ -21,34 +21,36 @@
 use crate::wire::JobSpec;
 use std::rc::Rc;
 
-/// Starts issued in one round at most; the next round follows at once.
+/// Maximum number of task starts in one round; the next round follows at once.
 const MAX_STARTS_PER_ROUND: usize = 200;
 
-/// What a round of placement knows when it looks at a job.
+/// Conditions under which a round places one job.
 #[derive(Clone, Copy)]
 struct RoundContext {
-    /// Whether machines are about to send their first heartbeat.
+    /// See [`Shard::expects_first_heartbeats`].
     expects_first_heartbeats: bool,
     /// See [`Shard::avoids_stranding_gpus`].
     avoids_stranding_gpus: bool,
     now: Time,
 }
 
-/// The tasks of a job that its team's limit allows to be started.
+/// The waiting tasks of a job that may be started within its team's limit.
 struct StartableTasks {
     spec: Rc<JobSpec>,
     team_limits: TeamLimits,
-    /// What each task needs.
+    /// Resources of each task.
     need: Resources,
-    /// Indices of the tasks.
+    /// Indices of the tasks within the job.
     tasks: Vec<u32>,
-    /// Whether all of them have to start, or none.
+    /// Whether the tasks must all start in the same round.
     is_gang: bool,
 }
 
-/// A task and the index of the snapshot of the machine chosen for it.
+/// A task and the machine chosen for it.
 struct Placement {
+    /// Index of the task within its job.
     task: u32,
+    /// Index of the machine's snapshot.
     snapshot: usize,
 }
 
@@ -56,12 +58,13 @@
 struct SelectedMachines {
     /// Indices of snapshots, one for each placed task.
     snapshots: Vec<usize>,
-    /// Tasks for which no machine was found and others should be preempted.
+    /// Number of tasks that found no machine and may preempt others.
     unplaced: usize,
 }
 
 impl Shard {
-    /// Starts waiting tasks where resources are free, and adds them to `usage`.
+    /// Runs a placement round: starts waiting tasks on machines with enough free resources and adds them to
+    /// `usage`.
     pub(crate) fn schedule(&mut self, now: Time, usage: &mut Usage, catalog: &Catalog) {
         let mut snapshots = self.snapshot_machines(now);
         self.reserve_for_cached_images(&mut snapshots, catalog, now);
@@ -81,9 +84,10 @@
         }
     }
 
-    /// Whether a job's tasks leave CPUs and memory to free GPUs: they need no GPUs and may run on machines
-    /// without any. Not if they have waited too long for such machines, nor if they are preempted
-    /// for any other work anyway.
+    /// Whether a job's tasks must leave free the CPUs and memory that tasks on the machine's free GPUs would
+    /// need. This holds for tasks that need no GPUs and can run on machines without GPUs. It does not hold
+    /// once the job has waited longer than `cancel_s` for a machine, nor for opportunistic jobs, because any
+    /// other work preempts these.
     pub(crate) fn avoids_stranding_gpus(&self, id: &JobId, catalog: &Catalog, now: Time) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
@@ -97,8 +101,8 @@
             && fits_without_gpus(catalog.types(), &job.spec)
     }
 
-    /// Starts tasks of one job, and preempts others for those that do not fit. Returns how many tasks were
-    /// started.
+    /// Starts tasks of one job and preempts other tasks for those that find no machine. Returns the number of
+    /// started tasks.
     fn schedule_job(
         &mut self,
         id: &JobId,
@@ -120,7 +124,8 @@
                 snapshot.assign(&startable.need, &startable.spec.image);
             }
         }
-        // Tasks that wait only for a larger grant keep the resources found for them until then.
+        // Tasks that the grant does not cover yet stay assigned in the snapshots, so that their resources are
+        // not given to other jobs of this round.
         placements.truncate(usage.admit_under_grant(
             &startable.team_limits,
             &startable.need,
@@ -139,8 +144,8 @@
         placements.len()
     }
 
-    /// The waiting tasks of a job that may be started now within its team's limit; `None` if there are none,
-    /// or not all tasks of a gang.
+    /// The waiting tasks of a job that may be started now within its team's limit. `None` if there are none
+    /// or if the job is a gang and not all its tasks may be started.
     fn startable_tasks_within_limit(
         &self,
         id: &JobId,
@@ -169,9 +174,9 @@
         })
     }
 
-    /// Chooses machines for the tasks. Resources reserved for other images are used only if no others are
-    /// free, or if the job has been interrupted: it is missed now, while the tasks that the resources are
-    /// reserved for may never arrive.
+    /// Chooses machines for the tasks. Resources reserved for other images are used only if the other free
+    /// resources do not suffice or if the job was interrupted. An interrupted job is down now, whereas the
+    /// tasks for which resources are reserved may never arrive.
     fn choose_machines_for_job(
         &self,
         id: &JobId,
@@ -209,8 +214,8 @@
         })
     }
 
-    /// Drops the machines on which the image would wait for another's fetch: machines that are about to
-    /// send their first heartbeat can start these tasks sooner.
+    /// Drops the machines on which the fetch of the job's image would share the fetch rate with other images,
+    /// because a machine that is about to send its first heartbeat can start these tasks sooner.
     fn exclude_machines_with_shared_fetch(
         &self,
         job: &Job,
@@ -229,8 +234,8 @@
         }
     }
 
-    /// Pairs the tasks with the chosen machines, without tasks that may be running already; `None` if
-    /// there are such tasks in a gang.
+    /// Pairs the tasks with the chosen machines and leaves out tasks that may already be running. `None` if a
+    /// gang has such a task.
     fn pair_tasks_with_machines(
         &mut self,
         id: &JobId,
@@ -248,8 +253,8 @@
         (!is_partial_gang).then_some(placements)
     }
 
-    /// The last safeguard against running a task twice: a task is not started while an attempt of it may
-    /// be on some machine. Such a task should not be waiting at all, so this is logged and counted.
+    /// Removes tasks of which another attempt may be on a machine, as a last check against running a task
+    /// twice. Such a task should not be in the waiting state, so each case is logged and counted.
     fn exclude_tasks_with_live_attempts(&mut self, id: &JobId, placements: &mut Vec<Placement>) {
         if placements.is_empty() {
             return;
@@ -262,14 +267,14 @@
             tracing::error!(
                 job = %id,
                 tasks = excluded,
-                "waiting tasks held back: attempts of them may be running"
+                "waiting tasks not started: earlier attempts of them may still be running"
             );
             self.starts_held_back += excluded as u64;
         }
     }
 
-    /// Starts the placed tasks as one attempt, and adds them to `usage`; false if the team's fencing token has
-    /// no attempt numbers left.
+    /// Starts the placed tasks, all with the same attempt number, and adds them to `usage`. Returns false if
+    /// the team's fencing token has no attempt numbers left.
     fn start_placed_tasks(
         &mut self,
         id: &JobId,
@@ -295,7 +300,8 @@
         true
     }
 
-    /// Preempts tasks for those of a job that found no machine, and reserves machines for a gang.
+    /// Preempts other tasks for the tasks of a job that found no machine, and reserves machines if the job is
+    /// a gang.
     fn preempt_for_unplaced_tasks(
         &mut self,
         id: &JobId,
--- a/src/core/shard/round/machine_choice.rs
+++ b/src/core/shard/round/machine_choice.rs
@@ -11,33 +11,33 @@
 use crate::wire::{JobSpec, Kind};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An image is fetched alone if it is ready within this factor of its fetch time.
+/// An image shares the machine's fetch rate if it is ready later than its fetch time alone times this factor.
 const UNSHARED_FETCH_FACTOR: f64 = 1.1;
 
-/// Heartbeat intervals within which a new machine is expected to send its first heartbeat.
+/// Number of heartbeat intervals within which a machine should send the first heartbeat to its owner.
 const FIRST_HEARTBEAT_INTERVALS: f64 = 2.0;
 
-/// What to look for.
+/// The tasks of a job that need machines, and the resources that they may not use.
 #[derive(Clone, Copy)]
 pub(super) struct PlacementRequest {
-    /// Tasks that need a machine.
+    /// Number of tasks that need a machine.
     pub(super) tasks: usize,
-    /// Whether all tasks have to be placed, or none.
+    /// Whether the tasks must all be placed together.
     pub(super) is_gang: bool,
-    /// Whether resources reserved for other images are left alone.
+    /// Whether the tasks must not use resources that are reserved for other images.
     pub(super) respects_image_reservations: bool,
-    /// Whether CPUs and memory that free GPUs need are left alone.
+    /// Whether the tasks must not use the CPUs and memory that the machine's free GPUs need.
     pub(super) avoids_stranding_gpus: bool,
 }
 
-/// A machine on which the job may be placed, during the choice.
+/// A machine on which tasks of the job may be placed.
 struct EligibleMachine<'s> {
-    /// Index of its snapshot.
+    /// Index of the snapshot in the slice that the round passes in.
     index: usize,
     snapshot: &'s MachineSnapshot,
-    /// Resources left beside the tasks chosen so far.
+    /// Free resources, less those of the tasks placed here so far.
     free: Resources,
-    /// Seconds until a task could run there.
+    /// Seconds until the job's image would be ready here.
     ready_in: Time,
 }
 
@@ -52,7 +52,7 @@
 }
 
 impl Shard {
-    /// Chooses machines for tasks of a job: indices of snapshots, one for each placed task.
+    /// Chooses machines for tasks of a job. Returns indices of snapshots, one for each placed task.
     pub(super) fn choose_machines(
         &self,
         job: &Job,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Chooses machines in the first zone that can take the most of the tasks.
+    /// Chooses machines in the zone that fits the most tasks, and the first such zone by name.
     fn choose_in_best_zone(
         &self,
         job: &Job,
@@ -92,7 +92,7 @@
         best
     }
 
-    /// Chooses a machine for one task after the other, in one zone or in all.
+    /// Chooses a machine for one task after another. `None` for `zone` allows all zones.
     fn choose_in_zone(
         &self,
         job: &Job,
@@ -135,7 +135,7 @@
         chosen
     }
 
-    /// Seconds until the job has to start; 0 for a job that has begun, which is interrupted now.
+    /// Seconds until the job has to start; 0 for a job that has begun, because it is interrupted now.
     fn time_to_start_deadline(&self, job: &Job, now: Time) -> Time {
         if job.began {
             return 0.0;
@@ -143,8 +143,8 @@
         start_deadline_with_margin(&self.config, job, RUN_TIME_ESTIMATE_MARGIN) - now
     }
 
-    /// The machines on which a task of the job fits and that satisfy its constraints, except those on how
-    /// its tasks are spread over zones.
+    /// The machines on which a task of the job fits and that satisfy its constraints. How its tasks are
+    /// spread over zones is not checked here, because it changes with each placed task.
     fn eligible_machines<'s>(
         &self,
         job: &Job,
@@ -187,8 +187,8 @@
             .collect()
     }
 
-    /// A job that fails everywhere is probed only on machines that have its image cached, if there are any, and
-    /// preferably on those where it has not failed yet.
+    /// Restricts a job that fails on every machine to machines that have its image cached, if there are any.
+    /// Among these, the ones where it has not failed yet take precedence.
     fn select_probe_machines<'s>(
         &self,
         job: &Job,
@@ -213,7 +213,7 @@
             .unwrap_or_default()
     }
 
-    /// Whether machines of this shard are likely to send their first heartbeat soon.
+    /// Whether a machine of this shard is expected to send its first heartbeat soon.
     pub(super) fn expects_first_heartbeats(&self, now: Time) -> bool {
         let heartbeat_window_s =
             self.config.deployment.workers.report_s * FIRST_HEARTBEAT_INTERVALS;
@@ -224,7 +224,7 @@
         })
     }
 
-    /// Whether the job's image would have to share the machine's fetch rate with other images.
+    /// Whether the fetch of the job's image would share the machine's fetch rate with other images.
     pub(super) fn would_share_fetch_rate(&self, id: &MachineId, spec: &JobSpec, now: Time) -> bool {
         self.machines.get(id).is_some_and(|machine| {
             machine.ready_in(&spec.image, spec.image_gb, now)
@@ -232,15 +232,15 @@
         })
     }
 
-    fn ready_in(&self, id: &MachineId, image: &Image, gb: f64, now: Time) -> Time {
-        self.machines
-            .get(id)
-            .map_or(Time::INFINITY, |machine| machine.ready_in(image, gb, now))
+    fn ready_in(&self, id: &MachineId, image: &Image, image_gb: f64, now: Time) -> Time {
+        self.machines.get(id).map_or(Time::INFINITY, |machine| {
+            machine.ready_in(image, image_gb, now)
+        })
     }
 }
 
-/// The first replicas of a service are late together: where the image is fetched for one, there should
-/// be resources for the others.
+/// The policy for starts that miss their deadline. The first replicas of a service usually all miss it
+/// together, so the machine that fetches the image for one replica should have room for the others.
 fn late_start_policy(job: &Job) -> LateStartPolicy {
     if job.spec.kind == Kind::Service && !job.began {
         LateStartPolicy::WorstFit
@@ -249,8 +249,8 @@
     }
 }
 
-/// Whether the job is placed on spot instances only: it may use them and enough of them have resources free,
-/// so the more expensive machines are left to jobs that must not use spot instances.
+/// Whether the job is placed on spot instances only: it accepts them and enough of them have free resources.
+/// The more expensive machines then stay free for jobs that do not accept spot instances.
 fn should_use_spot_only(job: &Job, tasks: usize, snapshots: &[MachineSnapshot]) -> bool {
     let fits_on_spot = |snapshot: &&MachineSnapshot| {
         let free = snapshot.free_for_image(Some(&job.spec.image));
--- a/src/core/shard/round/queue.rs
+++ b/src/core/shard/round/queue.rs
@@ -1,4 +1,4 @@
-//! The order in which jobs with waiting tasks are served.
+//! The order in which a placement round considers the jobs with waiting tasks.
 
 use crate::core::jobs::job::Job;
 use crate::core::model::time::Time;
@@ -10,12 +10,13 @@
 use crate::wire::Priority;
 use std::cmp::{Ordering, Reverse};
 
-/// Where a job stands in the queue; smaller ranks are served first.
+/// The sort key of a job in the queue. Jobs with smaller ranks are placed first; the fields are compared in
+/// order.
 struct QueueRank {
     priority: Reverse<Priority>,
-    /// Whether a task of the job would take its team beyond its guaranteed quota.
+    /// Whether one more task of the job would exceed its team's guaranteed quota.
     is_beyond_guarantee: bool,
-    /// Whether the job is served after all others of its priority and guarantee.
+    /// See [`Shard::is_deferred`].
     is_deferred: bool,
     start_deadline: Time,
     submitted: Time,
@@ -32,11 +33,11 @@
 }
 
 impl Shard {
-    /// Jobs with waiting tasks, in the order in which they are served.
+    /// Jobs with waiting tasks, in the order in which they are placed.
     pub(crate) fn queued_jobs(&self, usage: &Usage, now: Time) -> Vec<JobId> {
         let mut queue: Vec<(QueueRank, &JobId)> = Vec::new();
         for (id, job) in &self.jobs {
-            // Where its other tasks are matters to such a job, so all of them must be known.
+            // The constraints of such a job depend on the machines of all its tasks.
             let needs_all_tasks_known = job.spec.spread || job.spec.one_zone || job.is_gang();
             if job.waiting().is_empty() || (job.unreconciled() > 0 && needs_all_tasks_known) {
                 continue;
@@ -52,7 +53,7 @@
             priority: Reverse(job.priority),
             is_beyond_guarantee: !self.is_within_guarantee(job, usage),
             is_deferred: self.is_deferred(job),
-            // Deadlines that have passed are all the same: such jobs are served by age.
+            // Jobs whose deadlines have passed get equal deadlines, so that the oldest comes first.
             start_deadline: start_deadline(&self.config, job).max(now),
             submitted: job.submitted,
         }
@@ -65,15 +66,16 @@
             .is_some_and(|team_limits| usage.guaranteed(team_limits, need.cpus, need.gpus))
     }
 
-    /// Opportunistic jobs that have begun are served after those that have not, and jobs that fail
-    /// on every machine after those that may succeed.
+    /// Whether the job is placed after all others that have the same priority and are equally within or
+    /// beyond their guarantee. This holds for opportunistic jobs that have begun, and for jobs that fail on
+    /// every machine.
     fn is_deferred(&self, job: &Job) -> bool {
-        let has_been_served = job.began && job.is_opportunistic(&self.config);
-        has_been_served || job.failures.fails_everywhere()
+        let is_begun_opportunistic = job.began && job.is_opportunistic(&self.config);
+        is_begun_opportunistic || job.failures.fails_everywhere()
     }
 
-    /// The waiting tasks of a job that may be started now. Of a job that fails everywhere only one task at a
-    /// time is started as a probe, unless it is a gang.
+    /// Indices of the waiting tasks of a job that may be started now. A job that fails on every machine
+    /// starts only one task at a time, as a probe, unless it is a gang.
     pub(super) fn startable_tasks(&self, job: &Job, now: Time) -> Vec<u32> {
         let is_probe = job.failures.fails_everywhere();
         if is_probe && (job.placed() > 0 || !job.failures.may_probe(now)) {
--- a/src/core/shard/round/reservations.rs
+++ b/src/core/shard/round/reservations.rs
@@ -1,5 +1,5 @@
-//! Resources that a round of placement reserves: for tasks that can start in time only where their image
-//! is cached, and for gangs that wait for machines.
+//! Resources that a placement round reserves for tasks that can start in time only on a machine with their
+//! image cached, and for gangs that wait for machines.
 
 use crate::core::model::resources::Resources;
 use crate::core::model::time::Time;
@@ -11,9 +11,9 @@
 use std::collections::BTreeSet;
 
 impl Shard {
-    /// Reserves resources on machines that have an image cached whose fetch takes longer than starts may, for as
-    /// many of its tasks as arrived recently. Best fit would otherwise place other tasks on exactly these
-    /// machines.
+    /// Reserves resources on machines that have an image cached if fetching this image takes longer than a
+    /// start may take. The reservation covers as many tasks of the image as arrived recently. Without it,
+    /// best fit would place other tasks on exactly these machines.
     pub(super) fn reserve_for_cached_images(
         &self,
         snapshots: &mut [MachineSnapshot],
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Reserves resources for up to `tasks` tasks in one zone, on the machines with the fewest free
-    /// GPUs first.
+    /// Reserves resources for up to `tasks` tasks on machines of one zone that have the image cached, in the
+    /// order of their free GPUs, fewest first.
     fn reserve_in_zone(
         &self,
         snapshots: &mut [MachineSnapshot],
@@ -70,8 +70,9 @@
         }
     }
 
-    /// Reserves the machines that will soonest have the resources a gang still lacks, so that smaller tasks
-    /// which are served later do not starve it.
+    /// Reserves one machine for each task that a gang cannot place yet, so that smaller tasks later in the
+    /// queue do not starve the gang. Machines with the most free GPUs after pending stops come first, because
+    /// they will have the needed resources soonest.
     pub(super) fn reserve_for_gang(
         &self,
         id: &JobId,
--- a/src/core/shard/round/snapshot.rs
+++ b/src/core/shard/round/snapshot.rs
@@ -1,4 +1,4 @@
-//! The state of the machines during a round of placement.
+//! The state of the machines during a placement round.
 
 use crate::core::model::resources::Resources;
 use crate::core::model::time::Time;
@@ -7,48 +7,48 @@
 use crate::ids::{Image, MachineId, TypeName, Zone};
 use crate::wire::{JobSpec, Priority};
 
-/// A usable machine, less the resources that the round has already assigned.
+/// The resources of a usable machine, less those that the round has already assigned.
 pub struct MachineSnapshot {
-    /// The machine.
+    /// Id by which [`Shard`] looks up the machine.
     pub(crate) id: MachineId,
-    /// Its type.
+    /// The type under which the cloud's catalog lists the machine.
     pub(crate) type_name: TypeName,
-    /// Its zone.
+    /// The cloud zone in which the machine runs.
     pub(crate) zone: Zone,
-    /// Whether it is a spot instance.
+    /// Whether the cloud may reclaim the machine at short notice.
     pub(crate) spot: bool,
-    /// All its resources.
+    /// The resources of the empty machine.
     pub(crate) total: Resources,
-    /// Resources that are free now.
+    /// Resources that a task started in this round may use.
     pub(super) free: Resources,
-    /// Resources that are free once all attempts that were told to stop have ended.
+    /// Resources that will be free once every attempt with a pending stop has ended.
     pub(super) free_after_stops: Resources,
-    /// Resources of the attempts that were not told to stop, by priority.
+    /// Resources of the attempts without a pending stop, indexed by priority.
     pub(crate) running: [Resources; Priority::COUNT],
-    /// Whether the machine is reserved for a gang that needs it.
+    /// Whether the machine is reserved for a waiting gang in this round.
     pub(super) is_reserved: bool,
-    /// Resources reserved for starts that are in time only where their image is cached.
+    /// Reservations for tasks that can start in time only on a machine with their image cached.
     image_reservations: Vec<ImageReservation>,
 }
 
-/// Resources reserved for one task that uses an image.
+/// Resources reserved for one future task that uses the image.
 struct ImageReservation {
     image: Image,
     resources: Resources,
 }
 
 impl MachineSnapshot {
-    /// Resources that are free once all attempts that were told to stop have ended.
+    /// Resources that will be free once every attempt with a pending stop has ended.
     pub(crate) fn free_after_stops(&self) -> Resources {
         self.free_after_stops
     }
 
-    /// Whether the machine is reserved for a gang.
+    /// Whether the machine is reserved for a waiting gang in this round.
     pub(crate) fn is_reserved(&self) -> bool {
         self.is_reserved
     }
 
-    /// Free resources less those reserved for images other than `image`.
+    /// Free resources less those reserved for images other than `image`; `None` respects every reservation.
     pub(super) fn free_for_image(&self, image: Option<&Image>) -> Resources {
         self.image_reservations
             .iter()
@@ -58,8 +58,8 @@
             })
     }
 
-    /// The part of `free` that a task may use. A task that avoids stranding GPUs uses only what the
-    /// machine's free GPUs do not need.
+    /// The part of `free` that a task may use. A task that avoids stranding GPUs may not use the CPUs and
+    /// memory that the machine's free GPUs need.
     pub(super) fn usable_resources(
         &self,
         free: Resources,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Reserves resources for a task that uses an image.
+    /// Reserves resources for one future task that uses the image.
     pub(super) fn reserve_for_image(&mut self, image: &Image, resources: Resources) {
         self.image_reservations.push(ImageReservation {
             image: image.clone(),
@@ -80,7 +80,7 @@
         });
     }
 
-    /// Assigns resources to a task, which also uses up one reservation for its image.
+    /// Assigns resources to a task and removes one reservation for its image, if there is any.
     pub(super) fn assign(&mut self, need: &Resources, image: &Image) {
         self.free = self.free.less(need);
         self.free_after_stops = self.free_after_stops.less(need);
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Assigns resources to a task that starts once preempted attempts have ended, which will free
-    /// `released`.
+    /// Assigns resources to a task that starts once the preempted attempts have ended. `released` are the
+    /// resources of these attempts.
     pub(crate) fn assign_after_preemption(
         &mut self,
         released: impl Iterator<Item = Resources>,
@@ -107,14 +107,14 @@
         self.free = self.free.min(&self.free_after_stops);
     }
 
-    /// Whether the job accepts the machine's type, zone and kind.
+    /// Whether the job accepts the machine's type and zone, and a spot instance if the machine is one.
     pub(crate) fn is_allowed_for(&self, spec: &JobSpec) -> bool {
         allowed(spec, &self.type_name, &self.zone, self.spot)
     }
 }
 
 impl Shard {
-    /// Snapshots of all usable machines, in the order of their ids.
+    /// Takes a snapshot of each usable machine, in the order of machine ids.
     pub(super) fn snapshot_machines(&self, now: Time) -> Vec<MachineSnapshot> {
         self.machines
             .values()
--- a/src/core/shard/soon_ready.rs
+++ b/src/core/shard/soon_ready.rs
@@ -1,7 +1,7 @@
-//! Jobs that are about to become ready: all their unfinished dependencies run in this shard and are expected to
-//! end soon. Machines for them are demanded one boot time ahead and not earlier, and only for tasks that
-//! do not fit into the resources that the dependencies will release. A job whose dependencies are
-//! queued, or run elsewhere, may become ready much later, so nothing is rented for it.
+//! Jobs that are about to become ready: all their unfinished dependencies run in this shard and are expected
+//! to end soon. Machines for these jobs are demanded at most one boot time ahead, and only for tasks that do
+//! not fit into the resources that the dependencies will release. A job whose dependencies are queued or run
+//! in another shard may become ready much later, so no machine is rented for it.
 
 use crate::core::jobs::job::Job;
 use crate::core::model::resources::Resources;
@@ -17,17 +17,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Jobs that will soon be ready, and the resources that will be free by then.
+/// Demand of the jobs that will soon be ready, and the resources that will be released by then.
 #[derive(Default)]
 pub(crate) struct SoonReadyJobs {
-    /// Their tasks.
+    /// Tasks of these jobs that fit within their teams' limits, one entry for each job.
     pub(crate) demands: Vec<TaskDemand>,
-    /// Resources that the jobs they depend on will release, by machine.
+    /// Resources that their dependencies will release, by machine; empty if there is no demand.
     pub(crate) released: Vec<(MachineId, Resources)>,
 }
 
 impl Shard {
-    /// The jobs that are expected to become ready while a machine boots.
+    /// The jobs that are expected to become ready within the longest boot time of any machine type.
     pub(crate) fn soon_ready_jobs(
         &self,
         store: &StoreReplica,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Jobs all of whose unfinished tasks are running and are expected to end by the given time.
+    /// Jobs whose unfinished tasks are all running and expected to end by the given time.
     fn jobs_ending_by(&self, by: Time) -> BTreeSet<&JobId> {
         let last_end = self.expected_ends();
         let is_ending = |id: &JobId, job: &Job| {
@@ -72,7 +72,8 @@
             .collect()
     }
 
-    /// When the last live attempt of each job is expected to end; infinity if one has not begun to run.
+    /// The time at which the last live attempt of each job is expected to end; infinity if one of its
+    /// attempts has not begun to run.
     fn expected_ends(&self) -> BTreeMap<&JobId, Time> {
         let mut last_end: BTreeMap<&JobId, Time> = BTreeMap::new();
         for ((task, _), tracked) in self.machines.values().flat_map(|machine| &machine.attempts) {
@@ -88,8 +89,8 @@
         last_end
     }
 
-    /// Unfinished jobs of this shard's teams all of whose dependencies are done or in `ending`, at least one of
-    /// them in `ending`.
+    /// Unfinished jobs of this shard's teams whose dependencies are all either done or in `ending_jobs`, with
+    /// at least one in `ending_jobs`.
     fn jobs_ready_after(
         &self,
         store: &StoreReplica,
@@ -124,7 +125,7 @@
         specs
     }
 
-    /// Resources of the jobs' live attempts that were not told to stop, by machine.
+    /// Resources of the jobs' live attempts without a pending stop, by machine.
     fn resources_held_by(&self, jobs: &BTreeSet<&JobId>) -> Vec<(MachineId, Resources)> {
         let mut used = Vec::new();
         for machine in self.machines.values() {
--- a/src/core/shard/soon_ready/tests.rs
+++ b/src/core/shard/soon_ready/tests.rs
@@ -64,7 +64,7 @@
         }
     }
 
-    /// A task is running since `started_at`, or is fetching its image if that is None.
+    /// Marks a task as running since `started_at`, or as fetching its image if that is `None`.
     fn run(&mut self, id: u32, index: u32, started_at: Option<Time>) {
         let id = JobId::from(format!("req-{id:06}"));
         let job = self.shard.jobs.get_mut(&id).unwrap();
@@ -101,7 +101,8 @@
     }
 }
 
-/// Not earlier than one boot time before the expected end of all dependencies.
+/// Machines for a dependent job are planned at most one boot time before all its dependencies are expected to
+/// end.
 #[test]
 fn dependents_are_planned_one_boot_time_before_their_dependencies_end() {
     let mut fixture = Fixture::new();
@@ -138,7 +139,7 @@
     );
 }
 
-/// Nothing is planned for a job that will not run, or that depends on another shard's job.
+/// No machine is planned for a job that is cancelled with its dependency or depends on another shard's job.
 #[test]
 fn dependents_of_cancelled_or_foreign_jobs_are_not_planned() {
     let mut fixture = Fixture::new();
