--- a/src/core/controller/acquired_machines.rs
+++ b/src/core/controller/acquired_machines.rs
@@ -18,7 +18,7 @@
             return shard.uninspected_machines.clear();
         }
         let limit = shard.max_direct_commands();
-        while self.outbox.direct_commands() < limit
+        while self.outbox.pending_worker_calls() < limit
             && let Some(machine_id) = shard.uninspected_machines.pop_first()
         {
             let machine = shard
@@ -33,7 +33,8 @@
                 agent_epoch: contact.agent_epoch,
                 commands: Vec::new(),
             };
-            self.outbox.inspect(&machine_id, &contact.address, message);
+            self.outbox
+                .inspect_machine(&machine_id, &contact.address, message);
         }
     }
 
--- a/src/core/controller/catalog.rs
+++ b/src/core/controller/catalog.rs
@@ -20,7 +20,7 @@
     /// rents machines, asks repeatedly; other controllers until they know them.
     pub(crate) fn catalog_when_due(&mut self) {
         let catalog = &mut self.catalog;
-        if let (false, Some(stored)) = (catalog.known(), self.store.types()) {
+        if let (false, Some(stored)) = (catalog.known(), self.store.machine_types()) {
             catalog.types.clone_from(&stored.record.types);
         }
         if self.leader.is_some()
@@ -37,7 +37,7 @@
             && (!catalog.known() || self.leader.is_some())
         {
             catalog.asking = true;
-            self.outbox.cloud(None, CloudCall::Types);
+            self.outbox.call_cloud(None, CloudCall::Types);
         }
     }
 
@@ -47,7 +47,7 @@
         let record = MachineTypes {
             types: self.catalog.types.clone(),
         };
-        let stored = self.store.types();
+        let stored = self.store.machine_types();
         if stored.is_some_and(|stored| stored.record == record) {
             return;
         }
@@ -66,7 +66,7 @@
             writes: vec![write.clone()],
         };
         self.outbox
-            .state(Pending::Types(write), StoreCall::Commit(transaction));
+            .call_store(Pending::MachineTypes(write), StoreCall::Commit(transaction));
     }
 
     /// Takes in the cloud's reply to a request for the machine types.
--- a/src/core/controller/deferred_heartbeats.rs
+++ b/src/core/controller/deferred_heartbeats.rs
@@ -116,7 +116,7 @@
             until: self.outbox.now + self.deferred_heartbeats.wait_s(reason),
         };
         self.deferred_heartbeats.heartbeats.push(deferred);
-        self.store.want_sync();
+        self.store.request_read();
     }
 
     /// Takes the action that is due for each deferred heartbeat.
@@ -133,12 +133,12 @@
             }
         }
         if !self.deferred_heartbeats.heartbeats.is_empty() {
-            self.store.want_sync();
+            self.store.request_read();
         }
     }
 
     fn disposition(&self, deferred: &DeferredHeartbeat) -> Disposition {
-        let owners = &self.store.owners().machines;
+        let owners = &self.store.shard_map().machines;
         let owner = owners.get(&deferred.heartbeat.machine);
         if owner.is_some_and(|owner| owner.node == self.config.node) && self.may_answer() {
             return Disposition::Answer;
--- a/src/core/controller/deferred_heartbeats/tests.rs
+++ b/src/core/controller/deferred_heartbeats/tests.rs
@@ -23,7 +23,7 @@
     if after > 0.0 {
         answered_until(&mut core, &["n2"], START + 1.0, START + 1.0 + after);
     }
-    core.store.state_answered(core.outbox.now);
+    core.store.record_store_reply(core.outbox.now);
     core.outbox.take_effects();
     core
 }
--- a/src/core/controller/failure_detection.rs
+++ b/src/core/controller/failure_detection.rs
@@ -64,10 +64,10 @@
 
     /// Adds evidence from the store: which siblings have no key, and which own nothing in the shard map.
     fn add_store_evidence(&mut self) {
-        if !self.store.complete() {
+        if !self.store.is_complete() {
             return;
         }
-        let map_changes = self.store.map_changes();
+        let map_changes = self.store.shard_map_changes();
         let owning_nodes = self
             .detection
             .take_shard_map_change(map_changes)
@@ -84,7 +84,7 @@
 
     /// The controllers that own at least one team or machine in the shard map.
     fn owning_nodes(&self) -> BTreeSet<Node> {
-        let processes = self.store.owners().owning_processes().into_iter();
+        let processes = self.store.shard_map().owning_processes().into_iter();
         processes.map(|process| process.node).collect()
     }
 
@@ -106,7 +106,7 @@
         let now = self.outbox.now;
         self.acts_on_failures().then(|| DetectionReport {
             opinions: self.peers.detector().opinions_to_send(now),
-            store_silence: self.store.state_silence(now).min(f64::MAX),
+            store_silence: self.store.seconds_since_store_reply(now).min(f64::MAX),
             abandoned_lease: self
                 .detection
                 .abandoned_lease()
@@ -143,7 +143,7 @@
         tracing::info!(controller = %of, lease, "ending the lease of a controller that stepped down");
         self.detection.note_ended(lease);
         self.end_lease(lease);
-        self.store.want_sync();
+        self.store.request_read();
     }
 
     /// Steps down if this controller has lost contact with workers or the store while siblings still have
@@ -208,7 +208,7 @@
 
     fn add_store_contact(&self, contact: &mut OwnContact) {
         let now = self.outbox.now;
-        let silence = self.store.state_silence(now);
+        let silence = self.store.seconds_since_store_reply(now);
         let later = now - silence + self.ownership.ttl() * LATER_CONTACT_TTLS;
         contact.store_silent_s = silence;
         contact.refusals = self.detection.refusals();
@@ -224,7 +224,7 @@
         let now = self.outbox.now;
         self.acts_on_failures()
             && !self.ownership.holds_lease(now)
-            && self.store.state_silence(now) > self.ownership.ttl()
+            && self.store.seconds_since_store_reply(now) > self.ownership.ttl()
             && !self.peers.heard_any(now)
     }
 
--- a/src/core/controller/failure_detection/tests.rs
+++ b/src/core/controller/failure_detection/tests.rs
@@ -14,7 +14,7 @@
 fn store_calls(core: &mut Core) -> Vec<StoreCall> {
     let effects = core.outbox.take_effects();
     let calls = effects.into_iter().filter_map(|effect| match effect {
-        Effect::State(_, call) => Some(call),
+        Effect::Store(_, call) => Some(call),
         _ => None,
     });
     calls.collect()
@@ -48,7 +48,7 @@
     answered_until(&mut core, &["n0", "n2", "n3", "n4"], START, START + 1.0);
     answered_until(&mut core, &["n2", "n3", "n4"], START + 1.0, START + 3.5);
     core.ownership.hold(OWN_LEASE, core.outbox.now);
-    core.store.state_answered(core.outbox.now);
+    core.store.record_store_reply(core.outbox.now);
     core
 }
 
@@ -139,7 +139,7 @@
     for node in ["n0", "n2", "n3", "n4"] {
         core.peers.answered(&node.into(), 1, START);
     }
-    core.outbox.begin(START + 1.9, 0);
+    core.outbox.begin_step(START + 1.9, 0);
     for _ in 0..9 {
         core.detection.store_refused();
     }
@@ -185,7 +185,7 @@
     let mut core = running_core(2, START);
     assert!(!core.renewal_would_delay_failover());
     let later = START + core.ownership.ttl() * 1.5;
-    core.outbox.begin(later, 0);
+    core.outbox.begin_step(later, 0);
     assert!(core.renewal_would_delay_failover());
     core.peers.answered(&"n2".into(), 1, later);
     assert!(
--- a/src/core/controller/heartbeat_routing.rs
+++ b/src/core/controller/heartbeat_routing.rs
@@ -33,7 +33,7 @@
             self.peers.note_worker_contact(self.outbox.now);
             return self.outbox.answer(request, answer);
         }
-        let owners = &self.store.owners().machines;
+        let owners = &self.store.shard_map().machines;
         match owners.get(&heartbeat.machine).cloned() {
             Some(owner) => self.route_to_owner(request, heartbeat, owner),
             None => self.route_unassigned(request, &heartbeat),
@@ -179,7 +179,7 @@
             owner,
             heartbeat: Box::new(heartbeat),
         };
-        self.outbox.mesh(pending, &node, message);
+        self.outbox.send_to_sibling(pending, &node, message);
     }
 
     /// Answers a heartbeat that a sibling has relayed. The heartbeat is not relayed further, and does not
@@ -197,7 +197,7 @@
             _ => None,
         };
         let reply = MeshReply::HeartbeatResponse(response);
-        self.outbox.mesh_answer(request, reply);
+        self.outbox.answer_sibling(request, reply);
     }
 
     /// Ends the relay of a heartbeat. `response` is None if the owner refused the heartbeat or did not
--- a/src/core/controller/heartbeat_routing/relays.rs
+++ b/src/core/controller/heartbeat_routing/relays.rs
@@ -117,10 +117,12 @@
     /// gone.
     pub(crate) fn track_tokens(&mut self, store: &StoreReplica, now: Time) {
         let is_first = self.last_map_change.is_none();
-        if self.last_map_change.replace(store.map_changes()) == Some(store.map_changes()) {
+        if self.last_map_change.replace(store.shard_map_changes())
+            == Some(store.shard_map_changes())
+        {
             return;
         }
-        let owners = store.owners();
+        let owners = store.shard_map();
         // The age of the first map's tokens is unknown. Workers have probably shown them to the owners
         // already.
         let since = if is_first { Time::NEG_INFINITY } else { now };
--- a/src/core/controller/hello.rs
+++ b/src/core/controller/hello.rs
@@ -38,7 +38,7 @@
                 sent: now,
             };
             self.outbox
-                .mesh(pending, &node, MeshMessage::Hello(Box::new(hello)));
+                .send_to_sibling(pending, &node, MeshMessage::Hello(Box::new(hello)));
         }
     }
 
@@ -49,9 +49,9 @@
             self.unresponsive
                 .note(shard.unresponsive_machines(now), now);
         }
-        if self.store.complete() {
-            self.unresponsive.prune(self.store.owners());
-            self.contacts.prune(self.store.owners());
+        if self.store.is_complete() {
+            self.unresponsive.prune(self.store.shard_map());
+            self.contacts.prune(self.store.shard_map());
         }
     }
 
@@ -62,10 +62,10 @@
         Hello {
             from: process.node,
             incarnation: process.incarnation,
-            number,
+            sequence_number: number,
             wants_extension: self.ownership.wants_extension(now),
             wants_consent: self.ownership.wanted_consents(),
-            running: self
+            task_counts: self
                 .leased_shard()
                 .map(Shard::all_task_counts)
                 .unwrap_or_default(),
@@ -86,7 +86,7 @@
     /// The version after which siblings are asked for final states, while syncs with the store fail.
     fn wanted_final_states(&self) -> Option<Version> {
         let is_behind = self.outbox.now - self.store.current_as_of() > self.peers.recent();
-        (is_behind && self.store.complete()).then(|| self.store.final_states_known())
+        (is_behind && self.store.is_complete()).then(|| self.store.final_states_known_up_to())
     }
 
     /// The state of this shard for a sibling's shard, while this process may act as its owner.
@@ -122,8 +122,8 @@
             MeshMessage::Cancel(id) => self.relayed_request(request, UserRequest::Cancel(id)),
             MeshMessage::Heartbeat(heartbeat) => self.answer_relayed_heartbeat(request, &heartbeat),
             MeshMessage::Cancelled(_) => {
-                self.store.want_sync();
-                self.outbox.mesh_answer(request, MeshReply::Noted);
+                self.store.request_read();
+                self.outbox.answer_sibling(request, MeshReply::Acknowledged);
             }
         }
     }
@@ -136,16 +136,16 @@
             .detector_mut()
             .message_received(&sender.node, now);
         if !self.peers.includes(&sender.node) {
-            return self.outbox.mesh_answer(request, MeshReply::Noted);
+            return self.outbox.answer_sibling(request, MeshReply::Acknowledged);
         }
         if hello.bounded_staleness {
             self.peers.note_bounded_staleness(&sender);
         }
         // True whenever it was sent: a delay only makes the statement weaker.
         self.unresponsive.note(hello.unresponsive, now);
-        let is_newest = self
-            .peers
-            .hello_received(&sender, hello.number, hello.running);
+        let is_newest =
+            self.peers
+                .hello_received(&sender, hello.sequence_number, hello.task_counts);
         let grants_extension =
             hello.wants_extension && self.ownership.grant_extension(&sender, &self.store, now);
         let consents = hello
@@ -166,7 +166,7 @@
             consents,
             ..self.hello_reply(&sender, hello.final_states_after)
         };
-        self.outbox.mesh_answer(request, MeshReply::Hello(reply));
+        self.outbox.answer_sibling(request, MeshReply::Hello(reply));
     }
 
     /// A reply to a hello that grants and consents to nothing. `final_states_after`: the version after
@@ -207,7 +207,7 @@
     /// knew before, but one that was never complete says nothing. A process whose key is gone gets
     /// none, since its ownership is to end.
     fn may_send_final_states(&self, to: &ProcessId) -> bool {
-        self.store.complete() && self.store.is_registered(&to.node, to.incarnation)
+        self.store.is_complete() && self.store.is_registered(&to.node, to.incarnation)
     }
 
     /// A request to a sibling was answered, or there will be no answer.
@@ -219,7 +219,7 @@
                     self.hello_answered(&node, sent, reply);
                 }
             }
-            Pending::Relay { request } => {
+            Pending::RelayedRequest { request } => {
                 self.outbox.answer(request, relayed_answer(reply));
             }
             Pending::RelayedHeartbeat {
@@ -247,7 +247,7 @@
         }
         if let Some(final_states) = reply.final_states {
             let is_complete = final_states.complete;
-            self.store.take_final_states(final_states);
+            self.store.apply_final_states(final_states);
             if is_complete {
                 self.ownership.record_sibling_current_as_of(node, sent);
             } else {
@@ -262,15 +262,15 @@
 
     /// Whether this controller's reads of the store work.
     pub(crate) fn reads_store(&self) -> bool {
-        let silence = self.store.state_silence(self.outbox.now);
-        self.store.complete() && silence < self.peers.recent()
+        let silence = self.store.seconds_since_store_reply(self.outbox.now);
+        self.store.is_complete() && silence < self.peers.recent()
     }
 
     /// Answers a health check: whether this controller can take requests, since it reads the store, or
     /// reaches a sibling that may. (In an outage for all controllers, to stay in rotation costs users
     /// less than to leave it and return.)
     pub(crate) fn health(&mut self, request: RequestId) {
-        let is_able = self.store.complete()
+        let is_able = self.store.is_complete()
             && self.catalog.known()
             && (self.reads_store() || self.peers.heard_any(self.outbox.now));
         self.outbox
--- a/src/core/controller/inputs.rs
+++ b/src/core/controller/inputs.rs
@@ -15,15 +15,15 @@
             Input::Status(request) => self.answer_status(request),
             Input::Heartbeat(request, heartbeat) => self.receive_heartbeat(request, heartbeat),
             Input::Mesh(request, message) => self.mesh_message(request, message),
-            Input::State(call, reply) => {
-                if let Some(pending) = self.outbox.finish(call) {
+            Input::Store(call, reply) => {
+                if let Some(pending) = self.outbox.take_pending(call) {
                     self.store_reply(pending, reply);
                 }
             }
             Input::Cloud(call, reply) => self.cloud_reply(call, reply),
             Input::Worker(call, reply) => self.worker_reply(call, reply),
             Input::MeshReply(call, reply) => {
-                if let Some(pending) = self.outbox.finish(call) {
+                if let Some(pending) = self.outbox.take_pending(call) {
                     self.mesh_reply(pending, reply);
                 }
             }
@@ -31,7 +31,7 @@
     }
 
     fn cloud_reply(&mut self, call: CallId, reply: CloudReply) {
-        match self.outbox.finish(call) {
+        match self.outbox.take_pending(call) {
             Some(Pending::Cloud(None)) => self.catalog_reply(reply),
             Some(Pending::Cloud(Some(operation))) => {
                 if let Some(leader) = self.leader.as_mut() {
@@ -43,7 +43,7 @@
     }
 
     fn worker_reply(&mut self, call: CallId, reply: WorkerReply) {
-        match (self.outbox.finish(call), self.shard.as_mut()) {
+        match (self.outbox.take_pending(call), self.shard.as_mut()) {
             (Some(Pending::DirectCommands { machine }), Some(shard)) => {
                 shard.handle_command_reply(&self.store, &machine, call, reply, self.outbox.now);
             }
@@ -56,18 +56,18 @@
 
     /// Handles the reply of the store to one call.
     pub(crate) fn store_reply(&mut self, pending: Pending, reply: StoreReply) {
-        self.outbox.pace(pending.is_change(), &reply);
+        self.outbox.update_pacing(pending.is_write(), &reply);
         self.note_store_contact(&reply);
         match pending {
-            Pending::Sync { sent } => self.store_read(sent, reply),
+            Pending::StoreRead { sent } => self.store_read(sent, reply),
             Pending::UserWrite(write) => self.user_write_answered(write, reply),
             Pending::OwnershipLease(call) => self.handle_ownership_reply(call, reply),
-            Pending::Records(writes) => {
+            Pending::JobRecords(writes) => {
                 if let Some(shard) = self.shard.as_mut() {
                     shard.handle_records_reply(&mut self.outbox, &mut self.store, writes, reply);
                 }
             }
-            Pending::Map(write) => {
+            Pending::ShardMap(write) => {
                 if let Some(leader) = self.leader.as_mut() {
                     leader.handle_map_reply(&mut self.outbox, &mut self.store, &write, &reply);
                 }
@@ -77,13 +77,13 @@
                     shard.handle_grant_reply(&mut self.outbox, &mut self.store, write, reply);
                 }
             }
-            Pending::Types(write) => self.machine_types_written(&write, &reply),
+            Pending::MachineTypes(write) => self.machine_types_written(&write, &reply),
             Pending::DirectCommands { .. }
             | Pending::Inspection { .. }
             | Pending::Hello { .. }
-            | Pending::Relay { .. }
+            | Pending::RelayedRequest { .. }
             | Pending::RelayedHeartbeat { .. }
-            | Pending::Notice
+            | Pending::Notification
             | Pending::Cloud(_) => {}
         }
     }
@@ -96,7 +96,7 @@
             StoreReply::Unknown => self.detection.store_not_refused(),
             _ => {
                 self.detection.store_not_refused();
-                self.store.state_answered(self.outbox.now);
+                self.store.record_store_reply(self.outbox.now);
             }
         }
     }
--- a/src/core/controller/machine_claims.rs
+++ b/src/core/controller/machine_claims.rs
@@ -35,7 +35,7 @@
         owner: &ShardOwner,
     ) {
         let now = self.outbox.now;
-        let owners = self.store.owners();
+        let owners = self.store.shard_map();
         let is_claimed = !self.deferred_heartbeats.is_full()
             && self
                 .claims
--- a/src/core/controller/ownership.rs
+++ b/src/core/controller/ownership.rs
@@ -49,7 +49,7 @@
     /// Creates or renews the lease when that is due. Once there is a lease, also writes the process's own key
     /// and, if this process is to lead, the leader's key, and checks this controller for a partial failure.
     pub(crate) fn maintain_ownership(&mut self) {
-        if !self.store.complete() {
+        if !self.store.is_complete() {
             return;
         }
         match self.ownership.due_call(self.outbox.now) {
@@ -70,7 +70,7 @@
         self.end_predecessor_leases();
         self.ownership.creation_sent();
         let ttl_ms = self.ownership.ttl_ms();
-        self.outbox.state(
+        self.outbox.call_store(
             Pending::OwnershipLease(OwnershipCall::Create { sent }),
             StoreCall::LeaseCreate { ttl_ms },
         );
@@ -79,7 +79,7 @@
     fn renew_lease(&mut self, lease: u64) {
         let sent = self.outbox.now;
         self.ownership.renewal_sent();
-        self.outbox.state(
+        self.outbox.call_store(
             Pending::OwnershipLease(OwnershipCall::Renew { lease, sent }),
             StoreCall::LeaseRenew { lease },
         );
@@ -104,7 +104,7 @@
 
     /// Ends a lease in the store, which deletes the keys that are attached to it.
     pub(crate) fn end_lease(&mut self, lease: u64) {
-        self.outbox.state(
+        self.outbox.call_store(
             Pending::OwnershipLease(OwnershipCall::End),
             StoreCall::LeaseEnd { lease },
         );
@@ -127,7 +127,7 @@
             preconditions: vec![precondition(&key, version)],
             writes: vec![put(&key, &record, Some(lease))],
         };
-        self.outbox.state(
+        self.outbox.call_store(
             Pending::OwnershipLease(call),
             StoreCall::Commit(transaction),
         );
@@ -208,7 +208,7 @@
     }
 
     fn handle_lease_creation_reply(&mut self, sent: Time, reply: &StoreReply) {
-        if let StoreReply::Lease(lease) = reply {
+        if let StoreReply::LeaseCreated(lease) = reply {
             return self.ownership.created(*lease, sent);
         }
         let delay = self.outbox.jitter(self.ownership.retry_delay());
@@ -219,8 +219,8 @@
         let delay = self.outbox.jitter(self.ownership.retry_delay());
         self.ownership.key_write_finished(self.outbox.now + delay);
         // The next sync of the store replica shows whether the key was written.
-        self.store.want_sync();
-        if *reply == StoreReply::LeaseGone {
+        self.store.request_read();
+        if *reply == StoreReply::LeaseNotFound {
             self.step_down(StepDownReason::LeaseExpired, 0.0);
         }
     }
@@ -229,7 +229,7 @@
         let now = self.outbox.now;
         let retry_delay = match reply {
             StoreReply::Done => return self.ownership.renewed(sent, now),
-            StoreReply::LeaseGone => return self.step_down(StepDownReason::LeaseExpired, 0.0),
+            StoreReply::LeaseNotFound => return self.step_down(StepDownReason::LeaseExpired, 0.0),
             StoreReply::Busy => self.ownership.busy_renewal_retry_delay(),
             _ => self.ownership.renewal_retry_delay(),
         };
--- a/src/core/controller/ownership/tests.rs
+++ b/src/core/controller/ownership/tests.rs
@@ -9,7 +9,7 @@
 #[test]
 fn leader_without_fencing_tokens_rewrites_its_key() {
     let mut core = Core::new(config(), 1);
-    core.outbox.begin(1.0, 0);
+    core.outbox.begin_step(1.0, 0);
     core.ownership.hold_unrenewed(5);
     let record = ProcessRecord {
         node: core.config.node.clone(),
@@ -35,7 +35,7 @@
     }
     core.write_keys(5);
     let effects = core.outbox.take_effects();
-    let [Effect::State(_, StoreCall::Commit(claim))] = &effects[..] else {
+    let [Effect::Store(_, StoreCall::Commit(claim))] = &effects[..] else {
         panic!("{effects:?}")
     };
     assert_eq!(claim.preconditions, [precondition(LEADER_KEY, 8)]);
--- a/src/core/controller/status.rs
+++ b/src/core/controller/status.rs
@@ -85,7 +85,7 @@
 
     /// Processes that own teams or machines although they have failed or their keys have expired.
     fn hand_over_statuses(&self) -> Vec<HandOverStatus> {
-        let owners = self.store.owners();
+        let owners = self.store.shard_map();
         let mut owned: BTreeMap<ProcessId, Owned> = BTreeMap::new();
         for owner in owners.teams.values() {
             owned.entry(owner.process()).or_default().teams += 1;
@@ -125,7 +125,7 @@
         let since = self.store.grants_kept_since(&team_limits.name);
         let stored = self.store.ledger(&team_limits.name);
         let ledger = stored.and_then(|stored| stored.ledger.as_ref());
-        let owner = self.store.owners().teams.get(&team_limits.name);
+        let owner = self.store.shard_map().teams.get(&team_limits.name);
         let grants = ledger.map_or(&[][..], |ledger| ledger.grants());
         let grants = grants.iter().map(|grant| GrantStatus {
             controller: grant.holder.node.clone(),
--- a/src/core/controller/store_sync.rs
+++ b/src/core/controller/store_sync.rs
@@ -13,7 +13,8 @@
         }
         let now = self.outbox.now;
         if let Some(call) = self.store.next_read(now) {
-            self.outbox.state(Pending::Sync { sent: now }, call);
+            self.outbox
+                .call_store(Pending::StoreRead { sent: now }, call);
         }
     }
 
@@ -22,12 +23,12 @@
         let now = self.outbox.now;
         let store = &mut self.store;
         match reply {
-            StoreReply::Changes(changes) if store.complete() => {
-                store.changes_received(&changes, sent, now);
+            StoreReply::Changes(changes) if store.is_complete() => {
+                store.apply_changes(&changes, sent, now);
             }
-            StoreReply::Listing(page) => store.page_received(&page, sent, now),
-            StoreReply::TooOld => store.changes_compacted(now),
-            _ => store.read_failed(now, self.outbox.jitter(1.0)),
+            StoreReply::Listing(page) => store.apply_page(&page, sent, now),
+            StoreReply::Compacted => store.restart_full_read(now),
+            _ => store.retry_read_later(now, self.outbox.jitter(1.0)),
         }
         self.resume_user_requests();
     }
--- a/src/core/controller/user_requests.rs
+++ b/src/core/controller/user_requests.rs
@@ -79,10 +79,10 @@
             create_sent: false,
         };
         let limit = self.config.deployment.limits.mem_mb * WAITING_PER_MB;
-        if !self.store.complete() || self.user_requests.waiting.len() as f64 > limit {
+        if !self.store.is_complete() || self.user_requests.waiting.len() as f64 > limit {
             return self.give_up(request);
         }
-        let silent = self.store.state_silence(now) > SILENCE;
+        let silent = self.store.seconds_since_store_reply(now) > SILENCE;
         if silent
             && matches!(reply_to, ReplyTo::User(_))
             && self.peers.sibling_reading_store(now).is_some()
@@ -117,7 +117,7 @@
         let age = self.outbox.now - self.store.current_as_of();
         let behind = age > self.config.deployment.workers.report_s && !spec.dependencies.is_empty();
         if (problem.is_some() || behind) && self.store.current_as_of() < request.read_after {
-            self.store.want_sync();
+            self.store.request_read();
             return self.user_requests.wait(request);
         }
         if let Some(problem) = problem {
@@ -127,7 +127,7 @@
         let dependency_cancelled = spec
             .dependencies
             .iter()
-            .any(|dependency| self.store.cancelled(dependency));
+            .any(|dependency| self.store.is_cancelled(dependency));
         // Recorded as cancelled from the start, so that polls of it are answered so.
         let write = match dependency_cancelled {
             true => put(&key, &record.cancelled_unstarted(self.outbox.wall_ms), None),
@@ -160,7 +160,7 @@
     /// Commits a write if `key` still has this version, or postpones the request if writes are held back.
     fn commit(&mut self, mut request: WaitingRequest, key: String, version: Version, write: Write) {
         if !self.outbox.may_write() {
-            request.not_before = self.outbox.write_resumes();
+            request.not_before = self.outbox.writes_resume_at();
             return self.user_requests.wait(request);
         }
         let transaction = Transaction {
@@ -168,7 +168,8 @@
             writes: vec![write.clone()],
         };
         let pending = Pending::UserWrite(UserWrite { request, write });
-        self.outbox.state(pending, StoreCall::Commit(transaction));
+        self.outbox
+            .call_store(pending, StoreCall::Commit(transaction));
     }
 
     /// Handles the store's reply to a write that a request needed.
@@ -196,7 +197,7 @@
             .and_then(|job| job.record.spec.as_ref())
             .map(|spec| spec.team.clone());
         self.store.apply_write(write, version);
-        self.store.want_sync();
+        self.store.request_read();
         match &request.operation {
             UserRequest::Submit(id, _) if request.create_sent => {
                 let recorded = self.store.job(id).map(|job| job.record.status);
@@ -219,11 +220,12 @@
         let id = request.operation.job().clone();
         let known = self.store.job(&id).cloned();
         let ended = known.as_ref().is_some_and(|job| job.record.is_final());
-        if let (false, true, Some(job)) = (ended, self.store.dependency_cancelled(&id), &known) {
+        if let (false, true, Some(job)) = (ended, self.store.has_cancelled_dependency(&id), &known)
+        {
             return self.record_cancellation(request, job);
         }
         if !ended && self.store.current_as_of() < request.read_after {
-            self.store.want_sync();
+            self.store.request_read();
             return self.user_requests.wait(request);
         }
         match (&request.operation, known) {
@@ -256,7 +258,7 @@
     fn record_cancellation(&mut self, request: WaitingRequest, job: &Versioned<Rc<JobRecord>>) {
         let id = request.operation.job();
         let (key, wall_ms) = (job_key(id), self.outbox.wall_ms);
-        let record = match self.store.dependency_cancelled(id) {
+        let record = match self.store.has_cancelled_dependency(id) {
             true => job.record.cancelled_unstarted(wall_ms),
             false => job.record.cancelled(wall_ms),
         };
@@ -287,11 +289,14 @@
     /// Notifies the owner of the job's team of a cancellation. Its next read shows the cancellation anyway; this
     /// is only sooner.
     fn notify_owner(&mut self, id: &JobId, team: Option<&Team>) {
-        let owner = team.and_then(|team| self.store.owners().teams.get(team));
+        let owner = team.and_then(|team| self.store.shard_map().teams.get(team));
         let node = owner.map(|owner| owner.node.clone());
         if let Some(node) = node.filter(|node| *node != self.config.node) {
-            self.outbox
-                .mesh(Pending::Notice, &node, MeshMessage::Cancelled(id.clone()));
+            self.outbox.send_to_sibling(
+                Pending::Notification,
+                &node,
+                MeshMessage::Cancelled(id.clone()),
+            );
         }
     }
 
@@ -318,13 +323,16 @@
             UserRequest::Poll(id) => MeshMessage::Poll(id),
             UserRequest::Cancel(id) => MeshMessage::Cancel(id),
         };
-        self.outbox.mesh(Pending::Relay { request }, &node, message);
+        self.outbox
+            .send_to_sibling(Pending::RelayedRequest { request }, &node, message);
     }
 
     fn reply(&mut self, reply_to: ReplyTo, answer: Answer) {
         match reply_to {
             ReplyTo::User(request) => self.outbox.answer(request, answer),
-            ReplyTo::Sibling(request) => self.outbox.mesh_answer(request, relayed_answer(answer)),
+            ReplyTo::Sibling(request) => {
+                self.outbox.answer_sibling(request, relayed_answer(answer))
+            }
         }
     }
 
@@ -349,7 +357,7 @@
     /// Gives up the requests that have waited too long, and resumes those whose postponed write may be sent.
     pub(crate) fn time_out_user_requests(&mut self) {
         let now = self.outbox.now;
-        let cut_off = !self.reads_store() && self.store.state_silence(now) > POLL_WAIT;
+        let cut_off = !self.reads_store() && self.store.seconds_since_store_reply(now) > POLL_WAIT;
         let mut index = 0;
         // Requests that wait again are appended, and are visited as well.
         while let Some(request) = self.user_requests.waiting.get(index) {
@@ -366,7 +374,7 @@
             }
         }
         if !self.user_requests.waiting.is_empty() {
-            self.store.want_sync();
+            self.store.request_read();
         }
     }
 }
--- a/src/core/effects/mod.rs
+++ b/src/core/effects/mod.rs
@@ -55,7 +55,7 @@
     /// A message of a sibling.
     Mesh(RequestId, MeshMessage),
     /// The reply to a call of the store.
-    State(CallId, StoreReply),
+    Store(CallId, StoreReply),
     /// The reply to a call of the cloud.
     Cloud(CallId, CloudReply),
     /// The reply to commands sent to a worker.
@@ -66,14 +66,14 @@
 
 impl Input {
     /// Whether this is a request of another process, rather than the reply to a call of this one.
-    pub fn is_question(&self) -> bool {
+    pub fn is_request(&self) -> bool {
         match self {
             Self::User(..)
             | Self::Heartbeat(..)
             | Self::Health(_)
             | Self::Status(_)
             | Self::Mesh(..) => true,
-            Self::State(..) | Self::Cloud(..) | Self::Worker(..) | Self::MeshReply(..) => false,
+            Self::Store(..) | Self::Cloud(..) | Self::Worker(..) | Self::MeshReply(..) => false,
         }
     }
 }
@@ -86,7 +86,7 @@
     /// Answer a message of a sibling.
     MeshAnswer(RequestId, MeshReply),
     /// Call the store.
-    State(CallId, StoreCall),
+    Store(CallId, StoreCall),
     /// Call the cloud.
     Cloud(CallId, CloudCall),
     /// Send commands to the worker at this address.
@@ -192,17 +192,17 @@
     /// The changes since the revision asked for.
     Changes(Changes),
     /// The store no longer keeps the changes since that revision.
-    TooOld,
+    Compacted,
     /// The transaction was committed with this version.
     Committed(Version),
     /// A precondition of the transaction does not hold; nothing was written.
     Conflict,
     /// The lease that was created.
-    Lease(u64),
+    LeaseCreated(u64),
     /// The lease was renewed or ended.
     Done,
     /// The lease has expired or was ended before.
-    LeaseGone,
+    LeaseNotFound,
     /// The transaction exceeds a limit of the store and would be refused again.
     Rejected,
     /// The store's rate is used up; not executed.
--- a/src/core/effects/outbox.rs
+++ b/src/core/effects/outbox.rs
@@ -20,37 +20,37 @@
     /// The wall-clock time of the step, in milliseconds.
     pub wall_ms: u64,
     /// Pacing of writes to the store.
-    changes: Pacing,
+    writes: Pacing,
     /// Pacing of all requests to the store.
     requests: Pacing,
     rng: StdRng,
     /// The number of the last call.
-    last_call: u64,
-    calls: HashMap<CallId, Pending>,
-    direct_commands: usize,
+    last_call_id: u64,
+    pending: HashMap<CallId, Pending>,
+    pending_worker_calls: usize,
     effects: Vec<Effect>,
 }
 
 impl Outbox {
     /// An outbox without effects or pending calls.
     pub fn new(rng: StdRng, config: &Config) -> Self {
-        let (calls, effects) = (HashMap::new(), Vec::new());
-        let (changes, requests) = (Pacing::new(config), Pacing::new(config));
+        let (pending, effects) = (HashMap::new(), Vec::new());
+        let (writes, requests) = (Pacing::new(config), Pacing::new(config));
         Self {
             now: 0.0,
             wall_ms: 0,
-            changes,
+            writes,
             requests,
             rng,
-            last_call: 0,
-            calls,
-            direct_commands: 0,
+            last_call_id: 0,
+            pending,
+            pending_worker_calls: 0,
             effects,
         }
     }
 
     /// Begins a step at this time.
-    pub fn begin(&mut self, now: Time, wall_ms: u64) {
+    pub fn begin_step(&mut self, now: Time, wall_ms: u64) {
         self.now = now;
         self.wall_ms = wall_ms;
     }
@@ -61,23 +61,23 @@
     }
 
     /// Takes what a reply belongs to; `None` if the call is not pending.
-    pub fn finish(&mut self, call: CallId) -> Option<Pending> {
-        let pending = self.calls.remove(&call);
+    pub fn take_pending(&mut self, call: CallId) -> Option<Pending> {
+        let pending = self.pending.remove(&call);
         if let Some(Pending::DirectCommands { .. } | Pending::Inspection { .. }) = pending {
-            self.direct_commands -= 1;
+            self.pending_worker_calls -= 1;
         }
         pending
     }
 
     /// Number of calls to workers whose replies are pending.
-    pub fn direct_commands(&self) -> usize {
-        self.direct_commands
+    pub fn pending_worker_calls(&self) -> usize {
+        self.pending_worker_calls
     }
 
-    fn call(&mut self, pending: Pending) -> CallId {
-        self.last_call += 1;
-        let call = CallId(self.last_call);
-        self.calls.insert(call, pending);
+    fn add_pending(&mut self, pending: Pending) -> CallId {
+        self.last_call_id += 1;
+        let call = CallId(self.last_call_id);
+        self.pending.insert(call, pending);
         call
     }
 
@@ -87,30 +87,30 @@
     }
 
     /// Answers a message of a sibling.
-    pub fn mesh_answer(&mut self, request: RequestId, reply: MeshReply) {
+    pub fn answer_sibling(&mut self, request: RequestId, reply: MeshReply) {
         self.effects.push(Effect::MeshAnswer(request, reply));
     }
 
     /// Calls the store.
-    pub fn state(&mut self, pending: Pending, request: StoreCall) {
-        let call = self.call(pending);
-        self.effects.push(Effect::State(call, request));
+    pub fn call_store(&mut self, pending: Pending, request: StoreCall) {
+        let call = self.add_pending(pending);
+        self.effects.push(Effect::Store(call, request));
     }
 
     /// Calls the cloud. `operation`: the leader's operation, or `None` if the machine types are read.
-    pub fn cloud(&mut self, operation: Option<CloudOperation>, request: CloudCall) {
-        let call = self.call(Pending::Cloud(operation));
+    pub fn call_cloud(&mut self, operation: Option<CloudOperation>, request: CloudCall) {
+        let call = self.add_pending(Pending::Cloud(operation));
         self.effects.push(Effect::Cloud(call, request));
     }
 
     /// Sends commands to a worker.
-    pub fn worker(
+    pub fn send_commands(
         &mut self,
         machine: &MachineId,
         address: &str,
         commands: DirectCommands,
     ) -> CallId {
-        self.direct(
+        self.call_worker(
             Pending::DirectCommands {
                 machine: machine.clone(),
             },
@@ -120,8 +120,13 @@
     }
 
     /// Asks a machine for its tasks, by an empty set of commands.
-    pub fn inspect(&mut self, machine: &MachineId, address: &str, commands: DirectCommands) {
-        self.direct(
+    pub fn inspect_machine(
+        &mut self,
+        machine: &MachineId,
+        address: &str,
+        commands: DirectCommands,
+    ) {
+        self.call_worker(
             Pending::Inspection {
                 machine: machine.clone(),
             },
@@ -130,52 +135,52 @@
         );
     }
 
-    fn direct(&mut self, pending: Pending, address: &str, commands: DirectCommands) -> CallId {
-        self.direct_commands += 1;
-        let call = self.call(pending);
+    fn call_worker(&mut self, pending: Pending, address: &str, commands: DirectCommands) -> CallId {
+        self.pending_worker_calls += 1;
+        let call = self.add_pending(pending);
         self.effects
             .push(Effect::Worker(call, address.to_owned(), commands));
         call
     }
 
     /// Sends a message to a sibling.
-    pub fn mesh(&mut self, pending: Pending, node: &Node, message: MeshMessage) {
-        let call = self.call(pending);
+    pub fn send_to_sibling(&mut self, pending: Pending, node: &Node, message: MeshMessage) {
+        let call = self.add_pending(pending);
         self.effects.push(Effect::Mesh(call, node.clone(), message));
     }
 
     /// Whether requests to the store that can wait may be sent.
     pub fn may_read(&self) -> bool {
-        self.requests.open(self.now)
+        self.requests.may_send(self.now)
     }
 
     /// Whether writes to the store that can wait may be sent.
     pub fn may_write(&self) -> bool {
-        self.may_read() && self.changes.open(self.now)
+        self.may_read() && self.writes.may_send(self.now)
     }
 
     /// When writes that can wait may be sent again.
-    pub fn write_resumes(&self) -> Time {
-        self.requests.resume().max(self.changes.resume())
+    pub fn writes_resume_at(&self) -> Time {
+        self.requests.resumes_at().max(self.writes.resumes_at())
     }
 
     /// Adjusts the pacing to a reply of the store. A write refused for its rate says nothing about the rate of all
     /// requests, which is far higher.
-    pub fn pace(&mut self, is_change: bool, reply: &StoreReply) {
+    pub fn update_pacing(&mut self, is_write: bool, reply: &StoreReply) {
         let now = self.now;
         match reply {
             StoreReply::Busy => {
                 let spread = self.jitter(1.0);
-                let pacing = if is_change {
-                    &mut self.changes
+                let pacing = if is_write {
+                    &mut self.writes
                 } else {
                     &mut self.requests
                 };
-                pacing.refused(now, spread);
+                pacing.record_refusal(now, spread);
             }
             StoreReply::Refused | StoreReply::Unknown => {}
-            _ if is_change => self.changes.served(now),
-            _ => self.requests.served(now),
+            _ if is_write => self.writes.record_success(now),
+            _ => self.requests.record_success(now),
         }
     }
 
--- a/src/core/effects/pacing.rs
+++ b/src/core/effects/pacing.rs
@@ -16,9 +16,9 @@
 /// When requests that can wait may be sent; the pause doubles with each refusal.
 #[derive(Debug)]
 pub struct Pacing {
-    shortest: Time,
+    shortest_pause: Time,
     /// When requests that can wait may be sent again.
-    resume: Time,
+    resumes_at: Time,
     /// Consecutive refusals, up to [`MAX_DOUBLINGS`].
     refusals: u32,
 }
@@ -26,37 +26,37 @@
 impl Pacing {
     /// Pacing that holds back nothing yet, for the configured rate of writes.
     pub fn new(config: &Config) -> Self {
-        let shortest = PAUSE_WRITES / config.deployment.state.write_rps;
+        let shortest_pause = PAUSE_WRITES / config.deployment.state.write_rps;
         Self {
-            shortest,
-            resume: Time::NEG_INFINITY,
+            shortest_pause,
+            resumes_at: Time::NEG_INFINITY,
             refusals: 0,
         }
     }
 
     /// Whether requests that can wait may be sent.
-    pub fn open(&self, now: Time) -> bool {
-        now >= self.resume
+    pub fn may_send(&self, now: Time) -> bool {
+        now >= self.resumes_at
     }
 
     /// When requests that can wait may be sent again.
-    pub fn resume(&self) -> Time {
-        self.resume
+    pub fn resumes_at(&self) -> Time {
+        self.resumes_at
     }
 
     /// A request was refused because the rate is used up. `spread` is a random factor around 1, so that controllers
     /// do not all retry at once. Refusals of requests sent before the pause do not lengthen it.
-    pub fn refused(&mut self, now: Time, spread: f64) {
-        if self.open(now) {
-            let pause = self.shortest * f64::from(1 << self.refusals);
-            self.resume = now + pause * spread;
+    pub fn record_refusal(&mut self, now: Time, spread: f64) {
+        if self.may_send(now) {
+            let pause = self.shortest_pause * f64::from(1 << self.refusals);
+            self.resumes_at = now + pause * spread;
             self.refusals = (self.refusals + 1).min(MAX_DOUBLINGS);
         }
     }
 
     /// A request was served: after the pause, this resets its length.
-    pub fn served(&mut self, now: Time) {
-        if self.open(now) {
+    pub fn record_success(&mut self, now: Time) {
+        if self.may_send(now) {
             self.refusals = 0;
         }
     }
--- a/src/core/effects/pending.rs
+++ b/src/core/effects/pending.rs
@@ -10,7 +10,7 @@
 #[derive(Debug)]
 pub enum Pending {
     /// A read of the store.
-    Sync {
+    StoreRead {
         /// When it was sent.
         sent: Time,
     },
@@ -19,13 +19,13 @@
     /// A call that keeps this process's lease or the keys bound to it.
     OwnershipLease(OwnershipCall),
     /// A transaction of job records.
-    Records(Vec<RecordWrite>),
+    JobRecords(Vec<RecordWrite>),
     /// A transaction of the shard map.
-    Map(MapWrite),
+    ShardMap(MapWrite),
     /// A write of a team's grant record.
     Grant(GrantWrite),
     /// A write of the machine types.
-    Types(Write),
+    MachineTypes(Write),
     /// Commands to a worker.
     DirectCommands {
         /// The worker's machine.
@@ -44,7 +44,7 @@
         sent: Time,
     },
     /// A user's request passed on to a sibling.
-    Relay {
+    RelayedRequest {
         /// The request.
         request: RequestId,
     },
@@ -58,21 +58,21 @@
         heartbeat: Box<Heartbeat>,
     },
     /// A message whose reply does not matter.
-    Notice,
+    Notification,
     /// A call of the cloud: the leader's operation, or `None` if the machine types are read.
     Cloud(Option<CloudOperation>),
 }
 
 impl Pending {
     /// Whether the call writes keys of the store.
-    pub fn is_change(&self) -> bool {
+    pub fn is_write(&self) -> bool {
         match self {
             Self::UserWrite(_)
-            | Self::Records(_)
-            | Self::Map(_)
-            | Self::Types(_)
+            | Self::JobRecords(_)
+            | Self::ShardMap(_)
+            | Self::MachineTypes(_)
             | Self::Grant(_) => true,
-            Self::OwnershipLease(call) => call.is_change(),
+            Self::OwnershipLease(call) => call.is_write(),
             _ => false,
         }
     }
@@ -109,7 +109,7 @@
 
 impl OwnershipCall {
     /// Whether the call writes a key; calls for leases count as requests only.
-    pub fn is_change(&self) -> bool {
+    pub fn is_write(&self) -> bool {
         matches!(self, Self::Register { .. } | Self::Claim { .. })
     }
 }
@@ -129,7 +129,7 @@
 #[derive(Debug)]
 pub struct MapWrite {
     /// The fencing token of the leader that sent it.
-    pub(crate) term: Version,
+    pub(crate) token: Version,
     /// The writes.
     pub(crate) writes: Vec<Write>,
 }
@@ -140,10 +140,10 @@
     /// The team.
     pub(crate) team: Team,
     /// The fencing token under which the shard owns the team.
-    pub(crate) term: FencingToken,
+    pub(crate) token: FencingToken,
     /// Whether the shard waits for the outcome; it does not if the record is removed, or if the grant is
     /// returned because the team is reassigned.
-    pub(crate) proposed: bool,
+    pub(crate) outcome_awaited: bool,
     /// The write.
     pub(crate) write: Write,
 }
@@ -154,21 +154,21 @@
     /// Lists the rented machines.
     List {
         /// The leader's fencing token.
-        term: Version,
+        token: Version,
         /// The machines of the pages before.
-        seen: Vec<ListedMachine>,
+        listed: Vec<ListedMachine>,
     },
     /// Rents machines.
     Rent {
         /// The leader's fencing token.
-        term: Version,
+        token: Version,
         /// The rental.
-        order: RentalRequest,
+        request: RentalRequest,
     },
     /// Returns machines.
     Release {
         /// The leader's fencing token.
-        term: Version,
+        token: Version,
         /// The machines.
         machines: Vec<MachineId>,
     },
--- a/src/core/leader/cloud_requests.rs
+++ b/src/core/leader/cloud_requests.rs
@@ -207,10 +207,10 @@
         self.rental_in_flight = true;
         let rental = order.rental.clone();
         let operation = CloudOperation::Rent {
-            term: self.key_version,
-            order,
+            token: self.key_version,
+            request: order,
         };
-        outbox.cloud(Some(operation), CloudCall::Rent(rental));
+        outbox.call_cloud(Some(operation), CloudCall::Rent(rental));
     }
 
     fn send_release(&mut self, outbox: &mut Outbox) {
@@ -220,10 +220,10 @@
         let machines: Vec<MachineId> = self.releases.iter().take(RELEASE_LIMIT).cloned().collect();
         self.release_in_flight = true;
         let operation = CloudOperation::Release {
-            term: self.key_version,
+            token: self.key_version,
             machines: machines.clone(),
         };
-        outbox.cloud(
+        outbox.call_cloud(
             Some(operation),
             CloudCall::Release(MachineNames { machines }),
         );
@@ -244,10 +244,10 @@
         self.list_in_flight = true;
         let after = seen.last().map(|listed| listed.machine.to_string());
         let operation = CloudOperation::List {
-            term: self.key_version,
-            seen,
+            token: self.key_version,
+            listed: seen,
         };
-        outbox.cloud(Some(operation), CloudCall::List { after });
+        outbox.call_cloud(Some(operation), CloudCall::List { after });
     }
 
     /// Takes one request from the rate limit, if it permits one now.
@@ -268,12 +268,12 @@
             self.pause_until = now + outbox.jitter(1.0 / self.config.deployment.cloud.rps);
         }
         match operation {
-            CloudOperation::List { term, .. }
-            | CloudOperation::Rent { term, .. }
-            | CloudOperation::Release { term, .. }
-                if term != self.key_version => {}
-            CloudOperation::List { seen, .. } => self.listed(outbox, seen, reply, owners),
-            CloudOperation::Rent { order, .. } => {
+            CloudOperation::List { token, .. }
+            | CloudOperation::Rent { token, .. }
+            | CloudOperation::Release { token, .. }
+                if token != self.key_version => {}
+            CloudOperation::List { listed: seen, .. } => self.listed(outbox, seen, reply, owners),
+            CloudOperation::Rent { request: order, .. } => {
                 self.rental_in_flight = false;
                 self.rented(order, reply, now);
             }
--- a/src/core/leader/map_writer.rs
+++ b/src/core/leader/map_writer.rs
@@ -78,7 +78,7 @@
     /// Reloads the editor from the replica if a failed write may have left it different from the store.
     pub(super) fn reload_if_needed(&mut self, editor: &mut ShardMapEditor, store: &StoreReplica) {
         if std::mem::take(&mut self.must_reload) {
-            editor.reload(store.map(), self.value_kb);
+            editor.reload(store.map_chunks(), self.value_kb);
             self.stored_versions = stored_versions(store);
         }
     }
@@ -104,15 +104,15 @@
             writes.push(put(key, chunk, None));
         }
         self.write_in_flight = true;
-        let pending = Pending::Map(MapWrite {
-            term: leader_version,
+        let pending = Pending::ShardMap(MapWrite {
+            token: leader_version,
             writes: writes.clone(),
         });
         let transaction = Transaction {
             preconditions,
             writes,
         };
-        outbox.state(pending, StoreCall::Commit(transaction));
+        outbox.call_store(pending, StoreCall::Commit(transaction));
     }
 
     /// Takes in the outcome of a write, and decides when the next may follow.
@@ -127,10 +127,10 @@
         if let StoreReply::Committed(version) = reply {
             self.next_write = outbox.now + WRITES_AFTER_SUCCESS / self.writes_per_s;
             self.apply(store, writes, *version);
-            store.want_sync();
+            store.request_read();
             return;
         }
-        store.want_sync();
+        store.request_read();
         // What is stored is not known: continue from what the next sync shows.
         self.must_reload = true;
         let pause_writes = match reply {
@@ -168,7 +168,7 @@
 
 /// The versions of the shard map's values in the replica, by key.
 fn stored_versions(store: &StoreReplica) -> BTreeMap<String, Version> {
-    let stored = store.map().iter();
+    let stored = store.map_chunks().iter();
     stored
         .map(|(key, chunk)| (key.clone(), chunk.version))
         .collect()
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -77,7 +77,7 @@
     /// Begins to lead under this version of the leader key, with the shard map that the replica holds.
     pub fn new(config: &Rc<Config>, key_version: Version, store: &StoreReplica, now: Time) -> Self {
         let value_kb = config.deployment.state.value_kb;
-        let editor = ShardMapEditor::new(key_version, store.map(), value_kb);
+        let editor = ShardMapEditor::new(key_version, store.map_chunks(), value_kb);
         let fresh_deployment = editor.owners().teams.is_empty();
         Self {
             config: config.clone(),
@@ -193,7 +193,7 @@
         write: &MapWrite,
         reply: &StoreReply,
     ) {
-        if write.term == self.key_version {
+        if write.token == self.key_version {
             self.map_writer.written(outbox, store, &write.writes, reply);
         }
     }
--- a/src/core/machines/machine/capacity.rs
+++ b/src/core/machines/machine/capacity.rs
@@ -31,7 +31,7 @@
             .filter(|tracked| !tracked.exited() && counts(tracked));
         for tracked in counted {
             match &tracked.resources {
-                Some(used) => free = free.less(used),
+                Some(used) => free = free.minus(used),
                 None => return Resources::default(),
             }
         }
--- a/src/core/machines/unresponsive.rs
+++ b/src/core/machines/unresponsive.rs
@@ -7,8 +7,8 @@
 //! names the token that came directly before the present one (`previous_token`) if its owner was known
 //! to have declared the machine unresponsive under it; only then does the declaration count.
 
-use crate::core::messages::shard_update::Unresponsive;
-use crate::core::model::time::{CLOCK_DRIFT, Time};
+use crate::core::messages::shard_update::UnresponsiveMachine;
+use crate::core::model::time::{MAX_CLOCK_DRIFT, Time};
 use crate::core::records::shard_map::ShardMap;
 use crate::ids::{FencingToken, MachineId};
 use std::collections::BTreeMap;
@@ -27,14 +27,14 @@
 impl UnresponsiveMachines {
     /// Records declarations, this process's own or received ones. Messages take time, so of several
     /// declarations under one token the one with the earliest last answer is nearest to the truth.
-    pub fn note(&mut self, declarations: impl IntoIterator<Item = Unresponsive>, now: Time) {
-        for Unresponsive {
+    pub fn note(&mut self, declarations: impl IntoIterator<Item = UnresponsiveMachine>, now: Time) {
+        for UnresponsiveMachine {
             machine,
             token,
             age,
         } in declarations
         {
-            let last_answered = now - age * (1.0 - CLOCK_DRIFT);
+            let last_answered = now - age * (1.0 - MAX_CLOCK_DRIFT);
             let known = self.0.entry(machine).or_insert(Declaration {
                 token,
                 last_answered,
@@ -61,10 +61,10 @@
     }
 
     /// All declarations, with ages as of now.
-    pub fn all(&self, now: Time) -> Vec<Unresponsive> {
+    pub fn all(&self, now: Time) -> Vec<UnresponsiveMachine> {
         let declarations = self.0.iter();
         declarations
-            .map(|(id, declaration)| Unresponsive {
+            .map(|(id, declaration)| UnresponsiveMachine {
                 machine: id.clone(),
                 token: declaration.token,
                 age: now - declaration.last_answered,
--- a/src/core/machines/unresponsive/tests.rs
+++ b/src/core/machines/unresponsive/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn only_the_token_under_which_it_was_declared_counts() {
     let declared = |token, age| {
-        [Unresponsive {
+        [UnresponsiveMachine {
             machine: "m-1".into(),
             token: FencingToken(token),
             age,
--- a/src/core/membership/ownership.rs
+++ b/src/core/membership/ownership.rs
@@ -31,7 +31,7 @@
 
 use crate::config::{Config, Workers};
 use crate::core::model::process::ProcessId;
-use crate::core::model::time::{CLOCK_DRIFT, Time};
+use crate::core::model::time::{MAX_CLOCK_DRIFT, Time};
 use crate::core::store::replica::StoreReplica;
 use crate::ids::{Node, Version};
 use consents::FailoverConsents;
@@ -127,7 +127,7 @@
 /// the deployment's figures leave no time: an idle machine is better than a late cancellation.
 fn staleness_bound(workers: &Workers) -> Time {
     let tasks_end =
-        workers.lease_s * (1.0 + CLOCK_DRIFT) + workers.report_s * HEARTBEAT_TRAVEL_INTERVALS;
+        workers.lease_s * (1.0 + MAX_CLOCK_DRIFT) + workers.report_s * HEARTBEAT_TRAVEL_INTERVALS;
     (workers.cancel_s * STALENESS_PER_CANCEL_TIME)
         .min((workers.cancel_s - tasks_end) * STALENESS_PER_REMAINING_TIME)
         .max(0.0)
@@ -204,7 +204,7 @@
 
     /// Until when the lease is certain to be valid in the store.
     fn valid_in_store_until(&self) -> Time {
-        self.renewed_at + self.ttl * (1.0 - CLOCK_DRIFT) - self.margin
+        self.renewed_at + self.ttl * (1.0 - MAX_CLOCK_DRIFT) - self.margin
     }
 
     /// The version of the leader's key, if this process holds that key as far as it knows.
--- a/src/core/membership/ownership/consents.rs
+++ b/src/core/membership/ownership/consents.rs
@@ -17,7 +17,7 @@
 use crate::core::membership::ownership::OwnershipLease;
 use crate::core::membership::peers::Peers;
 use crate::core::model::process::ProcessId;
-use crate::core::model::time::{CLOCK_DRIFT, Time};
+use crate::core::model::time::{MAX_CLOCK_DRIFT, Time};
 use crate::core::store::replica::StoreReplica;
 use crate::ids::Node;
 use std::collections::{BTreeMap, BTreeSet};
@@ -127,7 +127,7 @@
         if answering.is_some_and(|incarnation| incarnation != process.incarnation) {
             return true;
         }
-        let expired_at = since + self.staleness_bound * (1.0 + CLOCK_DRIFT) + self.margin;
+        let expired_at = since + self.staleness_bound * (1.0 + MAX_CLOCK_DRIFT) + self.margin;
         self.majority_consents(process, store, now)
             || (peers.has_bounded_staleness(process) && now > expired_at)
     }
@@ -186,7 +186,7 @@
         if leader.is_none_or(|leader| !is_unheard(&leader.record.node)) {
             return;
         }
-        let owning = store.owners().owning_processes().into_iter();
+        let owning = store.shard_map().owning_processes().into_iter();
         self.consents.published = owning
             .filter(|process| store.node(&process.node).is_none())
             .filter(|process| self.consent(process, now))
--- a/src/core/membership/ownership/extensions.rs
+++ b/src/core/membership/ownership/extensions.rs
@@ -3,7 +3,7 @@
 
 use crate::core::membership::ownership::OwnershipLease;
 use crate::core::model::process::ProcessId;
-use crate::core::model::time::{CLOCK_DRIFT, Time};
+use crate::core::model::time::{MAX_CLOCK_DRIFT, Time};
 use crate::core::store::replica::StoreReplica;
 use crate::ids::Node;
 use std::collections::BTreeMap;
@@ -94,13 +94,13 @@
         now: Time,
     ) -> bool {
         let is_registered = store.is_registered(&process.node, process.incarnation);
-        let store_is_silent = store.state_silence(now) > self.ttl * STORE_SILENCE_TTLS;
+        let store_is_silent = store.seconds_since_store_reply(now) > self.ttl * STORE_SILENCE_TTLS;
         let is_granted = is_registered
             && store_is_silent
             && !self.consents.includes(process)
             && self.extensions.predecessors_have_expired(now);
         if is_granted {
-            let until = now + self.extensions.duration * (1.0 + CLOCK_DRIFT);
+            let until = now + self.extensions.duration * (1.0 + MAX_CLOCK_DRIFT);
             self.extensions
                 .granted_until
                 .insert(process.node.clone(), until);
@@ -112,7 +112,7 @@
     pub fn extension_received(&mut self, node: &Node, sent: Time, now: Time) {
         if self.wants_extension(now) {
             let extensions = &mut self.extensions;
-            let until = sent + extensions.duration * (1.0 - CLOCK_DRIFT) - extensions.margin;
+            let until = sent + extensions.duration * (1.0 - MAX_CLOCK_DRIFT) - extensions.margin;
             extensions.received_until.insert(node.clone(), until);
         }
     }
--- a/src/core/membership/ownership/tests.rs
+++ b/src/core/membership/ownership/tests.rs
@@ -26,7 +26,7 @@
         let staleness_bound = staleness_bound(&workers(report_s, lease_s, cancel_s));
         assert!(staleness_bound > 0.0);
         assert!(
-            staleness_bound + lease_s * (1.0 + CLOCK_DRIFT) + report_s * 0.5 < cancel_s,
+            staleness_bound + lease_s * (1.0 + MAX_CLOCK_DRIFT) + report_s * 0.5 < cancel_s,
             "{lease_s} {cancel_s}"
         );
     }
@@ -92,7 +92,7 @@
     let (store, mut peers) = (StoreReplica::new(&config), Peers::new(&config));
     let process = ProcessId::new(Node::from("n1"), 7);
     let since = 100.0;
-    let expired_at = since + ownership.staleness_bound * (1.0 + CLOCK_DRIFT) + ownership.margin;
+    let expired_at = since + ownership.staleness_bound * (1.0 + MAX_CLOCK_DRIFT) + ownership.margin;
     assert!(!ownership.lease_expired(&process, &store, &peers, since));
     assert!(
         !ownership.lease_expired(&process, &store, &peers, expired_at + 1.0),
--- a/src/core/membership/process_pause/tests.rs
+++ b/src/core/membership/process_pause/tests.rs
@@ -39,7 +39,7 @@
     let mut machine = Machine::named("m-1".into(), FencingToken(9), 0.0);
     machine.is_owned = true;
     shard.machines.insert("m-1".into(), machine);
-    outbox.begin(8.0, 8_000);
+    outbox.begin_step(8.0, 8_000);
     shard.last_heartbeat = 8.0;
     store.set_current_as_of(8.0);
     let is_unresponsive = |shard: &Shard| shard.machines[&MachineId::from("m-1")].unresponsive;
@@ -64,7 +64,7 @@
     machine.address = "m-1".into();
     shard.machines.insert("m-1".into(), machine);
     let catalog = Catalog::with_types(types());
-    outbox.begin(100.0, 100_000);
+    outbox.begin_step(100.0, 100_000);
     shard.catching_up = true;
     shard.plan_capacity_when_due(&outbox, &store, &catalog);
     assert!(shard.demand.surplus_machines.is_empty());
@@ -97,7 +97,7 @@
     // No answer but one to the lease's creation, which arrives after the pause.
     let effects = core.step(now, 10_000, Vec::new());
     let listing = effects.into_iter().find_map(|effect| match effect {
-        Effect::State(call, StoreCall::List { .. }) => Some(call),
+        Effect::Store(call, StoreCall::List { .. }) => Some(call),
         _ => None,
     });
     let empty = serde_json::from_value(serde_json::json!({
@@ -105,14 +105,14 @@
     }));
     let reply = StoreReply::Listing(empty.unwrap());
     now += 0.05;
-    let listed = Input::State(listing.unwrap(), reply);
+    let listed = Input::Store(listing.unwrap(), reply);
     let effects = core.step(now, 10_050, vec![listed]);
     let create = effects.into_iter().find_map(|effect| match effect {
-        Effect::State(call, StoreCall::LeaseCreate { .. }) => Some(call),
+        Effect::Store(call, StoreCall::LeaseCreate { .. }) => Some(call),
         _ => None,
     });
     now += 7.0;
-    let lease = Input::State(create.unwrap(), StoreReply::Lease(7));
+    let lease = Input::Store(create.unwrap(), StoreReply::LeaseCreated(7));
     core.step(now, 17_050, vec![lease]);
     assert!(!core.ownership.holds_lease(now));
 }
--- a/src/core/messages/mesh.rs
+++ b/src/core/messages/mesh.rs
@@ -3,7 +3,7 @@
 
 use crate::core::messages::detection::DetectionReport;
 use crate::core::messages::final_states::FinalStates;
-use crate::core::messages::shard_update::{PeerUpdate, Unresponsive};
+use crate::core::messages::shard_update::{PeerUpdate, UnresponsiveMachine};
 use crate::core::model::process::ProcessId;
 use crate::ids::{JobId, Node, Version};
 use crate::wire::{Heartbeat, HeartbeatResponse, JobSpec};
@@ -41,17 +41,19 @@
     /// The incarnation of the sender's process.
     pub incarnation: u64,
     /// Increases with every hello of a process, so that delayed ones are recognized.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub sequence_number: u64,
     /// The sender cannot renew its lease and requests an extension.
     #[serde(rename = "wants_voucher")]
     pub wants_extension: bool,
     /// The sender is the leader and requests consent to the failover of these processes' shards.
     pub wants_consent: Vec<ProcessId>,
     /// Tasks done and running, of the jobs that run in the sender's shard.
-    pub running: Vec<(JobId, u32, u32)>,
+    #[serde(rename = "running")]
+    pub task_counts: Vec<(JobId, u32, u32)>,
     /// Machines that are known not to be answered any more under these fencing tokens.
     #[serde(rename = "quiet")]
-    pub unresponsive: Vec<Unresponsive>,
+    pub unresponsive: Vec<UnresponsiveMachine>,
     /// The sender's shard's state, as far as it concerns the receiver's shard.
     #[serde(rename = "news")]
     pub update: Option<PeerUpdate>,
@@ -91,7 +93,8 @@
         retry_after: Option<u32>,
     },
     /// The message was received, and there is nothing to answer.
-    Noted,
+    #[serde(rename = "Noted")]
+    Acknowledged,
     /// The response to a worker's heartbeat; none if the receiver does not own the machine or may not
     /// act at present.
     #[serde(rename = "ReportAnswer")]
--- a/src/core/messages/shard_update.rs
+++ b/src/core/messages/shard_update.rs
@@ -20,7 +20,8 @@
     /// tasks says nothing.
     pub teams: BTreeSet<Team>,
     /// The sender wants observations of all the receiver's machines.
-    pub listening: bool,
+    #[serde(rename = "listening")]
+    pub wants_observations: bool,
     /// The sender's reconciled machines: they have shown their present fencing token, or are known to
     /// be empty.
     #[serde(rename = "settled")]
@@ -35,7 +36,8 @@
     #[serde(rename = "need")]
     pub demand: CapacityDemand,
     /// From the leader: offers of which the cloud has no capacity at present.
-    pub refused: Option<BTreeSet<MachineOffer>>,
+    #[serde(rename = "refused")]
+    pub unavailable_offers: Option<BTreeSet<MachineOffer>>,
     /// In every few hellos: the images on the sender's machines. To a new process: all images that
     /// the sender knows of. A new owner prefers machines on which nothing has to be fetched.
     pub images: ImageHints,
@@ -142,7 +144,7 @@
 
 /// A machine that its owner does not answer any more under this fencing token.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Unresponsive {
+pub struct UnresponsiveMachine {
     /// The machine.
     pub machine: MachineId,
     /// The token.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -101,7 +101,7 @@
     /// Handles a batch of inputs, then does everything that is due. `now` is the steady clock in seconds, `wall_ms` the
     /// time of day in milliseconds.
     pub fn step(&mut self, now: Time, wall_ms: u64, batch: Vec<Input>) -> Vec<Effect> {
-        self.outbox.begin(now, wall_ms);
+        self.outbox.begin_step(now, wall_ms);
         self.peers.detector_mut().step(now);
         if let Some(paused) = self.process_pause.step(now) {
             self.resumed(paused);
@@ -147,7 +147,7 @@
     fn resumed(&mut self, paused: Time) {
         tracing::info!(seconds = %format_args!("{paused:.1}"), "process was paused");
         self.peers.note_worker_contact(self.outbox.now);
-        self.store.want_sync();
+        self.store.request_read();
     }
 
     /// Everything that is due at this time. Knowledge comes first (the store, siblings), then the right to act on it,
--- a/src/core/model/resources.rs
+++ b/src/core/model/resources.rs
@@ -41,7 +41,7 @@
     }
 
     /// What is left without `taken`.
-    pub fn less(&self, taken: &Resources) -> Resources {
+    pub fn minus(&self, taken: &Resources) -> Resources {
         Resources {
             cpus: self.cpus - taken.cpus,
             gpus: self.gpus - taken.gpus,
@@ -69,7 +69,7 @@
 
     /// The part of a machine's free resources that its free GPUs do not need, where each GPU is allotted an equal
     /// part of the machine's CPUs and memory. `total`: all resources of the machine.
-    pub fn beside_free_gpus(&self, total: &Resources) -> Resources {
+    pub fn without_share_of_free_gpus(&self, total: &Resources) -> Resources {
         if total.gpus <= 0.0 {
             return *self;
         }
--- a/src/core/model/time.rs
+++ b/src/core/model/time.rs
@@ -5,4 +5,4 @@
 
 /// Relative bound on the difference between the rates of two monotonic clocks. Each runs fast or slow by 0.05%, so two differ by at
 /// most twice that; the bound is doubled once more.
-pub const CLOCK_DRIFT: f64 = 0.002;
+pub const MAX_CLOCK_DRIFT: f64 = 0.002;
--- a/src/core/model/token_bucket.rs
+++ b/src/core/model/token_bucket.rs
@@ -9,7 +9,7 @@
     rate: f64,
     tokens: f64,
     /// When `tokens` was last brought up to date.
-    filled: Time,
+    updated_at: Time,
 }
 
 impl TokenBucket {
@@ -18,7 +18,7 @@
         Self {
             rate,
             tokens,
-            filled: now,
+            updated_at: now,
         }
     }
 
@@ -29,9 +29,9 @@
 
     /// Whether a token is available.
     pub fn has_token(&mut self, now: Time) -> bool {
-        let gained = (now - self.filled) * self.rate;
+        let gained = (now - self.updated_at) * self.rate;
         self.tokens = (self.tokens + gained).min(self.rate.max(1.0));
-        self.filled = now;
+        self.updated_at = now;
         self.tokens >= 1.0
     }
 
--- a/src/core/scheduling/packing.rs
+++ b/src/core/scheduling/packing.rs
@@ -116,7 +116,7 @@
             }
             let has_zone_quota = |zone: &Zone| zone_allows(task.spec, zone, &tasks_in_zone);
             let zone = if let Some(candidate) = self.best_candidate(first, &task, &has_zone_quota) {
-                candidate.free = candidate.free.less(&task.need);
+                candidate.free = candidate.free.minus(&task.need);
                 placed_on_machines += u32::from(candidate.machine.is_some());
                 purpose.mark(candidate, task.urgency);
                 candidate.offer.zone.clone()
@@ -138,7 +138,7 @@
     /// From now on resources of opportunistic tasks no longer count as free.
     pub fn reserve_opportunistic(&mut self) {
         for candidate in &mut self.candidates {
-            candidate.free = candidate.free.less(&candidate.opportunistic);
+            candidate.free = candidate.free.minus(&candidate.opportunistic);
         }
     }
 
@@ -150,7 +150,7 @@
         task: &PlannedTask,
         has_zone_quota: &dyn Fn(&Zone) -> bool,
     ) -> Option<&mut PackingCandidate> {
-        let leftover = |candidate: &PackingCandidate| candidate.free.less(&task.need);
+        let leftover = |candidate: &PackingCandidate| candidate.free.minus(&task.need);
         let is_needlessly_on_demand =
             |candidate: &PackingCandidate| task.spec.spot && !candidate.offer.spot;
         self.candidates
@@ -201,7 +201,7 @@
         });
         let zone = offer.zone.clone();
         let mut rented = PackingCandidate {
-            free: total.less(&task.need),
+            free: total.minus(&task.need),
             total,
             ..PackingCandidate::empty(None, offer)
         };
@@ -263,7 +263,7 @@
     /// The free resources that the task may use.
     fn usable_resources(&self, candidate: &PackingCandidate) -> Resources {
         if self.avoids_stranding_gpus {
-            candidate.free.beside_free_gpus(&candidate.total)
+            candidate.free.without_share_of_free_gpus(&candidate.total)
         } else {
             candidate.free
         }
--- a/src/core/scheduling/placement.rs
+++ b/src/core/scheduling/placement.rs
@@ -4,7 +4,7 @@
 //!
 //! CPUs and memory of a GPU machine are needed to use its GPUs, so a task without GPUs can strand
 //! GPUs by taking them. Where machines without GPUs can be rented, a GPU machine therefore offers such a
-//! task only the CPUs and memory that its free GPUs do not need ([`Resources::beside_free_gpus`]).
+//! task only the CPUs and memory that its free GPUs do not need ([`Resources::without_share_of_free_gpus`]).
 
 use crate::core::model::resources::Resources;
 use crate::core::model::time::Time;
@@ -101,7 +101,7 @@
 
 impl Leftover {
     fn of(candidate: &Candidate, need: &Resources, weights: Weights) -> Self {
-        let left = candidate.free.less(need);
+        let left = candidate.free.minus(need);
         let fraction = |left: f64, total: f64| if total > 0.0 { left / total } else { 0.0 };
         let weighted_fraction = weights.cpu * fraction(left.cpus, candidate.total.cpus)
             + weights.memory * fraction(left.memory_gb, candidate.total.memory_gb);
--- a/src/core/scheduling/placement/tests.rs
+++ b/src/core/scheduling/placement/tests.rs
@@ -90,7 +90,7 @@
         memory_gb: 192.0,
     };
     assert!(
-        !total.beside_free_gpus(&total).holds(&CPU_TASK),
+        !total.without_share_of_free_gpus(&total).holds(&CPU_TASK),
         "all of it belongs to its GPUs"
     );
     let half_used = Resources {
@@ -98,7 +98,7 @@
         gpus: 4.0,
         memory_gb: 146.0,
     };
-    let left = half_used.beside_free_gpus(&total);
+    let left = half_used.without_share_of_free_gpus(&total);
     assert_eq!((left.cpus, left.gpus, left.memory_gb), (8.0, 4.0, 50.0));
     assert!(left.holds(&CPU_TASK.times(4)) && !left.holds(&CPU_TASK.times(5)));
     let without_gpus = Resources {
@@ -106,7 +106,10 @@
         gpus: 0.0,
         memory_gb: 64.0,
     };
-    assert_eq!(without_gpus.beside_free_gpus(&without_gpus), without_gpus);
+    assert_eq!(
+        without_gpus.without_share_of_free_gpus(&without_gpus),
+        without_gpus
+    );
 }
 
 const CPU_TASK: Resources = Resources {
--- a/src/core/shard/commands.rs
+++ b/src/core/shard/commands.rs
@@ -114,7 +114,7 @@
     /// Sends commands that machines have not been sent yet, in as many messages as may be in flight.
     pub(crate) fn send_direct_commands(&mut self, outbox: &mut Outbox) {
         let limit = self.max_direct_commands();
-        while outbox.direct_commands() < limit
+        while outbox.pending_worker_calls() < limit
             && let Some(machine_id) = self.unsent_commands.pop_first()
         {
             self.send_commands_to(outbox, &machine_id);
@@ -148,7 +148,7 @@
             agent_epoch: fence.agent_epoch,
             commands,
         };
-        let call = outbox.worker(machine_id, &machine.address, message);
+        let call = outbox.send_commands(machine_id, &machine.address, message);
         self.starts_in_flight.sent(machine_id, call, fence, starts);
     }
 
--- a/src/core/shard/consolidation.rs
+++ b/src/core/shard/consolidation.rs
@@ -162,7 +162,7 @@
             .iter()
             .map(|candidate| Target {
                 candidate,
-                free: candidate.free.less(&candidate.opportunistic),
+                free: candidate.free.minus(&candidate.opportunistic),
             })
             .collect();
         let mut tasks_in_zone: BTreeMap<&JobId, BTreeMap<Zone, u32>> = BTreeMap::new();
@@ -187,7 +187,7 @@
             let Some(target) = target else {
                 return false;
             };
-            target.free = target.free.less(&job.need());
+            target.free = target.free.minus(&job.need());
             *job_zones
                 .entry(target.candidate.offer.zone.clone())
                 .or_default() += 1;
--- a/src/core/shard/grants.rs
+++ b/src/core/shard/grants.rs
@@ -236,8 +236,8 @@
         }
         let pending = GrantWrite {
             team: name.clone(),
-            term: team.token(),
-            proposed: as_owner,
+            token: team.token(),
+            outcome_awaited: as_owner,
             write,
         };
         self.commit_grant(outbox, preconditions, pending);
@@ -254,7 +254,7 @@
             writes: vec![pending.write.clone()],
         };
         self.record_rate.take(outbox.now);
-        outbox.state(Pending::Grant(pending), StoreCall::Commit(transaction));
+        outbox.call_store(Pending::Grant(pending), StoreCall::Commit(transaction));
     }
 
     /// Deletes a team's record so that no process relies on it.
@@ -284,8 +284,8 @@
         let write = Write::Delete { key };
         let pending = GrantWrite {
             team: name.clone(),
-            term: token,
-            proposed: false,
+            token,
+            outcome_awaited: false,
             write,
         };
         self.commit_grant(outbox, preconditions, pending);
@@ -302,17 +302,17 @@
         if let StoreReply::Committed(version) = reply {
             store.apply_write(&written.write, version);
         } else {
-            store.want_sync();
+            store.request_read();
         }
         self.changed_since_round = true;
         let team = self
             .teams
             .get_mut(&written.team)
-            .filter(|team| team.token() == written.term);
+            .filter(|team| team.token() == written.token);
         let Some(grant) = team.and_then(|team| team.grant.as_mut()) else {
             return;
         };
-        if !written.proposed {
+        if !written.outcome_awaited {
             return;
         }
         grant.holder.record_outcome(match reply {
@@ -338,7 +338,7 @@
 /// Returns the version of the shard map's list of teams; 0 if the list does not exist.
 fn teams_version(store: &StoreReplica) -> Version {
     store
-        .map()
+        .map_chunks()
         .get(&teams_key())
         .map_or(0, |chunk| chunk.version)
 }
--- a/src/core/shard/grants/tests.rs
+++ b/src/core/shard/grants/tests.rs
@@ -106,7 +106,7 @@
 
     /// Advances the store replica to the revision of the shard map and reads the grant records again.
     fn sync(&mut self) {
-        self.store.read_up_to(self.version);
+        self.store.set_revision(self.version);
         self.shard.read_grant_records(&self.store);
     }
 
@@ -167,13 +167,13 @@
             .take_effects()
             .into_iter()
             .find_map(|effect| match effect {
-                Effect::State(call, StoreCall::Commit(transaction)) => Some((call, transaction)),
+                Effect::Store(call, StoreCall::Commit(transaction)) => Some((call, transaction)),
                 _ => None,
             })
     }
 
     fn reply_to(&mut self, call: CallId, reply: StoreReply) {
-        let Some(Pending::Grant(written)) = self.outbox.finish(call) else {
+        let Some(Pending::Grant(written)) = self.outbox.take_pending(call) else {
             panic!("not a grant write")
         };
         if let StoreReply::Committed(version) = reply {
--- a/src/core/shard/lease_expiry.rs
+++ b/src/core/shard/lease_expiry.rs
@@ -1,8 +1,8 @@
 //! When a machine without heartbeats must have lost its attempts: its worker's lease expires a bounded time
 //! after its last heartbeat was answered.
 
-use crate::core::messages::shard_update::Unresponsive;
-use crate::core::model::time::{CLOCK_DRIFT, Time};
+use crate::core::messages::shard_update::UnresponsiveMachine;
+use crate::core::model::time::{MAX_CLOCK_DRIFT, Time};
 use crate::core::shard::Shard;
 use crate::core::store::replica::StoreReplica;
 use crate::ids::MachineId;
@@ -19,7 +19,7 @@
     /// Seconds after its last answered heartbeat for which a machine may still have its attempts.
     fn lease(&self) -> Time {
         let workers = &self.config.deployment.workers;
-        workers.lease_s * (1.0 + CLOCK_DRIFT) + workers.report_s * LEASE_MARGIN_HEARTBEATS
+        workers.lease_s * (1.0 + MAX_CLOCK_DRIFT) + workers.report_s * LEASE_MARGIN_HEARTBEATS
     }
 
     /// Declares machines unresponsive that have sent no heartbeat for long. They are not answered any more
@@ -43,11 +43,11 @@
     }
 
     /// The machines of this shard that are unresponsive, for the siblings.
-    pub(crate) fn unresponsive_machines(&self, now: Time) -> Vec<Unresponsive> {
+    pub(crate) fn unresponsive_machines(&self, now: Time) -> Vec<UnresponsiveMachine> {
         self.machines
             .values()
             .filter(|machine| machine.is_owned && machine.unresponsive)
-            .map(|machine| Unresponsive {
+            .map(|machine| UnresponsiveMachine {
                 machine: machine.id.clone(),
                 token: machine.token,
                 age: now - machine.last_answered,
--- a/src/core/shard/map_changes.rs
+++ b/src/core/shard/map_changes.rs
@@ -34,15 +34,17 @@
         store: &StoreReplica,
         unresponsive: &UnresponsiveMachines,
     ) {
-        if self.last_map_change.replace(store.map_changes()) == Some(store.map_changes()) {
+        if self.last_map_change.replace(store.shard_map_changes())
+            == Some(store.shard_map_changes())
+        {
             return;
         }
         let assigned = self.assigned_teams(store);
         let lost = self.lost_teams(&assigned);
         self.release_grants(outbox, store, &lost);
-        self.divide_write_rate(store.owners());
+        self.divide_write_rate(store.shard_map());
         self.apply_machine_assignments(store, unresponsive, outbox.now);
-        self.remove_deleted_machines(store.owners(), outbox.now);
+        self.remove_deleted_machines(store.shard_map(), outbox.now);
         self.remove_lost_teams(lost);
         for (team, token) in assigned {
             if !self.teams.contains_key(&team) {
@@ -55,7 +57,7 @@
 
     /// Returns the teams that the map assigns to this process, with their fencing tokens.
     fn assigned_teams(&self, store: &StoreReplica) -> BTreeMap<Team, FencingToken> {
-        let teams = store.owners().teams.iter();
+        let teams = store.shard_map().teams.iter();
         let ours = teams.filter(|(_, owner)| owner.is(&self.config.node, self.incarnation));
         ours.map(|(team, owner)| (team.clone(), owner.token))
             .collect()
@@ -86,7 +88,7 @@
         unresponsive: &UnresponsiveMachines,
         now: Time,
     ) {
-        for (id, owner) in &store.owners().machines {
+        for (id, owner) in &store.shard_map().machines {
             let previous = owner.previous_token;
             let assignment = MachineAssignment {
                 owner,
@@ -175,7 +177,7 @@
         token: FencingToken,
     ) {
         tracing::info!(%team, token = token.0, "team gained");
-        let unreconciled = store.owners().machines.keys().cloned().collect();
+        let unreconciled = store.shard_map().machines.keys().cloned().collect();
         let grant = self.new_team_grant(&team, token);
         let owned = OwnedTeam::new(token, store.map_revision(), unreconciled, grant);
         self.teams.insert(team.clone(), owned);
--- a/src/core/shard/mod.rs
+++ b/src/core/shard/mod.rs
@@ -184,7 +184,7 @@
 
     /// Takes over the records of jobs that have changed in the store.
     fn follow_job_records(&mut self, store: &mut StoreReplica, now: Time, wall_ms: u64) {
-        for id in store.take_changed() {
+        for id in store.take_changed_jobs() {
             if let Some(stored) = store.job(&id) {
                 let (record, version) = (stored.record.clone(), stored.version);
                 self.apply_job_record(store, &id, &record, version, (now, wall_ms));
--- a/src/core/shard/opportunistic/tests.rs
+++ b/src/core/shard/opportunistic/tests.rs
@@ -206,14 +206,14 @@
             let machine = &shard.machines[&MachineId::from("m-1")];
             machine.attempts.values().next().unwrap().stop
         };
-        outbox.begin(5.0, 5_000);
+        outbox.begin_step(5.0, 5_000);
         shard.plan_capacity_when_due(&outbox, &store, &catalog);
         assert_eq!(
             shard.demand.opportunistic_only_machines,
             vec![MachineId::from("m-1")]
         );
         assert_eq!(stop_grace(&shard), None, "not idle for long");
-        outbox.begin(100.0, 100_000);
+        outbox.begin_step(100.0, 100_000);
         shard
             .machines
             .get_mut(&MachineId::from("m-1"))
--- a/src/core/shard/owned_jobs.rs
+++ b/src/core/shard/owned_jobs.rs
@@ -47,7 +47,7 @@
         if !is_owned {
             return;
         }
-        if store.dependency_cancelled(id) {
+        if store.has_cancelled_dependency(id) {
             self.dependency_cancelled.entry(id.clone()).or_insert(now);
             return;
         }
@@ -68,14 +68,14 @@
     ) -> Option<Job> {
         let spec = record.spec.as_ref()?;
         let team = self.teams.get(&spec.team)?;
-        let ready_ms = store.ready_ms(record)?;
+        let dependencies_done_ms = store.dependencies_done_ms(record)?;
         // The team's previous owner may have started every job that it read before it saw the change of the
         // shard map. The versions decide which jobs these are, not the time at which a job appeared here: a
         // leader that assigns the team to itself knows its own write before its next sync brings jobs that
         // were written earlier. A job with recorded progress has been started.
         let never_started = version > team.gained_at_revision && record.done.is_empty();
         let reconciled = team.unreconciled.is_empty() || never_started;
-        let age = wall_ms.saturating_sub(ready_ms) as f64 / MS_PER_S;
+        let age = wall_ms.saturating_sub(dependencies_done_ms) as f64 / MS_PER_S;
         let mut job = Job::new(spec.clone(), record.clone(), version, now - age, reconciled);
         if job.is_gang() && !job.done.is_empty() {
             // The tasks of a gang complete together, so one recorded task means that all are done.
@@ -124,7 +124,7 @@
         let finish = self.config.finish_objective(&job.spec.class);
         let own_deadline = job.spec.deadline_s.filter(|_| finish.is_none());
         let own_deadline = own_deadline.map(|due| to_steady_clock(job.record.accepted_ms) + due);
-        let inherited = store.inherited(id);
+        let inherited = store.inherited_urgency(id);
         let dependents_deadline = inherited
             .and_then(|urgency| urgency.due_ms)
             .map(to_steady_clock);
@@ -206,7 +206,7 @@
     match (&stored.record.spec, &stored.record.terminating) {
         (Some(spec), _) => {
             describe_attempt(tracked, config, spec);
-            tracked.opportunistic &= store.inherited(id).is_none();
+            tracked.opportunistic &= store.inherited_urgency(id).is_none();
         }
         (None, Some(terminating)) => describe_terminating_attempt(tracked, terminating),
         (None, None) => {}
--- a/src/core/shard/progress_records.rs
+++ b/src/core/shard/progress_records.rs
@@ -313,7 +313,7 @@
             _ => {
                 // The job was cancelled meanwhile, or the outcome is unknown. The store is read again before
                 // the retry.
-                store.want_sync();
+                store.request_read();
                 let pause = if *reply == StoreReply::Conflict {
                     CONFLICT_PAUSE_S
                 } else {
@@ -359,7 +359,7 @@
         preconditions: preconditions.collect(),
         writes: writes.collect(),
     };
-    outbox.state(Pending::Records(records), StoreCall::Commit(transaction));
+    outbox.call_store(Pending::JobRecords(records), StoreCall::Commit(transaction));
 }
 
 #[cfg(test)]
--- a/src/core/shard/progress_records/tests.rs
+++ b/src/core/shard/progress_records/tests.rs
@@ -8,10 +8,10 @@
 
 /// Returns the pending record writes of a sent transaction together with the transaction.
 fn take_sent_records(outbox: &mut Outbox, effect: Effect) -> (Vec<RecordWrite>, Transaction) {
-    let Effect::State(call, StoreCall::Commit(transaction)) = effect else {
+    let Effect::Store(call, StoreCall::Commit(transaction)) = effect else {
         panic!("{effect:?}")
     };
-    let Some(Pending::Records(writes)) = outbox.finish(call) else {
+    let Some(Pending::JobRecords(writes)) = outbox.take_pending(call) else {
         panic!("not a transaction of job records")
     };
     (writes, transaction)
@@ -38,7 +38,7 @@
         shard.queue_for_recording(&id, 0.0);
     };
     let record_at = |shard: &mut Shard, outbox: &mut Outbox, now: Time| {
-        outbox.begin(now, 0);
+        outbox.begin_step(now, 0);
         shard.record_progress(outbox);
         outbox.take_effects().pop()
     };
@@ -77,7 +77,7 @@
         shard.queue_for_recording(&id(number), 1.0);
     }
     let send_records_at = |shard: &mut Shard, outbox: &mut Outbox, now| {
-        outbox.begin(now, 0);
+        outbox.begin_step(now, 0);
         shard.record_progress(outbox);
         let effects = outbox.take_effects();
         effects
--- a/src/core/shard/reconciliation.rs
+++ b/src/core/shard/reconciliation.rs
@@ -17,7 +17,7 @@
     /// Removes the machines that are reconciled by now from the teams that wait for them.
     fn strike_reconciled_machines(&mut self, store: &StoreReplica) {
         let machines = &self.machines;
-        let on_map = &store.owners().machines;
+        let on_map = &store.shard_map().machines;
         let is_reconciled = |id: &MachineId| {
             let machine = machines.get(id);
             machine.is_some_and(|machine| machine.is_owned && machine.reconciled())
--- a/src/core/shard/round/machine_choice.rs
+++ b/src/core/shard/round/machine_choice.rs
@@ -126,7 +126,7 @@
             let Some(machine) = best.and_then(|position| allowed.get_mut(position)) else {
                 break;
             };
-            machine.free = machine.free.less(&need);
+            machine.free = machine.free.minus(&need);
             chosen.push(machine.index);
             *tasks_in_zone
                 .entry(machine.snapshot.zone.clone())
--- a/src/core/shard/round/snapshot.rs
+++ b/src/core/shard/round/snapshot.rs
@@ -54,7 +54,7 @@
             .iter()
             .filter(|reservation| Some(&reservation.image) != image)
             .fold(self.free, |free, reservation| {
-                free.less(&reservation.resources)
+                free.minus(&reservation.resources)
             })
     }
 
@@ -66,7 +66,7 @@
         avoids_stranding_gpus: bool,
     ) -> Resources {
         if avoids_stranding_gpus {
-            free.beside_free_gpus(&self.total)
+            free.without_share_of_free_gpus(&self.total)
         } else {
             free
         }
@@ -82,8 +82,8 @@
 
     /// Assigns resources to a task and removes one reservation for its image, if there is any.
     pub(super) fn assign(&mut self, need: &Resources, image: &Image) {
-        self.free = self.free.less(need);
-        self.free_after_stops = self.free_after_stops.less(need);
+        self.free = self.free.minus(need);
+        self.free_after_stops = self.free_after_stops.minus(need);
         let reserved = self
             .image_reservations
             .iter()
@@ -103,7 +103,7 @@
         for resources in released {
             self.free_after_stops = self.free_after_stops.plus(&resources);
         }
-        self.free_after_stops = self.free_after_stops.less(need);
+        self.free_after_stops = self.free_after_stops.minus(need);
         self.free = self.free.min(&self.free_after_stops);
     }
 
--- a/src/core/shard/sibling_updates.rs
+++ b/src/core/shard/sibling_updates.rs
@@ -50,7 +50,7 @@
         images: ImageHints,
         contacts: MachineContacts,
     ) -> PeerUpdate {
-        let owners = store.owners().teams.iter();
+        let owners = store.shard_map().teams.iter();
         let their_teams = owners.filter(|(_, owner)| owner.node == *node);
         let their_teams: BTreeSet<&Team> = their_teams.map(|(team, _)| team).collect();
         let reported = self.machines_to_report(node, store);
@@ -62,12 +62,12 @@
             .filter_map(|machine| observation(machine, &their_teams));
         PeerUpdate {
             revision: store.revision(),
-            listening: self.needs_observations(),
+            wants_observations: self.needs_observations(),
             reconciled: reconciled.collect(),
             observations: observations.collect(),
             commands: self.create_commands_for(node, store),
             demand: self.demand.clone(),
-            refused,
+            unavailable_offers: refused,
             images,
             contacts,
             teams: their_teams.into_iter().cloned().collect(),
@@ -89,7 +89,7 @@
     /// Creates the stop and forget commands for attempts of this shard's teams on the sibling's machines.
     fn create_commands_for(&self, node: &Node, store: &StoreReplica) -> Vec<TaskCommand> {
         let is_owned_by_sibling = |machine: &&Machine| {
-            let owner = store.owners().machines.get(&machine.id);
+            let owner = store.shard_map().machines.get(&machine.id);
             !machine.is_owned && owner.is_some_and(|owner| owner.node == *node)
         };
         let mut commands = Vec::new();
@@ -144,12 +144,12 @@
         incarnation: u64,
         mut update: PeerUpdate,
     ) {
-        if update.listening {
+        if update.wants_observations {
             self.sync_soon |= self.listeners.insert(from.clone());
         } else {
             self.listeners.remove(from);
         }
-        if let Some(refused) = update.refused {
+        if let Some(refused) = update.unavailable_offers {
             self.refused_offers = refused;
         }
         self.image_hints.extend(update.images);
@@ -171,7 +171,7 @@
             // An observation by a previous owner or under an earlier token is outdated.
             let is_current =
                 |owner: &ShardOwner| owner.is(from, incarnation) && owner.token == token;
-            if store.owners().machines.get(&id).is_some_and(is_current) {
+            if store.shard_map().machines.get(&id).is_some_and(is_current) {
                 let observation = observations.remove(&id);
                 self.apply_observation(outbox, store, &id, token, &coverage, observation);
             }
@@ -299,7 +299,7 @@
             return;
         };
         let team = tracked.team.as_ref();
-        let owner = team.and_then(|team| store.owners().teams.get(team));
+        let owner = team.and_then(|team| store.shard_map().teams.get(team));
         if owner.is_none_or(|owner| owner.node != *from) {
             return;
         }
--- a/src/core/shard/soon_ready.rs
+++ b/src/core/shard/soon_ready.rs
@@ -107,7 +107,10 @@
             .collect();
         let mut specs = Vec::new();
         for id in dependents {
-            let Some(job) = store.job(id).filter(|_| !store.dependency_cancelled(id)) else {
+            let Some(job) = store
+                .job(id)
+                .filter(|_| !store.has_cancelled_dependency(id))
+            else {
                 continue;
             };
             let unfinished = job.record.spec.as_ref().filter(|_| !job.record.is_final());
--- a/src/core/shard/soon_ready/tests.rs
+++ b/src/core/shard/soon_ready/tests.rs
@@ -88,7 +88,7 @@
     }
 
     fn soon_ready(&mut self, now: Time) -> SoonReadyJobs {
-        self.outbox.begin(now, 0);
+        self.outbox.begin_step(now, 0);
         let types: Vec<_> = types()
             .into_iter()
             .map(|machine_type| MachineType {
--- a/src/core/shard/tests.rs
+++ b/src/core/shard/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::core::machines::machine::TrackedAttempt;
-use crate::core::messages::shard_update::Unresponsive;
+use crate::core::messages::shard_update::UnresponsiveMachine;
 use crate::core::records::job_record::JobRecord;
 use crate::core::records::keys::job_key;
 use crate::core::records::shard_map::{ShardEntry, ShardOwner};
@@ -35,7 +35,7 @@
 fn the_lease_of_a_silent_machine_is_counted_on_through_a_hand_over() {
     let (mut shard, mut outbox, mut store) = shard();
     let mut unresponsive = UnresponsiveMachines::default();
-    let said = |id: &str| Unresponsive {
+    let said = |id: &str| UnresponsiveMachine {
         machine: id.into(),
         token: FencingToken(8),
         age: 6.0,
@@ -56,7 +56,7 @@
         machines: vec!["m-2".into()],
     };
     map(&mut store, 5, vec![chain, other]);
-    outbox.begin(21.0, 0);
+    outbox.begin_step(21.0, 0);
     shard.apply_map_changes(&mut outbox, &store, &unresponsive);
     let answered = |shard: &Shard, id: &str| shard.machines[&MachineId::from(id)].last_answered;
     assert!((14.0..14.1).contains(&answered(&shard, "m-1")));
@@ -93,7 +93,7 @@
         shard.apply_job_record(&store, &id.into(), &Rc::new(record), 9, (0.0, 0));
     }
     let started = |shard: &Shard| shard.machines[&MachineId::from("m-1")].attempts.len();
-    outbox.begin(0.1, 0);
+    outbox.begin_step(0.1, 0);
     let mut usage = shard.usage(&store, outbox.wall_ms);
     shard.schedule(outbox.now, &mut usage, &Catalog::default());
     assert_eq!(
@@ -101,7 +101,7 @@
         2,
         "both replicas of one image, none of the other"
     );
-    outbox.begin(60.0, 0);
+    outbox.begin_step(60.0, 0);
     let mut usage = shard.usage(&store, outbox.wall_ms);
     shard.schedule(outbox.now, &mut usage, &Catalog::default());
     assert_eq!(started(&shard), 4, "not for ever");
@@ -135,7 +135,7 @@
         tasks: Vec::new(),
     };
     let handle_heartbeat = |shard: &mut Shard, outbox: &mut Outbox, now, sequence| {
-        outbox.begin(now, 0);
+        outbox.begin_step(now, 0);
         let answer = shard.handle_heartbeat(
             &store,
             &Catalog::default(),
@@ -175,7 +175,7 @@
         machines: vec!["m-1".into()],
     };
     map(&mut store, 6, vec![mine]);
-    outbox.begin(1.0 + lease * 0.8, 0);
+    outbox.begin_step(1.0 + lease * 0.8, 0);
     shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     shard.declare_unresponsive(&current, 1.0 + lease * 0.8);
     let machine = &shard.machines[&MachineId::from("m-1")];
@@ -258,12 +258,12 @@
     let news = |teams: &[&str]| crate::core::messages::shard_update::PeerUpdate {
         revision: 7,
         teams: teams.iter().map(|team| Team::from(*team)).collect(),
-        listening: false,
+        wants_observations: false,
         reconciled: vec![(id.clone(), FencingToken(9))],
         observations: vec![],
         commands: vec![],
         demand: CapacityDemand::default(),
-        refused: None,
+        unavailable_offers: None,
         images: ImageHints::new(),
         contacts: Default::default(),
     };
@@ -387,7 +387,7 @@
     };
     map(&mut store, 60, vec![mine(vec!["red".into()])]);
     shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
-    outbox.begin(1.0, now_ms);
+    outbox.begin_step(1.0, now_ms);
     let used = |shard: &Shard, store: &StoreReplica| shard.usage(store, now_ms).gpus(&"red".into());
     assert_eq!(used(&shard, &store), 0.0, "long gone");
     tell(&mut store, "req-000100", &cancelled(recent_ms), 59);
@@ -461,7 +461,7 @@
         ..record(false).cancelled(1)
     };
     store.apply_write(&put(&job_key(&"req-000001".into()), &plain, None), 10);
-    assert!(store.undescribed_cancellation_since(since));
+    assert!(store.has_unattributed_cancellation_since(since));
     store.apply_write(
         &put(
             &job_key(&"req-000002".into()),
@@ -470,7 +470,7 @@
         ),
         11,
     );
-    assert!(store.undescribed_cancellation_since(since));
+    assert!(store.has_unattributed_cancellation_since(since));
     store.apply_write(
         &put(
             &job_key(&"req-000003".into()),
@@ -479,10 +479,10 @@
         ),
         12,
     );
-    assert!(!store.undescribed_cancellation_since(since));
+    assert!(!store.has_unattributed_cancellation_since(since));
     store.apply_write(&put(&job_key(&"req-000004".into()), &plain, None), 91);
     assert!(
-        store.undescribed_cancellation_since(since),
+        store.has_unattributed_cancellation_since(since),
         "since the team was gained"
     );
 }
@@ -522,7 +522,7 @@
         let crate::core::Effect::Worker(call, ..) = effect else {
             panic!("{effect:?}")
         };
-        assert!(outbox.finish(call).is_some());
+        assert!(outbox.take_pending(call).is_some());
     }
     shard.send_direct_commands(&mut outbox);
     assert_eq!(outbox.take_effects().len(), 20);
--- a/src/core/shard/tracking/tests.rs
+++ b/src/core/shard/tracking/tests.rs
@@ -120,12 +120,12 @@
         let update = crate::core::messages::shard_update::PeerUpdate {
             revision: 100,
             teams: ["red".into()].into(),
-            listening: false,
+            wants_observations: false,
             reconciled: vec![("m-1".into(), token)],
             observations: vec![],
             commands: vec![],
             demand: Default::default(),
-            refused: None,
+            unavailable_offers: None,
             images: Default::default(),
             contacts: Default::default(),
         };
@@ -158,7 +158,7 @@
     }
 
     fn reply(&mut self, call: CallId, reply: WorkerReply) {
-        let Some(Pending::DirectCommands { machine }) = self.outbox.finish(call) else {
+        let Some(Pending::DirectCommands { machine }) = self.outbox.take_pending(call) else {
             panic!("not a direct message")
         };
         let store = &self.store;
--- a/src/core/shard/usage.rs
+++ b/src/core/shard/usage.rs
@@ -81,7 +81,7 @@
                 wall_ms: recently_cancelled_ms,
                 version: team.gained_at_revision,
             };
-            if store.undescribed_cancellation_since(since) {
+            if store.has_unattributed_cancellation_since(since) {
                 usage.mark_unknown(name);
             }
             let cancelled = store.cancelled_since(since);
--- a/src/core/store/cancelled_jobs.rs
+++ b/src/core/store/cancelled_jobs.rs
@@ -60,7 +60,7 @@
     }
 
     /// The version of the newest record without the time or the team.
-    pub fn newest_undescribed(&self) -> Option<Version> {
+    pub fn newest_unattributed(&self) -> Option<Version> {
         self.undescribed.last().copied()
     }
 }
--- a/src/core/store/dependencies.rs
+++ b/src/core/store/dependencies.rs
@@ -77,12 +77,12 @@
 
 impl Dependencies {
     /// Whether an unfinished job depends on a cancelled one, directly or transitively.
-    pub fn dependency_cancelled(&self, id: &JobId) -> bool {
+    pub fn has_cancelled_dependency(&self, id: &JobId) -> bool {
         self.dependency_cancelled.contains(id)
     }
 
     /// The urgency that a job inherits from its dependents.
-    pub fn inherited(&self, id: &JobId) -> Option<&Urgency> {
+    pub fn inherited_urgency(&self, id: &JobId) -> Option<&Urgency> {
         self.inherited.get(id)
     }
 
--- a/src/core/store/dependencies/tests.rs
+++ b/src/core/store/dependencies/tests.rs
@@ -63,13 +63,13 @@
             records.put(number, record("pending", &[number - 1], "standard", None));
         }
         records.put(1, record("withdrawn", &[], "standard", None));
-        assert!((2..=LENGTH).all(|number| records.index.dependency_cancelled(&id(number))));
+        assert!((2..=LENGTH).all(|number| records.index.has_cancelled_dependency(&id(number))));
         // A later job that depends on it, and one that does not.
         records.put(901, record("pending", &[LENGTH, 1], "standard", None));
         records.put(902, record("pending", &[900], "standard", None));
         assert!(
-            records.index.dependency_cancelled(&id(901))
-                && !records.index.dependency_cancelled(&id(902))
+            records.index.has_cancelled_dependency(&id(901))
+                && !records.index.has_cancelled_dependency(&id(902))
         );
         // Once their cancellation is recorded, the index holds nothing of them.
         (2..=LENGTH).for_each(|number| {
@@ -109,13 +109,14 @@
     records.put(1, record("pending", &[], "best_effort", None));
     records.put(2, record("pending", &[1], "best_effort", None));
     assert_eq!(
-        records.index.inherited(&id(1)).unwrap().priority,
+        records.index.inherited_urgency(&id(1)).unwrap().priority,
         Priority::Low
     );
     let changed = records.put(3, record("pending", &[2], "high", Some(60.0)));
     assert_eq!(changed, [id(1), id(2)].into());
     // Due at 61 s, less its own 10 s, and less another 10 s for the job between.
-    let inherited = |records: &Records, number| *records.index.inherited(&id(number)).unwrap();
+    let inherited =
+        |records: &Records, number| *records.index.inherited_urgency(&id(number)).unwrap();
     assert_eq!(
         inherited(&records, 2),
         Urgency {
--- a/src/core/store/replica.rs
+++ b/src/core/store/replica.rs
@@ -33,8 +33,8 @@
     /// The shard map of all chunks.
     shard_map: ShardMap,
     /// Number of changes of the shard map so far.
-    map_changes: u64,
-    /// Jobs whose records changed since the shard last took them ([`StoreReplica::take_changed`]).
+    shard_map_changes: u64,
+    /// Jobs whose records changed since the shard last took them ([`StoreReplica::take_changed_jobs`]).
     changed_jobs: BTreeSet<JobId>,
     dependencies: Dependencies,
     /// Finished jobs by the version of their final record.
@@ -63,7 +63,7 @@
             map_chunks: BTreeMap::new(),
             ledgers: BTreeMap::new(),
             shard_map: ShardMap::default(),
-            map_changes: 0,
+            shard_map_changes: 0,
             changed_jobs: BTreeSet::new(),
             dependencies: Dependencies::default(),
             final_states: BTreeSet::new(),
@@ -79,7 +79,7 @@
     }
 
     /// Whether a full read has been completed: every key of the store is known as of some moment.
-    pub fn complete(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.complete
     }
 
@@ -101,17 +101,17 @@
 
     /// Sets the revision, as a read up to it would.
     #[cfg(test)]
-    pub fn read_up_to(&mut self, revision: Version) {
+    pub fn set_revision(&mut self, revision: Version) {
         self.revision = revision;
     }
 
     /// Notes that the store has answered a request of this controller.
-    pub fn state_answered(&mut self, now: Time) {
+    pub fn record_store_reply(&mut self, now: Time) {
         self.last_answer = now;
     }
 
     /// Seconds since the store last answered this controller.
-    pub fn state_silence(&self, now: Time) -> Time {
+    pub fn seconds_since_store_reply(&self, now: Time) -> Time {
         now - self.last_answer
     }
 
@@ -131,7 +131,7 @@
     }
 
     /// The machine types that the cloud offers.
-    pub fn types(&self) -> Option<&Versioned<MachineTypes>> {
+    pub fn machine_types(&self) -> Option<&Versioned<MachineTypes>> {
         self.machine_types.as_ref()
     }
 
@@ -152,18 +152,18 @@
     }
 
     /// The stored chunks of the shard map by their keys.
-    pub fn map(&self) -> &BTreeMap<String, Versioned<ShardMapChunk>> {
+    pub fn map_chunks(&self) -> &BTreeMap<String, Versioned<ShardMapChunk>> {
         &self.map_chunks
     }
 
     /// The shard map.
-    pub fn owners(&self) -> &ShardMap {
+    pub fn shard_map(&self) -> &ShardMap {
         &self.shard_map
     }
 
     /// Number of changes of the shard map so far.
-    pub fn map_changes(&self) -> u64 {
-        self.map_changes
+    pub fn shard_map_changes(&self) -> u64 {
+        self.shard_map_changes
     }
 
     /// A revision at which every reader has the shard map as it is here. A write of this process to the map may
@@ -186,7 +186,7 @@
     /// Takes the jobs whose records changed, as far as the replica is current. A write of this process may be
     /// newer than the last read, and the shard map may have changed before that write: such a job has to wait, or
     /// its team's former owner could start it as well as the new one.
-    pub fn take_changed(&mut self) -> BTreeSet<JobId> {
+    pub fn take_changed_jobs(&mut self) -> BTreeSet<JobId> {
         let (jobs, revision) = (&self.jobs, self.revision);
         // A finished job only has to be stopped, so it need not wait.
         let ahead_of_reads = |id: &JobId| {
@@ -200,19 +200,19 @@
     }
 
     /// Whether an unfinished job depends on a cancelled one, which makes it cancelled too.
-    pub fn dependency_cancelled(&self, id: &JobId) -> bool {
-        self.dependencies.dependency_cancelled(id)
+    pub fn has_cancelled_dependency(&self, id: &JobId) -> bool {
+        self.dependencies.has_cancelled_dependency(id)
     }
 
     /// Whether a job is cancelled, by its user or through a dependency.
-    pub fn cancelled(&self, id: &JobId) -> bool {
+    pub fn is_cancelled(&self, id: &JobId) -> bool {
         let recorded = self.jobs.get(id).map(|job| job.record.status);
-        recorded == Some(JobStatus::Cancelled) || self.dependency_cancelled(id)
+        recorded == Some(JobStatus::Cancelled) || self.has_cancelled_dependency(id)
     }
 
     /// The urgency that a job inherits from the jobs that depend on it.
-    pub fn inherited(&self, id: &JobId) -> Option<&Urgency> {
-        self.dependencies.inherited(id)
+    pub fn inherited_urgency(&self, id: &JobId) -> Option<&Urgency> {
+        self.dependencies.inherited_urgency(id)
     }
 
     /// Unfinished jobs that depend on this one directly.
@@ -222,7 +222,7 @@
 
     /// When the last of a job's dependencies was done, in milliseconds of wall-clock time; `None` while one is
     /// not done.
-    pub fn ready_ms(&self, record: &JobRecord) -> Option<u64> {
+    pub fn dependencies_done_ms(&self, record: &JobRecord) -> Option<u64> {
         let dependencies = record.spec.iter().flat_map(|spec| &spec.dependencies);
         let mut latest = record.accepted_ms;
         for dependency in dependencies {
@@ -250,11 +250,11 @@
 
     /// Whether a job may have been cancelled since then without a record of its team. A cancellation without a
     /// recorded time is older than `since` if a record written later is.
-    pub fn undescribed_cancellation_since(&self, since: CancelledSince) -> bool {
-        let Some(newest) = self.cancelled_jobs.newest_undescribed() else {
+    pub fn has_unattributed_cancellation_since(&self, since: CancelledSince) -> bool {
+        let Some(newest) = self.cancelled_jobs.newest_unattributed() else {
             return false;
         };
-        let later = self.final_states.range(final_states::after(newest));
+        let later = self.final_states.range(final_states::range_after(newest));
         let ended_ms = |id: &JobId| self.jobs.get(id).and_then(|job| job.record.ended_ms);
         let mut ended = later.filter_map(|(_, id)| ended_ms(id));
         newest > since.version || !ended.any(|at| at < since.wall_ms)
--- a/src/core/store/replica/apply.rs
+++ b/src/core/store/replica/apply.rs
@@ -147,7 +147,7 @@
     }
 
     fn rebuild_shard_map(&mut self) {
-        self.map_changes += 1;
+        self.shard_map_changes += 1;
         let chunks = self.map_chunks.values().map(|chunk| &chunk.record);
         self.shard_map = ShardMap::read(chunks);
     }
--- a/src/core/store/replica/final_states.rs
+++ b/src/core/store/replica/final_states.rs
@@ -11,7 +11,7 @@
 
 impl StoreReplica {
     /// The version up to which this replica knows every final state.
-    pub fn final_states_known(&self) -> Version {
+    pub fn final_states_known_up_to(&self) -> Version {
         self.final_states_known.max(self.revision)
     }
 
@@ -22,7 +22,7 @@
             complete: true,
             jobs: Vec::new(),
         };
-        for (version, id) in self.final_states.range(after(from)) {
+        for (version, id) in self.final_states.range(range_after(from)) {
             // States of one transaction share a version, and are sent together.
             let last = page.jobs.last().map(|(_, version, _)| *version);
             if page.jobs.len() >= FINAL_STATES_PAGE && last != Some(*version) {
@@ -40,7 +40,7 @@
 
     /// Applies final states that a sibling sent. Records that are not final are ignored: only a read of the
     /// store shows them in their order with the shard map.
-    pub fn take_final_states(&mut self, final_states: FinalStates) {
+    pub fn apply_final_states(&mut self, final_states: FinalStates) {
         for (id, version, record) in final_states.jobs {
             if record.is_final() {
                 self.put_job(id, record, version);
@@ -51,7 +51,7 @@
 }
 
 /// The range of final states recorded after `version`.
-pub(super) fn after(version: Version) -> RangeFrom<(Version, JobId)> {
+pub(super) fn range_after(version: Version) -> RangeFrom<(Version, JobId)> {
     (version.saturating_add(1), JobId::from(""))..
 }
 
--- a/src/core/store/replica/final_states/tests.rs
+++ b/src/core/store/replica/final_states/tests.rs
@@ -26,9 +26,9 @@
     sender.revision = 9 + (FINAL_STATES_PAGE * 2 / 3) as Version;
     let mut pages = 0;
     loop {
-        let final_states = sender.final_states_after(receiver.final_states_known());
+        let final_states = sender.final_states_after(receiver.final_states_known_up_to());
         let complete = final_states.complete;
-        receiver.take_final_states(final_states);
+        receiver.apply_final_states(final_states);
         pages += 1;
         if complete {
             break;
@@ -37,11 +37,11 @@
     }
     assert_eq!(receiver.jobs().len(), FINAL_STATES_PAGE * 2 + 50);
     assert!(
-        receiver.final_states_known() <= sender.revision,
+        receiver.final_states_known_up_to() <= sender.revision,
         "a read may still return older ones"
     );
     assert_eq!(
-        receiver.take_changed().len(),
+        receiver.take_changed_jobs().len(),
         FINAL_STATES_PAGE * 2 + 50,
         "finished jobs need not wait"
     );
@@ -52,6 +52,6 @@
         9999,
         serde_json::from_value(stored("pending")).unwrap(),
     )];
-    receiver.take_final_states(final_states);
+    receiver.apply_final_states(final_states);
     assert!(receiver.job(&id(9999)).is_none());
 }
--- a/src/core/store/replica/reads.rs
+++ b/src/core/store/replica/reads.rs
@@ -73,7 +73,7 @@
 
 impl StoreReplica {
     /// Requests a read as soon as the rate allows, because an answer depends on it.
-    pub fn want_sync(&mut self) {
+    pub fn request_read(&mut self) {
         self.reads.wanted = true;
     }
 
@@ -96,7 +96,7 @@
     }
 
     /// Applies the changes that a read sent at `sent` returned.
-    pub fn changes_received(&mut self, changes: &Changes, sent: Time, now: Time) {
+    pub fn apply_changes(&mut self, changes: &Changes, sent: Time, now: Time) {
         self.reads.answered(now);
         for change in &changes.events {
             self.apply_change(change);
@@ -107,7 +107,7 @@
     }
 
     /// Applies a page of a full read; the request for it was sent at `sent`.
-    pub fn page_received(&mut self, page: &Listing, sent: Time, now: Time) {
+    pub fn apply_page(&mut self, page: &Listing, sent: Time, now: Time) {
         self.reads.answered(now);
         let full_read = self.reads.full_read.get_or_insert_with(|| FullRead {
             after: None,
@@ -139,7 +139,7 @@
     }
 
     /// The store no longer keeps the changes since the last revision, so a full read starts again.
-    pub fn changes_compacted(&mut self, now: Time) {
+    pub fn restart_full_read(&mut self, now: Time) {
         self.reads.answered(now);
         self.complete = false;
         self.reads.full_read = None;
@@ -147,7 +147,7 @@
 
     /// A read failed; the next one is sent after a pause that doubles with each failure. `spread`: a random
     /// factor around 1, so that controllers do not retry in step.
-    pub fn read_failed(&mut self, now: Time, spread: f64) {
+    pub fn retry_read_later(&mut self, now: Time, spread: f64) {
         self.reads.answered(now);
         self.reads.failures = (self.reads.failures + 1).min(MAX_DOUBLINGS);
         let pause = self.reads.spacing * f64::from(1 << self.reads.failures);
--- a/src/core/test_support.rs
+++ b/src/core/test_support.rs
@@ -167,7 +167,7 @@
     entries.push(entry(LEADER_KEY, &process("n0")));
     let effects = core.step(now - 0.1, 0, Vec::new());
     let listing = effects.into_iter().find_map(|effect| match effect {
-        Effect::State(call, StoreCall::List { .. }) => Some(call),
+        Effect::Store(call, StoreCall::List { .. }) => Some(call),
         _ => None,
     });
     let listed = StoreReply::Listing(Listing {
@@ -175,7 +175,7 @@
         more: false,
         revision: 20,
     });
-    core.step(now, 0, vec![Input::State(listing.unwrap(), listed)]);
+    core.step(now, 0, vec![Input::Store(listing.unwrap(), listed)]);
     core.ownership.hold(OWN_LEASE, now);
     core.take_roles();
     assert!(core.shard.is_some());
@@ -197,7 +197,7 @@
 pub fn answered_until(core: &mut Core, siblings: &[&str], from: Time, until: Time) {
     let mut now = from;
     while now <= until {
-        core.outbox.begin(now, 0);
+        core.outbox.begin_step(now, 0);
         core.peers.detector_mut().step(now);
         for sibling in siblings {
             core.peers.answered(&Node::from(*sibling), 1, now);
--- a/src/service/clients.rs
+++ b/src/service/clients.rs
@@ -59,10 +59,10 @@
     /// Starts a call. Its reply comes back as an input of the core.
     pub fn call(&self, effect: Effect) {
         match effect {
-            Effect::State(id, call) => {
+            Effect::Store(id, call) => {
                 let client = self.store.clone();
                 let reply = async move { client.call(call).await };
-                self.spawn(id, reply, Input::State);
+                self.spawn(id, reply, Input::Store);
             }
             Effect::Cloud(id, call) => {
                 let client = self.cloud.clone();
--- a/src/store_client.rs
+++ b/src/store_client.rs
@@ -72,21 +72,25 @@
         (200, StoreCall::Changes { .. }) => {
             decode::<Changes>(body).map_or(StoreReply::Unknown, StoreReply::Changes)
         }
-        (410, StoreCall::Changes { .. }) => StoreReply::TooOld,
+        (410, StoreCall::Changes { .. }) => StoreReply::Compacted,
         (200, StoreCall::Commit(_)) => decode::<Revision>(body)
             .map_or(StoreReply::Unknown, |answer| {
                 StoreReply::Committed(answer.revision)
             }),
         (409, StoreCall::Commit(_)) => StoreReply::Conflict,
         // The store answers an expired lease and an exceeded limit with the same status.
-        (400, StoreCall::Commit(transaction)) if transaction.has_lease() => StoreReply::LeaseGone,
+        (400, StoreCall::Commit(transaction)) if transaction.has_lease() => {
+            StoreReply::LeaseNotFound
+        }
         (400, StoreCall::Commit(_)) => StoreReply::Rejected,
         (200, StoreCall::LeaseCreate { .. }) => decode::<LeaseId>(body)
             .map_or(StoreReply::Unknown, |answer| {
-                StoreReply::Lease(answer.lease)
+                StoreReply::LeaseCreated(answer.lease)
             }),
         (200 | 204, StoreCall::LeaseRenew { .. } | StoreCall::LeaseEnd { .. }) => StoreReply::Done,
-        (404, StoreCall::LeaseRenew { .. } | StoreCall::LeaseEnd { .. }) => StoreReply::LeaseGone,
+        (404, StoreCall::LeaseRenew { .. } | StoreCall::LeaseEnd { .. }) => {
+            StoreReply::LeaseNotFound
+        }
         _ => {
             tracing::debug!(%status, ?call, "unexpected status of the store");
             StoreReply::Unknown
--- a/src/store_client/tests.rs
+++ b/src/store_client/tests.rs
@@ -15,7 +15,7 @@
             writes: vec![write],
         })
     };
-    assert_eq!(reply(&commit(Some(7)), 400, b""), StoreReply::LeaseGone);
+    assert_eq!(reply(&commit(Some(7)), 400, b""), StoreReply::LeaseNotFound);
     assert_eq!(reply(&commit(None), 400, b""), StoreReply::Rejected);
     assert_eq!(reply(&commit(None), 429, b""), StoreReply::Busy);
 }
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -90,7 +90,7 @@
         StoreReply::Changes(changes) => (200, encode(&changes)),
         StoreReply::Committed(revision) => (200, encode(&json!({"ledger": revision}))),
         StoreReply::Conflict => (409, encode(&json!({"failed": [], "ledger": 0}))),
-        StoreReply::Lease(lease) => (200, encode(&json!({"tenure": lease}))),
+        StoreReply::LeaseCreated(lease) => (200, encode(&json!({"tenure": lease}))),
         StoreReply::Done => (200, encode(&json!({}))),
         _ => (404, encode(&json!({}))),
     };
--- a/tests/world/calls.rs
+++ b/tests/world/calls.rs
@@ -62,7 +62,7 @@
                     self.answer_asker(node, asker, None, Some(reply));
                 }
             }
-            Effect::State(call, what) => {
+            Effect::Store(call, what) => {
                 let what = if previous {
                     previous_version::strip_write(what)
                 } else {
@@ -90,7 +90,7 @@
             let text = serde_json::to_string(transaction);
             self.work.store_bytes_written += text.map_or(0, |text| text.len());
         }
-        let lost = Input::State(call, StoreReply::Unknown);
+        let lost = Input::Store(call, StoreReply::Unknown);
         let commit = matches!(what, StoreCall::Commit(_));
         let late = commit && self.late_commit(&what);
         let event = |epoch| Event::State {
@@ -115,7 +115,7 @@
             timeout: SHORT_TIMEOUT_S,
             event: event(epoch),
             lost,
-            unsent: Input::State(call, StoreReply::Refused),
+            unsent: Input::Store(call, StoreReply::Refused),
         });
     }
 
--- a/tests/world/previous_version.rs
+++ b/tests/world/previous_version.rs
@@ -31,13 +31,13 @@
 /// What a controller of the previous version reads of an input.
 pub fn strip_input(mut input: Input) -> Input {
     match &mut input {
-        Input::State(_, StoreReply::Listing(listing)) => {
+        Input::Store(_, StoreReply::Listing(listing)) => {
             listing
                 .entries
                 .iter_mut()
                 .for_each(|entry| strip(&entry.key, &mut entry.value));
         }
-        Input::State(_, StoreReply::Changes(changes)) => {
+        Input::Store(_, StoreReply::Changes(changes)) => {
             for change in &mut changes.events {
                 let key = change.put.clone().unwrap_or_default();
                 strip(&key, &mut change.value);
--- a/tests/world/services.rs
+++ b/tests/world/services.rs
@@ -19,13 +19,13 @@
                     node,
                     epoch,
                     Endpoint::State,
-                    Input::State(call, StoreReply::Busy),
+                    Input::Store(call, StoreReply::Busy),
                 );
             }
             if let StoreCall::Commit(transaction) = &what
                 && self.over_limits(transaction)
             {
-                let rejected = Input::State(call, StoreReply::Rejected);
+                let rejected = Input::Store(call, StoreReply::Rejected);
                 return self.reply(node, epoch, Endpoint::State, rejected);
             }
             let outage_ended = self.network.take_outage_end(self.now);
@@ -39,7 +39,7 @@
             }
             reply
         };
-        self.reply(node, epoch, Endpoint::State, Input::State(call, reply));
+        self.reply(node, epoch, Endpoint::State, Input::Store(call, reply));
     }
 
     /// Whether a transaction exceeds a limit of the store. The real store would reject it every time, so the controllers
--- a/tests/world/store.rs
+++ b/tests/world/store.rs
@@ -69,14 +69,14 @@
                         ends: now + ttl,
                     },
                 );
-                StoreReply::Lease(self.next_lease)
+                StoreReply::LeaseCreated(self.next_lease)
             }
             StoreCall::LeaseRenew { lease } => match self.leases.get_mut(&lease) {
                 Some(lease) => {
                     lease.ends = now + lease.ttl;
                     StoreReply::Done
                 }
-                None => StoreReply::LeaseGone,
+                None => StoreReply::LeaseNotFound,
             },
             StoreCall::LeaseEnd { lease } => {
                 if let Some(lease) = self.leases.get_mut(&lease) {
@@ -84,7 +84,7 @@
                     self.expire(now + 1e-9);
                     return StoreReply::Done;
                 }
-                StoreReply::LeaseGone
+                StoreReply::LeaseNotFound
             }
         }
     }
@@ -141,7 +141,7 @@
             _ => false,
         };
         if transaction.writes.iter().any(lease_is_gone) {
-            return StoreReply::LeaseGone;
+            return StoreReply::LeaseNotFound;
         }
         self.revision += 1;
         for write in transaction.writes {
