--- a/src/cloud_client.rs
+++ b/src/cloud_client.rs
@@ -4,7 +4,7 @@
 
 use crate::core::effects::{CloudCall, CloudReply};
 use crate::http::{Client, RequestError};
-use crate::wire::{MachineList, MachineNames, MachineTypes, decode, encode};
+use crate::wire::{MachineIds, MachineList, MachineTypes, decode, encode};
 use hyper::Method;
 use std::time::Duration;
 
@@ -63,7 +63,7 @@
             decode::<MachineList>(body).map_or(CloudReply::Unknown, CloudReply::List)
         }
         (200, CloudCall::Rent(_)) => {
-            decode::<MachineNames>(body).map_or(CloudReply::Unknown, CloudReply::Rented)
+            decode::<MachineIds>(body).map_or(CloudReply::Unknown, CloudReply::Rented)
         }
         (200, CloudCall::Release(_)) => CloudReply::Released,
         (503, CloudCall::Rent(_)) if has_error(body, NO_CAPACITY) => CloudReply::NoCapacity,
--- a/src/config.rs
+++ b/src/config.rs
@@ -4,7 +4,7 @@
 //! types below `Config` mirror the tables of the file.
 
 use crate::features::Features;
-use crate::ids::{Node, Team, Zone};
+use crate::ids::{ControllerName, Team, Zone};
 use serde::Deserialize;
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -45,7 +45,7 @@
 pub struct Config {
     /// This controller's name.
     #[serde(rename = "host_name")]
-    pub node: Node,
+    pub controller: ControllerName,
     /// The zone that it runs in.
     #[serde(rename = "area")]
     pub zone: Zone,
@@ -71,7 +71,7 @@
 pub struct Sibling {
     /// Its name.
     #[serde(rename = "host_name")]
-    pub node: Node,
+    pub controller: ControllerName,
     /// The address on which it listens for controllers.
     pub addr: SocketAddr,
 }
@@ -100,7 +100,7 @@
     /// How workers behave.
     pub workers: Workers,
     /// Limits of the key-value store.
-    pub state: StateLimits,
+    pub state: StoreLimits,
     /// Limits of the cloud.
     pub cloud: CloudLimits,
     /// Limits of a controller's process.
@@ -154,7 +154,7 @@
 
 /// Limits of the key-value store.
 #[derive(Debug, Clone, Deserialize)]
-pub struct StateLimits {
+pub struct StoreLimits {
     /// Requests per second.
     pub rps: f64,
     /// Writing requests per second.
@@ -164,23 +164,23 @@
     /// Preconditions and writes of one transaction.
     pub txn_ops: usize,
     /// Limits that hold from some moment on, which nobody is told.
-    pub next: Option<NextLimits>,
+    pub next: Option<FutureStoreLimits>,
 }
 
 /// Limits of the key-value store that replace the present ones at some time; those left out stay.
 #[derive(Debug, Clone, Deserialize)]
-pub struct NextLimits {
-    /// See [`StateLimits::rps`].
+pub struct FutureStoreLimits {
+    /// See [`StoreLimits::rps`].
     pub rps: Option<f64>,
-    /// See [`StateLimits::write_rps`].
+    /// See [`StoreLimits::write_rps`].
     pub write_rps: Option<f64>,
-    /// See [`StateLimits::value_kb`].
+    /// See [`StoreLimits::value_kb`].
     pub value_kb: Option<f64>,
-    /// See [`StateLimits::txn_ops`].
+    /// See [`StoreLimits::txn_ops`].
     pub txn_ops: Option<usize>,
 }
 
-impl StateLimits {
+impl StoreLimits {
     /// Applies the lower of the present and the later limits from the start, since the settings do not say
     /// when the later ones begin to hold.
     fn apply_lower_limits(&mut self) {
@@ -238,7 +238,7 @@
     /// Checks what the types of the fields do not express.
     fn validate(&self) -> Result<(), ConfigError> {
         self.deployment.validate()?;
-        if self.node.as_str().is_empty() {
+        if self.controller.as_str().is_empty() {
             return invalid("host_name", "must not be empty");
         }
         self.validate_siblings()?;
@@ -247,9 +247,9 @@
     }
 
     fn validate_siblings(&self) -> Result<(), ConfigError> {
-        let mut names = HashSet::from([&self.node]);
+        let mut names = HashSet::from([&self.controller]);
         for sibling in &self.siblings {
-            if !names.insert(&sibling.node) {
+            if !names.insert(&sibling.controller) {
                 return invalid("siblings.host_name", "each controller must be named once");
             }
         }
@@ -257,7 +257,7 @@
     }
 
     /// The number of controllers, this one included.
-    pub fn controllers(&self) -> usize {
+    pub fn controller_count(&self) -> usize {
         self.siblings.len() + 1
     }
 
@@ -341,7 +341,7 @@
     }
 }
 
-impl NextLimits {
+impl FutureStoreLimits {
     fn validate(&self) -> Result<(), ConfigError> {
         for (field, value) in [
             ("deployment.state.next.rps", self.rps),
--- a/src/core/controller/deferred_heartbeats.rs
+++ b/src/core/controller/deferred_heartbeats.rs
@@ -8,7 +8,7 @@
 use crate::core::effects::{Answer, RequestId};
 use crate::core::model::time::Time;
 use crate::core::records::shard_map::ShardOwner;
-use crate::ids::Node;
+use crate::ids::ControllerName;
 use crate::wire::Heartbeat;
 use failure_detector::Stage;
 
@@ -92,7 +92,7 @@
     /// Answer it, because this controller owns its machine.
     Answer,
     /// Redirect its worker to the machine's owner, which answers workers.
-    Redirect(Node),
+    Redirect(ControllerName),
     /// Route it again, because the owner, which its worker cannot reach, has a new token for the machine.
     RouteAgain,
     /// Send its worker to another controller, because the time limit has passed.
@@ -140,7 +140,7 @@
     fn disposition(&self, deferred: &DeferredHeartbeat) -> Disposition {
         let owners = &self.store.shard_map().machines;
         let owner = owners.get(&deferred.heartbeat.machine);
-        if owner.is_some_and(|owner| owner.node == self.config.node) && self.may_answer() {
+        if owner.is_some_and(|owner| owner.node == self.config.controller) && self.may_answer() {
             return Disposition::Answer;
         }
         if let Some(owner) = owner
@@ -192,12 +192,12 @@
     /// starting over from the first name. If there is none, answers that this controller is unavailable.
     pub(super) fn redirect_to_reachable(&mut self, request: RequestId) {
         let now = self.outbox.now;
-        let serves = |node: &&Node| self.can_serve(node);
+        let serves = |node: &&ControllerName| self.can_serve(node);
         let after = self
             .peers
             .heard(now)
             .filter(serves)
-            .find(|node| **node > self.config.node);
+            .find(|node| **node > self.config.controller);
         let next = after
             .or_else(|| self.peers.heard(now).find(serves))
             .cloned();
--- a/src/core/controller/failure_detection.rs
+++ b/src/core/controller/failure_detection.rs
@@ -18,7 +18,7 @@
 use crate::core::model::process::ProcessId;
 use crate::core::model::time::Time;
 use crate::core::shard::Shard;
-use crate::ids::{Node, Version};
+use crate::ids::{ControllerName, Version};
 use failure_detector::{Evidence, OwnContact, PartialFailure, Stage, StageChange};
 use std::collections::BTreeSet;
 
@@ -73,7 +73,7 @@
             .take_shard_map_change(map_changes)
             .then(|| self.owning_nodes());
         for sibling in &self.config.siblings {
-            let node = &sibling.node;
+            let node = &sibling.controller;
             let detector = self.peers.detector_mut();
             detector.set_key_gone(node, self.store.node(node).is_none());
             if let Some(owning_nodes) = &owning_nodes {
@@ -83,7 +83,7 @@
     }
 
     /// The controllers that own at least one team or machine in the shard map.
-    fn owning_nodes(&self) -> BTreeSet<Node> {
+    fn owning_nodes(&self) -> BTreeSet<ControllerName> {
         let processes = self.store.shard_map().owning_processes().into_iter();
         processes.map(|process| process.node).collect()
     }
@@ -96,7 +96,7 @@
         };
         let key_is_gone = !self
             .store
-            .is_registered(&self.config.node, abandoned.incarnation);
+            .is_registered(&self.config.controller, abandoned.incarnation);
         let report_for = self.config.deployment.workers.lease_s * ABANDONED_LEASE_REPORT_LEASES;
         (key_is_gone && self.reads_store()) || self.outbox.now - since > report_for
     }
@@ -132,7 +132,7 @@
 
     /// Ends the lease of a sibling's process that stepped down but could not end it. Repeated reports of
     /// the same lease are ignored.
-    fn end_abandoned_lease(&mut self, of: &Node, abandoned: &AbandonedLease) {
+    fn end_abandoned_lease(&mut self, of: &ControllerName, abandoned: &AbandonedLease) {
         let lease = abandoned.lease;
         let is_registered = self.store.node(of).is_some_and(|stored| {
             stored.record.incarnation == abandoned.incarnation && stored.record.lease == lease
@@ -234,7 +234,7 @@
         let leader = self.store.leader()?;
         let node = &leader.record.node;
         let takes_over = self.acts_on_failures()
-            && *node != self.config.node
+            && *node != self.config.controller
             && self.peers.detector().has_failed(node)
             && self.reads_store()
             && self.ownership.holds_lease(self.outbox.now)
@@ -246,20 +246,20 @@
     fn has_preferred_successor(&self) -> bool {
         self.peers
             .nodes()
-            .filter(|node| **node < self.config.node)
+            .filter(|node| **node < self.config.controller)
             .any(|node| self.can_serve(node))
     }
 
     /// Whether a sibling has recently answered that it reads the store, and has a key there. A sibling
     /// without a key has stepped down, possibly because workers cannot reach it.
-    pub(crate) fn can_serve(&self, sibling: &Node) -> bool {
+    pub(crate) fn can_serve(&self, sibling: &ControllerName) -> bool {
         self.peers.reads_store(sibling, self.outbox.now) && self.store.node(sibling).is_some()
     }
 
     /// Whether a worker that is redirected to this process would get no answer: it is this controller
     /// itself, it has no key, or it has failed.
-    pub(crate) fn is_unreachable_owner(&self, node: &Node, incarnation: u64) -> bool {
-        *node == self.config.node
+    pub(crate) fn is_unreachable_owner(&self, node: &ControllerName, incarnation: u64) -> bool {
+        *node == self.config.controller
             || !self.store.is_registered(node, incarnation)
             || self.peers.detector().has_failed(node)
     }
@@ -267,7 +267,7 @@
     /// Whether a controller has failed and its lease is about to expire, so that its shard is failed over
     /// soon. If its key remains for longer, the controller is alive but cannot be reached by a quorum. Its
     /// machines are then claimed.
-    pub(crate) fn lease_expires_soon(&self, node: &Node) -> bool {
+    pub(crate) fn lease_expires_soon(&self, node: &ControllerName) -> bool {
         let detector = self.peers.detector();
         let expires_after: Time = self.ownership.ttl() * LEASE_EXPIRY_TTLS;
         detector.has_failed(node) && detector.silence(node, self.outbox.now) < expires_after
@@ -275,7 +275,7 @@
 }
 
 /// Logs that a sibling has reached another stage.
-fn log_stage_change(change: &StageChange<Node>) {
+fn log_stage_change(change: &StageChange<ControllerName>) {
     let StageChange {
         of,
         from,
--- a/src/core/controller/failure_detection/tests.rs
+++ b/src/core/controller/failure_detection/tests.rs
@@ -20,7 +20,7 @@
     calls.collect()
 }
 
-fn suspicion(of: &str) -> Vec<Opinion<Node>> {
+fn suspicion(of: &str) -> Vec<Opinion<ControllerName>> {
     let incarnation = Some(Incarnation(1));
     vec![Opinion {
         of: of.into(),
@@ -30,7 +30,7 @@
     }]
 }
 
-fn report(opinions: Vec<Opinion<Node>>) -> DetectionReport {
+fn report(opinions: Vec<Opinion<ControllerName>>) -> DetectionReport {
     DetectionReport {
         opinions,
         store_silence: 0.1,
--- a/src/core/controller/heartbeat_routing.rs
+++ b/src/core/controller/heartbeat_routing.rs
@@ -17,8 +17,8 @@
 use crate::core::effects::{Answer, Body, RequestId};
 use crate::core::messages::mesh::{MeshMessage, MeshReply};
 use crate::core::records::shard_map::ShardOwner;
-use crate::ids::Node;
-use crate::wire::{Heartbeat, HeartbeatResponse, redirect_to};
+use crate::ids::ControllerName;
+use crate::wire::{Heartbeat, HeartbeatResponse, redirect_answer};
 use failure_detector::Stage;
 use relays::RelayDecision;
 
@@ -90,7 +90,7 @@
         // The worker of a relayed machine may not have received the owner's new token yet.
         let knows_owner =
             heartbeat.token == owner.token || self.relays.contains(&heartbeat.machine);
-        owner.node != self.config.node
+        owner.node != self.config.controller
             && knows_owner
             && self.peers.hears(&owner.node, self.outbox.now)
     }
@@ -142,23 +142,23 @@
     }
 
     /// Redirects a worker to sibling `to`, or to any other controller if `to` is None or this controller.
-    fn redirect_to_sibling(&mut self, request: RequestId, to: Option<Node>) {
-        self.redirect(request, to.filter(|node| *node != self.config.node));
+    fn redirect_to_sibling(&mut self, request: RequestId, to: Option<ControllerName>) {
+        self.redirect(request, to.filter(|node| *node != self.config.controller));
     }
 
     /// Redirects a worker to controller `to`, or to any other if that is None.
-    pub(super) fn redirect(&mut self, request: RequestId, to: Option<Node>) {
+    pub(super) fn redirect(&mut self, request: RequestId, to: Option<ControllerName>) {
         if let Some(node) = &to {
             self.peers.note_redirect(node, self.outbox.now);
         }
-        let answer = Answer::value(MISDIRECTED, redirect_to(to.as_ref()));
+        let answer = Answer::value(MISDIRECTED, redirect_answer(to.as_ref()));
         self.outbox.answer(request, answer);
     }
 
     /// Answers that this controller is unavailable, so that the worker tries the next one. A worker that is
     /// redirected to an owner that it can't reach waits there for 4 s. Its lease could then expire before its
     /// machine has a new owner.
-    pub(crate) fn send_to_next_controller(&mut self, request: RequestId, owner: &Node) {
+    pub(crate) fn send_to_next_controller(&mut self, request: RequestId, owner: &ControllerName) {
         self.peers.note_redirect(owner, self.outbox.now);
         self.outbox.answer(request, Answer::unavailable());
     }
--- a/src/core/controller/hello.rs
+++ b/src/core/controller/hello.rs
@@ -10,7 +10,7 @@
 use crate::core::model::process::ProcessId;
 use crate::core::model::time::Time;
 use crate::core::shard::Shard;
-use crate::ids::{Node, Version};
+use crate::ids::{ControllerName, Version};
 
 impl Core {
     /// Sends a hello to every sibling if the next ones are due, except to those that have not
@@ -24,7 +24,7 @@
         let number = self.peers.begin_hellos(now + delay);
         self.refresh_machine_knowledge();
         let hello = self.hello_without_update(number);
-        let nodes: Vec<Node> = self.peers.nodes().cloned().collect();
+        let nodes: Vec<ControllerName> = self.peers.nodes().cloned().collect();
         for node in nodes {
             if !self.peers.begin_hello(&node) {
                 continue;
@@ -90,7 +90,7 @@
     }
 
     /// The state of this shard for a sibling's shard, while this process may act as its owner.
-    fn update_for(&mut self, node: &Node) -> Option<PeerUpdate> {
+    fn update_for(&mut self, node: &ControllerName) -> Option<PeerUpdate> {
         self.leased_shard()?;
         let scope = self.peers.take_image_scope(node);
         let shard = self.shard.as_ref()?;
@@ -238,7 +238,7 @@
     }
 
     /// A sibling has answered the hello that was sent to it at `sent`.
-    fn hello_answered(&mut self, node: &Node, sent: Time, reply: HelloReply) {
+    fn hello_answered(&mut self, node: &ControllerName, sent: Time, reply: HelloReply) {
         let now = self.outbox.now;
         self.peers.hello_answered(node, sent, &reply, now);
         if let Some(report) = reply.detection {
--- a/src/core/controller/inputs.rs
+++ b/src/core/controller/inputs.rs
@@ -106,7 +106,10 @@
     fn store_read(&mut self, sent: Time, reply: StoreReply) {
         self.synced(sent, reply);
         let incarnation = self.ownership.incarnation();
-        if self.store.is_registered(&self.config.node, incarnation) {
+        if self
+            .store
+            .is_registered(&self.config.controller, incarnation)
+        {
             self.ownership
                 .record_current_as_of(self.store.current_as_of());
         }
--- a/src/core/controller/machine_claims.rs
+++ b/src/core/controller/machine_claims.rs
@@ -16,7 +16,7 @@
         let owner_is_live = self.store.is_registered(&owner.node, owner.incarnation);
         let shows_owners_token = heartbeat.token == owner.token;
         let same_zone = heartbeat.zone == self.config.zone && self.peers.heard_any(now);
-        owner.node != self.config.node
+        owner.node != self.config.controller
             && owner_is_live
             && (shows_owners_token || same_zone)
             && !self.peers.hears(&owner.node, now)
--- a/src/core/controller/ownership.rs
+++ b/src/core/controller/ownership.rs
@@ -88,11 +88,14 @@
     /// Ends the leases of earlier processes of this controller. Those processes have ended, so the keys
     /// that are attached to their leases need not remain until the leases expire.
     fn end_predecessor_leases(&mut self) {
-        let keys = [self.store.node(&self.config.node), self.store.leader()];
+        let keys = [
+            self.store.node(&self.config.controller),
+            self.store.leader(),
+        ];
         let leases: BTreeSet<u64> = keys
             .into_iter()
             .flatten()
-            .filter(|stored| stored.record.node == self.config.node)
+            .filter(|stored| stored.record.node == self.config.controller)
             .map(|stored| stored.record.lease)
             .collect();
         for lease in leases {
--- a/src/core/controller/ownership/tests.rs
+++ b/src/core/controller/ownership/tests.rs
@@ -12,7 +12,7 @@
     core.outbox.begin_step(1.0, 0);
     core.ownership.hold_unrenewed(5);
     let record = ProcessRecord {
-        node: core.config.node.clone(),
+        node: core.config.controller.clone(),
         incarnation: core.ownership.incarnation(),
         lease: 5,
         keeps_grants: false,
--- a/src/core/controller/status.rs
+++ b/src/core/controller/status.rs
@@ -7,7 +7,7 @@
 use crate::core::records::versioned::StoredLedger;
 use crate::core::scheduling::usage::{Basis, are_on};
 use crate::core::shard::grants::TeamGrant;
-use crate::ids::{FencingToken, Node};
+use crate::ids::{ControllerName, FencingToken};
 use crate::status::{
     BasisStatus, Capacity, GrantStatus, HandOverStatus, HandOverWait, OpinionStatus,
     OwnedTeamStatus, RecordState, SiblingStatus, StageStatus, Status, TeamStatus,
@@ -41,7 +41,7 @@
         let now = self.outbox.now;
         let teams = self.config.deployment.teams.iter();
         Status {
-            controller: self.config.node.to_string(),
+            controller: self.config.controller.to_string(),
             incarnation: self.ownership.incarnation(),
             leads: self.leads(now),
             entitled: self.ownership.holds_lease(now),
@@ -59,7 +59,7 @@
     fn sibling_statuses(&self) -> Vec<SiblingStatus> {
         let now = self.outbox.now;
         let detector = self.peers.detector();
-        let status = |(node, evidence): (Node, Evidence)| {
+        let status = |(node, evidence): (ControllerName, Evidence)| {
             let opinions = detector.received_opinions(&node, now).into_iter();
             let opinions = opinions.map(|opinion| OpinionStatus {
                 observer: opinion.observer.to_string(),
--- a/src/core/controller/user_requests.rs
+++ b/src/core/controller/user_requests.rs
@@ -14,7 +14,7 @@
 use crate::core::records::keys::job_key;
 use crate::core::records::versioned::{Versioned, precondition, put};
 use crate::ids::{JobId, Team, Version};
-use crate::wire::{JobSpec, JobStatus, Transaction, Write, state_answer, status_answer};
+use crate::wire::{JobSpec, JobStatus, Transaction, Write, progress_answer, status_answer};
 use std::rc::Rc;
 
 /// Users wait 2 s for the answer to a poll; this leaves time to pass the request on to a sibling.
@@ -150,7 +150,7 @@
             Some(NEVER_FITS)
         } else if spec.dependencies.iter().any(is_unknown) {
             Some(UNKNOWN_DEPENDENCY)
-        } else if write.bytes() as f64 > value_limit {
+        } else if write.value_bytes() as f64 > value_limit {
             Some(RECORD_TOO_LARGE)
         } else {
             None
@@ -238,7 +238,7 @@
             (_, None) => self.reply(request.reply_to, Answer::empty(404)),
             (UserRequest::Poll(_), Some(job)) => {
                 let (status, done, running) = self.displayed(&id, &job.record);
-                let answer = Answer::value(200, state_answer(&id, status, done, running));
+                let answer = Answer::value(200, progress_answer(&id, status, done, running));
                 self.reply(request.reply_to, answer);
             }
             (UserRequest::Cancel(_), Some(job)) if !ended => {
@@ -291,7 +291,7 @@
     fn notify_owner(&mut self, id: &JobId, team: Option<&Team>) {
         let owner = team.and_then(|team| self.store.shard_map().teams.get(team));
         let node = owner.map(|owner| owner.node.clone());
-        if let Some(node) = node.filter(|node| *node != self.config.node) {
+        if let Some(node) = node.filter(|node| *node != self.config.controller) {
             self.outbox.send_to_sibling(
                 Pending::Notification,
                 &node,
--- a/src/core/effects/mod.rs
+++ b/src/core/effects/mod.rs
@@ -5,11 +5,11 @@
 pub mod pending;
 
 use crate::core::messages::mesh::{MeshMessage, MeshReply};
-use crate::ids::{JobId, Node, Version};
+use crate::ids::{ControllerName, JobId, Version};
 use crate::status::Status;
 use crate::wire::{
-    Changes, DirectCommands, Heartbeat, HeartbeatResponse, JobSpec, Listing, MachineList,
-    MachineNames, MachineTypes, Rental, Transaction,
+    Changes, DirectCommands, Heartbeat, HeartbeatResponse, JobSpec, Listing, MachineIds,
+    MachineList, MachineTypes, Rental, Transaction,
 };
 use serde_json::Value;
 
@@ -92,7 +92,7 @@
     /// Send commands to the worker at this address.
     Worker(CallId, String, DirectCommands),
     /// Send a message to a sibling.
-    Mesh(CallId, Node, MeshMessage),
+    Mesh(CallId, ControllerName, MeshMessage),
 }
 
 /// An HTTP answer.
@@ -226,7 +226,7 @@
     /// Rent machines.
     Rent(Rental),
     /// Return machines.
-    Release(MachineNames),
+    Release(MachineIds),
 }
 
 /// The cloud's reply to a [`CloudCall`].
@@ -237,7 +237,7 @@
     /// A page of rented machines.
     List(MachineList),
     /// The machines that were rented.
-    Rented(MachineNames),
+    Rented(MachineIds),
     /// The cloud has no such machines now.
     NoCapacity,
     /// The machines were returned.
--- a/src/core/effects/outbox.rs
+++ b/src/core/effects/outbox.rs
@@ -6,7 +6,7 @@
 use crate::core::effects::{Answer, CallId, CloudCall, Effect, RequestId, StoreCall, StoreReply};
 use crate::core::messages::mesh::{MeshMessage, MeshReply};
 use crate::core::model::time::Time;
-use crate::ids::{MachineId, Node};
+use crate::ids::{ControllerName, MachineId};
 use crate::wire::DirectCommands;
 use rand::Rng;
 use rand::rngs::StdRng;
@@ -144,7 +144,12 @@
     }
 
     /// Sends a message to a sibling.
-    pub fn send_to_sibling(&mut self, pending: Pending, node: &Node, message: MeshMessage) {
+    pub fn send_to_sibling(
+        &mut self,
+        pending: Pending,
+        node: &ControllerName,
+        message: MeshMessage,
+    ) {
         let call = self.add_pending(pending);
         self.effects.push(Effect::Mesh(call, node.clone(), message));
     }
--- a/src/core/effects/pending.rs
+++ b/src/core/effects/pending.rs
@@ -3,7 +3,7 @@
 use crate::core::effects::{RequestId, UserRequest};
 use crate::core::model::time::Time;
 use crate::core::records::shard_map::ShardOwner;
-use crate::ids::{FencingToken, JobId, MachineId, Node, Team, Version};
+use crate::ids::{ControllerName, FencingToken, JobId, MachineId, Team, Version};
 use crate::wire::{Heartbeat, ListedMachine, Rental, Write};
 
 /// A pending call.
@@ -39,7 +39,7 @@
     /// A hello to a sibling.
     Hello {
         /// The sibling.
-        node: Node,
+        node: ControllerName,
         /// When it was sent.
         sent: Time,
     },
@@ -180,7 +180,7 @@
     /// The rental.
     pub(crate) rental: Rental,
     /// The controller that each machine is for.
-    pub(crate) nodes: Vec<Node>,
+    pub(crate) nodes: Vec<ControllerName>,
 }
 
 /// Where the answer to a user's request goes.
--- a/src/core/jobs/job.rs
+++ b/src/core/jobs/job.rs
@@ -6,7 +6,7 @@
 use crate::core::model::time::Time;
 use crate::core::records::job_record::JobRecord;
 use crate::ids::{Attempt, MachineId, Version, Zone};
-use crate::wire::{JobSpec, Kind, Priority};
+use crate::wire::{JobKind, JobSpec, Priority};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -197,7 +197,7 @@
 
     /// Whether its tasks are started together or not at all (gang scheduling).
     pub fn is_gang(&self) -> bool {
-        self.spec.kind == Kind::Gang
+        self.spec.kind == JobKind::Gang
     }
 
     /// Attempts that may be running.
--- a/src/core/leader/assignment.rs
+++ b/src/core/leader/assignment.rs
@@ -5,7 +5,7 @@
 use crate::core::messages::capacity_demand::MachineOffer;
 use crate::core::model::process::ProcessId;
 use crate::core::records::shard_map::ShardOwner;
-use crate::ids::{MachineId, Node, Team};
+use crate::ids::{ControllerName, MachineId, Team};
 use std::collections::BTreeMap;
 
 impl Leader {
@@ -57,13 +57,13 @@
     }
 
     /// How many teams the controller owns.
-    pub(super) fn team_count(&self, node: &Node) -> usize {
+    pub(super) fn team_count(&self, node: &ControllerName) -> usize {
         let owners = self.editor.owners().teams.values();
         owners.filter(|owner| owner.node == *node).count()
     }
 
     /// Whether the shard map gives the machine to this controller.
-    pub(super) fn owns_machine(&self, node: &Node, id: &MachineId) -> bool {
+    pub(super) fn owns_machine(&self, node: &ControllerName, id: &MachineId) -> bool {
         let owner = self.editor.owners().machines.get(id);
         owner.is_some_and(|owner| owner.node == *node)
     }
@@ -90,9 +90,9 @@
     }
 
     /// The machines of live controllers that have teams.
-    fn machine_counts(&self, live: &LiveProcesses) -> BTreeMap<Node, MachineCount> {
+    fn machine_counts(&self, live: &LiveProcesses) -> BTreeMap<ControllerName, MachineCount> {
         let with_teams = live.nodes().filter(|node| self.team_count(node) > 0);
-        let mut counts: BTreeMap<Node, MachineCount> = with_teams
+        let mut counts: BTreeMap<ControllerName, MachineCount> = with_teams
             .map(|node| (node.clone(), MachineCount::default()))
             .collect();
         for (id, owner) in &self.editor.owners().machines {
@@ -134,7 +134,10 @@
 }
 
 /// The controller with the fewest machines of this kind, and of those with the fewest in all.
-fn fewest_machines(counts: &BTreeMap<Node, MachineCount>, offer: &MachineOffer) -> Option<Node> {
+fn fewest_machines(
+    counts: &BTreeMap<ControllerName, MachineCount>,
+    offer: &MachineOffer,
+) -> Option<ControllerName> {
     let (node, _) = counts
         .iter()
         .min_by_key(|(_, count)| (count.of_kind(offer), count.total))?;
--- a/src/core/leader/cloud_requests.rs
+++ b/src/core/leader/cloud_requests.rs
@@ -13,8 +13,8 @@
 use crate::core::model::token_bucket::TokenBucket;
 use crate::core::records::shard_map::ShardMap;
 use crate::core::scheduling::catalog::Catalog;
-use crate::ids::{MachineId, Node, Version};
-use crate::wire::{ListedMachine, MachineNames, MachineState, Rental};
+use crate::ids::{ControllerName, MachineId, Version};
+use crate::wire::{ListedMachine, MachineIds, MachineState, Rental};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -127,7 +127,11 @@
     }
 
     /// Notes that a machine has reported; returns the controller it was rented for, if known.
-    pub(super) fn machine_arrived(&mut self, id: &MachineId, offer: &MachineOffer) -> Option<Node> {
+    pub(super) fn machine_arrived(
+        &mut self,
+        id: &MachineId,
+        offer: &MachineOffer,
+    ) -> Option<ControllerName> {
         self.offers.insert(id.clone(), offer.clone());
         self.pending.remove(id).and_then(|pending| pending.node)
     }
@@ -175,7 +179,7 @@
     }
 
     /// Rents a machine of this kind for each of these controllers, with as few requests as possible.
-    pub(super) fn rent(&mut self, offer: &MachineOffer, nodes: &[Node]) {
+    pub(super) fn rent(&mut self, offer: &MachineOffer, nodes: &[ControllerName]) {
         for nodes in nodes.chunks(MAX_MACHINES_PER_RENTAL) {
             self.rentals += 1;
             let rental = Rental {
@@ -223,10 +227,7 @@
             token: self.key_version,
             machines: machines.clone(),
         };
-        outbox.call_cloud(
-            Some(operation),
-            CloudCall::Release(MachineNames { machines }),
-        );
+        outbox.call_cloud(Some(operation), CloudCall::Release(MachineIds { machines }));
     }
 
     fn send_list(&mut self, outbox: &mut Outbox) {
--- a/src/core/leader/failover.rs
+++ b/src/core/leader/failover.rs
@@ -11,7 +11,7 @@
 use crate::core::records::shard_map::ShardOwner;
 use crate::core::records::versioned::precondition;
 use crate::core::store::replica::StoreReplica;
-use crate::ids::{FencingToken, MachineId, Node, Team};
+use crate::ids::{ControllerName, FencingToken, MachineId, Team};
 use crate::wire::Precondition;
 use failure_detector::Stage;
 use std::collections::BTreeSet;
@@ -82,7 +82,9 @@
     /// The process of the controller with the fewest teams, among those that answer if any does.
     fn fewest_teams(&self, live: &LiveProcesses, peers: &Peers) -> Option<ProcessId> {
         let acts_on_failures = self.config.features.acts_on_failures();
-        let silent = |node: &Node| acts_on_failures && peers.detector().stage(node) != Stage::Alive;
+        let silent = |node: &ControllerName| {
+            acts_on_failures && peers.detector().stage(node) != Stage::Alive
+        };
         let node = live
             .nodes()
             .min_by_key(|node| (silent(node), self.team_count(node)))?;
--- a/src/core/leader/live_processes.rs
+++ b/src/core/leader/live_processes.rs
@@ -2,14 +2,14 @@
 
 use crate::core::model::process::ProcessId;
 use crate::core::store::replica::StoreReplica;
-use crate::ids::Node;
+use crate::ids::ControllerName;
 use std::collections::BTreeMap;
 
 /// Controllers whose keys are in the store, each with the incarnation of its process, in order of their names.
 ///
 /// A key ends with its process's lease, so an owner that is not among them has failed or was restarted.
 pub(super) struct LiveProcesses {
-    incarnations: BTreeMap<Node, u64>,
+    incarnations: BTreeMap<ControllerName, u64>,
 }
 
 impl LiveProcesses {
@@ -34,12 +34,12 @@
     }
 
     /// The controllers that have a live process.
-    pub(super) fn nodes(&self) -> impl Iterator<Item = &Node> {
+    pub(super) fn nodes(&self) -> impl Iterator<Item = &ControllerName> {
         self.incarnations.keys()
     }
 
     /// Whether the controller has a live process.
-    pub(super) fn has_node(&self, node: &Node) -> bool {
+    pub(super) fn has_node(&self, node: &ControllerName) -> bool {
         self.incarnations.contains_key(node)
     }
 
@@ -49,7 +49,7 @@
     }
 
     /// The live process of a controller.
-    pub(super) fn process_of(&self, node: &Node) -> Option<ProcessId> {
+    pub(super) fn process_of(&self, node: &ControllerName) -> Option<ProcessId> {
         let incarnation = self.incarnations.get(node)?;
         Some(ProcessId::new(node.clone(), *incarnation))
     }
--- a/src/core/leader/machine_transfers.rs
+++ b/src/core/leader/machine_transfers.rs
@@ -8,7 +8,7 @@
 use crate::core::leader::spare_machines::{SpareMachine, SparePool};
 use crate::core::messages::capacity_demand::{CapacityDemand, MachineDemand, MachineOffer};
 use crate::core::model::time::Time;
-use crate::ids::{MachineId, Node};
+use crate::ids::{ControllerName, MachineId};
 use crate::wire::Priority;
 use std::collections::BTreeSet;
 
@@ -59,7 +59,7 @@
     fn serve_demand(
         &mut self,
         demand: &mut MachineDemand,
-        node: &Node,
+        node: &ControllerName,
         pool: &mut SparePool,
         transferred: &mut BTreeSet<MachineId>,
         live: &LiveProcesses,
@@ -101,7 +101,7 @@
     fn take_in_use(
         &mut self,
         demand: &MachineDemand,
-        to: &Node,
+        to: &ControllerName,
         now: Time,
     ) -> Option<SpareMachine> {
         let urgency = demand.urgency.filter(|_| !demand.opportunistic)?;
@@ -119,7 +119,7 @@
     fn most_free_gpus(
         &self,
         demand: &MachineDemand,
-        to: &Node,
+        to: &ControllerName,
         urgency: Priority,
     ) -> Option<SpareMachine> {
         let is_acceptable = |id: &MachineId| {
@@ -149,8 +149,8 @@
     pub(super) fn reassign_machine(
         &mut self,
         id: &MachineId,
-        from: &Node,
-        to: &Node,
+        from: &ControllerName,
+        to: &ControllerName,
         live: &LiveProcesses,
     ) {
         tracing::info!(machine = %id, %from, %to, "machine moves to another shard");
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -37,7 +37,7 @@
 use crate::core::model::time::Time;
 use crate::core::scheduling::catalog::Catalog;
 use crate::core::store::replica::StoreReplica;
-use crate::ids::{FencingToken, MachineId, Node, Version};
+use crate::ids::{ControllerName, FencingToken, MachineId, Version};
 use crate::wire::Heartbeat;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -54,7 +54,7 @@
     /// Fencing tokens given out in this turn, by the processes that gained something under them.
     turn_tokens: BTreeMap<ProcessId, FencingToken>,
     /// What each controller's shard lacks and can spare, as last reported.
-    demands: BTreeMap<Node, CapacityDemand>,
+    demands: BTreeMap<ControllerName, CapacityDemand>,
     /// Machines that have reported and are not in the shard map.
     unassigned_machines: BTreeMap<MachineId, MachineOffer>,
     /// Live processes that keep to grants of team limits; empty unless all of them do.
@@ -121,7 +121,7 @@
     }
 
     /// Sets what a controller's shard lacks and can spare.
-    pub fn set_demand(&mut self, node: &Node, demand: CapacityDemand) {
+    pub fn set_demand(&mut self, node: &ControllerName, demand: CapacityDemand) {
         self.demands.insert(node.clone(), demand);
     }
 
@@ -180,7 +180,7 @@
     /// Whether the shard map may change: a fresh deployment waits for its controllers, so that the shards
     /// start equal, but not longer than a lease.
     fn may_assign(&self, live: &LiveProcesses, ownership: &OwnershipLease, now: Time) -> bool {
-        live.count() >= self.config.controllers()
+        live.count() >= self.config.controller_count()
             || !self.editor.owners().teams.is_empty()
             || now > self.started + ownership.ttl()
     }
--- a/src/core/leader/pending_machines.rs
+++ b/src/core/leader/pending_machines.rs
@@ -3,7 +3,7 @@
 use crate::core::messages::capacity_demand::MachineOffer;
 use crate::core::model::time::Time;
 use crate::core::scheduling::catalog::Catalog;
-use crate::ids::{MachineId, Node};
+use crate::ids::{ControllerName, MachineId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Machines that take this many times their boot time are given up and returned.
@@ -26,7 +26,7 @@
     /// When it was rented.
     pub(super) rented: Time,
     /// The controller it was rented for, if known.
-    pub(super) node: Option<Node>,
+    pub(super) node: Option<ControllerName>,
 }
 
 /// All such machines.
--- a/src/core/leader/rebalance.rs
+++ b/src/core/leader/rebalance.rs
@@ -5,7 +5,7 @@
 use crate::core::leader::Leader;
 use crate::core::leader::live_processes::LiveProcesses;
 use crate::core::model::time::Time;
-use crate::ids::{MachineId, Node, Team};
+use crate::ids::{ControllerName, MachineId, Team};
 
 /// Seconds between rounds of rebalancing.
 const ROUND_S: Time = 30.0;
@@ -47,7 +47,7 @@
 
     /// A team of this controller that has nothing queued: queued tasks would wait longer while the new owner
     /// learns what runs where.
-    fn team_without_queue(&self, node: &Node) -> Option<Team> {
+    fn team_without_queue(&self, node: &ControllerName) -> Option<Team> {
         let demand = self.demands.get(node)?;
         let mut teams = self.editor.owners().teams.iter();
         let last = teams.rfind(|(team, owner)| {
@@ -60,9 +60,9 @@
     /// it may not be able to reach another controller.
     fn redistribute_teamless_shards(&mut self, live: &LiveProcesses) {
         let with_teams = live.nodes().filter(|node| self.team_count(node) > 0);
-        let with_teams: Vec<&Node> = with_teams.collect();
+        let with_teams: Vec<&ControllerName> = with_teams.collect();
         let machines = self.editor.owners().machines.iter();
-        let teamless: Vec<(MachineId, Node)> = machines
+        let teamless: Vec<(MachineId, ControllerName)> = machines
             .filter(|(_, owner)| live.has_node(&owner.node) && self.team_count(&owner.node) == 0)
             .filter(|(id, _)| !self.claimed.contains_key(*id))
             .map(|(id, owner)| (id.clone(), owner.node.clone()))
@@ -79,7 +79,7 @@
     fn move_to_longest_queue(&mut self, live: &LiveProcesses) {
         let with_teams = live.nodes().filter(|node| self.team_count(node) > 0);
         let queues = with_teams.filter_map(|node| Some((node, self.demands.get(node)?.queued)));
-        let queues: Vec<(&Node, f64)> = queues.collect();
+        let queues: Vec<(&ControllerName, f64)> = queues.collect();
         let longest = queues
             .iter()
             .max_by(|(_, one), (_, other)| one.total_cmp(other));
@@ -99,7 +99,7 @@
     }
 
     /// A machine that this controller can best do without.
-    fn machine_to_give(&self, node: &Node) -> Option<MachineId> {
+    fn machine_to_give(&self, node: &ControllerName) -> Option<MachineId> {
         let demand = self.demands.get(node)?;
         let idle = demand.spare_machines.iter();
         let with_free_gpus = demand.machines_with_free_gpus.iter().map(|(id, _)| id);
--- a/src/core/leader/scaling.rs
+++ b/src/core/leader/scaling.rs
@@ -11,7 +11,7 @@
 use crate::core::messages::capacity_demand::{MachineDemand, MachineOffer};
 use crate::core::model::time::Time;
 use crate::core::scheduling::catalog::Catalog;
-use crate::ids::{Node, Zone};
+use crate::ids::{ControllerName, Zone};
 use std::collections::BTreeMap;
 
 /// Seconds between two plans of what is rented and returned.
@@ -19,7 +19,7 @@
 
 /// A controller, and how many machines of one kind it lacks.
 struct Shortage {
-    node: Node,
+    node: ControllerName,
     count: u32,
 }
 
@@ -157,7 +157,7 @@
 
 /// The expected machines that were rented for this controller, by kind.
 fn expected_for<'machines>(
-    node: &Node,
+    node: &ControllerName,
     expected: &[&'machines PendingMachine],
 ) -> BTreeMap<&'machines MachineOffer, u32> {
     let mut by_kind = BTreeMap::new();
@@ -192,7 +192,7 @@
 
 /// One controller for each machine that is lacking. The controllers take turns, so that each gets some if
 /// the cloud has fewer.
-fn in_turn(shortages: &[Shortage]) -> Vec<Node> {
+fn in_turn(shortages: &[Shortage]) -> Vec<ControllerName> {
     let counts = shortages.iter().map(|shortage| shortage.count);
     let turns = 0..counts.max().unwrap_or(0);
     let in_turn = turns.flat_map(|turn| {
--- a/src/core/leader/spare_machines.rs
+++ b/src/core/leader/spare_machines.rs
@@ -2,7 +2,7 @@
 //! many machines costs in proportion to them and not to the fleet.
 
 use crate::core::messages::capacity_demand::{MachineDemand, MachineOffer};
-use crate::ids::{MachineId, Node};
+use crate::ids::{ControllerName, MachineId};
 use std::collections::{BTreeMap, VecDeque};
 
 /// A machine that can be spared, and the controller that owns it.
@@ -11,7 +11,7 @@
     /// The machine.
     pub(super) id: MachineId,
     /// The controller whose shard it is in.
-    pub(super) owner: Node,
+    pub(super) owner: ControllerName,
 }
 
 /// What shards can spare, in the order in which it is taken.
@@ -31,7 +31,7 @@
     pub(super) fn take_for(
         &mut self,
         demand: &MachineDemand,
-        except: &Node,
+        except: &ControllerName,
     ) -> Option<SpareMachine> {
         let cheapest = std::slice::from_ref(&demand.offer);
         let idle = self.idle.take(cheapest, except);
@@ -57,14 +57,14 @@
 /// Machines that may be taken from their shards, in the order in which the shards list them.
 #[derive(Debug, Default)]
 pub(super) struct SpareMachines {
-    by_kind: BTreeMap<MachineOffer, BTreeMap<Node, VecDeque<ListedMachine>>>,
+    by_kind: BTreeMap<MachineOffer, BTreeMap<ControllerName, VecDeque<ListedMachine>>>,
 }
 
 impl SpareMachines {
     /// Adds the machines that a shard lists, with their kinds.
     pub(super) fn add(
         &mut self,
-        node: &Node,
+        node: &ControllerName,
         listed: impl IntoIterator<Item = (MachineId, MachineOffer)>,
     ) {
         for (place, (id, offer)) in listed.into_iter().enumerate() {
@@ -75,7 +75,11 @@
     }
 
     /// Takes the first machine of any of these kinds that another controller than `except` owns.
-    pub(super) fn take(&mut self, kinds: &[MachineOffer], except: &Node) -> Option<SpareMachine> {
+    pub(super) fn take(
+        &mut self,
+        kinds: &[MachineOffer],
+        except: &ControllerName,
+    ) -> Option<SpareMachine> {
         let first_of = |kind: &MachineOffer| {
             let shards = self.by_kind.get(kind)?.iter();
             let mut others = shards.filter(|(node, _)| *node != except);
--- a/src/core/machines/machine.rs
+++ b/src/core/machines/machine.rs
@@ -14,7 +14,7 @@
 use crate::core::model::process::ProcessId;
 use crate::core::model::resources::Resources;
 use crate::core::model::time::Time;
-use crate::ids::{FencingToken, JobId, MachineId, TypeName, Version, Zone};
+use crate::ids::{FencingToken, JobId, MachineId, MachineTypeName, Version, Zone};
 use crate::wire::{Heartbeat, MachineType};
 use heartbeat_order::HeartbeatOrder;
 use image_cache::ImageCache;
@@ -28,7 +28,7 @@
     /// Where its worker is reached; empty until a heartbeat has shown it.
     pub address: String,
     /// Its machine type; empty until a heartbeat has shown it.
-    pub type_name: TypeName,
+    pub type_name: MachineTypeName,
     /// Its zone; empty until a heartbeat has shown it.
     pub zone: Zone,
     /// It is a spot instance.
--- a/src/core/machines/machine/attempt.rs
+++ b/src/core/machines/machine/attempt.rs
@@ -3,7 +3,7 @@
 use crate::core::model::resources::Resources;
 use crate::core::model::time::Time;
 use crate::ids::{Image, Team};
-use crate::wire::{Exit, Priority, TaskState};
+use crate::wire::{ExitReason, Priority, TaskState};
 
 /// How far an attempt is known to have come.
 #[derive(Clone, Debug, PartialEq)]
@@ -13,7 +13,7 @@
     /// The newest heartbeat shows the attempt in this state, which is not an exit.
     Seen(TaskState),
     /// The attempt has ended for this reason.
-    Exited(Exit),
+    Exited(ExitReason),
 }
 
 /// One attempt of a task that may be on the machine.
--- a/src/core/membership/ownership.rs
+++ b/src/core/membership/ownership.rs
@@ -33,7 +33,7 @@
 use crate::core::model::process::ProcessId;
 use crate::core::model::time::{MAX_CLOCK_DRIFT, Time};
 use crate::core::store::replica::StoreReplica;
-use crate::ids::{Node, Version};
+use crate::ids::{ControllerName, Version};
 use consents::FailoverConsents;
 use extensions::LeaseExtensions;
 use std::collections::BTreeMap;
@@ -92,7 +92,7 @@
 
 /// This process's ownership lease, and its part in the extensions and failovers of other processes.
 pub struct OwnershipLease {
-    node: Node,
+    node: ControllerName,
     /// Changes whenever the process steps down, as if it had restarted.
     incarnation: u64,
     /// Controllers that are a majority of all.
@@ -106,7 +106,7 @@
     /// Every final state that was confirmed to any user before then is known here.
     current_as_of: Time,
     /// For each sibling that has sent all final states it knows: when the request for them was sent.
-    siblings_current_as_of: BTreeMap<Node, Time>,
+    siblings_current_as_of: BTreeMap<ControllerName, Time>,
     sibling_count: usize,
     lease: LeaseState,
     /// When the last successful renewal was sent.
@@ -141,9 +141,9 @@
         let ttl = (workers.lease_s * TTL_WORKER_LEASES).clamp(shortest, longest);
         let margin = ttl * MARGIN_TTLS;
         Self {
-            node: config.node.clone(),
+            node: config.controller.clone(),
             incarnation,
-            majority: config.controllers() / 2 + 1,
+            majority: config.controller_count() / 2 + 1,
             ttl,
             margin,
             staleness_bound: staleness_bound(workers),
@@ -221,7 +221,7 @@
     }
 
     /// A sibling has sent all final states that it knew when it answered a request sent at `asked`.
-    pub fn record_sibling_current_as_of(&mut self, node: &Node, asked: Time) {
+    pub fn record_sibling_current_as_of(&mut self, node: &ControllerName, asked: Time) {
         self.siblings_current_as_of.insert(node.clone(), asked);
         if self.siblings_current_as_of.len() == self.sibling_count
             && let Some(earliest) = self
--- a/src/core/membership/ownership/consents.rs
+++ b/src/core/membership/ownership/consents.rs
@@ -19,7 +19,7 @@
 use crate::core::model::process::ProcessId;
 use crate::core::model::time::{MAX_CLOCK_DRIFT, Time};
 use crate::core::store::replica::StoreReplica;
-use crate::ids::Node;
+use crate::ids::ControllerName;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Part of the lease's lifetime between two checks whether consents are to be published.
@@ -40,7 +40,7 @@
     /// Processes to whose failover this controller has consented; it grants them no extension.
     given: BTreeSet<ProcessId>,
     /// Processes whose failover the leader has requested consent to, and the siblings that consented.
-    requests: BTreeMap<ProcessId, BTreeSet<Node>>,
+    requests: BTreeMap<ProcessId, BTreeSet<ControllerName>>,
     /// When the leader first found that a process has no key.
     unregistered_since: BTreeMap<ProcessId, Time>,
     /// There is a request that siblings have not been sent yet.
@@ -96,7 +96,7 @@
     }
 
     /// A sibling has consented to the failover of these processes.
-    pub fn consents_received(&mut self, from: &Node, processes: &[ProcessId]) {
+    pub fn consents_received(&mut self, from: &ControllerName, processes: &[ProcessId]) {
         for process in processes {
             if let Some(consents) = self.consents.requests.get_mut(process) {
                 consents.insert(from.clone());
@@ -144,7 +144,8 @@
             .iter()
             .filter(|(_, stored)| stored.record.consents.contains(process))
             .map(|(node, _)| node);
-        let consenting: BTreeSet<&Node> = replied.iter().chain(published).chain(&own).collect();
+        let consenting: BTreeSet<&ControllerName> =
+            replied.iter().chain(published).chain(&own).collect();
         consenting.len() >= self.majority
     }
 
@@ -181,7 +182,7 @@
             return;
         }
         self.consents.next_publication = now + self.ttl * PUBLISH_TTLS;
-        let is_unheard = |node: &Node| *node != self.node && !peers.hears(node, now);
+        let is_unheard = |node: &ControllerName| *node != self.node && !peers.hears(node, now);
         let leader = store.leader();
         if leader.is_none_or(|leader| !is_unheard(&leader.record.node)) {
             return;
--- a/src/core/membership/ownership/extensions.rs
+++ b/src/core/membership/ownership/extensions.rs
@@ -5,7 +5,7 @@
 use crate::core::model::process::ProcessId;
 use crate::core::model::time::{MAX_CLOCK_DRIFT, Time};
 use crate::core::store::replica::StoreReplica;
-use crate::ids::Node;
+use crate::ids::ControllerName;
 use std::collections::BTreeMap;
 
 /// Duration of an extension, as a part of a worker's lease.
@@ -24,9 +24,9 @@
     /// Seconds by which an extension counts as expired before it is.
     margin: Time,
     /// Until when the extension from each sibling is valid.
-    pub(super) received_until: BTreeMap<Node, Time>,
+    pub(super) received_until: BTreeMap<ControllerName, Time>,
     /// Until when this controller's extension for each sibling is valid.
-    granted_until: BTreeMap<Node, Time>,
+    granted_until: BTreeMap<ControllerName, Time>,
 }
 
 impl LeaseExtensions {
@@ -46,7 +46,7 @@
     }
 
     /// Whether no extension that this controller granted to a sibling is still valid.
-    pub(super) fn none_granted_to(&self, node: &Node, now: Time) -> bool {
+    pub(super) fn none_granted_to(&self, node: &ControllerName, now: Time) -> bool {
         self.granted_until
             .get(node)
             .is_none_or(|until| *until < now)
@@ -109,7 +109,7 @@
     }
 
     /// A sibling has granted an extension at the request sent at `sent`.
-    pub fn extension_received(&mut self, node: &Node, sent: Time, now: Time) {
+    pub fn extension_received(&mut self, node: &ControllerName, sent: Time, now: Time) {
         if self.wants_extension(now) {
             let extensions = &mut self.extensions;
             let until = sent + extensions.duration * (1.0 - MAX_CLOCK_DRIFT) - extensions.margin;
--- a/src/core/membership/ownership/tests.rs
+++ b/src/core/membership/ownership/tests.rs
@@ -56,7 +56,7 @@
 #[test]
 fn extensions_do_not_outlast_the_staleness_bound() {
     let mut ownership = renewed_lease(2);
-    let (n1, n2) = (Node::from("n1"), Node::from("n2"));
+    let (n1, n2) = (ControllerName::from("n1"), ControllerName::from("n2"));
     let holds_lease_extended = |ownership: &mut OwnershipLease, now: Time| {
         let until = now + ownership.extensions.duration;
         for node in [&n1, &n2] {
@@ -90,7 +90,7 @@
     settings += "[[siblings]]\nhost_name = \"n1\"\naddr = \"127.0.0.1:1\"\n";
     let config = Config::parse(&settings).unwrap();
     let (store, mut peers) = (StoreReplica::new(&config), Peers::new(&config));
-    let process = ProcessId::new(Node::from("n1"), 7);
+    let process = ProcessId::new(ControllerName::from("n1"), 7);
     let since = 100.0;
     let expired_at = since + ownership.staleness_bound * (1.0 + MAX_CLOCK_DRIFT) + ownership.margin;
     assert!(!ownership.lease_expired(&process, &store, &peers, since));
@@ -101,7 +101,7 @@
     peers.note_bounded_staleness(&process);
     assert!(!ownership.lease_expired(&process, &store, &peers, expired_at - 0.01));
     assert!(ownership.lease_expired(&process, &store, &peers, expired_at + 0.01));
-    let other = ProcessId::new(Node::from("n1"), 8);
+    let other = ProcessId::new(ControllerName::from("n1"), 8);
     assert!(
         !ownership.lease_expired(&other, &store, &peers, expired_at + 1.0),
         "another process"
--- a/src/core/membership/peers.rs
+++ b/src/core/membership/peers.rs
@@ -6,7 +6,7 @@
 use crate::core::messages::mesh::HelloReply;
 use crate::core::model::process::ProcessId;
 use crate::core::model::time::Time;
-use crate::ids::{JobId, Node};
+use crate::ids::{ControllerName, JobId};
 use failure_detector::{Detector, Incarnation, Settings};
 use std::collections::BTreeMap;
 
@@ -87,8 +87,8 @@
 
 /// The siblings of this controller.
 pub struct Peers {
-    peers: BTreeMap<Node, Peer>,
-    detector: Detector<Node>,
+    peers: BTreeMap<ControllerName, Peer>,
+    detector: Detector<ControllerName>,
     next_hello: Time,
     hello_interval: Time,
     /// Seconds within which an event counts as recent.
@@ -103,8 +103,17 @@
     pub fn new(config: &Config) -> Self {
         let hello_interval = config.deployment.workers.lease_s / HELLOS_PER_LEASE;
         let suspect_heartbeats = config.features.suspect_heartbeats();
-        let settings = Settings::new(hello_interval, suspect_heartbeats, config.controllers());
-        let siblings = || config.siblings.iter().map(|sibling| sibling.node.clone());
+        let settings = Settings::new(
+            hello_interval,
+            suspect_heartbeats,
+            config.controller_count(),
+        );
+        let siblings = || {
+            config
+                .siblings
+                .iter()
+                .map(|sibling| sibling.controller.clone())
+        };
         Self {
             detector: Detector::new(siblings(), settings),
             peers: siblings().map(|node| (node, Peer::new())).collect(),
@@ -117,22 +126,22 @@
     }
 
     /// The failure detector, which judges the siblings.
-    pub fn detector(&self) -> &Detector<Node> {
+    pub fn detector(&self) -> &Detector<ControllerName> {
         &self.detector
     }
 
     /// The failure detector, to add evidence.
-    pub fn detector_mut(&mut self) -> &mut Detector<Node> {
+    pub fn detector_mut(&mut self) -> &mut Detector<ControllerName> {
         &mut self.detector
     }
 
     /// The names of all siblings.
-    pub fn nodes(&self) -> impl Iterator<Item = &Node> {
+    pub fn nodes(&self) -> impl Iterator<Item = &ControllerName> {
         self.peers.keys()
     }
 
     /// Whether this controller has a sibling of this name.
-    pub fn includes(&self, node: &Node) -> bool {
+    pub fn includes(&self, node: &ControllerName) -> bool {
         self.peers.contains_key(node)
     }
 
@@ -168,14 +177,14 @@
 
     /// A hello is about to be sent to a sibling. Returns false if the one before is still in flight:
     /// then none is to be sent.
-    pub fn begin_hello(&mut self, node: &Node) -> bool {
+    pub fn begin_hello(&mut self, node: &ControllerName) -> bool {
         let peer = self.peers.get_mut(node);
         peer.is_some_and(|peer| !std::mem::replace(&mut peer.hello_in_flight, true))
     }
 
     /// Which images the hello that is sent to a sibling now lists: all once to a new process, and
     /// this shard's in every few hellos.
-    pub fn take_image_scope(&mut self, node: &Node) -> ImageScope {
+    pub fn take_image_scope(&mut self, node: &ControllerName) -> ImageScope {
         let peer = self.peers.get_mut(node);
         if peer.is_some_and(|peer| std::mem::take(&mut peer.needs_all_images)) {
             ImageScope::Known
@@ -187,14 +196,20 @@
     }
 
     /// A hello was answered, or there will be no answer.
-    pub fn hello_finished(&mut self, node: &Node) {
+    pub fn hello_finished(&mut self, node: &ControllerName) {
         if let Some(peer) = self.peers.get_mut(node) {
             peer.hello_in_flight = false;
         }
     }
 
     /// A sibling answered the hello that was sent to it at `sent`.
-    pub fn hello_answered(&mut self, node: &Node, sent: Time, reply: &HelloReply, now: Time) {
+    pub fn hello_answered(
+        &mut self,
+        node: &ControllerName,
+        sent: Time,
+        reply: &HelloReply,
+        now: Time,
+    ) {
         let incarnation = reply.incarnation;
         if let Some(peer) = self.peers.get_mut(node) {
             peer.last_answer = Some(Answer { incarnation, sent });
@@ -256,7 +271,7 @@
 
     /// Which process of `node` answered a hello that was sent after `since`. Only replies count: a
     /// hello from an earlier process may be delayed in the network and arrive after a later one's.
-    pub fn incarnation_of(&self, node: &Node, since: Time) -> Option<u64> {
+    pub fn incarnation_of(&self, node: &ControllerName, since: Time) -> Option<u64> {
         let answer = self.peers.get(node)?.last_answer.as_ref()?;
         (answer.sent > since).then_some(answer.incarnation)
     }
@@ -267,16 +282,16 @@
     }
 
     /// Whether a sibling has answered recently.
-    pub fn hears(&self, node: &Node, now: Time) -> bool {
+    pub fn hears(&self, node: &ControllerName, now: Time) -> bool {
         self.detector.hears(node, now)
     }
 
     /// Siblings that have answered recently.
-    pub fn heard(&self, now: Time) -> impl Iterator<Item = &Node> {
+    pub fn heard(&self, now: Time) -> impl Iterator<Item = &ControllerName> {
         self.heard_peers(now).map(|(node, _)| node)
     }
 
-    fn heard_peers(&self, now: Time) -> impl Iterator<Item = (&Node, &Peer)> {
+    fn heard_peers(&self, now: Time) -> impl Iterator<Item = (&ControllerName, &Peer)> {
         self.peers
             .iter()
             .filter(move |(node, _)| self.hears(node, now))
@@ -290,12 +305,12 @@
     }
 
     /// Whether a sibling has answered recently that it can read the store.
-    pub fn reads_store(&self, node: &Node, now: Time) -> bool {
+    pub fn reads_store(&self, node: &ControllerName, now: Time) -> bool {
         self.hears(node, now) && self.peers.get(node).is_some_and(|peer| peer.reads_store)
     }
 
     /// The first sibling by name that can read the store, and so answer users' requests.
-    pub fn sibling_reading_store(&self, now: Time) -> Option<&Node> {
+    pub fn sibling_reading_store(&self, now: Time) -> Option<&ControllerName> {
         self.nodes().find(|node| self.reads_store(node, now))
     }
 
@@ -319,14 +334,14 @@
     }
 
     /// A worker is redirected to a sibling.
-    pub fn note_redirect(&mut self, to: &Node, now: Time) {
+    pub fn note_redirect(&mut self, to: &ControllerName, now: Time) {
         if let Some(peer) = self.peers.get_mut(to) {
             peer.last_redirect = now;
         }
     }
 
     /// Whether workers were recently redirected to a sibling.
-    pub fn redirects_to(&self, node: &Node, now: Time) -> bool {
+    pub fn redirects_to(&self, node: &ControllerName, now: Time) -> bool {
         let peer = self.peers.get(node);
         peer.is_some_and(|peer| now - peer.last_redirect < self.recent)
     }
@@ -340,7 +355,7 @@
 
     /// Has a sibling's process that reads the store answer a hello.
     #[cfg(test)]
-    pub fn answered(&mut self, node: &Node, incarnation: u64, now: Time) {
+    pub fn answered(&mut self, node: &ControllerName, incarnation: u64, now: Time) {
         self.detector
             .heartbeat_answered(node, Incarnation(incarnation), now, now);
         if let Some(peer) = self.peers.get_mut(node) {
--- a/src/core/messages/capacity_demand.rs
+++ b/src/core/messages/capacity_demand.rs
@@ -1,6 +1,6 @@
 //! Capacity demand: what a shard lacks and can spare, as its owner reports it to the leader.
 
-use crate::ids::{FencingToken, MachineId, Team, TypeName, Zone};
+use crate::ids::{FencingToken, MachineId, MachineTypeName, Team, Zone};
 use crate::wire::Priority;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -10,18 +10,21 @@
 
 /// A kind of machine that can be rented. Serialized as a triple; ordered by type, zone and whether spot.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-#[serde(from = "(TypeName, Zone, bool)", into = "(TypeName, Zone, bool)")]
+#[serde(
+    from = "(MachineTypeName, Zone, bool)",
+    into = "(MachineTypeName, Zone, bool)"
+)]
 pub struct MachineOffer {
     /// The machine type.
-    pub type_name: TypeName,
+    pub type_name: MachineTypeName,
     /// The zone it is in.
     pub zone: Zone,
     /// Whether it is a spot instance.
     pub spot: bool,
 }
 
-impl From<(TypeName, Zone, bool)> for MachineOffer {
-    fn from((type_name, zone, spot): (TypeName, Zone, bool)) -> Self {
+impl From<(MachineTypeName, Zone, bool)> for MachineOffer {
+    fn from((type_name, zone, spot): (MachineTypeName, Zone, bool)) -> Self {
         Self {
             type_name,
             zone,
@@ -30,7 +33,7 @@
     }
 }
 
-impl From<MachineOffer> for (TypeName, Zone, bool) {
+impl From<MachineOffer> for (MachineTypeName, Zone, bool) {
     fn from(offer: MachineOffer) -> Self {
         (offer.type_name, offer.zone, offer.spot)
     }
--- a/src/core/messages/detection.rs
+++ b/src/core/messages/detection.rs
@@ -1,7 +1,7 @@
 //! Findings that controllers exchange to detect failed controllers.
 
 use crate::core::model::time::Time;
-use crate::ids::Node;
+use crate::ids::ControllerName;
 use failure_detector::Opinion;
 use serde::{Deserialize, Serialize};
 
@@ -10,7 +10,7 @@
 pub struct DetectionReport {
     /// Its opinions of its siblings.
     #[serde(rename = "o")]
-    pub opinions: Vec<Opinion<Node>>,
+    pub opinions: Vec<Opinion<ControllerName>>,
     /// Seconds since the store last answered it.
     #[serde(rename = "s")]
     pub store_silence: Time,
--- a/src/core/messages/mesh.rs
+++ b/src/core/messages/mesh.rs
@@ -5,7 +5,7 @@
 use crate::core::messages::final_states::FinalStates;
 use crate::core::messages::shard_update::{PeerUpdate, UnresponsiveMachine};
 use crate::core::model::process::ProcessId;
-use crate::ids::{JobId, Node, Version};
+use crate::ids::{ControllerName, JobId, Version};
 use crate::wire::{Heartbeat, HeartbeatResponse, JobSpec};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Hello {
     /// The sender.
-    pub from: Node,
+    pub from: ControllerName,
     /// The incarnation of the sender's process.
     pub incarnation: u64,
     /// Increases with every hello of a process, so that delayed ones are recognized.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -37,7 +37,7 @@
 use crate::core::scheduling::catalog::Catalog;
 use crate::core::shard::Shard;
 use crate::core::store::replica::StoreReplica;
-use crate::ids::{Node, Team, Version};
+use crate::ids::{ControllerName, Team, Version};
 use failure_detector::Stage;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -119,7 +119,7 @@
     }
 
     /// The failure detector's judgement of a sibling.
-    pub fn stage_of(&self, sibling: &Node) -> Stage {
+    pub fn stage_of(&self, sibling: &ControllerName) -> Stage {
         self.peers.detector().stage(sibling)
     }
 
@@ -200,7 +200,7 @@
             return;
         };
         if let Some(shard) = self.shard.as_mut() {
-            leader.set_demand(&self.config.node, shard.demand.clone());
+            leader.set_demand(&self.config.controller, shard.demand.clone());
             shard.refused_offers = leader.unavailable_offers();
         }
         leader.set_catching_up(catching_up);
@@ -221,7 +221,9 @@
     fn take_roles(&mut self) {
         let now = self.outbox.now;
         let incarnation = self.ownership.incarnation();
-        let is_registered = self.store.is_registered(&self.config.node, incarnation);
+        let is_registered = self
+            .store
+            .is_registered(&self.config.controller, incarnation);
         if self.shard.is_none() && is_registered && self.ownership.holds_lease(now) {
             let image_hints = std::mem::take(&mut self.image_hints);
             self.shard = Some(Shard::new(&self.config, incarnation, image_hints, now));
--- a/src/core/records/keys.rs
+++ b/src/core/records/keys.rs
@@ -1,6 +1,6 @@
 //! Keys of the key-value store, and what is stored under each.
 
-use crate::ids::{JobId, Node, Team};
+use crate::ids::{ControllerName, JobId, Team};
 
 /// Prefix of all keys of the service.
 pub const ROOT: &str = "ochredrum/";
@@ -31,7 +31,7 @@
     /// The machine types that the cloud last listed.
     MachineTypes,
     /// The registered process of a controller.
-    Node(Node),
+    Node(ControllerName),
     /// A chunk of the shard map.
     ShardMapChunk,
     /// A team's grant record.
@@ -52,7 +52,7 @@
         } else if let Some(id) = key.strip_prefix(JOB_PREFIX) {
             Self::Job(JobId::from(id))
         } else if let Some(node) = key.strip_prefix(NODE_PREFIX) {
-            Self::Node(Node::from(node))
+            Self::Node(ControllerName::from(node))
         } else if key.starts_with(MAP_PREFIX) {
             Self::ShardMapChunk
         } else if let Some(team) = key.strip_prefix(QUOTA_PREFIX) {
@@ -64,7 +64,7 @@
 }
 
 /// The key of a controller's registered process.
-pub fn node_key(node: &Node) -> String {
+pub fn node_key(node: &ControllerName) -> String {
     format!("{NODE_PREFIX}{node}")
 }
 
--- a/src/core/records/process_record.rs
+++ b/src/core/records/process_record.rs
@@ -1,7 +1,7 @@
 //! The stored record of a controller's process.
 
 use crate::core::model::process::ProcessId;
-use crate::ids::{FencingToken, MachineId, Node};
+use crate::ids::{ControllerName, FencingToken, MachineId};
 use serde::{Deserialize, Serialize};
 
 /// A controller's process, stored under its own key and, while it leads, under the leader's key. Both keys are
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcessRecord {
     /// The controller.
-    pub node: Node,
+    pub node: ControllerName,
     /// Which of its processes.
     pub incarnation: u64,
     /// The lease of the store that the record is bound to.
--- a/src/core/records/shard_map.rs
+++ b/src/core/records/shard_map.rs
@@ -1,7 +1,7 @@
 //! The shard map: which process owns which teams and machines, and under which fencing token.
 
 use crate::core::model::process::ProcessId;
-use crate::ids::{FencingToken, MachineId, Node, Team};
+use crate::ids::{ControllerName, FencingToken, MachineId, Team};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -37,7 +37,7 @@
 pub struct ShardOwner {
     /// The controller.
     #[serde(rename = "n")]
-    pub node: Node,
+    pub node: ControllerName,
     /// Which of its processes.
     #[serde(rename = "i")]
     pub incarnation: u64,
@@ -59,7 +59,7 @@
     }
 
     /// Whether this process of this controller is the owner.
-    pub fn is(&self, node: &Node, incarnation: u64) -> bool {
+    pub fn is(&self, node: &ControllerName, incarnation: u64) -> bool {
         self.node == *node && self.incarnation == incarnation
     }
 }
--- a/src/core/scheduling/catalog.rs
+++ b/src/core/scheduling/catalog.rs
@@ -5,7 +5,7 @@
 use crate::core::model::time::Time;
 use crate::core::scheduling::constraints::{accepts_type, team_limits};
 use crate::core::scheduling::usage::{minimum_quota, within_limit};
-use crate::ids::TypeName;
+use crate::ids::MachineTypeName;
 use crate::wire::{JobSpec, MachineType};
 
 /// Boot time assumed for a machine type that is not in the catalog, in seconds.
@@ -54,14 +54,14 @@
     }
 
     /// How long a machine of the type takes to boot, in seconds.
-    pub fn boot_s(&self, name: &TypeName) -> Time {
+    pub fn boot_s(&self, name: &MachineTypeName) -> Time {
         self.find(name).map_or(UNKNOWN_TYPE_BOOT_S, |of_type| {
             of_type.boot_s.max(MIN_BOOT_S)
         })
     }
 
     /// Price of a machine of the type, as a spot instance or not; 0 for an unknown type.
-    pub fn price(&self, name: &TypeName, spot: bool) -> f64 {
+    pub fn price(&self, name: &MachineTypeName, spot: bool) -> f64 {
         self.find(name).map_or(0.0, |of_type| price(of_type, spot))
     }
 
@@ -81,7 +81,7 @@
         Some(!is_within_quota || !fits_some_type)
     }
 
-    fn find(&self, name: &TypeName) -> Option<&MachineType> {
+    fn find(&self, name: &MachineTypeName) -> Option<&MachineType> {
         self.types.iter().find(|of_type| of_type.name == *name)
     }
 }
--- a/src/core/scheduling/constraints.rs
+++ b/src/core/scheduling/constraints.rs
@@ -3,7 +3,7 @@
 use crate::config::{Config, TeamLimits};
 use crate::core::jobs::job::Job;
 use crate::core::model::time::Time;
-use crate::ids::{TypeName, Zone};
+use crate::ids::{MachineTypeName, Zone};
 use crate::wire::JobSpec;
 
 /// Factor on the submitter's run time estimate when deciding by when a machine has to be ready.
@@ -12,14 +12,14 @@
 pub(crate) const RUN_TIME_ESTIMATE_MARGIN: f64 = 2.0;
 
 /// Whether the job accepts machines of this type and zone, spot instances or not.
-pub fn allowed(spec: &JobSpec, type_name: &TypeName, zone: &Zone, spot: bool) -> bool {
+pub fn allowed(spec: &JobSpec, type_name: &MachineTypeName, zone: &Zone, spot: bool) -> bool {
     (spec.spot || !spot)
         && accepts_type(spec, type_name)
         && spec.zone.as_ref().is_none_or(|only| only == zone)
 }
 
 /// Whether the job accepts machines of this type, in any zone.
-pub fn accepts_type(spec: &JobSpec, type_name: &TypeName) -> bool {
+pub fn accepts_type(spec: &JobSpec, type_name: &MachineTypeName) -> bool {
     spec.types
         .as_ref()
         .is_none_or(|types| types.contains(type_name))
--- a/src/core/scheduling/forecast.rs
+++ b/src/core/scheduling/forecast.rs
@@ -3,7 +3,7 @@
 use crate::config::Config;
 use crate::core::model::time::Time;
 use crate::ids::Image;
-use crate::wire::{JobSpec, Kind, MachineType};
+use crate::wire::{JobKind, JobSpec, MachineType};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
@@ -140,7 +140,7 @@
         .map(|of_type| of_type.fetch_gb_per_s)
         .fold(0.0, f64::max);
     let objective = config.wait_objective(&spec.class);
-    spec.kind == Kind::Service
+    spec.kind == JobKind::Service
         && objective.is_some_and(|objective_s| objective_s * fastest_fetch < spec.image_gb)
 }
 
--- a/src/core/scheduling/packing/tests.rs
+++ b/src/core/scheduling/packing/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::core::scheduling::catalog::total_resources;
 use crate::core::test_support::{service, types};
-use crate::ids::TypeName;
+use crate::ids::MachineTypeName;
 use std::rc::Rc;
 
 /// The lowest price per task decides, then the zone with fewer machines; offers that the cloud cannot
@@ -20,7 +20,8 @@
         let cheapest = request.cheapest(&types, &zones, unavailable);
         cheapest.map(|(offer, _)| offer)
     };
-    let g8 = |zone: &str| MachineOffer::from((TypeName::from("g8"), Zone::from(zone), false));
+    let g8 =
+        |zone: &str| MachineOffer::from((MachineTypeName::from("g8"), Zone::from(zone), false));
     assert_eq!(best(&BTreeSet::new()), Some(g8("b")));
     assert_eq!(best(&BTreeSet::from([g8("b")])), Some(g8("a")));
 }
@@ -30,7 +31,7 @@
 #[test]
 fn tasks_are_not_planned_on_machines_that_the_job_avoids() {
     let (types, unavailable) = (types(), BTreeSet::new());
-    let offer = || MachineOffer::from((TypeName::from("g8"), Zone::from("a"), false));
+    let offer = || MachineOffer::from((MachineTypeName::from("g8"), Zone::from("a"), false));
     let candidate = || PackingCandidate {
         free: total_resources(&types[1]),
         ..PackingCandidate::empty(Some("m-1".into()), offer())
@@ -75,7 +76,7 @@
 #[test]
 fn opportunistic_tasks_are_planned_within_their_zones() {
     let (types, unavailable) = (types(), BTreeSet::new());
-    let offer = || MachineOffer::from((TypeName::from("g8"), Zone::from("a"), true));
+    let offer = || MachineOffer::from((MachineTypeName::from("g8"), Zone::from("a"), true));
     let candidates = vec![PackingCandidate {
         free: total_resources(&types[1]),
         ..PackingCandidate::empty(Some("m-1".into()), offer())
@@ -110,7 +111,7 @@
     job.gpus = 0.0;
     let job = Rc::new(job);
     let machine = total_resources(&types[1]);
-    let offer = || MachineOffer::from((TypeName::from("g8"), Zone::from("a"), false));
+    let offer = || MachineOffer::from((MachineTypeName::from("g8"), Zone::from("a"), false));
     let demanded = |types: &[MachineType], unavailable: &BTreeSet<MachineOffer>| {
         let candidate = PackingCandidate {
             free: machine,
@@ -136,13 +137,13 @@
         wanted[0]
             .any_of
             .iter()
-            .all(|offer| offer.type_name == TypeName::from("c16"))
+            .all(|offer| offer.type_name == MachineTypeName::from("c16"))
     );
     let zones = ["a", "b"]
         .into_iter()
         .flat_map(|zone| [(zone, false), (zone, true)]);
     let unavailable = zones
-        .map(|(zone, spot)| (TypeName::from("c16"), Zone::from(zone), spot))
+        .map(|(zone, spot)| (MachineTypeName::from("c16"), Zone::from(zone), spot))
         .map(MachineOffer::from)
         .collect();
     assert!(
--- a/src/core/scheduling/usage.rs
+++ b/src/core/scheduling/usage.rs
@@ -4,7 +4,7 @@
 use crate::config::{Config, TeamLimits};
 use crate::core::model::resources::Resources;
 use crate::ids::Team;
-use crate::wire::{JobSpec, Kind};
+use crate::wire::{JobKind, JobSpec};
 use quota_ledger::{Amount, Limit};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -353,8 +353,8 @@
 /// The quota that a job needs at once at the least: of one task for an array, of all tasks otherwise.
 pub(crate) fn minimum_quota(spec: &JobSpec) -> QuotaUnits {
     let tasks = match spec.kind {
-        Kind::Array => 1.0,
-        Kind::Gang | Kind::Service => f64::from(spec.tasks),
+        JobKind::Array => 1.0,
+        JobKind::Gang | JobKind::Service => f64::from(spec.tasks),
     };
     QuotaUnits {
         cpus: spec.cpus * tasks,
--- a/src/core/shard/consolidation.rs
+++ b/src/core/shard/consolidation.rs
@@ -14,7 +14,7 @@
 use crate::core::scheduling::packing::candidate::PackingCandidate;
 use crate::core::shard::Shard;
 use crate::ids::{Attempt, JobId, MachineId, TaskId, Zone};
-use crate::wire::{Kind, MachineType, TaskState};
+use crate::wire::{JobKind, MachineType, TaskState};
 use std::collections::BTreeMap;
 
 /// A machine that could be emptied, with the replicas that would have to move.
@@ -124,13 +124,13 @@
         now: Time,
     ) -> Movability {
         match job.spec.kind {
-            Kind::Array => Movability::RunsToCompletion,
-            Kind::Gang => Movability::Pinned,
+            JobKind::Array => Movability::RunsToCompletion,
+            JobKind::Gang => Movability::Pinned,
             // Few machines have such an image cached, and the service would lack the replica during a fetch.
-            Kind::Service if needs_cached_image(&self.config, types, &job.spec) => {
+            JobKind::Service if needs_cached_image(&self.config, types, &job.spec) => {
                 Movability::Pinned
             }
-            Kind::Service => {
+            JobKind::Service => {
                 let is_running = tracked.phase == Phase::Seen(TaskState::Running);
                 // The user does not count a start as successful if the replica is stopped soon after it.
                 let counts_as_started = tracked
--- a/src/core/shard/grants.rs
+++ b/src/core/shard/grants.rs
@@ -60,7 +60,7 @@
         let id = HolderId {
             term: token.0,
             incarnation,
-            node: config.node.to_string(),
+            node: config.controller.to_string(),
         };
         Some(Self {
             holder: Holder::new(id, limit, headroom),
@@ -325,7 +325,7 @@
             StoreReply::Rejected => {
                 tracing::error!(
                     team = %written.team,
-                    bytes = written.write.bytes(),
+                    bytes = written.write.value_bytes(),
                     "store rejected a quota grant record: the team continues without grants"
                 );
                 grant.is_record_disabled = true;
--- a/src/core/shard/map_changes.rs
+++ b/src/core/shard/map_changes.rs
@@ -10,7 +10,7 @@
 use crate::core::shard::owned_team::OwnedTeam;
 use crate::core::shard::progress_records::write_rate_per_controller;
 use crate::core::store::replica::StoreReplica;
-use crate::ids::{FencingToken, MachineId, Node, Team, Version};
+use crate::ids::{ControllerName, FencingToken, MachineId, Team, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The shard map's entry for one machine, from the point of view of this process.
@@ -58,7 +58,7 @@
     /// Returns the teams that the map assigns to this process, with their fencing tokens.
     fn assigned_teams(&self, store: &StoreReplica) -> BTreeMap<Team, FencingToken> {
         let teams = store.shard_map().teams.iter();
-        let ours = teams.filter(|(_, owner)| owner.is(&self.config.node, self.incarnation));
+        let ours = teams.filter(|(_, owner)| owner.is(&self.config.controller, self.incarnation));
         ours.map(|(team, owner)| (team.clone(), owner.token))
             .collect()
     }
@@ -77,7 +77,8 @@
 
     /// Divides the write rate of job records equally among the controllers that own teams.
     fn divide_write_rate(&mut self, map: &ShardMap) {
-        let writers: BTreeSet<&Node> = map.teams.values().map(|owner| &owner.node).collect();
+        let writers: BTreeSet<&ControllerName> =
+            map.teams.values().map(|owner| &owner.node).collect();
         let rate = write_rate_per_controller(&self.config, writers.len().max(1));
         self.record_rate.set_rate(rate);
     }
@@ -92,7 +93,7 @@
             let previous = owner.previous_token;
             let assignment = MachineAssignment {
                 owner,
-                is_owned_here: owner.is(&self.config.node, self.incarnation),
+                is_owned_here: owner.is(&self.config.controller, self.incarnation),
                 last_answered: previous.and_then(|token| unresponsive.answered(id, token)),
                 revision: store.map_revision(),
             };
@@ -125,7 +126,7 @@
         }
         let previous_owner = assignment.owner.previous_owner.clone().or(unreleased_owner);
         machine.previous_owner = previous_owner
-            .filter(|process| assignment.is_owned_here && process.node != self.config.node);
+            .filter(|process| assignment.is_owned_here && process.node != self.config.controller);
         machine.owned_since_revision = assignment.revision;
         if is_gained {
             self.uninspected_machines.insert(id.clone());
@@ -140,7 +141,8 @@
         let mut machine = Machine::named(id.clone(), assignment.owner.token, last_answered);
         machine.is_owned = true;
         let previous_owner = assignment.owner.previous_owner.clone();
-        machine.previous_owner = previous_owner.filter(|process| process.node != self.config.node);
+        machine.previous_owner =
+            previous_owner.filter(|process| process.node != self.config.controller);
         machine.owned_since_revision = assignment.revision;
         self.uninspected_machines.insert(id.clone());
         self.machines.insert(id.clone(), machine);
--- a/src/core/shard/mod.rs
+++ b/src/core/shard/mod.rs
@@ -43,7 +43,7 @@
 use crate::core::shard::owned_team::OwnedTeam;
 use crate::core::shard::progress_records::{UnrecordedJobs, write_rate_per_controller};
 use crate::core::store::replica::StoreReplica;
-use crate::ids::{JobId, MachineId, Node, Team};
+use crate::ids::{ControllerName, JobId, MachineId, Team};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -109,7 +109,7 @@
     /// Images that machines hold, as far as siblings have told.
     pub(crate) image_hints: ImageHints,
     /// Siblings that want to know of the owned machines.
-    pub(crate) listeners: BTreeSet<Node>,
+    pub(crate) listeners: BTreeSet<ControllerName>,
     /// Siblings have to be told of something before the next regular exchange.
     pub(crate) sync_soon: bool,
     /// When the last heartbeat of a worker arrived.
@@ -121,7 +121,7 @@
 impl Shard {
     /// An empty shard of the process `incarnation`; `image_hints` are the images of machines that siblings have told of.
     pub fn new(config: &Rc<Config>, incarnation: u64, image_hints: ImageHints, now: Time) -> Self {
-        let rate = write_rate_per_controller(config, config.controllers());
+        let rate = write_rate_per_controller(config, config.controller_count());
         Self {
             config: config.clone(),
             incarnation,
--- a/src/core/shard/opportunistic/tests.rs
+++ b/src/core/shard/opportunistic/tests.rs
@@ -11,8 +11,8 @@
 use crate::core::shard::owned_jobs::describe_attempt;
 use crate::core::store::replica::StoreReplica;
 use crate::core::test_support::{config, record, service, shard, types};
-use crate::ids::{Attempt, FencingToken, TaskId, TypeName, Zone};
-use crate::wire::{JobSpec, Kind, Priority};
+use crate::ids::{Attempt, FencingToken, MachineTypeName, TaskId, Zone};
+use crate::wire::{JobKind, JobSpec, Priority};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
@@ -20,7 +20,7 @@
 /// type.
 fn opportunistic_array(estimate_s: f64) -> Rc<JobSpec> {
     let mut spec = (*service("idle-hours", "x", 1.0)).clone();
-    spec.kind = Kind::Array;
+    spec.kind = JobKind::Array;
     spec.priority = Priority::Low;
     spec.tasks = 100;
     (spec.cpus, spec.gpus, spec.memory_gb) = (8.0, 1.0, 16.0);
@@ -30,7 +30,7 @@
 }
 
 fn spot_offer(type_name: &str) -> MachineOffer {
-    MachineOffer::from((TypeName::from(type_name), Zone::from("a"), true))
+    MachineOffer::from((MachineTypeName::from(type_name), Zone::from("a"), true))
 }
 
 /// The capacity demand for an opportunistic job in a shard without machines.
@@ -97,7 +97,7 @@
     );
     let cheap_spot_offers: BTreeSet<MachineOffer> = ["a", "b"]
         .iter()
-        .map(|zone| MachineOffer::from((TypeName::from("g8"), Zone::from(*zone), true)))
+        .map(|zone| MachineOffer::from((MachineTypeName::from("g8"), Zone::from(*zone), true)))
         .collect();
     // The other type is nearly as cheap but runs only four tasks at a time. The work is not worth the 25
     // machines that all tasks would need.
@@ -139,7 +139,7 @@
         opportunistic: full,
         ..PackingCandidate::empty(
             Some("m-1".into()),
-            MachineOffer::from((TypeName::from("g8"), Zone::from("a"), false)),
+            MachineOffer::from((MachineTypeName::from("g8"), Zone::from("a"), false)),
         )
     };
     let (mut plan, mut demand) = (
--- a/src/core/shard/owned_jobs.rs
+++ b/src/core/shard/owned_jobs.rs
@@ -15,7 +15,7 @@
 use crate::core::shard::Shard;
 use crate::core::store::replica::StoreReplica;
 use crate::ids::{JobId, Version};
-use crate::wire::{Exit, JobSpec};
+use crate::wire::{ExitReason, JobSpec};
 use std::rc::Rc;
 
 /// Milliseconds per second.
@@ -163,7 +163,7 @@
     /// Lets workers forget the exits of tasks that are recorded as done.
     pub(crate) fn allow_forgetting_recorded_exits(&mut self, id: &JobId, record: &JobRecord) {
         self.for_each_attempt(id, |location, tracked| {
-            let is_done = tracked.phase == Phase::Exited(Exit::Done);
+            let is_done = tracked.phase == Phase::Exited(ExitReason::Done);
             tracked.may_forget |= is_done && record.done.contains(location.task.index);
         });
     }
--- a/src/core/shard/preemption.rs
+++ b/src/core/shard/preemption.rs
@@ -10,7 +10,7 @@
 use crate::core::shard::Shard;
 use crate::core::shard::round::snapshot::MachineSnapshot;
 use crate::ids::{Attempt, JobId, MachineId, TaskId, Team, Zone};
-use crate::wire::{Kind, Priority};
+use crate::wire::{JobKind, Priority};
 use std::collections::BTreeMap;
 
 /// Minimum cost of preempting a service replica, in seconds. It is above zero so that attempts which lose no
@@ -193,7 +193,7 @@
         };
         let is_known_non_service = || {
             let job = self.shard.jobs.get(&task.job);
-            job.is_some_and(|job| job.spec.kind != Kind::Service)
+            job.is_some_and(|job| job.spec.kind != JobKind::Service)
         };
         tracked.priority < self.job.priority || (is_beyond_guarantee() && is_known_non_service())
     }
@@ -286,7 +286,7 @@
     let run_time = tracked.started_at.map_or(0.0, |started| now - started);
     let (cost, grace_s) = match job.spec.kind {
         // The service lacks a stopped replica until another one is running.
-        Kind::Service => {
+        JobKind::Service => {
             let cancel_s = shard.config.deployment.workers.cancel_s;
             (run_time.min(cancel_s) + REPLICA_BASE_LOSS_S, 0.0)
         }
--- a/src/core/shard/progress_records.rs
+++ b/src/core/shard/progress_records.rs
@@ -174,7 +174,7 @@
             progress_record(job, value_limit)
         };
         let write = put(&job_key(id), &record, None);
-        let bytes = write.bytes();
+        let bytes = write.value_bytes();
         // The job was accepted under a larger limit on values, so its progress is not recorded before it
         // completes.
         let too_large = !record.is_final() && bytes as f64 > value_limit;
@@ -236,7 +236,7 @@
         let mut batch = Vec::new();
         let mut bytes = 0;
         for record in records {
-            bytes += record.write.bytes();
+            bytes += record.write.value_bytes();
             batch.push(record);
             if batch.len() >= max_operations || bytes >= FULL_TRANSACTION_BYTES {
                 commit(outbox, std::mem::take(&mut batch));
@@ -302,7 +302,7 @@
         match reply {
             StoreReply::Conflict | StoreReply::Rejected if was_batched => job.write_alone = true,
             StoreReply::Rejected => {
-                let bytes = record.write.bytes();
+                let bytes = record.write.value_bytes();
                 tracing::error!(
                     job = %id,
                     bytes,
--- a/src/core/shard/round/machine_choice.rs
+++ b/src/core/shard/round/machine_choice.rs
@@ -8,7 +8,7 @@
 use crate::core::shard::Shard;
 use crate::core::shard::round::snapshot::MachineSnapshot;
 use crate::ids::{Image, MachineId, Zone};
-use crate::wire::{JobSpec, Kind};
+use crate::wire::{JobKind, JobSpec};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// An image shares the machine's fetch rate if it is ready later than its fetch time alone times this factor.
@@ -242,7 +242,7 @@
 /// The policy for starts that miss their deadline. The first replicas of a service usually all miss it
 /// together, so the machine that fetches the image for one replica should have room for the others.
 fn late_start_policy(job: &Job) -> LateStartPolicy {
-    if job.spec.kind == Kind::Service && !job.began {
+    if job.spec.kind == JobKind::Service && !job.began {
         LateStartPolicy::WorstFit
     } else {
         LateStartPolicy::BestFit
--- a/src/core/shard/round/snapshot.rs
+++ b/src/core/shard/round/snapshot.rs
@@ -4,7 +4,7 @@
 use crate::core::model::time::Time;
 use crate::core::scheduling::constraints::allowed;
 use crate::core::shard::Shard;
-use crate::ids::{Image, MachineId, TypeName, Zone};
+use crate::ids::{Image, MachineId, MachineTypeName, Zone};
 use crate::wire::{JobSpec, Priority};
 
 /// The resources of a usable machine, less those that the round has already assigned.
@@ -12,7 +12,7 @@
     /// Id by which [`Shard`] looks up the machine.
     pub(crate) id: MachineId,
     /// The type under which the cloud's catalog lists the machine.
-    pub(crate) type_name: TypeName,
+    pub(crate) type_name: MachineTypeName,
     /// The cloud zone in which the machine runs.
     pub(crate) zone: Zone,
     /// Whether the cloud may reclaim the machine at short notice.
--- a/src/core/shard/sibling_updates.rs
+++ b/src/core/shard/sibling_updates.rs
@@ -16,7 +16,7 @@
 use crate::core::records::shard_map::ShardOwner;
 use crate::core::shard::Shard;
 use crate::core::store::replica::StoreReplica;
-use crate::ids::{Attempt, FencingToken, MachineId, Node, TaskId, Team, Version};
+use crate::ids::{Attempt, ControllerName, FencingToken, MachineId, TaskId, Team, Version};
 use crate::wire::{ReportedTask, TaskState};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -44,7 +44,7 @@
     /// refuses; it is `None` unless this process is the leader.
     pub fn peer_update_for(
         &self,
-        node: &Node,
+        node: &ControllerName,
         store: &StoreReplica,
         refused: Option<BTreeSet<MachineOffer>>,
         images: ImageHints,
@@ -76,7 +76,7 @@
 
     /// Returns the owned machines whose tasks are completely known, or none if the sibling does not need
     /// observations.
-    fn machines_to_report(&self, node: &Node, store: &StoreReplica) -> Vec<&Machine> {
+    fn machines_to_report(&self, node: &ControllerName, store: &StoreReplica) -> Vec<&Machine> {
         if !self.listeners.contains(node) {
             return Vec::new();
         }
@@ -87,7 +87,7 @@
     }
 
     /// Creates the stop and forget commands for attempts of this shard's teams on the sibling's machines.
-    fn create_commands_for(&self, node: &Node, store: &StoreReplica) -> Vec<TaskCommand> {
+    fn create_commands_for(&self, node: &ControllerName, store: &StoreReplica) -> Vec<TaskCommand> {
         let is_owned_by_sibling = |machine: &&Machine| {
             let owner = store.shard_map().machines.get(&machine.id);
             !machine.is_owned && owner.is_some_and(|owner| owner.node == *node)
@@ -140,7 +140,7 @@
         &mut self,
         outbox: &mut Outbox,
         store: &StoreReplica,
-        from: &Node,
+        from: &ControllerName,
         incarnation: u64,
         mut update: PeerUpdate,
     ) {
@@ -287,7 +287,7 @@
 
     /// Applies a sibling's stop or forget command to an attempt on an owned machine, if the sibling owns the
     /// attempt's team.
-    fn apply_command(&mut self, store: &StoreReplica, from: &Node, command: TaskCommand) {
+    fn apply_command(&mut self, store: &StoreReplica, from: &ControllerName, command: TaskCommand) {
         let Some(task) = TaskId::parse(&command.task) else {
             return;
         };
--- a/src/core/shard/soon_ready.rs
+++ b/src/core/shard/soon_ready.rs
@@ -13,7 +13,7 @@
 use crate::core::shard::Shard;
 use crate::core::store::replica::StoreReplica;
 use crate::ids::{JobId, MachineId};
-use crate::wire::{JobSpec, JobStatus, Kind, MachineType};
+use crate::wire::{JobKind, JobSpec, JobStatus, MachineType};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -60,7 +60,7 @@
     fn jobs_ending_by(&self, by: Time) -> BTreeSet<&JobId> {
         let last_end = self.expected_ends();
         let is_ending = |id: &JobId, job: &Job| {
-            job.spec.kind != Kind::Service
+            job.spec.kind != JobKind::Service
                 && job.waiting().is_empty()
                 && job.unreconciled() == 0
                 && last_end.get(id).is_none_or(|end| *end <= by)
--- a/src/core/shard/tracking.rs
+++ b/src/core/shard/tracking.rs
@@ -22,7 +22,7 @@
 use crate::core::shard::owned_jobs::describe_stored_attempt;
 use crate::core::store::replica::StoreReplica;
 use crate::ids::{JobId, MachineId, TaskId};
-use crate::wire::{Command, Exit, Heartbeat, HeartbeatResponse, ReportedTask, TaskState};
+use crate::wire::{Command, ExitReason, Heartbeat, HeartbeatResponse, ReportedTask, TaskState};
 use std::collections::BTreeSet;
 
 /// Heartbeats that may fail to show an attempt whose start was in the responses to earlier ones, until it
@@ -221,7 +221,7 @@
         now: Time,
     ) {
         let phase = match reported.state {
-            TaskState::Exited => Phase::Exited(reported.exit.unwrap_or(Exit::Other)),
+            TaskState::Exited => Phase::Exited(reported.exit.unwrap_or(ExitReason::Other)),
             state => Phase::Seen(state),
         };
         let key = (task, reported.attempt);
--- a/src/core/shard/tracking/attempt_end.rs
+++ b/src/core/shard/tracking/attempt_end.rs
@@ -4,7 +4,7 @@
 use crate::core::model::time::Time;
 use crate::core::shard::Shard;
 use crate::ids::{Attempt, MachineId, TaskId};
-use crate::wire::{Exit, Kind};
+use crate::wire::{ExitReason, JobKind};
 
 /// Failures of a task after which the time until its next attempt does not grow any more.
 const LONGEST_BACKOFF_FAILURES: u32 = 5;
@@ -24,7 +24,7 @@
         machine_id: &MachineId,
         task: &TaskId,
         attempt: Attempt,
-        reason: Exit,
+        reason: ExitReason,
         now: Time,
     ) {
         let key = (task.clone(), attempt);
@@ -40,7 +40,7 @@
         };
         let is_placed_here =
             job.task(task.index) == Some(&Task::Placed(machine_id.clone(), attempt));
-        if reason == Exit::Done && job.spec.kind != Kind::Service {
+        if reason == ExitReason::Done && job.spec.kind != JobKind::Service {
             // The worker may forget this exit only once it is recorded.
             let zone = is_placed_here.then_some(&machine.zone);
             job.set(task.index, Task::Done, zone);
@@ -58,22 +58,31 @@
     }
 
     /// Sets when a task may be tried again after an attempt that did not complete.
-    fn delay_retry(&mut self, machine_id: &MachineId, task: &TaskId, reason: Exit, now: Time) {
+    fn delay_retry(
+        &mut self,
+        machine_id: &MachineId,
+        task: &TaskId,
+        reason: ExitReason,
+        now: Time,
+    ) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
         let retry = job.retries.entry(task.index).or_default();
         match reason {
-            Exit::Error | Exit::Other => {
+            ExitReason::Error | ExitReason::Other => {
                 retry.failures += 1;
                 retry.not_before = now + backoff_s(retry.failures);
                 self.note_failure(machine_id, task, now);
             }
-            Exit::NoRoom | Exit::Busy | Exit::UnknownJob => {
+            ExitReason::NoRoom | ExitReason::Busy | ExitReason::UnknownJob => {
                 let interval = self.config.deployment.workers.report_s;
                 retry.not_before = now + interval * REFUSED_RETRY_HEARTBEATS;
             }
-            Exit::Stopped | Exit::PeersGone | Exit::GangIncomplete | Exit::Done => {}
+            ExitReason::Stopped
+            | ExitReason::PeersGone
+            | ExitReason::GangIncomplete
+            | ExitReason::Done => {}
         }
     }
 
--- a/src/core/shard/tracking/tests.rs
+++ b/src/core/shard/tracking/tests.rs
@@ -206,7 +206,7 @@
     }
 }
 
-fn reported(index: u32, attempt: u64, state: TaskState, why: Option<Exit>) -> ReportedTask {
+fn reported(index: u32, attempt: u64, state: TaskState, why: Option<ExitReason>) -> ReportedTask {
     let (task, attempt) = (task(index).to_string(), Attempt(attempt));
     ReportedTask {
         task,
@@ -218,7 +218,7 @@
 }
 
 fn refused_start(index: u32) -> ReportedTask {
-    reported(index, 1, TaskState::Exited, Some(Exit::NoRoom))
+    reported(index, 1, TaskState::Exited, Some(ExitReason::NoRoom))
 }
 
 fn forgets(commands: &[Command]) -> bool {
@@ -383,7 +383,7 @@
     let answer = fixture.next_heartbeat("m-1", &[running(0), running(1)]);
     fixture.reply(first, WorkerReply::Executed(answer));
     fixture.heartbeat("m-2", &[reported(0, 2, TaskState::Running, None)]);
-    let failed = reported(0, 1, TaskState::Exited, Some(Exit::Stopped));
+    let failed = reported(0, 1, TaskState::Exited, Some(ExitReason::Stopped));
     fixture.heartbeat("m-1", &[failed.clone(), running(1)]);
     assert_eq!(
         fixture.started_in_a_round(),
@@ -392,7 +392,7 @@
     );
     fixture.heartbeat(
         "m-2",
-        &[reported(0, 2, TaskState::Exited, Some(Exit::Stopped))],
+        &[reported(0, 2, TaskState::Exited, Some(ExitReason::Stopped))],
     );
     assert_eq!(fixture.started_in_a_round(), 1);
     assert_eq!(
--- a/src/core/store/replica.rs
+++ b/src/core/store/replica.rs
@@ -17,7 +17,7 @@
 use crate::core::store::cancelled_jobs::{CancelledJobs, CancelledSince};
 use crate::core::store::dependencies::{Dependencies, Urgency};
 use crate::core::store::replica::reads::ReadSchedule;
-use crate::ids::{FencingToken, JobId, Node, Team, Version};
+use crate::ids::{ControllerName, FencingToken, JobId, Team, Version};
 use crate::wire::{JobStatus, MachineTypes};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -27,7 +27,7 @@
     jobs: BTreeMap<JobId, Versioned<Rc<JobRecord>>>,
     leader: Option<Versioned<ProcessRecord>>,
     machine_types: Option<Versioned<MachineTypes>>,
-    nodes: BTreeMap<Node, Versioned<ProcessRecord>>,
+    nodes: BTreeMap<ControllerName, Versioned<ProcessRecord>>,
     map_chunks: BTreeMap<String, Versioned<ShardMapChunk>>,
     ledgers: BTreeMap<Team, StoredLedger>,
     /// The shard map of all chunks.
@@ -136,17 +136,17 @@
     }
 
     /// The registered process of one controller.
-    pub fn node(&self, node: &Node) -> Option<&Versioned<ProcessRecord>> {
+    pub fn node(&self, node: &ControllerName) -> Option<&Versioned<ProcessRecord>> {
         self.nodes.get(node)
     }
 
     /// The registered processes of all controllers.
-    pub fn nodes(&self) -> &BTreeMap<Node, Versioned<ProcessRecord>> {
+    pub fn nodes(&self) -> &BTreeMap<ControllerName, Versioned<ProcessRecord>> {
         &self.nodes
     }
 
     /// Whether this process, of this controller, is registered.
-    pub fn is_registered(&self, node: &Node, incarnation: u64) -> bool {
+    pub fn is_registered(&self, node: &ControllerName, incarnation: u64) -> bool {
         self.node(node)
             .is_some_and(|process| process.record.incarnation == incarnation)
     }
--- a/src/core/store/replica/apply.rs
+++ b/src/core/store/replica/apply.rs
@@ -24,9 +24,9 @@
 
     /// Applies one change that a read returned.
     pub(super) fn apply_change(&mut self, change: &Change) {
-        if let Some(key) = &change.put {
+        if let Some(key) = &change.put_key {
             self.put(key, &change.value, change.version);
-        } else if let Some(key) = &change.deleted {
+        } else if let Some(key) = &change.deleted_key {
             self.remove(key, change.version);
         }
     }
--- a/src/core/test_support.rs
+++ b/src/core/test_support.rs
@@ -14,7 +14,7 @@
 use crate::core::shard::Shard;
 use crate::core::store::replica::StoreReplica;
 use crate::features::Features;
-use crate::ids::{FencingToken, Node, Version};
+use crate::ids::{ControllerName, FencingToken, Version};
 use crate::wire::{Entry, Heartbeat, JobSpec, JobStatus, Listing, MachineType, Write};
 use rand::SeedableRng;
 use std::rc::Rc;
@@ -200,7 +200,7 @@
         core.outbox.begin_step(now, 0);
         core.peers.detector_mut().step(now);
         for sibling in siblings {
-            core.peers.answered(&Node::from(*sibling), 1, now);
+            core.peers.answered(&ControllerName::from(*sibling), 1, now);
         }
         core.update_sibling_stages();
         now += 0.1;
--- a/src/front.rs
+++ b/src/front.rs
@@ -8,7 +8,7 @@
 use crate::ids::JobId;
 use crate::inbox::{ExternalRequest, Inbox};
 use crate::wire::{
-    BODY_LIMIT, Heartbeat, SubmissionError, decode, encode, parse_submission, valid_job_id,
+    BODY_LIMIT, Heartbeat, SubmissionError, decode, encode, is_valid_job_id, parse_submission,
 };
 use bytes::Bytes;
 use hyper::body::Incoming;
@@ -129,7 +129,7 @@
 }
 
 fn job_id(text: &str) -> Result<JobId, Refusal> {
-    if valid_job_id(text) {
+    if is_valid_job_id(text) {
         Ok(JobId::from(text))
     } else {
         Err(Refusal::NotFound)
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -55,7 +55,7 @@
 
 name!(
     /// Name of a controller (`host_name` in the settings).
-    Node
+    ControllerName
 );
 name!(
     /// Id of a job, chosen by its user.
@@ -71,7 +71,7 @@
 );
 name!(
     /// Name of a machine type.
-    TypeName
+    MachineTypeName
 );
 name!(
     /// Name of a zone.
--- a/src/inbox.rs
+++ b/src/inbox.rs
@@ -132,7 +132,7 @@
     }
 
     /// Records that the core has taken a batch out of the queue.
-    pub fn batch_taken(&self, batch: &[Input]) {
+    pub fn record_taken_batch(&self, batch: &[Input]) {
         let requests = batch.iter().filter(|input| input.is_request()).count();
         self.queued.set(self.queued.get().saturating_sub(requests));
     }
--- a/src/inbox/tests.rs
+++ b/src/inbox/tests.rs
@@ -41,7 +41,7 @@
     let mut batch = Vec::new();
     inputs.recv_many(&mut batch, 40).await;
     assert_eq!(batch.len(), 40);
-    inbox.batch_taken(&batch);
+    inbox.record_taken_batch(&batch);
     assert!(
         at_once(inbox.request(user())).is_none(),
         "there is room again"
--- a/src/mesh.rs
+++ b/src/mesh.rs
@@ -6,7 +6,7 @@
 use crate::core::messages::mesh::{MeshMessage, MeshReply};
 use crate::http::{self, Client, Reply};
 use crate::inbox::{ExternalRequest, Inbox};
-use crate::status::{self, JSON};
+use crate::status::{JSON_CONTENT_TYPE, STATUS_PATH};
 use hyper::body::Incoming;
 use hyper::{Method, Request};
 use serde::Serialize;
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 const CBOR: &str = "application/cbor";
-const PATH: &str = "/mesh/v1";
+const MESH_PATH: &str = "/mesh/v1";
 /// Connections to one sibling that are kept for later messages.
 const MAX_IDLE_CONNECTIONS: usize = 4;
 /// The part of a process's memory that one message may take: a hello lists every running job and machine.
@@ -43,7 +43,10 @@
 /// Makes one attempt to send a message; `None` without a valid reply in time.
 pub async fn send(client: &Client, message: &MeshMessage, timeout: Duration) -> Option<MeshReply> {
     let body = encode(message)?;
-    let (status, body) = client.send(Method::POST, PATH, body, timeout).await.ok()?;
+    let (status, body) = client
+        .send(Method::POST, MESH_PATH, body, timeout)
+        .await
+        .ok()?;
     (status == 200).then(|| ciborium::from_reader(body.as_ref()).ok())?
 }
 
@@ -55,8 +58,8 @@
     body_timeout: Duration,
 ) -> Reply {
     match request.uri().path() {
-        status::PATH => answer_status(&inbox, request.method()).await,
-        PATH => answer_message(&inbox, request, message_limit, body_timeout).await,
+        STATUS_PATH => answer_status(&inbox, request.method()).await,
+        MESH_PATH => answer_message(&inbox, request, message_limit, body_timeout).await,
         _ => http::reply(404, Vec::new(), CBOR),
     }
 }
@@ -89,15 +92,15 @@
 /// Answers an operator's request for the status, which changes nothing.
 async fn answer_status(inbox: &Inbox, method: &Method) -> Reply {
     if method != Method::GET {
-        return http::reply(405, Vec::new(), JSON);
+        return http::reply(405, Vec::new(), JSON_CONTENT_TYPE);
     }
     let answer = inbox.request(ExternalRequest::Status).await;
     let Body::Status(status) = answer.body else {
-        return http::reply(answer.status, Vec::new(), JSON);
+        return http::reply(answer.status, Vec::new(), JSON_CONTENT_TYPE);
     };
     match serde_json::to_vec(&*status) {
-        Ok(body) => http::reply(200, body, JSON),
-        Err(_) => http::reply(500, Vec::new(), JSON),
+        Ok(body) => http::reply(200, body, JSON_CONTENT_TYPE),
+        Err(_) => http::reply(500, Vec::new(), JSON_CONTENT_TYPE),
     }
 }
 
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -1,7 +1,7 @@
 //! The operators' client: it asks a running controller for its status.
 
 use crate::http::{Client, RequestError};
-use crate::status::{JSON, PATH, Status};
+use crate::status::{JSON_CONTENT_TYPE, STATUS_PATH, Status};
 use hyper::Method;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -45,8 +45,10 @@
 }
 
 async fn request_status(address: SocketAddr) -> Result<Status, OperatorError> {
-    let client = Client::new(address, JSON, 1);
-    let answer = client.send(Method::GET, PATH, Vec::new(), TIMEOUT).await;
+    let client = Client::new(address, JSON_CONTENT_TYPE, 1);
+    let answer = client
+        .send(Method::GET, STATUS_PATH, Vec::new(), TIMEOUT)
+        .await;
     let (status, body) = answer.map_err(|error| match error {
         RequestError::NotSent => OperatorError::Unreachable(address),
         RequestError::Unknown => OperatorError::NoAnswer(address, TIMEOUT.as_secs()),
--- a/src/service.rs
+++ b/src/service.rs
@@ -71,7 +71,7 @@
     serve_front(front_listener, limits, body_timeout, inbox.clone());
     serve_mesh(mesh_listener, limits, body_timeout, inbox.clone());
     let seed = random_seed()?;
-    tracing::info!(controller = %config.node, address = %config.front, "serving");
+    tracing::info!(controller = %config.controller, address = %config.front, "serving");
     let clients = Clients::new(&config, queue);
     let core = Core::new(config, seed);
     run_core(core, inputs, lease / TICKS_PER_LEASE, clients, inbox).await;
@@ -147,7 +147,7 @@
         if timeout(tick, inputs.recv_many(&mut batch, MAX_BATCH)).await == Ok(0) {
             return;
         }
-        inbox.batch_taken(&batch);
+        inbox.record_taken_batch(&batch);
         let now = start.elapsed().as_secs_f64();
         for effect in core.step(now, unix_time_ms(), std::mem::take(&mut batch)) {
             match effect {
--- a/src/service/clients.rs
+++ b/src/service/clients.rs
@@ -5,7 +5,7 @@
 use crate::core::effects::{CallId, Effect, Input};
 use crate::front::MESSAGE_PACK;
 use crate::http::Client;
-use crate::ids::Node;
+use crate::ids::ControllerName;
 use crate::store_client::StoreClient;
 use crate::{mesh, worker_client};
 use std::collections::HashMap;
@@ -30,7 +30,7 @@
     queue: mpsc::UnboundedSender<Input>,
     store: Rc<StoreClient>,
     cloud: Rc<CloudClient>,
-    siblings: HashMap<Node, Rc<Client>>,
+    siblings: HashMap<ControllerName, Rc<Client>>,
     worker_timeout: Duration,
     mesh_timeout: Duration,
 }
@@ -44,7 +44,7 @@
         let cloud = Client::new(services.cloud, MESSAGE_PACK, CLOUD_MAX_IDLE);
         let siblings = config.siblings.iter().map(|sibling| {
             let client = mesh::client(sibling.addr);
-            (sibling.node.clone(), Rc::new(client))
+            (sibling.controller.clone(), Rc::new(client))
         });
         Rc::new(Self {
             queue,
--- a/src/status.rs
+++ b/src/status.rs
@@ -8,9 +8,9 @@
 use std::fmt::Write;
 
 /// The path at which the status is served.
-pub const PATH: &str = "/status/v1";
+pub const STATUS_PATH: &str = "/status/v1";
 /// The content type of the status.
-pub const JSON: &str = "application/json";
+pub const JSON_CONTENT_TYPE: &str = "application/json";
 
 /// What one controller knows.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
--- a/src/store_client.rs
+++ b/src/store_client.rs
@@ -4,7 +4,7 @@
 
 use crate::core::effects::{StoreCall, StoreReply};
 use crate::http::{Client, RequestError};
-use crate::wire::{Changes, LeaseId, LeaseTtl, Listing, Revision, decode, encode};
+use crate::wire::{Changes, CommitResponse, LeaseRequest, LeaseResponse, Listing, decode, encode};
 use hyper::Method;
 use std::time::Duration;
 
@@ -51,7 +51,7 @@
         }
         StoreCall::Commit(transaction) => (Method::POST, "/multi".into(), encode(transaction)),
         StoreCall::LeaseCreate { ttl_ms } => {
-            let ttl = LeaseTtl { ttl_ms: *ttl_ms };
+            let ttl = LeaseRequest { ttl_ms: *ttl_ms };
             (Method::POST, "/leases".into(), encode(&ttl))
         }
         StoreCall::LeaseRenew { lease } => {
@@ -73,7 +73,7 @@
             decode::<Changes>(body).map_or(StoreReply::Unknown, StoreReply::Changes)
         }
         (410, StoreCall::Changes { .. }) => StoreReply::Compacted,
-        (200, StoreCall::Commit(_)) => decode::<Revision>(body)
+        (200, StoreCall::Commit(_)) => decode::<CommitResponse>(body)
             .map_or(StoreReply::Unknown, |answer| {
                 StoreReply::Committed(answer.revision)
             }),
@@ -83,7 +83,7 @@
             StoreReply::LeaseNotFound
         }
         (400, StoreCall::Commit(_)) => StoreReply::Rejected,
-        (200, StoreCall::LeaseCreate { .. }) => decode::<LeaseId>(body)
+        (200, StoreCall::LeaseCreate { .. }) => decode::<LeaseResponse>(body)
             .map_or(StoreReply::Unknown, |answer| {
                 StoreReply::LeaseCreated(answer.lease)
             }),
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -15,17 +15,18 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-pub use answers::{JobStatus, redirect_to, state_answer, status_answer};
+pub use answers::{JobStatus, progress_answer, redirect_answer, status_answer};
 pub use cloud::{
-    ListedMachine, MachineList, MachineNames, MachineState, MachineType, MachineTypes, Rental,
+    ListedMachine, MachineIds, MachineList, MachineState, MachineType, MachineTypes, Rental,
 };
-pub use job_spec::{JobSpec, Kind, Priority};
+pub use job_spec::{JobKind, JobSpec, Priority};
 pub use store::{
-    Change, Changes, Entry, LeaseId, LeaseTtl, Listing, Precondition, Revision, Transaction, Write,
+    Change, Changes, CommitResponse, Entry, LeaseRequest, LeaseResponse, Listing, Precondition,
+    Transaction, Write,
 };
-pub use submission::{SubmissionError, parse_submission, valid_job_id};
+pub use submission::{SubmissionError, is_valid_job_id, parse_submission};
 pub use workers::{
-    Command, DirectCommands, Exit, Heartbeat, HeartbeatResponse, ReportedTask, TaskState,
+    Command, DirectCommands, ExitReason, Heartbeat, HeartbeatResponse, ReportedTask, TaskState,
 };
 
 /// The published limit on the size of a request body, in bytes.
--- a/src/wire/answers.rs
+++ b/src/wire/answers.rs
@@ -5,7 +5,7 @@
 //!
 //! Answers are untyped JSON values since one controller may relay another's answer to a user.
 
-use crate::ids::{JobId, Node};
+use crate::ids::{ControllerName, JobId};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
@@ -32,13 +32,13 @@
 }
 
 /// The answer to a poll: as [`status_answer`], with the number of tasks that are done and that run.
-pub fn state_answer(id: &JobId, status: JobStatus, done: u32, running: u32) -> Value {
+pub fn progress_answer(id: &JobId, status: JobStatus, done: u32, running: u32) -> Value {
     json!({"nameId": id, "stance": status, "done": done, "running": running})
 }
 
 /// The answer that tells a worker which controller to send its heartbeats to; without one the worker
 /// tries any other.
-pub fn redirect_to(node: Option<&Node>) -> Value {
+pub fn redirect_answer(node: Option<&ControllerName>) -> Value {
     match node {
         Some(node) => json!({"conductor": node}),
         None => json!({}),
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -6,7 +6,7 @@
 //! rental request), `loaners` (spot instances), `howMany`, `drumheads` (machines), `nameId` (machine
 //! id), `stance` (state of a machine), `heldS` (age).
 
-use crate::ids::{MachineId, TypeName, Zone};
+use crate::ids::{MachineId, MachineTypeName, Zone};
 use serde::{Deserialize, Deserializer, Serialize};
 
 /// The machine types that the cloud offers.
@@ -22,7 +22,7 @@
 pub struct MachineType {
     /// Its name.
     #[serde(rename = "label")]
-    pub name: TypeName,
+    pub name: MachineTypeName,
     /// Number of CPUs.
     #[serde(rename = "cores")]
     pub cpus: f64,
@@ -60,7 +60,7 @@
     pub request: String,
     /// The machine type.
     #[serde(rename = "breed")]
-    pub type_name: TypeName,
+    pub type_name: MachineTypeName,
     /// The zone.
     #[serde(rename = "yard")]
     pub zone: Zone,
@@ -74,7 +74,7 @@
 
 /// Machine ids: the result of a rental, or the machines to return.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct MachineNames {
+pub struct MachineIds {
     /// The machines.
     #[serde(rename = "drumheads")]
     pub machines: Vec<MachineId>,
@@ -102,7 +102,7 @@
     pub address: Option<String>,
     /// Its type.
     #[serde(rename = "breed")]
-    pub type_name: TypeName,
+    pub type_name: MachineTypeName,
     /// Its zone.
     #[serde(rename = "yard")]
     pub zone: Zone,
--- a/src/wire/job_spec.rs
+++ b/src/wire/job_spec.rs
@@ -5,12 +5,12 @@
 //! [`super::submission`]; the short names here are those of stored records.
 
 use super::submission::JOB_ID_PREFIX;
-use crate::ids::{Image, JobId, Team, TypeName, Zone};
+use crate::ids::{Image, JobId, MachineTypeName, Team, Zone};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
 /// How the tasks of a job are scheduled.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
-pub enum Kind {
+pub enum JobKind {
     /// A job array: tasks are independent of one another.
     #[serde(rename = "sweep")]
     Array,
@@ -55,7 +55,7 @@
     pub team: Team,
     /// How its tasks are scheduled.
     #[serde(rename = "k")]
-    pub kind: Kind,
+    pub kind: JobKind,
     /// Its priority.
     #[serde(rename = "p")]
     pub priority: Priority,
@@ -79,7 +79,7 @@
     pub image_gb: f64,
     /// The machine types that tasks may run on; `None` allows all.
     #[serde(rename = "ty", default, skip_serializing_if = "Option::is_none")]
-    pub types: Option<Vec<TypeName>>,
+    pub types: Option<Vec<MachineTypeName>>,
     /// The zone that tasks must run in; `None` allows all.
     #[serde(rename = "z", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<Zone>,
--- a/src/wire/store.rs
+++ b/src/wire/store.rs
@@ -44,7 +44,7 @@
 
 impl Write {
     /// Size of the value in bytes, as the store's limit on values counts it.
-    pub fn bytes(&self) -> usize {
+    pub fn value_bytes(&self) -> usize {
         match self {
             Self::Put { value, .. } => value.to_string().len(),
             Self::Delete { .. } => 0,
@@ -73,7 +73,7 @@
 
 /// The result of a committed transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Revision {
+pub struct CommitResponse {
     /// The store's revision with it, which is the new version of all written keys.
     #[serde(rename = "ledger")]
     pub revision: Version,
@@ -121,10 +121,10 @@
 pub struct Change {
     /// The key, if it was written.
     #[serde(rename = "write", default, skip_serializing_if = "Option::is_none")]
-    pub put: Option<String>,
+    pub put_key: Option<String>,
     /// The key, if it was deleted.
     #[serde(rename = "drop", default, skip_serializing_if = "Option::is_none")]
-    pub deleted: Option<String>,
+    pub deleted_key: Option<String>,
     /// The written value; null for a deletion.
     #[serde(rename = "data", default)]
     pub value: Value,
@@ -135,7 +135,7 @@
 
 /// A request for a new lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LeaseTtl {
+pub struct LeaseRequest {
     /// Milliseconds after which it expires unless it is renewed.
     #[serde(rename = "lifeMs")]
     pub ttl_ms: u64,
@@ -143,7 +143,7 @@
 
 /// The answer to a request for a lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LeaseId {
+pub struct LeaseResponse {
     /// The new lease.
     #[serde(rename = "tenure")]
     pub lease: u64,
--- a/src/wire/submission.rs
+++ b/src/wire/submission.rs
@@ -3,7 +3,7 @@
 //! Protocol words: the field names of a submission, which [`field`] maps.
 
 use super::job_spec::JobSpec;
-use crate::ids::{JobId, TypeName, Zone};
+use crate::ids::{JobId, MachineTypeName, Zone};
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 use serde_json::{Map, Value};
@@ -56,7 +56,7 @@
 }
 
 /// Whether a text has the form of a job id: `req-` and at least six digits.
-pub fn valid_job_id(text: &str) -> bool {
+pub fn is_valid_job_id(text: &str) -> bool {
     text.strip_prefix(JOB_ID_PREFIX).is_some_and(|digits| {
         JOB_ID_DIGITS.contains(&digits.len()) && digits.bytes().all(|byte| byte.is_ascii_digit())
     })
@@ -175,14 +175,14 @@
 
     fn job_id(&self) -> Result<JobId, SubmissionError> {
         let id = self.text(field::ID)?;
-        if !valid_job_id(id) {
+        if !is_valid_job_id(id) {
             return Err(SubmissionError::Field(field::ID));
         }
         Ok(id.into())
     }
 
-    fn machine_types(&self) -> Result<Option<Vec<TypeName>>, SubmissionError> {
-        self.list(field::TYPES, |name| Some(TypeName::from(name)))
+    fn machine_types(&self) -> Result<Option<Vec<MachineTypeName>>, SubmissionError> {
+        self.list(field::TYPES, |name| Some(MachineTypeName::from(name)))
     }
 
     fn zone(&self) -> Result<Option<Zone>, SubmissionError> {
@@ -200,7 +200,7 @@
 
     /// The jobs that the submitted one depends on, sorted and without duplicates.
     fn dependencies(&self) -> Result<Vec<JobId>, SubmissionError> {
-        let valid = |id: &str| valid_job_id(id).then(|| JobId::from(id));
+        let valid = |id: &str| is_valid_job_id(id).then(|| JobId::from(id));
         let mut dependencies = self.list(field::DEPENDENCIES, valid)?.unwrap_or_default();
         dependencies.sort();
         dependencies.dedup();
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -15,7 +15,7 @@
     assert_eq!(id.as_str(), "req-000412");
     assert_eq!(
         (spec.kind, spec.priority, spec.tasks),
-        (Kind::Gang, Priority::High, 16)
+        (JobKind::Gang, Priority::High, 16)
     );
     assert_eq!(spec.zone, None);
     let stored = serde_json::to_value(&spec).unwrap();
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -5,9 +5,9 @@
 //! (notice before a spot instance is reclaimed), `beats`, `beat` (tasks, task), `take` (attempt),
 //! `stance` (state of a task), `cause` (why it exited), `kept` (checkpointed), `pulling` (fetching),
 //! `flushing` (checkpointing), `ended` (exited), `calls`, `call` (commands, command), `leewayS` (grace
-//! period). The words for causes of exits are mapped at [`Exit`].
+//! period). The words for causes of exits are mapped at [`ExitReason`].
 
-use crate::ids::{Attempt, FencingToken, MachineId, TypeName, Zone};
+use crate::ids::{Attempt, FencingToken, MachineId, MachineTypeName, Zone};
 use serde::{Deserialize, Serialize};
 
 /// A worker's report on its machine and all its tasks.
@@ -20,7 +20,7 @@
     pub address: String,
     /// The machine's type.
     #[serde(rename = "breed")]
-    pub type_name: TypeName,
+    pub type_name: MachineTypeName,
     /// The machine's zone.
     #[serde(rename = "yard")]
     pub zone: Zone,
@@ -59,7 +59,7 @@
     pub state: TaskState,
     /// Why it exited, if it has.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
-    pub exit: Option<Exit>,
+    pub exit: Option<ExitReason>,
     /// Whether it wrote a checkpoint before it exited.
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
     pub checkpointed: Option<bool>,
@@ -87,7 +87,7 @@
 
 /// Why an attempt exited.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
-pub enum Exit {
+pub enum ExitReason {
     /// It completed.
     #[serde(rename = "done")]
     Done,
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -263,14 +263,14 @@
         "report answer" => in_messagepack::<wire::HeartbeatResponse>,
         "direct orders" => in_messagepack::<wire::DirectCommands>,
         "rental" => in_messagepack::<wire::Rental>,
-        "machine names" => in_messagepack::<wire::MachineNames>,
+        "machine names" => in_messagepack::<wire::MachineIds>,
         "machine list" => in_messagepack::<wire::MachineList>,
         "transaction" => in_messagepack::<wire::Transaction>,
-        "revision" => in_messagepack::<wire::Revision>,
+        "revision" => in_messagepack::<wire::CommitResponse>,
         "listing" => in_messagepack::<wire::Listing>,
         "changes" => in_messagepack::<wire::Changes>,
-        "lease life" => in_messagepack::<wire::LeaseTtl>,
-        "lease id" => in_messagepack::<wire::LeaseId>,
+        "lease life" => in_messagepack::<wire::LeaseRequest>,
+        "lease id" => in_messagepack::<wire::LeaseResponse>,
         "submission" => |text, _| {
             let body = wire::encode(&parsed::<Value>(text));
             let read = wire::parse_submission(&body).unwrap();
@@ -285,11 +285,11 @@
         },
         "state answer" => |text, _| {
             let (job, status, done, running) = parsed(text);
-            answered(&wire::state_answer(&job, status, done, running))
+            answered(&wire::progress_answer(&job, status, done, running))
         },
         "conductor" => |text, _| {
             let node = parsed::<Option<_>>(text);
-            answered(&wire::redirect_to(node.as_ref()))
+            answered(&wire::redirect_answer(node.as_ref()))
         },
         _ => panic!("{kind}"),
     }
--- a/tests/failures/measure.rs
+++ b/tests/failures/measure.rs
@@ -2,7 +2,7 @@
 
 use crate::script::{default_job, play};
 use crate::world::{CutManner, Direction, Endpoint, Event, Fault, World};
-use ochredrum::wire::{JobSpec, Kind};
+use ochredrum::wire::{JobKind, JobSpec};
 
 /// When the failure begins at the earliest.
 const FAILS_AT: f64 = 40.0;
@@ -157,7 +157,7 @@
     let mut measured = Measured::default();
     let later = JobSpec {
         gpus: 1.0,
-        ..default_job(Kind::Service, 2)
+        ..default_job(JobKind::Service, 2)
     };
     let later = world.add_job(fails_at + SUBMITTED_AFTER_S, later, 0.0);
     while world.now < fails_at + FOLLOWED_S {
--- a/tests/loopback/failures.rs
+++ b/tests/loopback/failures.rs
@@ -7,7 +7,7 @@
 use hyper::Method;
 use ochredrum::front::MESSAGE_PACK;
 use ochredrum::http::Client;
-use ochredrum::status::{JSON, PATH, StageStatus, Status};
+use ochredrum::status::{JSON_CONTENT_TYPE, STATUS_PATH, StageStatus, Status};
 use ochredrum::wire::encode;
 use serde_json::json;
 use std::path::{Path, PathBuf};
@@ -66,9 +66,9 @@
 
     /// The status of a controller, if it answers.
     async fn status(&self, node: usize) -> Option<Status> {
-        let client = Client::new(self.deployment.mesh_of(node), JSON, 1);
+        let client = Client::new(self.deployment.mesh_of(node), JSON_CONTENT_TYPE, 1);
         let answer = client
-            .send(Method::GET, PATH, Vec::new(), Duration::from_secs(2))
+            .send(Method::GET, STATUS_PATH, Vec::new(), Duration::from_secs(2))
             .await;
         let (_, body) = answer.ok()?;
         serde_json::from_slice(&body).ok()
--- a/tests/loopback/fleet.rs
+++ b/tests/loopback/fleet.rs
@@ -9,7 +9,7 @@
 use ochredrum::http::{Client, Reply, read_body, reply, serve};
 use ochredrum::ids::{Attempt, FencingToken, MachineId};
 use ochredrum::wire::{
-    BODY_LIMIT, Command, DirectCommands, Exit, Heartbeat, HeartbeatResponse, ReportedTask,
+    BODY_LIMIT, Command, DirectCommands, ExitReason, Heartbeat, HeartbeatResponse, ReportedTask,
     TaskState, decode, encode,
 };
 use serde_json::Value;
@@ -74,7 +74,7 @@
 struct Task {
     state: TaskState,
     ends: Instant,
-    why: Option<Exit>,
+    why: Option<ExitReason>,
 }
 
 struct Machine {
@@ -116,7 +116,9 @@
         for command in commands {
             match command {
                 Command::Start { task, attempt } => self.start(task, attempt),
-                Command::Stop { task, attempt, .. } => self.exit(&(task, attempt), Exit::Stopped),
+                Command::Stop { task, attempt, .. } => {
+                    self.exit(&(task, attempt), ExitReason::Stopped)
+                }
                 Command::Forget { task, attempt } => {
                     self.tasks.remove(&(task, attempt));
                 }
@@ -140,7 +142,7 @@
         self.tasks.insert(key, task);
     }
 
-    fn exit(&mut self, key: &(String, Attempt), why: Exit) {
+    fn exit(&mut self, key: &(String, Attempt), why: ExitReason) {
         let Some(task) = self
             .tasks
             .get_mut(key)
@@ -162,10 +164,11 @@
             .filter(|(_, t)| now >= t.ends)
             .map(|(key, _)| key.clone())
             .collect();
-        over.iter().for_each(|key| self.exit(key, Exit::Done));
+        over.iter().for_each(|key| self.exit(key, ExitReason::Done));
         if now > self.answered + self.lease {
             let all: Vec<(String, Attempt)> = self.tasks.keys().cloned().collect();
-            all.iter().for_each(|key| self.exit(key, Exit::Stopped));
+            all.iter()
+                .for_each(|key| self.exit(key, ExitReason::Stopped));
             self.tasks.clear();
             self.agent_epoch += 1;
             self.answered = now;
--- a/tests/loopback/team_limits.rs
+++ b/tests/loopback/team_limits.rs
@@ -9,7 +9,7 @@
 use hyper::Method;
 use ochredrum::front::MESSAGE_PACK;
 use ochredrum::http::Client;
-use ochredrum::status::{JSON, PATH, Status};
+use ochredrum::status::{JSON_CONTENT_TYPE, STATUS_PATH, Status};
 use ochredrum::wire::encode;
 use serde_json::json;
 use std::net::SocketAddr;
@@ -121,7 +121,7 @@
             .unwrap()
     };
     let address = deployment.mesh_of(1).to_string();
-    let mesh = Client::new(deployment.mesh_of(1), JSON, 1);
+    let mesh = Client::new(deployment.mesh_of(1), JSON_CONTENT_TYPE, 1);
     until_reached(&mesh).await;
     let table = status(&["--address", &address]);
     let text = String::from_utf8_lossy(&table.stdout).into_owned();
@@ -166,7 +166,7 @@
 async fn until_reached(mesh: &Client) {
     let began = Instant::now();
     while mesh
-        .send(Method::GET, PATH, Vec::new(), WAIT)
+        .send(Method::GET, STATUS_PATH, Vec::new(), WAIT)
         .await
         .is_err()
     {
--- a/tests/loopback/worker.rs
+++ b/tests/loopback/worker.rs
@@ -7,7 +7,7 @@
 use ochredrum::http::{Client, Reply, read_body, reply, serve};
 use ochredrum::ids::{Attempt, FencingToken, MachineId};
 use ochredrum::wire::{
-    BODY_LIMIT, Command, DirectCommands, Exit, Heartbeat, HeartbeatResponse, ReportedTask,
+    BODY_LIMIT, Command, DirectCommands, ExitReason, Heartbeat, HeartbeatResponse, ReportedTask,
     TaskState, decode, encode,
 };
 use std::cell::RefCell;
@@ -76,7 +76,7 @@
                 task: task.clone(),
                 attempt: *attempt,
                 state: *state,
-                exit: (*state == TaskState::Exited).then_some(Exit::Stopped),
+                exit: (*state == TaskState::Exited).then_some(ExitReason::Stopped),
                 checkpointed: None,
             });
         let (agent_epoch, sequence, token) = (1, self.sequence, self.token);
--- a/tests/script/jobs.rs
+++ b/tests/script/jobs.rs
@@ -3,22 +3,22 @@
 use super::number;
 use crate::world::FAILS_IMMEDIATELY;
 use ochredrum::ids::{Image, Team};
-use ochredrum::wire::{JobSpec, Kind, Priority};
+use ochredrum::wire::{JobKind, JobSpec, Priority};
 
 /// How long tasks run, in seconds, unless a scenario says otherwise.
 const DEFAULT_RUN_S: f64 = 20.0;
 
 /// A job of team red of this many tasks, each with two GPUs.
-pub fn default_job(kind: Kind, tasks: u32) -> JobSpec {
+pub fn default_job(kind: JobKind, tasks: u32) -> JobSpec {
     JobSpec {
-        class: if kind == Kind::Service {
+        class: if kind == JobKind::Service {
             "chat".into()
         } else {
             "batch".into()
         },
         team: Team::from("red"),
         kind,
-        priority: if kind == Kind::Service {
+        priority: if kind == JobKind::Service {
             Priority::Production
         } else {
             Priority::Normal
@@ -35,8 +35,8 @@
         spread: false,
         spot: false,
         estimate_s: 20.0,
-        checkpoint_interval_s: if kind == Kind::Service { 0.0 } else { 5.0 },
-        checkpoint_write_s: if kind == Kind::Service { 0.0 } else { 2.0 },
+        checkpoint_interval_s: if kind == JobKind::Service { 0.0 } else { 5.0 },
+        checkpoint_write_s: if kind == JobKind::Service { 0.0 } else { 2.0 },
         deadline_s: None,
         dependencies: Vec::new(),
     }
@@ -47,9 +47,9 @@
 /// `array|gang|service TASKS [run=S] [gpus=N] [team=blue] [after=1,2] [spot] [spread] [broken] …`
 pub fn job(words: &[&str]) -> (JobSpec, f64) {
     let kind = match words[0] {
-        "array" => Kind::Array,
-        "gang" => Kind::Gang,
-        "service" => Kind::Service,
+        "array" => JobKind::Array,
+        "gang" => JobKind::Gang,
+        "service" => JobKind::Service,
         other => panic!("kind {other:?}?"),
     };
     let mut job = default_job(kind, number(words.get(1)) as u32);
--- a/tests/simulation/load.rs
+++ b/tests/simulation/load.rs
@@ -2,7 +2,7 @@
 
 use crate::script::{assert_no_violations, default_job, play};
 use crate::world::{CoreWork, LEASE_S, Work};
-use ochredrum::wire::{JobSpec, Kind};
+use ochredrum::wire::{JobKind, JobSpec};
 
 /// When the lowered rate limits of the store take effect, requests are throttled and all leases are still renewed.
 #[test]
@@ -57,7 +57,7 @@
     let mut world = play(&text);
     let before = world.work;
     for _ in 0..5 {
-        world.add_job(world.now + 1.0, default_job(Kind::Service, 2), 0.0);
+        world.add_job(world.now + 1.0, default_job(JobKind::Service, 2), 0.0);
     }
     world.run(world.now + 20.0);
     assert!(world.violations.is_empty(), "{:?}", world.violations);
@@ -107,7 +107,7 @@
     let mut world = play(&text);
     assert!(world.violations.is_empty(), "{:?}", world.violations);
     let (began, before) = (world.now, world.core_work());
-    let mut small = default_job(Kind::Array, 1);
+    let mut small = default_job(JobKind::Array, 1);
     small.gpus = 1.0;
     let root = world.add_job(began + 0.1, small.clone(), 4.0);
     let mut chain_ends = [root, root];
--- a/tests/world/calls.rs
+++ b/tests/world/calls.rs
@@ -7,7 +7,7 @@
     CallId, CloudCall, CloudReply, Effect, Input, RequestId, StoreCall, StoreReply,
 };
 use ochredrum::core::messages::mesh::MeshMessage;
-use ochredrum::ids::Node;
+use ochredrum::ids::ControllerName;
 use rand::Rng;
 
 /// How long a controller waits for the store and for its siblings.
@@ -136,7 +136,13 @@
         });
     }
 
-    fn call_sibling(&mut self, node: usize, call: CallId, to: &Node, message: MeshMessage) {
+    fn call_sibling(
+        &mut self,
+        node: usize,
+        call: CallId,
+        to: &ControllerName,
+        message: MeshMessage,
+    ) {
         let Some(to) = index(to) else { return };
         let mut body = Vec::new();
         ciborium::into_writer(&message, &mut body).ok();
@@ -220,6 +226,6 @@
     }
 }
 
-fn index(node: &Node) -> Option<usize> {
+fn index(node: &ControllerName) -> Option<usize> {
     node.as_str().strip_prefix('n')?.parse().ok()
 }
--- a/tests/world/cloud.rs
+++ b/tests/world/cloud.rs
@@ -1,9 +1,9 @@
 //! A stand-in for the cloud: machine types, rented machines, and a listing that lags behind.
 
 use ochredrum::core::effects::{CloudCall, CloudReply};
-use ochredrum::ids::{MachineId, TypeName, Zone};
+use ochredrum::ids::{MachineId, MachineTypeName, Zone};
 use ochredrum::wire::{
-    ListedMachine, MachineList, MachineNames, MachineState, MachineType, MachineTypes, Rental,
+    ListedMachine, MachineIds, MachineList, MachineState, MachineType, MachineTypes, Rental,
 };
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 /// A machine that has been rented.
 pub struct Owned {
     /// Its type.
-    pub type_name: TypeName,
+    pub type_name: MachineTypeName,
     /// Its zone.
     pub zone: Zone,
     /// Whether it is a spot instance.
@@ -30,7 +30,7 @@
     /// Machines with GPUs are offered in every simulation, others in some.
     types: Vec<MachineType>,
     machines: BTreeMap<MachineId, Owned>,
-    rentals: BTreeMap<String, MachineNames>,
+    rentals: BTreeMap<String, MachineIds>,
     deleted: Vec<MachineId>,
     created: usize,
 }
@@ -194,14 +194,14 @@
                 self.create(type_name, rental.zone.as_str(), rental.spot, now)
             })
             .collect();
-        let names = MachineNames {
+        let names = MachineIds {
             machines: machines.clone(),
         };
         self.rentals.insert(rental.request, names.clone());
         (CloudReply::Rented(names), machines)
     }
 
-    fn release(&mut self, names: MachineNames) {
+    fn release(&mut self, names: MachineIds) {
         for machine in names.machines {
             if self.machines.remove(&machine).is_some() {
                 self.deleted.push(machine);
--- a/tests/world/controllers.rs
+++ b/tests/world/controllers.rs
@@ -9,7 +9,7 @@
 use ochredrum::core::Core;
 use ochredrum::core::effects::{Answer, CallId, Input, RequestId};
 use ochredrum::core::messages::mesh::MeshReply;
-use ochredrum::ids::{MachineId, Node};
+use ochredrum::ids::{ControllerName, MachineId};
 use rand::Rng;
 use std::collections::BTreeMap;
 
@@ -210,7 +210,7 @@
 
     /// Whether a running controller other than `node` suspects `node` to have failed.
     pub fn is_suspected(&self, node: usize) -> bool {
-        let name = Node::from(format!("n{node}"));
+        let name = ControllerName::from(format!("n{node}"));
         let others = (0..self.nodes.len()).filter(|other| *other != node);
         let mut running = others.filter(|other| self.now >= self.nodes[*other].frozen_until);
         running.any(|other| {
--- a/tests/world/previous_version.rs
+++ b/tests/world/previous_version.rs
@@ -39,7 +39,7 @@
         }
         Input::Store(_, StoreReply::Changes(changes)) => {
             for change in &mut changes.events {
-                let key = change.put.clone().unwrap_or_default();
+                let key = change.put_key.clone().unwrap_or_default();
                 strip(&key, &mut change.value);
             }
         }
--- a/tests/world/services.rs
+++ b/tests/world/services.rs
@@ -48,7 +48,7 @@
         let largest = transaction
             .writes
             .iter()
-            .map(Write::bytes)
+            .map(Write::value_bytes)
             .max()
             .unwrap_or(0);
         let text = serde_json::to_string(transaction).unwrap_or_default();
--- a/tests/world/start_rules.rs
+++ b/tests/world/start_rules.rs
@@ -3,7 +3,7 @@
 use super::worker::Worker;
 use super::{GPUS_MAX, LEASE_S, World};
 use ochredrum::ids::{Attempt, JobId, MachineId, TaskId};
-use ochredrum::wire::{JobSpec, Kind, MachineType};
+use ochredrum::wire::{JobKind, JobSpec, MachineType};
 use std::collections::BTreeMap;
 
 /// A start that was in flight when its job was cancelled has been executed within this many seconds.
@@ -164,7 +164,7 @@
     /// Whether some machine could run one task of a job, within its team's limit. Jobs whose tasks restrict one
     /// another's places, or need more than one machine at once, are left out.
     pub(super) fn has_room(&self, spec: &JobSpec) -> bool {
-        if spec.kind == Kind::Gang || spec.one_zone || spec.spread {
+        if spec.kind == JobKind::Gang || spec.one_zone || spec.spread {
             return false;
         }
         let workers = self.workers.values();
--- a/tests/world/store.rs
+++ b/tests/world/store.rs
@@ -115,7 +115,7 @@
     /// The changes of keys with a prefix after version `from`.
     fn changes(&self, prefix: &str, from: u64) -> Changes {
         let matches = |change: &&Change| {
-            let key = change.put.as_ref().or(change.deleted.as_ref());
+            let key = change.put_key.as_ref().or(change.deleted_key.as_ref());
             change.version > from && key.is_some_and(|key| key.starts_with(prefix))
         };
         // The log is ordered by version; a long one is not read from its beginning.
@@ -169,7 +169,7 @@
     pub fn puts_of(&self, key: &str) -> usize {
         self.log
             .iter()
-            .filter(|change| change.put.as_deref() == Some(key))
+            .filter(|change| change.put_key.as_deref() == Some(key))
             .count()
     }
 
@@ -215,8 +215,8 @@
                     },
                 );
                 Change {
-                    put: Some(key),
-                    deleted: None,
+                    put_key: Some(key),
+                    deleted_key: None,
                     value,
                     version,
                 }
@@ -224,8 +224,8 @@
             Write::Delete { key } => {
                 self.keys.remove(&key);
                 Change {
-                    put: None,
-                    deleted: Some(key),
+                    put_key: None,
+                    deleted_key: Some(key),
                     value: Value::Null,
                     version,
                 }
--- a/tests/world/tasks.rs
+++ b/tests/world/tasks.rs
@@ -6,7 +6,7 @@
 use super::worker::Worker;
 use super::{FAILS_IMMEDIATELY, GANG_PEER_S, GANG_WAIT_S, World};
 use ochredrum::ids::{Attempt, JobId, MachineId, TaskId};
-use ochredrum::wire::{Command, Exit, JobSpec, Kind, TaskState};
+use ochredrum::wire::{Command, ExitReason, JobKind, JobSpec, TaskState};
 
 /// How long a worker takes to prepare an image that it has cached.
 const CACHED_FETCH_S: f64 = 0.05;
@@ -19,7 +19,7 @@
     /// What the worker reports of it.
     pub state: TaskState,
     /// Why it exited, once it has.
-    pub exit: Option<Exit>,
+    pub exit: Option<ExitReason>,
     /// Whether it saved a checkpoint when it was stopped.
     pub checkpointed: bool,
     /// When the present state ends by itself.
@@ -40,7 +40,7 @@
         self.state == TaskState::Exited
     }
 
-    fn exit(&mut self, why: Exit) {
+    fn exit(&mut self, why: ExitReason) {
         self.state = TaskState::Exited;
         self.exit = Some(why);
         self.until = f64::INFINITY;
@@ -55,7 +55,7 @@
             self.state = TaskState::Checkpointing;
             self.until = now + checkpoint_write_s;
         } else if self.state != TaskState::Checkpointing || grace_s == 0.0 {
-            self.exit(Exit::Stopped);
+            self.exit(ExitReason::Stopped);
         }
     }
 }
@@ -153,9 +153,9 @@
             until: now + fetch_s,
         };
         if busy {
-            running.exit(Exit::Busy);
+            running.exit(ExitReason::Busy);
         } else if full {
-            running.exit(Exit::NoRoom);
+            running.exit(ExitReason::NoRoom);
             self.note(format!("{id} has no room for {task}"));
         }
         if let Some(worker) = self.workers.get_mut(id) {
@@ -195,7 +195,7 @@
         };
         worker.changed = true;
         match running.state {
-            TaskState::Waiting if fails => running.exit(Exit::Error),
+            TaskState::Waiting if fails => running.exit(ExitReason::Error),
             TaskState::Fetching => {
                 running.state = TaskState::Waiting;
                 running.until = self.now;
@@ -209,16 +209,16 @@
             }
             TaskState::Waiting => self.leave_waiting(id, task, attempt, spec, run_s),
             TaskState::Running => {
-                running.exit(Exit::Done);
+                running.exit(ExitReason::Done);
                 self.users.task_finished(task);
-                if spec.kind == Kind::Gang {
+                if spec.kind == JobKind::Gang {
                     self.complete_gang(&task.job, attempt, spec.tasks);
                 }
                 self.cancel_at_completion(&task.job);
             }
             TaskState::Checkpointing => {
                 running.checkpointed = true;
-                running.exit(Exit::Stopped);
+                running.exit(ExitReason::Stopped);
             }
             TaskState::Exited => {}
         }
@@ -234,7 +234,7 @@
         run_s: f64,
     ) {
         let now = self.now;
-        let waits = spec.kind == Kind::Gang && !self.gang_is_complete(task, attempt, spec.tasks);
+        let waits = spec.kind == JobKind::Gang && !self.gang_is_complete(task, attempt, spec.tasks);
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
@@ -243,12 +243,12 @@
         };
         if waits {
             if now > running.until + GANG_WAIT_S {
-                running.exit(Exit::GangIncomplete);
+                running.exit(ExitReason::GangIncomplete);
             }
             return;
         }
         running.state = TaskState::Running;
-        running.until = if spec.kind == Kind::Service {
+        running.until = if spec.kind == JobKind::Service {
             f64::INFINITY
         } else {
             now + run_s
@@ -276,7 +276,7 @@
                 if let Some(running) = worker.tasks.get_mut(&(task.clone(), attempt))
                     && !running.has_exited()
                 {
-                    running.exit(Exit::Done);
+                    running.exit(ExitReason::Done);
                     worker.changed = true;
                 }
             }
@@ -293,7 +293,7 @@
             let Some(spec) = self.users.spec(&task.job) else {
                 return false;
             };
-            spec.kind == Kind::Gang
+            spec.kind == JobKind::Gang
                 && spec.tasks > 1
                 && running.state == TaskState::Running
                 && !self.users.has_finished_task(&task.job)
@@ -309,7 +309,7 @@
         if let Some(worker) = self.workers.get_mut(id) {
             for key in incomplete {
                 if let Some(running) = worker.tasks.get_mut(&key) {
-                    running.exit(Exit::PeersGone);
+                    running.exit(ExitReason::PeersGone);
                     worker.changed = true;
                 }
             }
--- a/tests/world/user_checks.rs
+++ b/tests/world/user_checks.rs
@@ -4,7 +4,7 @@
 use super::{CANCEL_S, Event, World};
 use ochredrum::core::effects::{Answer, Body};
 use ochredrum::ids::JobId;
-use ochredrum::wire::Kind;
+use ochredrum::wire::JobKind;
 
 /// How long a job may wait without faults beside a machine that has room for it.
 const STARVATION_S: f64 = 90.0;
@@ -222,7 +222,7 @@
                 Some("what it needs is cancelled, and it is not".to_owned())
             } else if user.cancelled_reported_at.is_some() {
                 (on > 0).then(|| format!("cancelled, {on} tasks on machines"))
-            } else if user.spec.kind == Kind::Service {
+            } else if user.spec.kind == JobKind::Service {
                 (on < user.spec.tasks as usize).then(|| format!("{on} of {} up", user.spec.tasks))
             } else {
                 user.done_reported_at
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -4,7 +4,7 @@
 use super::{Asker, CANCEL_S, Event, World};
 use ochredrum::core::effects::{Input, RequestId, UserRequest};
 use ochredrum::ids::{JobId, TaskId};
-use ochredrum::wire::{JobSpec, Kind};
+use ochredrum::wire::{JobKind, JobSpec};
 use rand::Rng;
 use std::collections::BTreeSet;
 
@@ -100,7 +100,7 @@
             .jobs
             .iter()
             .filter(|job| job.done_reported_at.is_some());
-        done.filter(|job| job.spec.kind == Kind::Array)
+        done.filter(|job| job.spec.kind == JobKind::Array)
             .map(|job| job.id.clone())
             .collect()
     }
--- a/tests/world/worker.rs
+++ b/tests/world/worker.rs
@@ -7,7 +7,7 @@
 use super::{Event, LEASE_S, REPORT_S, World};
 use ochredrum::core::effects::{Answer, Body, CallId, CloudCall, Input, WorkerReply};
 use ochredrum::ids::{Attempt, FencingToken, MachineId, TaskId};
-use ochredrum::wire::{DirectCommands, Heartbeat, HeartbeatResponse, MachineNames, ReportedTask};
+use ochredrum::wire::{DirectCommands, Heartbeat, HeartbeatResponse, MachineIds, ReportedTask};
 use rand::Rng;
 use std::collections::BTreeMap;
 
@@ -206,7 +206,7 @@
             self.users.starts_on_removed += worker.starts;
         }
         let machines = vec![id.clone()];
-        let release = CloudCall::Release(MachineNames { machines });
+        let release = CloudCall::Release(MachineIds { machines });
         self.cloud.call(self.now, release);
         // The worker is removed already.
         self.cloud.take_deleted();
