--- a/src/core/controller/ownership.rs
+++ b/src/core/controller/ownership.rs
@@ -170,13 +170,13 @@
         if self.store.leader().is_none() && self.ownership.holds_lease(self.outbox.now) {
             return Some(0);
         }
-        let exhausted = self
+        let leader_low_on_tokens = self
             .leader
             .as_ref()
             .filter(|leader| leader.tokens_running_low());
-        if let Some(exhausted) = exhausted {
+        if let Some(leader) = leader_low_on_tokens {
             // The write gives the key a new revision, and so new fencing tokens. This process stays leader.
-            return Some(exhausted.key_version());
+            return Some(leader.key_version());
         }
         let version = self.failed_leader_key_version()?;
         tracing::info!("taking over leadership: the leader has failed");
--- a/src/core/controller/ownership/tests.rs
+++ b/src/core/controller/ownership/tests.rs
@@ -3,11 +3,11 @@
 use crate::core::leader::Leader;
 use crate::core::test_support::config;
 
-/// Fencing tokens are derived from the revision of the leader's key, so a leader that has used all of them
+/// Fencing tokens are derived from the revision of the leader's key, so a leader that has few left
 /// must write the key again. Without that, a fleet that had one leader for weeks could no longer change its
 /// shard map.
 #[test]
-fn leader_without_fencing_tokens_rewrites_its_key() {
+fn leader_low_on_fencing_tokens_rewrites_its_key() {
     let mut core = Core::new(config(), 1);
     core.outbox.begin(1.0, 0);
     core.ownership.hold_unrenewed(5);
@@ -25,7 +25,10 @@
         .apply_write(&put(LEADER_KEY, &record, Some(5)), 8);
     core.leader = Some(Leader::new(&core.config, 8, &core.store, 1.0));
     core.write_keys(5);
-    assert!(core.outbox.take_effects().is_empty(), "tokens remain");
+    assert!(
+        core.outbox.take_effects().is_empty(),
+        "enough tokens remain"
+    );
     while let Some(leader) = core
         .leader
         .as_mut()
