--- a/src/core/leader/assignment.rs
+++ b/src/core/leader/assignment.rs
@@ -1,4 +1,4 @@
-//! Owners of teams and machines: new fencing tokens, and the placement of machines that have just reported.
+//! Assignment of teams and machines to processes, and renewal of their fencing tokens.
 
 use crate::core::leader::Leader;
 use crate::core::leader::live_processes::LiveProcesses;
@@ -9,9 +9,9 @@
 use std::collections::BTreeMap;
 
 impl Leader {
-    /// An owner record for a process, with a new fencing token. All that a process gains in one turn it gains
-    /// under one token, which keeps the map small. None if the tokens have run out: then nothing changes
-    /// until the leader key is claimed anew.
+    /// Creates an owner record for a process, with a new fencing token. A process gets a single token for all
+    /// that it gains during one call of [`Leader::advance`], which keeps the map small. Returns None if no
+    /// tokens are left: nothing is assigned then until the leader key is claimed again.
     pub(super) fn new_owner(&mut self, process: &ProcessId) -> Option<ShardOwner> {
         let token = match self.turn_tokens.get(process) {
             Some(token) => *token,
@@ -30,7 +30,7 @@
         })
     }
 
-    /// Gives a team to a process under a new token.
+    /// Assigns a team to a process under a new token.
     pub(super) fn assign_team(&mut self, team: &Team, to: &ProcessId) {
         if let Some(owner) = self.new_owner(to) {
             let keeps_grants = self.keeps_grants(&owner);
@@ -40,7 +40,8 @@
         }
     }
 
-    /// Gives a machine to a process under a new token; `previous_owner` is the live process it is taken from.
+    /// Assigns a machine to a process under a new token. `previous_owner` is the live process that has to
+    /// release the machine, if there is one.
     pub(super) fn assign_machine(
         &mut self,
         id: &MachineId,
@@ -56,29 +57,30 @@
         }
     }
 
-    /// How many teams the controller owns.
+    /// Number of teams that the controller owns.
     pub(super) fn team_count(&self, node: &Node) -> usize {
         let owners = self.editor.owners().teams.values();
         owners.filter(|owner| owner.node == *node).count()
     }
 
-    /// Whether the shard map gives the machine to this controller.
+    /// Whether the shard map lists this controller as the machine's owner.
     pub(super) fn owns_machine(&self, node: &Node, id: &MachineId) -> bool {
         let owner = self.editor.owners().machines.get(id);
         owner.is_some_and(|owner| owner.node == *node)
     }
 
-    /// Gives new machines to the controllers they were rented for, or else to the one with the fewest
-    /// machines of the kind; a controller without a team needs none.
+    /// Assigns each new machine to the controller for which it was rented. If that is unknown or has no team,
+    /// the controller with the fewest machines of the same kind gets it. Controllers without a team get no
+    /// machines.
     pub(super) fn assign_new_machines(&mut self, live: &LiveProcesses) {
         if self.unassigned_machines.is_empty() {
             return;
         }
         let mut counts = self.machine_counts(live);
         for (id, offer) in std::mem::take(&mut self.unassigned_machines) {
-            let rented_for = self.cloud.machine_arrived(&id, &offer);
+            let rented_for = self.cloud.record_arrival(&id, &offer);
             let rented_for = rented_for.filter(|node| counts.contains_key(node));
-            let node = rented_for.or_else(|| fewest_machines(&counts, &offer));
+            let node = rented_for.or_else(|| node_with_fewest_machines(&counts, &offer));
             let Some(process) = node.and_then(|node| live.process_of(&node)) else {
                 continue;
             };
@@ -89,7 +91,7 @@
         }
     }
 
-    /// The machines of live controllers that have teams.
+    /// Counts the machines of each live controller that has a team.
     fn machine_counts(&self, live: &LiveProcesses) -> BTreeMap<Node, MachineCount> {
         let with_teams = live.nodes().filter(|node| self.team_count(node) > 0);
         let mut counts: BTreeMap<Node, MachineCount> = with_teams
@@ -106,8 +108,9 @@
         counts
     }
 
-    /// Renews the fencing tokens of machines that may have lost commands, and of teams that are running out
-    /// of attempt numbers, as their owners ask.
+    /// Renews the fencing tokens that owners asked to have renewed: those of machines that may have lost
+    /// commands, and those of teams that have few attempt numbers left. A request about an outdated token is
+    /// dropped.
     pub(super) fn renew_tokens(&mut self, live: &LiveProcesses) {
         let mut demands = std::mem::take(&mut self.demands);
         for (node, demand) in &mut demands {
@@ -133,31 +136,34 @@
     }
 }
 
-/// The controller with the fewest machines of this kind, and of those with the fewest in all.
-fn fewest_machines(counts: &BTreeMap<Node, MachineCount>, offer: &MachineOffer) -> Option<Node> {
+/// The controller with the fewest machines of this kind; among equals, the one with the fewest in total.
+fn node_with_fewest_machines(
+    counts: &BTreeMap<Node, MachineCount>,
+    offer: &MachineOffer,
+) -> Option<Node> {
     let (node, _) = counts
         .iter()
         .min_by_key(|(_, count)| (count.of_kind(offer), count.total))?;
     Some(node.clone())
 }
 
-/// How many machines a controller has.
+/// Number of machines that a controller owns.
 #[derive(Default)]
 struct MachineCount {
-    /// Of each kind, as far as the kinds are known.
+    /// Machines of each kind; excludes machines whose kind is unknown.
     by_kind: BTreeMap<MachineOffer, usize>,
-    /// In all.
+    /// All machines, including those whose kind is unknown.
     total: usize,
 }
 
 impl MachineCount {
-    /// Counts a machine of this kind.
+    /// Adds one machine of this kind.
     fn add(&mut self, kind: &MachineOffer) {
         *self.by_kind.entry(kind.clone()).or_default() += 1;
         self.total += 1;
     }
 
-    /// How many there are of this kind.
+    /// Number of machines known to be of this kind.
     fn of_kind(&self, kind: &MachineOffer) -> usize {
         self.by_kind.get(kind).copied().unwrap_or(0)
     }
--- a/src/core/leader/claims.rs
+++ b/src/core/leader/claims.rs
@@ -1,5 +1,5 @@
-//! Claims of machines that can't reach their owners ([`crate::core::machines::claims`]): the leader gives such
-//! a machine to the controller that hears it.
+//! Claims of machines that can't reach their owners ([`crate::core::machines::claims`]). The leader reassigns
+//! such a machine to the controller that receives its heartbeats.
 
 use crate::core::leader::Leader;
 use crate::core::leader::live_processes::LiveProcesses;
@@ -9,8 +9,9 @@
 use crate::core::store::replica::StoreReplica;
 
 impl Leader {
-    /// Gives claimed machines to the controllers that claim them, if the shard map still has them where they
-    /// were at the time of the claim. Machines of a failed owner are left to the failover.
+    /// Reassigns claimed machines to the controllers that claim them. A claim is ignored if the machine's
+    /// fencing token has changed since, or if its owner has failed: failover reassigns the machines of failed
+    /// owners.
     pub(super) fn serve_claims(&mut self, store: &StoreReplica, live: &LiveProcesses, now: Time) {
         let claim_s = self.config.deployment.workers.lease_s * CLAIM_LEASES;
         self.claimed.retain(|_, since| now - *since < claim_s);
@@ -29,7 +30,7 @@
                     machine = %claim.machine,
                     from = %previous_owner.node,
                     to = %node,
-                    "claimed machine moves to the controller that hears it"
+                    "claimed machine reassigned to the controller that receives its heartbeats"
                 );
                 self.assign_machine(&claim.machine, &claimant, Some(previous_owner));
                 self.claimed.insert(claim.machine.clone(), now);
--- a/src/core/leader/cloud_requests.rs
+++ b/src/core/leader/cloud_requests.rs
@@ -1,7 +1,7 @@
-//! The leader's requests to the cloud, and what their replies say of the machines there.
+//! The leader's requests to the cloud, and the machines known from the replies.
 //!
-//! Requests are sent one of each kind at a time and within the cloud's rate limit. A rental whose outcome is
-//! unknown is repeated under its name: the cloud treats requests of the same name as one.
+//! At most one request of each kind is in flight, and the rate of requests stays within the cloud's limit. A
+//! rental with unknown outcome is retried under the same request name; the cloud executes each name once.
 
 use crate::config::Config;
 use crate::core::effects::outbox::Outbox;
@@ -18,57 +18,61 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Machines that one release request names at most.
-const RELEASE_LIMIT: usize = 100;
+/// Most machines that one release request names.
+const MAX_MACHINES_PER_RELEASE: usize = 100;
 
-/// Machines that are listed at most.
-const LIST_LIMIT: usize = 10_000;
+/// Number of listed machines after which no further page of the list is requested.
+const MAX_LISTED_MACHINES: usize = 10_000;
 
-/// Fraction of the cloud's rate limit that the leader uses; the rest is left to other controllers and to
-/// requests that arrive late.
+/// Fraction of the cloud's rate limit that the leader uses. The rest is left to other controllers and to
+/// delayed requests.
 const RATE_FRACTION: f64 = 0.8;
 
-/// Waits before the first rental, in lags of the cloud's list: until then, what an earlier leader rented may
-/// not be listed. A fresh deployment had no earlier leader to wait for.
-const FRESH_WAIT_LAGS: f64 = 0.3;
+/// Delay of the first rental in a fresh deployment, in multiples of the time by which the cloud's list lags.
+/// There was no earlier leader whose rentals might not be listed yet.
+const FRESH_DEPLOYMENT_WAIT_LAGS: f64 = 0.3;
 
-/// See [`FRESH_WAIT_LAGS`].
+/// Delay of the first rental after a change of leader, in multiples of the list's lag. The list may not show
+/// the rentals of the earlier leader before that.
 const SUCCESSOR_WAIT_LAGS: f64 = 1.2;
 
-/// Time between two lists of the machines, in lags of the list.
+/// Interval between two requests of the whole list, in multiples of the list's lag.
 const LIST_INTERVAL_LAGS: f64 = 0.5;
 
-/// Requests to the cloud, and the machines known from their replies.
+/// Pending requests to the cloud, and the machines known from the replies.
 pub(super) struct CloudRequests {
     config: Rc<Config>,
-    /// Version of the leader key under which requests are made; replies to others are ignored.
+    /// Version of the leader key under which requests are sent. Replies to requests of other versions are
+    /// ignored.
     key_version: Version,
+    /// No rentals are planned before this time.
     rent_after: Time,
     next_list: Time,
     list_in_flight: bool,
-    /// Machines that were rented and have not reported.
+    /// Rented machines that have not sent a heartbeat yet.
     pending: PendingMachines,
-    /// Rentals without an outcome; repeated under the same name until they have one.
+    /// Rentals that are not sent yet, or whose outcome is unknown; the latter are retried under the same
+    /// name.
     open_rentals: Vec<RentalRequest>,
     rental_in_flight: bool,
-    /// Rentals named so far.
-    rentals: u64,
-    /// Offers without capacity, and until when they are not asked for again.
+    /// Number of rentals created so far; part of the name of each.
+    rental_count: u64,
+    /// Offers that can't be rented, and until when they are not requested again.
     unavailable: BTreeMap<MachineOffer, Time>,
-    /// The kinds of the machines that exist, as far as known.
+    /// The kinds of the existing machines, as far as known.
     offers: BTreeMap<MachineId, MachineOffer>,
-    /// Machines that are to be returned.
-    releases: BTreeSet<MachineId>,
+    /// Machines to return to the cloud; a machine stays here until the cloud confirms its release.
+    pending_releases: BTreeSet<MachineId>,
     release_in_flight: bool,
-    /// Machines that were returned and are to be removed from the shard map.
+    /// Machines that the cloud has taken back and that the shard map may still list.
     returned: Vec<MachineId>,
     call_rate: TokenBucket,
-    /// No requests before this time: the cloud refused one or did not answer.
+    /// No requests are sent before this time, because the cloud refused one or did not reply.
     pause_until: Time,
 }
 
 impl CloudRequests {
-    /// Nothing is known of the machines yet; the first list is due at once.
+    /// Starts without knowledge of any machine; the first list is due at once.
     pub(super) fn new(
         config: &Rc<Config>,
         key_version: Version,
@@ -77,7 +81,7 @@
     ) -> Self {
         let cloud = &config.deployment.cloud;
         let wait_lags = if fresh_deployment {
-            FRESH_WAIT_LAGS
+            FRESH_DEPLOYMENT_WAIT_LAGS
         } else {
             SUCCESSOR_WAIT_LAGS
         };
@@ -90,10 +94,10 @@
             pending: PendingMachines::default(),
             open_rentals: Vec::new(),
             rental_in_flight: false,
-            rentals: 0,
+            rental_count: 0,
             unavailable: BTreeMap::new(),
             offers: BTreeMap::new(),
-            releases: BTreeSet::new(),
+            pending_releases: BTreeSet::new(),
             release_in_flight: false,
             returned: Vec::new(),
             call_rate: TokenBucket::new(cloud.rps * RATE_FRACTION, 1.0, now),
@@ -111,12 +115,12 @@
         self.unavailable.contains_key(offer)
     }
 
-    /// Forgets the offers that may be asked for again by now.
+    /// Makes offers available again whose time has passed.
     pub(super) fn expire_unavailable(&mut self, now: Time) {
         self.unavailable.retain(|_, until| now < *until);
     }
 
-    /// Counts an offer as unavailable until then, unless it counts as that already.
+    /// Marks an offer as unavailable until this time, unless it is marked already.
     pub(super) fn set_unavailable(&mut self, offer: MachineOffer, until: Time) {
         self.unavailable.entry(offer).or_insert(until);
     }
@@ -126,13 +130,13 @@
         self.offers.get(id)
     }
 
-    /// Notes that a machine has reported; returns the controller it was rented for, if known.
-    pub(super) fn machine_arrived(&mut self, id: &MachineId, offer: &MachineOffer) -> Option<Node> {
+    /// Records the first heartbeat of a machine; returns the controller for which it was rented, if known.
+    pub(super) fn record_arrival(&mut self, id: &MachineId, offer: &MachineOffer) -> Option<Node> {
         self.offers.insert(id.clone(), offer.clone());
         self.pending.remove(id).and_then(|pending| pending.node)
     }
 
-    /// The rented machines that are expected to report in time.
+    /// The pending machines that are expected to send a heartbeat in time.
     pub(super) fn expected(
         &self,
         catalog: &Catalog,
@@ -141,26 +145,26 @@
         self.pending.expected(catalog, now)
     }
 
-    /// Whether the machine is to be returned.
-    pub(super) fn is_released(&self, id: &MachineId) -> bool {
-        self.releases.contains(id)
+    /// Whether the machine is queued to be returned or its release is in flight.
+    pub(super) fn is_release_pending(&self, id: &MachineId) -> bool {
+        self.pending_releases.contains(id)
     }
 
-    /// Returns these machines with the next requests.
-    pub(super) fn release(&mut self, machines: impl IntoIterator<Item = MachineId>) {
-        self.releases.extend(machines);
+    /// Queues these machines to be returned to the cloud.
+    pub(super) fn queue_releases(&mut self, machines: impl IntoIterator<Item = MachineId>) {
+        self.pending_releases.extend(machines);
     }
 
-    /// Returns the rented machines that have not reported for several boot times.
-    pub(super) fn release_overdue(&mut self, catalog: &Catalog, now: Time) {
+    /// Queues the return of rented machines that have sent no heartbeat for several boot times.
+    pub(super) fn queue_overdue_releases(&mut self, catalog: &Catalog, now: Time) {
         for id in self.pending.overdue(catalog, now) {
-            if self.releases.insert(id.clone()) {
-                tracing::info!(machine = %id, "rented machine did not report in time and is returned");
+            if self.pending_releases.insert(id.clone()) {
+                tracing::info!(machine = %id, "rented machine sent no heartbeat in time and is returned");
             }
         }
     }
 
-    /// Takes the machines that were returned since the last call; their kinds are forgotten.
+    /// Takes the machines that were returned since the last call and forgets their kinds.
     pub(super) fn take_returned(&mut self) -> Vec<MachineId> {
         let returned = std::mem::take(&mut self.returned);
         for id in &returned {
@@ -169,17 +173,19 @@
         returned
     }
 
-    /// Whether new rentals may be planned: earlier ones have an outcome, and are known.
+    /// Whether new rentals may be planned: the rentals of earlier leaders are listed by now, and no rental of
+    /// this leader is queued or awaits its outcome.
     pub(super) fn may_plan_rentals(&self, now: Time) -> bool {
         now >= self.rent_after && !self.rental_in_flight && self.open_rentals.is_empty()
     }
 
-    /// Rents a machine of this kind for each of these controllers, with as few requests as possible.
-    pub(super) fn rent(&mut self, offer: &MachineOffer, nodes: &[Node]) {
+    /// Queues the rental of one machine of this kind for each entry of `nodes`, in as few requests as
+    /// possible.
+    pub(super) fn queue_rentals(&mut self, offer: &MachineOffer, nodes: &[Node]) {
         for nodes in nodes.chunks(MAX_MACHINES_PER_RENTAL) {
-            self.rentals += 1;
+            self.rental_count += 1;
             let rental = Rental {
-                request: format!("r-{}-{}", self.key_version, self.rentals),
+                request: format!("r-{}-{}", self.key_version, self.rental_count),
                 type_name: offer.type_name.clone(),
                 zone: offer.zone.clone(),
                 spot: offer.spot,
@@ -200,7 +206,10 @@
     }
 
     fn send_rental(&mut self, outbox: &mut Outbox) {
-        if self.rental_in_flight || self.open_rentals.is_empty() || !self.may_call(outbox.now) {
+        if self.rental_in_flight
+            || self.open_rentals.is_empty()
+            || !self.try_acquire_call(outbox.now)
+        {
             return;
         }
         let order = self.open_rentals.remove(0);
@@ -214,10 +223,18 @@
     }
 
     fn send_release(&mut self, outbox: &mut Outbox) {
-        if self.release_in_flight || self.releases.is_empty() || !self.may_call(outbox.now) {
+        if self.release_in_flight
+            || self.pending_releases.is_empty()
+            || !self.try_acquire_call(outbox.now)
+        {
             return;
         }
-        let machines: Vec<MachineId> = self.releases.iter().take(RELEASE_LIMIT).cloned().collect();
+        let machines: Vec<MachineId> = self
+            .pending_releases
+            .iter()
+            .take(MAX_MACHINES_PER_RELEASE)
+            .cloned()
+            .collect();
         self.release_in_flight = true;
         let operation = CloudOperation::Release {
             term: self.key_version,
@@ -231,7 +248,7 @@
 
     fn send_list(&mut self, outbox: &mut Outbox) {
         let now = outbox.now;
-        if self.list_in_flight || now < self.next_list || !self.may_call(now) {
+        if self.list_in_flight || now < self.next_list || !self.try_acquire_call(now) {
             return;
         }
         let lag = self.config.deployment.cloud.list_lag_s.max(1.0);
@@ -239,7 +256,7 @@
         self.send_list_page(outbox, Vec::new());
     }
 
-    /// Asks for the machines that the list has after those that were seen.
+    /// Requests the page of the list that follows the machines in `seen`.
     fn send_list_page(&mut self, outbox: &mut Outbox, seen: Vec<ListedMachine>) {
         self.list_in_flight = true;
         let after = seen.last().map(|listed| listed.machine.to_string());
@@ -250,13 +267,13 @@
         outbox.cloud(Some(operation), CloudCall::List { after });
     }
 
-    /// Takes one request from the rate limit, if it permits one now.
-    fn may_call(&mut self, now: Time) -> bool {
+    /// Takes a token from the rate limiter; returns whether a request may be sent now.
+    fn try_acquire_call(&mut self, now: Time) -> bool {
         now >= self.pause_until && self.call_rate.take(now)
     }
 
-    /// Takes in the reply to a request; `owners` is the shard map.
-    pub(super) fn replied(
+    /// Handles the reply to a request; `owners` is the shard map.
+    pub(super) fn handle_reply(
         &mut self,
         outbox: &mut Outbox,
         operation: CloudOperation,
@@ -272,22 +289,22 @@
             | CloudOperation::Rent { term, .. }
             | CloudOperation::Release { term, .. }
                 if term != self.key_version => {}
-            CloudOperation::List { seen, .. } => self.listed(outbox, seen, reply, owners),
+            CloudOperation::List { seen, .. } => self.handle_list_page(outbox, seen, reply, owners),
             CloudOperation::Rent { order, .. } => {
                 self.rental_in_flight = false;
-                self.rented(order, reply, now);
+                self.handle_rental_reply(order, reply, now);
             }
             CloudOperation::Release { machines, .. } => {
                 self.release_in_flight = false;
                 if reply == CloudReply::Released {
-                    self.released(machines);
+                    self.record_released(machines);
                 }
             }
         }
     }
 
-    /// Takes in one page of the list; asks for the next one, or takes in the whole list.
-    fn listed(
+    /// Handles one page of the list: requests the next page, or applies the list when it is complete.
+    fn handle_list_page(
         &mut self,
         outbox: &mut Outbox,
         mut seen: Vec<ListedMachine>,
@@ -300,15 +317,15 @@
         };
         let more = page.more && !page.machines.is_empty();
         seen.extend(page.machines);
-        if more && seen.len() < LIST_LIMIT {
+        if more && seen.len() < MAX_LISTED_MACHINES {
             self.send_list_page(outbox, seen);
         } else {
-            self.take_list(seen, owners, outbox.now);
+            self.apply_list(seen, owners, outbox.now);
         }
     }
 
-    /// Takes in the whole list of machines.
-    fn take_list(&mut self, list: Vec<ListedMachine>, owners: &ShardMap, now: Time) {
+    /// Records the kinds of the listed machines and which of them are pending; queues failed ones for return.
+    fn apply_list(&mut self, list: Vec<ListedMachine>, owners: &ShardMap, now: Time) {
         for listed in list {
             let id = listed.machine;
             let offer = MachineOffer {
@@ -317,7 +334,7 @@
                 spot: listed.spot,
             };
             if listed.state == MachineState::Failed {
-                self.releases.insert(id);
+                self.pending_releases.insert(id);
             } else if listed.state == MachineState::Booting && !owners.machines.contains_key(&id) {
                 let pending = PendingMachine {
                     offer,
@@ -331,15 +348,15 @@
         }
     }
 
-    /// Takes in the outcome of a rental.
-    fn rented(&mut self, order: RentalRequest, reply: CloudReply, now: Time) {
+    /// Handles the reply to a rental.
+    fn handle_rental_reply(&mut self, order: RentalRequest, reply: CloudReply, now: Time) {
         let rental = &order.rental;
         let offer = MachineOffer {
             type_name: rental.type_name.clone(),
             zone: rental.zone.clone(),
             spot: rental.spot,
         };
-        // Capacity comes back as others return machines: asked for again after a while.
+        // Capacity becomes available as machines are returned, so the offer is requested again later.
         let retry_at = now + self.config.deployment.cloud.list_lag_s.max(1.0);
         match reply {
             CloudReply::Rented(names) => {
@@ -367,18 +384,18 @@
             CloudReply::NoCapacity => {
                 self.unavailable.insert(offer, retry_at);
             }
-            // Not executed: what is needed is planned anew.
+            // The rental was not executed; the next plan requests what is still needed.
             CloudReply::Refused => {}
-            // Executed or not: the same name again has the same outcome.
+            // The outcome is unknown. A retry under the same name rents nothing twice.
             _ => self.open_rentals.push(order),
         }
     }
 
-    /// Takes in that machines were returned.
-    fn released(&mut self, machines: Vec<MachineId>) {
+    /// Records that the cloud has taken back these machines.
+    fn record_released(&mut self, machines: Vec<MachineId>) {
         tracing::info!(count = machines.len(), "returned machines");
         for id in machines {
-            self.releases.remove(&id);
+            self.pending_releases.remove(&id);
             self.pending.remove(&id);
             self.returned.push(id);
         }
--- a/src/core/leader/failover.rs
+++ b/src/core/leader/failover.rs
@@ -1,4 +1,4 @@
-//! Failover: the shards of failed processes get new owners.
+//! Failover: the shards of failed processes are reassigned to live ones.
 
 use crate::core::leader::Leader;
 use crate::core::leader::live_processes::LiveProcesses;
@@ -16,17 +16,19 @@
 use failure_detector::Stage;
 use std::collections::BTreeSet;
 
-/// A machine of a failed process, with what its next owner has to know of the former ones.
+/// A machine of a failed process, and what its owner record tells the next owner about the former ones.
 struct FailedOverMachine {
     id: MachineId,
+    /// Live process that may still have to release the machine.
     previous_owner: Option<ProcessId>,
+    /// Token of the failed process, if that had declared the machine unresponsive under it.
     previous_token: Option<FencingToken>,
 }
 
 impl Leader {
-    /// Gives each shard whose owner's lease has expired to the restarted controller, or as a whole to another
-    /// one, so that teams stay with the machines their tasks run on. Returns the preconditions under which
-    /// the leases have expired.
+    /// Reassigns each shard whose owner's lease has expired: to the restarted process of the same controller,
+    /// or else to one other controller. A shard is not divided, so teams stay with the machines that run
+    /// their tasks. Returns the preconditions under which the leases count as expired.
     pub(super) fn fail_over_shards(
         &mut self,
         store: &StoreReplica,
@@ -45,15 +47,16 @@
                 continue;
             }
             let restarted = live.process_of(&process.node);
-            let Some(successor) = restarted.or_else(|| self.fewest_teams(live, peers)) else {
+            let Some(successor) = restarted.or_else(|| self.process_with_fewest_teams(live, peers))
+            else {
                 continue;
             };
             tracing::info!(
                 failed = %process.node,
                 successor = %successor.node,
-                "shard fails over"
+                "shard reassigned after the failure of its owner"
             );
-            // The lease has expired as of this version of the process's key.
+            // The lease was found expired at this version of the process's key.
             let registered = store.node(&process.node).map_or(0, |stored| stored.version);
             preconditions.push(precondition(&node_key(&process.node), registered));
             self.fail_over_shard(&process, &successor, unresponsive, live);
@@ -61,35 +64,37 @@
         preconditions
     }
 
-    /// Gives the configured teams that have no owner to the controllers with the fewest teams.
+    /// Assigns each configured team without an owner to the controller with the fewest teams.
     fn assign_unowned_teams(&mut self, live: &LiveProcesses, peers: &Peers) {
         let owned = &self.editor.owners().teams;
         let configured = self.config.deployment.teams.iter().map(|team| &team.name);
         let unowned = configured.filter(|team| !owned.contains_key(*team));
         for team in unowned.cloned().collect::<Vec<Team>>() {
-            if let Some(process) = self.fewest_teams(live, peers) {
+            if let Some(process) = self.process_with_fewest_teams(live, peers) {
                 self.assign_team(&team, &process);
             }
         }
     }
 
-    /// Processes that own teams or machines and are no longer registered.
+    /// Processes that own teams or machines and are no longer registered in the store.
     fn failed_owners(&self, live: &LiveProcesses) -> BTreeSet<ProcessId> {
         let owners = self.editor.owners().owning_processes().into_iter();
         owners.filter(|process| !live.contains(process)).collect()
     }
 
-    /// The process of the controller with the fewest teams, among those that answer if any does.
-    fn fewest_teams(&self, live: &LiveProcesses, peers: &Peers) -> Option<ProcessId> {
+    /// The process of the controller with the fewest teams. Controllers that are not suspected of a failure
+    /// are preferred if the features enable actions on detected failures.
+    fn process_with_fewest_teams(&self, live: &LiveProcesses, peers: &Peers) -> Option<ProcessId> {
         let acts_on_failures = self.config.features.acts_on_failures();
-        let silent = |node: &Node| acts_on_failures && peers.detector().stage(node) != Stage::Alive;
+        let is_suspected =
+            |node: &Node| acts_on_failures && peers.detector().stage(node) != Stage::Alive;
         let node = live
             .nodes()
-            .min_by_key(|node| (silent(node), self.team_count(node)))?;
+            .min_by_key(|node| (is_suspected(node), self.team_count(node)))?;
         live.process_of(node)
     }
 
-    /// Gives all teams and machines of a failed process to its successor.
+    /// Reassigns all teams and machines of a failed process to its successor.
     fn fail_over_shard(
         &mut self,
         failed: &ProcessId,
@@ -122,16 +127,16 @@
     }
 }
 
-/// What the next owner of a failed process's machine has to know.
+/// Determines what the next owner of a failed process's machine needs to know about former owners.
 fn failed_over_machine(
     id: &MachineId,
     owner: &ShardOwner,
     unresponsive: &UnresponsiveMachines,
     live: &LiveProcesses,
 ) -> FailedOverMachine {
-    // The failed process had said that it no longer answers the machine, so no other owner does either.
+    // If the failed process had declared the machine unresponsive, no process answers it any more.
     let previous_token = unresponsive.answered(id, owner.token).map(|_| owner.token);
-    // Otherwise the process it had the machine from, if live, may still have to release it.
+    // Otherwise the owner before the failed process, if live, may still have to release the machine.
     let previous_owner = owner
         .previous_owner
         .clone()
--- a/src/core/leader/grants.rs
+++ b/src/core/leader/grants.rs
@@ -1,4 +1,5 @@
-//! Since when the owners of each team have kept to grants of its limits; the shard map says so.
+//! Maintains the shard map's record of the fencing token since which all owners of a team have respected the
+//! grants of its limits.
 
 use crate::core::leader::Leader;
 use crate::core::model::process::ProcessId;
@@ -9,7 +10,7 @@
 use std::collections::BTreeSet;
 
 impl Leader {
-    /// Notes the live processes that keep to grants; none, unless all of them do.
+    /// Updates the set of live processes that respect grants; it is empty unless every live process does.
     pub(crate) fn update_grant_keepers(&mut self, store: &StoreReplica) {
         let records = store.nodes().values().map(|stored| &stored.record);
         let all_keep_grants = records.clone().all(|record| record.keeps_grants);
@@ -22,21 +23,22 @@
         };
     }
 
-    /// Notes for teams without such a note that their owners keep to grants, from the owners' tokens on.
+    /// Records for each team without an entry that grants are respected since its present owner's token,
+    /// provided that the owner respects them.
     pub(super) fn record_grants_kept_since(&mut self) {
         let owners = self.editor.owners();
-        let unnoted = owners.teams.iter().filter(|(team, owner)| {
+        let unrecorded = owners.teams.iter().filter(|(team, owner)| {
             !owners.grants_kept_since.contains_key(*team) && self.keeps_grants(owner)
         });
-        let unnoted: Vec<(Team, FencingToken)> = unnoted
+        let unrecorded: Vec<(Team, FencingToken)> = unrecorded
             .map(|(team, owner)| (team.clone(), owner.token))
             .collect();
-        for (team, token) in unnoted {
+        for (team, token) in unrecorded {
             self.editor.set_grants_kept_since(&team, Some(token));
         }
     }
 
-    /// Whether the owner keeps to grants, as all other live processes do.
+    /// Whether the owner and all other live processes respect grants.
     pub(crate) fn keeps_grants(&self, owner: &ShardOwner) -> bool {
         are_on(&self.config) && self.grant_keepers.contains(&owner.process())
     }
--- a/src/core/leader/live_processes.rs
+++ b/src/core/leader/live_processes.rs
@@ -5,15 +5,16 @@
 use crate::ids::Node;
 use std::collections::BTreeMap;
 
-/// Controllers whose keys are in the store, each with the incarnation of its process, in order of their names.
+/// Registered controllers, each with the incarnation of its process, ordered by name.
 ///
-/// A key ends with its process's lease, so an owner that is not among them has failed or was restarted.
+/// A process's key disappears from the store when its lease ends. So an owner that is not registered has
+/// failed or was restarted.
 pub(super) struct LiveProcesses {
     incarnations: BTreeMap<Node, u64>,
 }
 
 impl LiveProcesses {
-    /// The processes registered as of this replica.
+    /// Reads the registered processes from the replica.
     pub(super) fn registered_in(store: &StoreReplica) -> Self {
         let registered = store.nodes().iter();
         Self {
@@ -23,17 +24,17 @@
         }
     }
 
-    /// How many there are.
+    /// Number of live processes.
     pub(super) fn count(&self) -> usize {
         self.incarnations.len()
     }
 
-    /// Whether there are none.
+    /// Whether no process is live.
     pub(super) fn is_empty(&self) -> bool {
         self.incarnations.is_empty()
     }
 
-    /// The controllers that have a live process.
+    /// The controllers that have a live process, ordered by name.
     pub(super) fn nodes(&self) -> impl Iterator<Item = &Node> {
         self.incarnations.keys()
     }
@@ -43,12 +44,12 @@
         self.incarnations.contains_key(node)
     }
 
-    /// Whether this very process is live.
+    /// Whether this process is live; false if its controller runs as another incarnation.
     pub(super) fn contains(&self, process: &ProcessId) -> bool {
         self.incarnations.get(&process.node) == Some(&process.incarnation)
     }
 
-    /// The live process of a controller.
+    /// The live process of a controller; None if it has none.
     pub(super) fn process_of(&self, node: &Node) -> Option<ProcessId> {
         let incarnation = self.incarnations.get(node)?;
         Some(ProcessId::new(node.clone(), *incarnation))
--- a/src/core/leader/machine_transfers.rs
+++ b/src/core/leader/machine_transfers.rs
@@ -1,7 +1,7 @@
 //! Transfers of machines from shards that can spare them to shards that lack some.
 //!
-//! They do not wait for the next round of [rebalancing](super::rebalance), since users wait meanwhile.
-//! Machines that no shard can spare are rented ([`super::scaling`]).
+//! Transfers do not wait for the periodic [rebalancing](super::rebalance), because queued tasks depend on
+//! them. Demand that no shard can meet leads to rentals ([`super::scaling`]).
 
 use crate::core::leader::Leader;
 use crate::core::leader::live_processes::LiveProcesses;
@@ -12,17 +12,17 @@
 use crate::wire::Priority;
 use std::collections::BTreeSet;
 
-/// Pause between two transfers of machines in use, in worker leases.
-const URGENT_MOVE_LEASES: f64 = 0.25;
+/// Interval between two transfers of machines in use, in worker leases.
+const URGENT_MOVE_INTERVAL_LEASES: f64 = 0.25;
 
 impl Leader {
-    /// Transfers machines to the shards that lack some; opportunistic work comes last.
+    /// Transfers machines to the shards that lack some; demands of opportunistic work are served last.
     pub(super) fn serve_machine_demands(&mut self, live: &LiveProcesses, now: Time) {
         self.serve_demands_where(live, now, |demand| !demand.opportunistic);
         self.serve_demands_where(live, now, |demand| demand.opportunistic);
     }
 
-    /// Serves all shards' demands of one sort, as far as other shards have machines for them.
+    /// Serves the demands that satisfy `is_served`, as far as other shards can spare machines for them.
     fn serve_demands_where(
         &mut self,
         live: &LiveProcesses,
@@ -55,7 +55,7 @@
         self.remove_transferred(&transferred);
     }
 
-    /// Transfers machines to `node` until the demand is served or no other shard has one for it.
+    /// Transfers machines to `node` until the demand is met or no other shard has a suitable machine.
     fn serve_demand(
         &mut self,
         demand: &mut MachineDemand,
@@ -67,7 +67,7 @@
     ) {
         while demand.count > 0 {
             let found = pool.take_for(demand, node);
-            let Some(spare) = found.or_else(|| self.take_in_use(demand, node, now)) else {
+            let Some(spare) = found.or_else(|| self.take_machine_in_use(demand, node, now)) else {
                 return;
             };
             self.reassign_machine(&spare.id, &spare.owner, node, live);
@@ -76,14 +76,15 @@
         }
     }
 
-    /// All machines that shards can spare at present.
+    /// Collects the machines that shards can spare. Leaves out machines that are to be returned, that have
+    /// another owner by now, or whose kind is unknown.
     fn spare_pool(&self) -> SparePool {
         let mut pool = SparePool::default();
         for (node, demand) in &self.demands {
             let usable = |ids: &[MachineId]| -> Vec<(MachineId, MachineOffer)> {
                 let owned = ids
                     .iter()
-                    .filter(|id| !self.cloud.is_released(id) && self.owns_machine(node, id));
+                    .filter(|id| !self.cloud.is_release_pending(id) && self.owns_machine(node, id));
                 owned
                     .filter_map(|id| Some((id.clone(), self.cloud.offer_of(id)?.clone())))
                     .collect()
@@ -96,9 +97,10 @@
         pool
     }
 
-    /// A machine in use with enough free GPUs, if the cloud has no capacity either, and if nothing as urgent
-    /// is queued in its own shard. One at a time: the effect of the transfer has to be seen before the next.
-    fn take_in_use(
+    /// Picks a machine in use with enough free GPUs for an urgent demand that the cloud has no capacity for.
+    /// The machine's own shard must have only less urgent demands. Machines in use are transferred one at a
+    /// time, because the effect of a transfer has to show before the next one.
+    fn take_machine_in_use(
         &mut self,
         demand: &MachineDemand,
         to: &Node,
@@ -109,14 +111,15 @@
         if now < self.next_urgent_move || !on_demand.all(|offer| self.cloud.is_unavailable(offer)) {
             return None;
         }
-        let found = self.most_free_gpus(demand, to, urgency)?;
-        self.next_urgent_move = now + self.config.deployment.workers.lease_s * URGENT_MOVE_LEASES;
+        let found = self.machine_with_most_free_gpus(demand, to, urgency)?;
+        self.next_urgent_move =
+            now + self.config.deployment.workers.lease_s * URGENT_MOVE_INTERVAL_LEASES;
         Some(found)
     }
 
-    /// The acceptable machine with the most free GPUs, in another shard than `to` that has only less urgent
-    /// demands.
-    fn most_free_gpus(
+    /// The acceptable machine with the most free GPUs, among the shards other than `to` that have only less
+    /// urgent demands.
+    fn machine_with_most_free_gpus(
         &self,
         demand: &MachineDemand,
         to: &Node,
@@ -145,7 +148,7 @@
         })
     }
 
-    /// Gives a machine of one live controller to another one.
+    /// Reassigns a machine from one live controller to another.
     pub(super) fn reassign_machine(
         &mut self,
         id: &MachineId,
@@ -153,13 +156,13 @@
         to: &Node,
         live: &LiveProcesses,
     ) {
-        tracing::info!(machine = %id, %from, %to, "machine moves to another shard");
+        tracing::info!(machine = %id, %from, %to, "machine reassigned to another shard");
         if let Some(to) = live.process_of(to) {
             self.assign_machine(id, &to, live.process_of(from));
         }
     }
 
-    /// Removes transferred machines from what their former shards can spare.
+    /// Removes transferred machines from the reports of what shards can spare.
     pub(super) fn remove_transferred(&mut self, transferred: &BTreeSet<MachineId>) {
         if !transferred.is_empty() {
             for demand in self.demands.values_mut() {
@@ -169,7 +172,7 @@
     }
 }
 
-/// Whether all demands of a shard, but those of opportunistic work, are less urgent than this.
+/// Whether all demands of a shard are less urgent than this; demands of opportunistic work don't count.
 fn has_only_less_urgent_demands(demand: &CapacityDemand, urgency: Priority) -> bool {
     let demands = demand.machine_demands.iter();
     demands
--- a/src/core/leader/map_writer.rs
+++ b/src/core/leader/map_writer.rs
@@ -13,45 +13,49 @@
 use crate::wire::{BODY_LIMIT, Precondition, Transaction, Write};
 use std::collections::BTreeMap;
 
-/// Bytes of values after which a transaction takes no further one: with the last value and the preconditions
-/// it stays within the limit on bodies, beyond which the store would reject it every time.
-const VALUE_BYTES: usize = BODY_LIMIT / 2;
+/// Size of a transaction's values, in bytes, at which no further value is added. The last value and the
+/// preconditions then still fit into the limit on bodies; the store rejects any larger transaction.
+const VALUE_BYTES_PER_WRITE: usize = BODY_LIMIT / 2;
 
-/// KiB of one machine and its owner, below which smaller values help nothing.
-const LEAST_VALUE_KB: f64 = 0.25;
+/// Smallest limit on one value, in KiB. A value with a single machine and its owner can't be split further.
+const MIN_VALUE_KB: f64 = 0.25;
 
-/// Pauses after a write, as the time that so many writes take at the store's permitted rate. After a success
-/// the rest of the rate is left to other writes.
-const WRITES_AFTER_SUCCESS: f64 = 6.0;
+/// Pause after a successful write, as the number of writes that the permitted rate allows in that time. It
+/// leaves the rest of the rate to other writes.
+const PAUSE_WRITES_AFTER_SUCCESS: f64 = 6.0;
 
-/// After a conflict nothing has changed, and machines whose leases expire may be waiting: a short pause.
-const WRITES_AFTER_CONFLICT: f64 = 3.0;
+/// Pause after a conflict, in writes at the permitted rate. It is short, because nothing was written and
+/// machines whose leases are about to expire may depend on the write.
+const PAUSE_WRITES_AFTER_CONFLICT: f64 = 3.0;
 
-/// After a rejection the smaller write that follows may be rejected as well.
-const WRITES_AFTER_REJECTION: f64 = 50.0;
+/// Pause after a rejection, in writes at the permitted rate. It is long, because the smaller write that
+/// follows may be rejected as well.
+const PAUSE_WRITES_AFTER_REJECTION: f64 = 50.0;
 
-/// After any other failure the outcome is unknown, and has to be read first.
-const WRITES_AFTER_UNKNOWN_OUTCOME: f64 = 12.0;
+/// Pause after any other failure, in writes at the permitted rate. The outcome is unknown and has to be read
+/// first.
+const PAUSE_WRITES_AFTER_UNKNOWN_OUTCOME: f64 = 12.0;
 
 /// Writes the changes of a [`ShardMapEditor`], one transaction at a time.
 pub(super) struct MapWriter {
-    /// The stored versions that the editor's copy continues. The replica's versions would be wrong as
-    /// preconditions: a write with unknown outcome may show up there late, and the next write would undo it.
+    /// The versions of the stored values on which the editor's copy is based; the preconditions of writes.
+    /// The replica's versions would be wrong: it may receive a write with unknown outcome late, and the next
+    /// write would undo that one.
     stored_versions: BTreeMap<String, Version>,
-    /// Limit on one value: the configured one, less where the store rejected more.
+    /// Limit on the size of one value in KiB: the configured limit, halved at each rejection.
     value_kb: f64,
-    /// Limit on the values of one transaction: the configured one, less where the store rejected more.
+    /// Limit on the number of values in one transaction: the configured limit, halved at each rejection.
     values_per_write: usize,
-    /// Writes a second that the store permits to one controller.
+    /// Writes per second that the store permits to one controller.
     writes_per_s: f64,
     write_in_flight: bool,
     next_write: Time,
-    /// The stored map may differ from the editor's copy: a write failed or its outcome is unknown.
+    /// The stored map may differ from the editor's copy, because a write failed or its outcome is unknown.
     must_reload: bool,
 }
 
 impl MapWriter {
-    /// Continues from what the replica knows as stored.
+    /// Starts from the stored versions that the replica holds.
     pub(super) fn new(config: &Config, store: &StoreReplica, now: Time) -> Self {
         let limits = &config.deployment.state;
         Self {
@@ -65,17 +69,18 @@
         }
     }
 
-    /// Whether a write has been sent and not answered.
+    /// Whether a write was sent and its reply is outstanding.
     pub(super) fn write_in_flight(&self) -> bool {
         self.write_in_flight
     }
 
-    /// Whether the next write may be sent now.
+    /// Whether the next write may be sent now: none is in flight, the pause after the last one is over and
+    /// the outbox permits writes.
     pub(super) fn may_write(&self, outbox: &Outbox) -> bool {
         !self.write_in_flight && outbox.now >= self.next_write && outbox.may_write()
     }
 
-    /// Reloads the editor from the replica if a failed write may have left it different from the store.
+    /// Reloads the editor from the replica if its copy may differ from the stored map.
     pub(super) fn reload_if_needed(&mut self, editor: &mut ShardMapEditor, store: &StoreReplica) {
         if std::mem::take(&mut self.must_reload) {
             editor.reload(store.map(), self.value_kb);
@@ -83,8 +88,8 @@
         }
     }
 
-    /// Sends what the editor has changed, if it has. The leader key, at the version under which this process
-    /// leads, and the replaced values are added to the preconditions.
+    /// Sends the editor's changes as one transaction; does nothing if there are none. Adds preconditions on
+    /// the leader key's version and on the versions of the replaced values.
     pub(super) fn write(
         &mut self,
         outbox: &mut Outbox,
@@ -92,7 +97,7 @@
         leader_version: Version,
         mut preconditions: Vec<Precondition>,
     ) {
-        let values = editor.take_dirty(self.values_per_write, VALUE_BYTES);
+        let values = editor.take_dirty(self.values_per_write, VALUE_BYTES_PER_WRITE);
         if values.is_empty() {
             return;
         }
@@ -115,8 +120,8 @@
         outbox.state(pending, StoreCall::Commit(transaction));
     }
 
-    /// Takes in the outcome of a write, and decides when the next may follow.
-    pub(super) fn written(
+    /// Handles the reply to a write and schedules the earliest time of the next one.
+    pub(super) fn handle_reply(
         &mut self,
         outbox: &mut Outbox,
         store: &mut StoreReplica,
@@ -125,27 +130,28 @@
     ) {
         self.write_in_flight = false;
         if let StoreReply::Committed(version) = reply {
-            self.next_write = outbox.now + WRITES_AFTER_SUCCESS / self.writes_per_s;
-            self.apply(store, writes, *version);
+            self.next_write = outbox.now + PAUSE_WRITES_AFTER_SUCCESS / self.writes_per_s;
+            self.apply_committed(store, writes, *version);
             store.want_sync();
             return;
         }
         store.want_sync();
-        // What is stored is not known: continue from what the next sync shows.
+        // The stored map is unknown: the editor is reloaded from the replica before the next write.
         self.must_reload = true;
         let pause_writes = match reply {
-            StoreReply::Conflict => WRITES_AFTER_CONFLICT,
+            StoreReply::Conflict => PAUSE_WRITES_AFTER_CONFLICT,
             StoreReply::Rejected => {
                 self.reduce_limits();
-                WRITES_AFTER_REJECTION
+                PAUSE_WRITES_AFTER_REJECTION
             }
-            _ => WRITES_AFTER_UNKNOWN_OUTCOME,
+            _ => PAUSE_WRITES_AFTER_UNKNOWN_OUTCOME,
         };
         self.next_write = outbox.now + outbox.jitter(pause_writes / self.writes_per_s);
     }
 
-    /// Takes committed values into the replica, and their version as the precondition of the next write.
-    fn apply(&mut self, store: &mut StoreReplica, writes: &[Write], version: Version) {
+    /// Applies committed writes to the replica and remembers their version for the next write's
+    /// preconditions.
+    fn apply_committed(&mut self, store: &mut StoreReplica, writes: &[Write], version: Version) {
         for write in writes {
             store.apply_write(write, version);
             if let Write::Put { key, .. } = write {
@@ -154,14 +160,14 @@
         }
     }
 
-    /// Halves the limits on values and transactions: the store would reject the same write again.
+    /// Halves the limits on values and transactions, because the store would reject the same write again.
     fn reduce_limits(&mut self) {
-        self.value_kb = (self.value_kb * 0.5).max(LEAST_VALUE_KB);
+        self.value_kb = (self.value_kb * 0.5).max(MIN_VALUE_KB);
         self.values_per_write = (self.values_per_write / 2).max(1);
         tracing::error!(
             values_per_write = self.values_per_write,
             value_kb = self.value_kb,
-            "store rejected a write of the shard map: its limits are reduced"
+            "store rejected a shard map write: later writes are smaller"
         );
     }
 }
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -1,9 +1,9 @@
 //! The leader: the controller that acts for the whole fleet.
 //!
-//! It keeps the shard map: it gives teams and machines to live controllers (`assignment`), fails over the
-//! shards of failed ones (`failover`), moves machines between shards (`rebalance`, `machine_transfers`)
-//! and writes the map under new fencing tokens (`map_writer`). It also rents and returns machines
-//! (`scaling`).
+//! The leader maintains the shard map. It assigns teams and machines to live controllers (`assignment`),
+//! fails over the shards of failed controllers (`failover`), moves machines between shards (`rebalance`,
+//! `machine_transfers`, `claims`) and writes the map to the store (`map_writer`). It also rents machines from
+//! the cloud and returns them (`scaling`).
 
 mod assignment;
 mod claims;
@@ -42,39 +42,40 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// The state of a process that leads, for as long as it leads under one version of the leader key.
+/// The leader's state. It lasts as long as the process holds the leader key at one version.
 pub struct Leader {
     config: Rc<Config>,
-    /// Version of the leader key under which this process leads.
+    /// Version of the leader key under which this process became leader.
     key_version: Version,
-    /// When this process began to lead.
-    started: Time,
+    /// When this process became leader.
+    leading_since: Time,
     editor: ShardMapEditor,
     map_writer: MapWriter,
-    /// Fencing tokens given out in this turn, by the processes that gained something under them.
+    /// Fencing tokens issued during the current call of [`Leader::advance`], by the process that received
+    /// each.
     turn_tokens: BTreeMap<ProcessId, FencingToken>,
-    /// What each controller's shard lacks and can spare, as last reported.
+    /// The latest report of each controller on the machines that its shard lacks or can spare.
     demands: BTreeMap<Node, CapacityDemand>,
-    /// Machines that have reported and are not in the shard map.
+    /// Machines that have sent a heartbeat and are not in the shard map yet.
     unassigned_machines: BTreeMap<MachineId, MachineOffer>,
-    /// Live processes that keep to grants of team limits; empty unless all of them do.
+    /// Live processes that respect the grants of team limits; empty unless every live process does.
     grant_keepers: BTreeSet<ProcessId>,
-    /// When the next round of rebalancing is due.
-    next_round: Time,
-    /// Machines that were claimed, and when: they can't reach their former owners.
+    /// When the next periodic rebalancing is due.
+    next_rebalance: Time,
+    /// When each machine was reassigned after a claim; such a machine can't reach its former owner.
     claimed: BTreeMap<MachineId, Time>,
-    /// When a machine in use may next be moved for queued tasks.
+    /// Earliest time at which the next machine in use may be transferred for queued tasks.
     next_urgent_move: Time,
     cloud: CloudRequests,
     zone_contact: ZoneContact,
-    /// When rentals and returns are planned next.
-    next_scaling: Time,
-    /// This process was paused and has not yet learned what happened meanwhile.
+    /// When rentals and returns are next planned.
+    next_scaling_plan: Time,
+    /// This process was paused and its state may still be stale; scaling waits until it has caught up.
     catching_up: bool,
 }
 
 impl Leader {
-    /// Begins to lead under this version of the leader key, with the shard map that the replica holds.
+    /// Creates the leader for this version of the leader key, starting from the replica's shard map.
     pub fn new(config: &Rc<Config>, key_version: Version, store: &StoreReplica, now: Time) -> Self {
         let value_kb = config.deployment.state.value_kb;
         let editor = ShardMapEditor::new(key_version, store.map(), value_kb);
@@ -82,55 +83,55 @@
         Self {
             config: config.clone(),
             key_version,
-            started: now,
+            leading_since: now,
             editor,
             map_writer: MapWriter::new(config, store, now),
             turn_tokens: BTreeMap::new(),
             demands: BTreeMap::new(),
             unassigned_machines: BTreeMap::new(),
             grant_keepers: BTreeSet::new(),
-            next_round: now,
+            next_rebalance: now,
             claimed: BTreeMap::new(),
             next_urgent_move: now,
             cloud: CloudRequests::new(config, key_version, now, fresh_deployment),
             zone_contact: ZoneContact::default(),
-            next_scaling: now,
+            next_scaling_plan: now,
             catching_up: false,
         }
     }
 
-    /// Version of the leader key under which this process leads.
+    /// Version of the leader key under which this process became leader.
     pub fn key_version(&self) -> Version {
         self.key_version
     }
 
-    /// Whether the leader key is to be claimed anew, since the fencing tokens under it are running out.
+    /// Whether the leader key should be claimed again because few fencing tokens are left under its version.
     pub fn tokens_running_low(&self) -> bool {
         self.editor.tokens_running_low() && !self.map_writer.write_in_flight()
     }
 
-    /// Uses up a fencing token.
+    /// Consumes a fencing token without assigning anything under it.
     #[cfg(test)]
     pub(crate) fn consume_token(&mut self) -> Option<FencingToken> {
         self.editor.next_token()
     }
 
-    /// Machine offers for which the cloud has no capacity at present.
+    /// Offers that can't be rented at present: the cloud has no capacity or the zone is unreachable.
     pub fn unavailable_offers(&self) -> BTreeSet<MachineOffer> {
         self.cloud.unavailable_offers()
     }
 
-    /// Sets what a controller's shard lacks and can spare.
+    /// Replaces the report on the machines that a controller's shard lacks or can spare.
     pub fn set_demand(&mut self, node: &Node, demand: CapacityDemand) {
         self.demands.insert(node.clone(), demand);
     }
 
-    /// Sets whether this process was paused and has not yet learned what happened meanwhile.
+    /// Sets whether this process was paused and its state may still be stale.
     pub fn set_catching_up(&mut self, catching_up: bool) {
         self.catching_up = catching_up;
     }
 
-    /// Notes a machine that has reported; it gets an owner if it is not in the shard map.
+    /// Queues the sender of a heartbeat for assignment, unless the shard map already lists it.
     pub fn add_unassigned_machine(&mut self, heartbeat: &Heartbeat) {
         let machines = &self.editor.owners().machines;
         if !machines.contains_key(&heartbeat.machine) {
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Does all that is due: changes the shard map and sends requests to the cloud.
+    /// Performs all work that is due: updates the shard map, plans scaling and sends requests to the cloud.
     pub fn advance(
         &mut self,
         outbox: &mut Outbox,
@@ -177,15 +178,16 @@
         self.cloud.send_due(outbox);
     }
 
-    /// Whether the shard map may change: a fresh deployment waits for its controllers, so that the shards
-    /// start equal, but not longer than a lease.
+    /// Whether the shard map may change. A fresh deployment waits until all its controllers are registered,
+    /// so that the shards start equal, but at most for one ownership lease.
     fn may_assign(&self, live: &LiveProcesses, ownership: &OwnershipLease, now: Time) -> bool {
         live.count() >= self.config.controllers()
             || !self.editor.owners().teams.is_empty()
-            || now > self.started + ownership.ttl()
+            || now > self.leading_since + ownership.ttl()
     }
 
-    /// Takes in the outcome of a write of the shard map.
+    /// Handles the store's reply to a write of the shard map. A reply to a write under another version of the
+    /// leader key is ignored.
     pub fn handle_map_reply(
         &mut self,
         outbox: &mut Outbox,
@@ -194,7 +196,8 @@
         reply: &StoreReply,
     ) {
         if write.term == self.key_version {
-            self.map_writer.written(outbox, store, &write.writes, reply);
+            self.map_writer
+                .handle_reply(outbox, store, &write.writes, reply);
         }
     }
 }
--- a/src/core/leader/pending_machines.rs
+++ b/src/core/leader/pending_machines.rs
@@ -1,4 +1,4 @@
-//! Machines that were rented and have not reported yet.
+//! Rented machines that have not sent a heartbeat yet.
 
 use crate::core::messages::capacity_demand::MachineOffer;
 use crate::core::model::time::Time;
@@ -6,30 +6,30 @@
 use crate::ids::{MachineId, Node};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Machines that take this many times their boot time are given up and returned.
-const OVERDUE_BOOTS: f64 = 3.5;
+/// Multiple of its boot time after which a machine without a heartbeat is returned.
+const OVERDUE_BOOT_TIMES: f64 = 3.5;
 
-/// Machines that take this many times their boot time are late; most are ready before that.
-const LATE_BOOTS: f64 = 1.6;
+/// Multiple of its boot time after which a machine is late; most machines are ready before that.
+const LATE_BOOT_TIMES: f64 = 1.6;
 
-/// Late machines in whose place others are rented: so many, or [`REPLACED_LATE_FRACTION`] of them if that is
-/// more. Where most are late, others would be late as well.
-const REPLACED_LATE: usize = 2;
+/// Number of late machines that are replaced by new rentals, or [`REPLACED_FRACTION`] of them if that is
+/// more. If most machines are late, their replacements would be late as well.
+const MIN_REPLACED_MACHINES: usize = 2;
 
-/// See [`REPLACED_LATE`].
-const REPLACED_LATE_FRACTION: f64 = 0.25;
+/// Fraction of the late machines that are replaced, if that is more than [`MIN_REPLACED_MACHINES`].
+const REPLACED_FRACTION: f64 = 0.25;
 
-/// A machine that was rented and has not reported yet.
+/// A rented machine that has not sent a heartbeat yet.
 pub(super) struct PendingMachine {
-    /// Its kind.
+    /// The offer under which it was rented.
     pub(super) offer: MachineOffer,
-    /// When it was rented.
+    /// When it was rented; derived from its age if it is known only from the cloud's list.
     pub(super) rented: Time,
-    /// The controller it was rented for, if known.
+    /// The controller for which it was rented; None if it is known only from the cloud's list.
     pub(super) node: Option<Node>,
 }
 
-/// All such machines.
+/// All rented machines that have not sent a heartbeat yet.
 #[derive(Default)]
 pub(super) struct PendingMachines {
     machines: BTreeMap<MachineId, PendingMachine>,
@@ -41,20 +41,20 @@
         self.machines.insert(id, machine);
     }
 
-    /// Adds a machine found in the cloud's list, unless it is known already.
+    /// Adds a machine from the cloud's list, unless it is known already.
     pub(super) fn add_listed(&mut self, id: MachineId, machine: PendingMachine) {
         self.machines.entry(id).or_insert(machine);
     }
 
-    /// Removes a machine that has reported or was returned.
+    /// Removes a machine that has sent a heartbeat or was returned.
     pub(super) fn remove(&mut self, id: &MachineId) -> Option<PendingMachine> {
         self.machines.remove(id)
     }
 
-    /// Machines that are so late that they are to be returned.
+    /// Machines that are so late that they should be returned.
     pub(super) fn overdue(&self, catalog: &Catalog, now: Time) -> impl Iterator<Item = &MachineId> {
         let overdue = move |pending: &PendingMachine| {
-            now - pending.rented > catalog.boot_s(&pending.offer.type_name) * OVERDUE_BOOTS
+            now - pending.rented > catalog.boot_s(&pending.offer.type_name) * OVERDUE_BOOT_TIMES
         };
         let machines = self.machines.iter();
         machines
@@ -62,7 +62,7 @@
             .map(|(id, _)| id)
     }
 
-    /// Machines that are expected to report in time: all but those in whose place others are rented.
+    /// Machines that count as future capacity: all except the late ones that are replaced.
     pub(super) fn expected(
         &self,
         catalog: &Catalog,
@@ -75,12 +75,12 @@
             .map(|(_, pending)| pending)
     }
 
-    /// Late machines that no longer count as expected, so that others are rented in their place: some never
-    /// become ready, and tasks would wait for them for several boot times. If they do report they are used
-    /// or returned as any other.
+    /// Late machines that no longer count as expected, so that others are rented in their place. Some
+    /// machines never become ready, and tasks would wait for them for several boot times. A replaced machine
+    /// that does send a heartbeat is used or returned like any other.
     fn replaced(&self, catalog: &Catalog, now: Time) -> BTreeSet<MachineId> {
         let is_late = |pending: &PendingMachine| {
-            now - pending.rented > catalog.boot_s(&pending.offer.type_name) * LATE_BOOTS
+            now - pending.rented > catalog.boot_s(&pending.offer.type_name) * LATE_BOOT_TIMES
         };
         let machines = self.machines.iter();
         let mut late: Vec<(&MachineId, Time)> = machines
@@ -93,14 +93,14 @@
     }
 }
 
-/// How many of so many late machines are replaced.
+/// Number of machines to replace, given the number of late ones.
 #[expect(
     clippy::cast_possible_truncation,
-    reason = "a fraction of a count is a count again"
+    reason = "a rounded fraction of a count fits into the type of the count"
 )]
 fn replaced_count(late: usize) -> usize {
-    let part = (late as f64 * REPLACED_LATE_FRACTION).ceil() as usize;
-    part.max(REPLACED_LATE)
+    let part = (late as f64 * REPLACED_FRACTION).ceil() as usize;
+    part.max(MIN_REPLACED_MACHINES)
 }
 
 #[cfg(test)]
--- a/src/core/leader/pending_machines/tests.rs
+++ b/src/core/leader/pending_machines/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::core::test_support::types;
 
-/// `count` machines that boot in 10 s, rented at these moments one after the other.
+/// Pending machines `m-0`, `m-1`, …, rented at these times; their type boots in 10 s.
 fn rented_at(moments: &[Time]) -> PendingMachines {
     let mut machines = PendingMachines::default();
     for (number, &rented) in moments.iter().enumerate() {
@@ -16,9 +16,10 @@
     machines
 }
 
-/// Tasks once waited for a machine that never became ready until it was given up, several boot times later.
+/// Guards against tasks that wait for a machine that never becomes ready until it is returned, several boot
+/// times later.
 #[test]
-fn a_late_machine_is_replaced_after_the_usual_time() {
+fn a_machine_is_replaced_once_it_is_late() {
     let catalog = Catalog::with_types(types());
     let machines = rented_at(&[0.0, 10.0]);
     assert!(machines.replaced(&catalog, 15.0).is_empty());
@@ -29,9 +30,9 @@
     assert_eq!(machines.replaced(&catalog, 27.0).len(), 2);
 }
 
-/// While all machines are late, renting each anew would only rent twice.
+/// Guards against renting twice the machines that are needed while all machines boot slowly.
 #[test]
-fn of_many_late_machines_a_part_is_replaced() {
+fn only_a_fraction_of_many_late_machines_is_replaced() {
     let catalog = Catalog::with_types(types());
     let machines = rented_at(&[0.0; 40]);
     assert_eq!(machines.replaced(&catalog, 17.0).len(), 10);
--- a/src/core/leader/rebalance.rs
+++ b/src/core/leader/rebalance.rs
@@ -1,34 +1,34 @@
-//! Rebalancing of the shards, in rounds: teams are spread evenly over the controllers, controllers without a
-//! team give up their machines, and one machine moves from the shard with the least queued work to the one
-//! with the most.
+//! Periodic rebalancing of the shards: teams are spread evenly over the controllers, the machines of
+//! controllers without a team are redistributed, and one machine moves from the shard with the least queued
+//! work to the shard with the most.
 
 use crate::core::leader::Leader;
 use crate::core::leader::live_processes::LiveProcesses;
 use crate::core::model::time::Time;
 use crate::ids::{MachineId, Node, Team};
 
-/// Seconds between rounds of rebalancing.
-const ROUND_S: Time = 30.0;
+/// Seconds between two periodic rebalancings.
+const REBALANCE_INTERVAL_S: Time = 30.0;
 
 impl Leader {
-    /// Removes returned machines from the shard map, moves machines to shards that lack some, and does a round
-    /// of rebalancing if one is due.
+    /// Removes returned machines from the shard map, transfers machines to shards that lack some, and
+    /// performs the periodic rebalancing if it is due.
     pub(super) fn rebalance(&mut self, live: &LiveProcesses, now: Time) {
         for id in self.cloud.take_returned() {
             self.editor.remove_machine(&id);
         }
         self.serve_machine_demands(live, now);
-        if now < self.next_round {
+        if now < self.next_rebalance {
             return;
         }
-        self.next_round = now + ROUND_S;
+        self.next_rebalance = now + REBALANCE_INTERVAL_S;
         self.balance_teams(live);
         self.redistribute_teamless_shards(live);
-        self.move_to_longest_queue(live);
+        self.move_machine_to_longest_queue(live);
     }
 
-    /// Moves a team from the controller with the most to the one with the fewest, such as a controller that
-    /// came back; the team's tasks keep running where they are.
+    /// Moves one team from the controller with the most teams to the one with the fewest, such as a restarted
+    /// controller. The team's tasks keep running on their machines.
     fn balance_teams(&mut self, live: &LiveProcesses) {
         let most = live.nodes().max_by_key(|node| self.team_count(node));
         let fewest = live.nodes().min_by_key(|node| self.team_count(node));
@@ -40,13 +40,13 @@
         }
         let team = self.team_without_queue(most);
         if let (Some(team), Some(to)) = (team, live.process_of(fewest)) {
-            tracing::info!(%team, from = %most, to = %fewest, "team moves to another shard");
+            tracing::info!(%team, from = %most, to = %fewest, "team reassigned to another shard");
             self.assign_team(&team, &to);
         }
     }
 
-    /// A team of this controller that has nothing queued: queued tasks would wait longer while the new owner
-    /// learns what runs where.
+    /// A team of this controller that has no queued tasks. Queued tasks would be delayed while the new owner
+    /// learns which tasks run on which machines.
     fn team_without_queue(&self, node: &Node) -> Option<Team> {
         let demand = self.demands.get(node)?;
         let mut teams = self.editor.owners().teams.iter();
@@ -56,8 +56,8 @@
         last.map(|(team, _)| team.clone())
     }
 
-    /// Spreads the machines of controllers without a team over those that have teams. A claimed machine stays:
-    /// it may not be able to reach another controller.
+    /// Distributes the machines of controllers without a team among controllers that have teams. A claimed
+    /// machine stays where it is, because it may be unable to reach another controller.
     fn redistribute_teamless_shards(&mut self, live: &LiveProcesses) {
         let with_teams = live.nodes().filter(|node| self.team_count(node) > 0);
         let with_teams: Vec<&Node> = with_teams.collect();
@@ -74,9 +74,8 @@
         }
     }
 
-    /// Moves one machine from the shard with the least queued work, if that has none, to the one with the most:
-    /// an idle machine, else the one with the most free GPUs.
-    fn move_to_longest_queue(&mut self, live: &LiveProcesses) {
+    /// Moves one machine from a shard without queued work to the shard with the most queued work.
+    fn move_machine_to_longest_queue(&mut self, live: &LiveProcesses) {
         let with_teams = live.nodes().filter(|node| self.team_count(node) > 0);
         let queues = with_teams.filter_map(|node| Some((node, self.demands.get(node)?.queued)));
         let queues: Vec<(&Node, f64)> = queues.collect();
@@ -92,14 +91,14 @@
         if *longest <= 0.0 || *shortest > 0.0 || to == from {
             return;
         }
-        if let Some(id) = self.machine_to_give(from) {
+        if let Some(id) = self.machine_to_move(from) {
             self.reassign_machine(&id, from, to, live);
             self.remove_transferred(&[id].into());
         }
     }
 
-    /// A machine that this controller can best do without.
-    fn machine_to_give(&self, node: &Node) -> Option<MachineId> {
+    /// The machine that this controller can best spare: an idle one, or else the one with the most free GPUs.
+    fn machine_to_move(&self, node: &Node) -> Option<MachineId> {
         let demand = self.demands.get(node)?;
         let idle = demand.spare_machines.iter();
         let with_free_gpus = demand.machines_with_free_gpus.iter().map(|(id, _)| id);
--- a/src/core/leader/scaling.rs
+++ b/src/core/leader/scaling.rs
@@ -1,4 +1,5 @@
-//! Scale out and scale in: which machines are rented since no shard can spare them, and which are returned.
+//! Scale out and scale in: rents machines that shards lack and no other shard can spare, and returns machines
+//! that are not needed or have failed.
 
 use crate::core::effects::CloudReply;
 use crate::core::effects::outbox::Outbox;
@@ -14,17 +15,18 @@
 use crate::ids::{Node, Zone};
 use std::collections::BTreeMap;
 
-/// Seconds between two plans of what is rented and returned.
+/// Seconds between two plans of rentals and returns.
 const PLAN_INTERVAL_S: Time = 1.0;
 
-/// A controller, and how many machines of one kind it lacks.
+/// The number of machines of one kind that a controller lacks.
 struct Shortage {
     node: Node,
     count: u32,
 }
 
 impl Leader {
-    /// Plans rentals and returns, if a plan is due and what it is based on is known.
+    /// Plans rentals and returns if a plan is due, the catalog is known and this process is not catching up
+    /// after a pause.
     pub(super) fn plan_scaling_when_due(
         &mut self,
         catalog: &Catalog,
@@ -32,20 +34,21 @@
         live: &LiveProcesses,
         now: Time,
     ) {
-        if now < self.next_scaling || !catalog.known() || self.catching_up {
+        if now < self.next_scaling_plan || !catalog.known() || self.catching_up {
             return;
         }
-        self.next_scaling = now + PLAN_INTERVAL_S;
-        self.note_unreachable_zones(catalog, unresponsive, now);
+        self.next_scaling_plan = now + PLAN_INTERVAL_S;
+        self.mark_unreachable_zones(catalog, unresponsive, now);
         self.plan_scale_in(catalog, now);
         if self.cloud.may_plan_rentals(now) {
             for (offer, shortages) in self.shortages(catalog, now, live) {
-                self.cloud.rent(&offer, &in_turn(&shortages));
+                self.cloud
+                    .queue_rentals(&offer, &nodes_round_robin(&shortages));
             }
         }
     }
 
-    /// Takes in the cloud's reply to a request.
+    /// Handles the cloud's reply to a request.
     pub fn handle_cloud_reply(
         &mut self,
         outbox: &mut Outbox,
@@ -53,11 +56,11 @@
         reply: CloudReply,
     ) {
         self.cloud
-            .replied(outbox, operation, reply, self.editor.owners());
+            .handle_reply(outbox, operation, reply, self.editor.owners());
     }
 
-    /// Offers in unreachable zones count as unavailable, as if the cloud had no capacity there.
-    fn note_unreachable_zones(
+    /// Marks all offers in unreachable zones as unavailable, as if the cloud had no capacity there.
+    fn mark_unreachable_zones(
         &mut self,
         catalog: &Catalog,
         unresponsive: &UnresponsiveMachines,
@@ -76,7 +79,7 @@
                         zone: zone.clone(),
                         spot,
                     };
-                    // Renewed with the next plan.
+                    // The plan that finds the mark expired sets it again.
                     self.cloud
                         .set_unavailable(offer, now + PLAN_INTERVAL_S * 2.0);
                 }
@@ -84,7 +87,7 @@
         }
     }
 
-    /// The machines of each zone, as far as their zones are known.
+    /// Counts the machines of each zone; machines whose kind is unknown are left out.
     fn machines_by_zone(
         &self,
         unresponsive: &UnresponsiveMachines,
@@ -96,22 +99,25 @@
             };
             let machines = zones.entry(offer.zone.clone()).or_default();
             machines.total += 1;
-            machines.silent += usize::from(unresponsive.answered(id, owner.token).is_some());
+            machines.unresponsive += usize::from(unresponsive.answered(id, owner.token).is_some());
         }
         zones
     }
 
-    /// Returns machines that did not become ready, that no shard needs, or that went silent.
+    /// Queues the return of machines that did not become ready, that no shard needs, or that stopped sending
+    /// heartbeats.
     fn plan_scale_in(&mut self, catalog: &Catalog, now: Time) {
-        self.cloud.release_overdue(catalog, now);
+        self.cloud.queue_overdue_releases(catalog, now);
         for demand in self.demands.values() {
-            self.cloud.release(demand.surplus_machines.iter().cloned());
-            self.cloud.release(demand.unheard_machines.iter().cloned());
+            self.cloud
+                .queue_releases(demand.surplus_machines.iter().cloned());
+            self.cloud
+                .queue_releases(demand.unheard_machines.iter().cloned());
         }
     }
 
-    /// Machines that shards lack beyond those that are expected, by kind; kinds that can't be rented at
-    /// present are left out.
+    /// Machines that shards lack beyond the expected ones, by kind. Kinds that can't be rented at present are
+    /// left out.
     fn shortages(
         &self,
         catalog: &Catalog,
@@ -127,10 +133,10 @@
             .expected(catalog, now)
             .filter(is_reachable)
             .collect();
-        // Expected machines that were rented for no shard in particular, or whose shard has no use for them
-        // any more, serve the first shard that lacks some.
-        let unclaimed = expected.iter().filter(|pending| pending.node.is_none());
-        let mut unclaimed = u32::try_from(unclaimed.count()).unwrap_or(u32::MAX);
+        // Expected machines that were rented for an unknown shard, or that their shard no longer needs, count
+        // for the first shard that lacks machines.
+        let unassigned = expected.iter().filter(|pending| pending.node.is_none());
+        let mut unassigned = u32::try_from(unassigned.count()).unwrap_or(u32::MAX);
         let mut shortages: BTreeMap<MachineOffer, Vec<Shortage>> = BTreeMap::new();
         for node in live.nodes() {
             let Some(demand) = self.demands.get(node) else {
@@ -138,10 +144,10 @@
             };
             let mut expected = expected_for(node, &expected);
             let lacking = subtract_expected(&demand.machine_demands, &mut expected);
-            unclaimed += expected.values().sum::<u32>();
+            unassigned += expected.values().sum::<u32>();
             for (offer, count) in lacking {
-                let served = count.min(unclaimed);
-                unclaimed -= served;
+                let served = count.min(unassigned);
+                unassigned -= served;
                 if count > served && !self.cloud.is_unavailable(offer) {
                     let shortage = Shortage {
                         node: node.clone(),
@@ -155,7 +161,7 @@
     }
 }
 
-/// The expected machines that were rented for this controller, by kind.
+/// Counts the expected machines that were rented for this controller, by kind.
 fn expected_for<'machines>(
     node: &Node,
     expected: &[&'machines PendingMachine],
@@ -169,8 +175,8 @@
     by_kind
 }
 
-/// How many machines of each kind are lacking beside the expected ones; a demand is served by expected
-/// machines of any acceptable kind, which are taken out of `expected`.
+/// Number of machines of each kind that are lacking beyond the expected ones. Expected machines of any
+/// acceptable kind serve a demand; they are subtracted from `expected`.
 fn subtract_expected<'demands>(
     demands: &'demands [MachineDemand],
     expected: &mut BTreeMap<&MachineOffer, u32>,
@@ -190,9 +196,9 @@
     lacking
 }
 
-/// One controller for each machine that is lacking. The controllers take turns, so that each gets some if
-/// the cloud has fewer.
-fn in_turn(shortages: &[Shortage]) -> Vec<Node> {
+/// One entry for each lacking machine: the controller that lacks it. The order is round-robin, so that every
+/// controller gets some machines if the cloud has too few.
+fn nodes_round_robin(shortages: &[Shortage]) -> Vec<Node> {
     let counts = shortages.iter().map(|shortage| shortage.count);
     let turns = 0..counts.max().unwrap_or(0);
     let in_turn = turns.flat_map(|turn| {
--- a/src/core/leader/shard_map_editor.rs
+++ b/src/core/leader/shard_map_editor.rs
@@ -1,10 +1,11 @@
-//! The leader's working copy of the shard map: which process owns which teams and machines, under which
-//! fencing token.
+//! The leader's working copy of the shard map, which records the owner and the fencing token of each team and
+//! machine.
 //!
-//! Only the leader writes the map, with the versions of its leader key and of the stored values as
-//! preconditions, and only on change. A machine is used only once it is in the stored map, so the map names
-//! every machine that may hold tasks. A fencing token is the leader key's revision with a counter of the
-//! leader's changes below it: it is never used twice, and rises with every change and every leader.
+//! Only the leader writes the map, and only values that changed. The versions of the leader key and of the
+//! replaced values are preconditions. A machine is used only after it is in the stored map, so the map lists
+//! every machine that may run tasks. A fencing token combines the leader key's version (high bits) with a
+//! counter of the leader's changes (low bits). It is never used twice, and increases with every change and
+//! every leader.
 
 mod machine_chunks;
 
@@ -15,35 +16,36 @@
 use crate::ids::{FencingToken, MachineId, Team, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Low bits of a fencing token, which count the changes under one version of the leader key.
+/// Number of low bits of a fencing token; they count the changes under one version of the leader key.
 const CHANGE_BITS: u32 = 16;
 
-/// Fraction of these changes after which the leader key is claimed anew, long before they run out.
+/// Fraction of the tokens of one leader key version after which the key is claimed again, long before they
+/// run out.
 const EXHAUSTED_FRACTION: f64 = 0.5;
 
-/// Bytes that a machine takes in a stored value at most: it may have an owner's record to itself.
+/// Most bytes that a machine takes in a stored value, including an owner record that no other machine shares.
 const MACHINE_BYTES: f64 = 150.0;
 
-/// The shard map as the leader wants it to be, and which of its stored values have to be written for that.
+/// The shard map with the leader's changes, and the stored values that have to be rewritten for them.
 pub struct ShardMapEditor {
     owners: ShardMap,
-    /// Version of the leader key, the high bits of the fencing tokens.
+    /// Version of the leader key; the high bits of new fencing tokens.
     leader_version: Version,
-    /// Changes numbered so far, the low bits of the last fencing token.
+    /// Number of fencing tokens issued so far; the low bits of the last one.
     changes: u64,
     chunks: MachineChunks,
-    /// Whether the value that lists the teams has to be written.
+    /// Whether the value that lists the teams has to be rewritten.
     teams_dirty: bool,
-    /// Chunks of machines that have to be written.
+    /// Chunks of machines that have to be rewritten.
     dirty_chunks: BTreeSet<usize>,
 }
 
-/// The key that stores a chunk of machines.
+/// The key under which a chunk of machines is stored.
 fn chunk_key(chunk: usize) -> String {
     format!("{MAP_PREFIX}m{chunk:04}")
 }
 
-/// The number of the chunk that this key stores; None for any other key.
+/// The number of the chunk of machines that is stored under this key; None for any other key.
 fn chunk_number(key: &str) -> Option<usize> {
     key.strip_prefix(MAP_PREFIX)?
         .strip_prefix('m')?
@@ -52,7 +54,8 @@
 }
 
 impl ShardMapEditor {
-    /// Continues the stored map under this version of the leader key, in values of up to `value_kb` KiB.
+    /// Starts from the stored map. New fencing tokens are issued under `leader_version`, and values are
+    /// limited to `value_kb` KiB.
     pub fn new(
         leader_version: Version,
         stored: &BTreeMap<String, Versioned<ShardMapChunk>>,
@@ -64,10 +67,11 @@
             let Some(number) = chunk_number(key) else {
                 continue;
             };
-            chunks.ensure(number);
+            chunks.ensure_chunk(number);
             let shards = &stored_chunk.record.shards;
             for id in shards.iter().flat_map(|shard| &shard.machines) {
-                // Listed twice: split off by an earlier leader that did not write the rest.
+                // A machine is listed twice if an earlier leader split its chunk and did not write the
+                // remainder.
                 dirty_chunks.extend(chunks.place(id, number));
             }
         }
@@ -81,7 +85,7 @@
         }
     }
 
-    /// Replaces the working copy by what is stored; the numbering of changes continues.
+    /// Replaces the working copy by the stored map; the numbering of fencing tokens continues.
     pub fn reload(&mut self, stored: &BTreeMap<String, Versioned<ShardMapChunk>>, value_kb: f64) {
         *self = Self {
             changes: self.changes,
@@ -89,12 +93,12 @@
         };
     }
 
-    /// The owners of all teams and machines, with the changes made so far.
+    /// The owners of all teams and machines, including unwritten changes.
     pub fn owners(&self) -> &ShardMap {
         &self.owners
     }
 
-    /// A fencing token that was never used; None if this version of the leader key has no more.
+    /// Issues an unused fencing token; None if none are left under this version of the leader key.
     pub fn next_token(&mut self) -> Option<FencingToken> {
         self.changes += 1;
         (self.changes < 1 << CHANGE_BITS).then_some(FencingToken(
@@ -102,7 +106,7 @@
         ))
     }
 
-    /// Whether so many changes are numbered that the leader key should be claimed anew.
+    /// Whether so many fencing tokens are used that the leader key should be claimed again.
     pub fn tokens_running_low(&self) -> bool {
         self.changes as f64 > f64::from(1 << CHANGE_BITS) * EXHAUSTED_FRACTION
     }
@@ -113,7 +117,8 @@
         self.teams_dirty = true;
     }
 
-    /// Sets the token since which every owner of a team has kept to its grants; None if that is unknown.
+    /// Sets the token since which every owner of a team has respected its grants; None if there is no such
+    /// token.
     pub fn set_grants_kept_since(&mut self, team: &Team, since: Option<FencingToken>) {
         let kept_since = &mut self.owners.grants_kept_since;
         let before = match since {
@@ -123,7 +128,8 @@
         self.teams_dirty |= before != since;
     }
 
-    /// Notes for a team that gets a new owner whether its owners have kept to its grants without a gap.
+    /// Updates, for a team that gets a new owner, the token since which every owner has respected its grants.
+    /// An earlier token stays if the new owner respects them too; otherwise the entry is removed.
     pub fn update_grants_kept_since(
         &mut self,
         team: &Team,
@@ -137,12 +143,12 @@
 
     /// Sets the owner of a machine.
     pub fn set_machine(&mut self, id: &MachineId, owner: ShardOwner) {
-        let chunk = self.chunks.chunk_for(id);
+        let chunk = self.chunks.find_or_assign_chunk(id);
         self.owners.machines.insert(id.clone(), owner);
         self.dirty_chunks.insert(chunk);
     }
 
-    /// Removes a machine from the map.
+    /// Removes a machine from the map, if it is listed.
     pub fn remove_machine(&mut self, id: &MachineId) {
         if let Some(chunk) = self.chunks.remove(id) {
             self.owners.machines.remove(id);
@@ -150,7 +156,7 @@
         }
     }
 
-    /// The keys and values that differ from what is stored: up to `limit` of them, and about `bytes` in all.
+    /// Takes the changed values with their keys, up to `limit` values and about `bytes` bytes in all.
     pub fn take_dirty(&mut self, limit: usize, bytes: usize) -> Vec<(String, ShardMapChunk)> {
         let mut values = Vec::new();
         let mut size = 0;
@@ -161,8 +167,8 @@
             && size < bytes
             && let Some(chunk) = self.dirty_chunks.pop_first()
         {
-            // Written when values could be larger: what is too much goes into chunks of its own, which are
-            // written first so that every machine is on the map at all times.
+            // A chunk may exceed the present limit if it was written under a larger one. The excess is split
+            // off into new chunks, which are written first so that every machine stays in the stored map.
             if let Some(split) = self.chunks.split_off(chunk) {
                 self.dirty_chunks.insert(chunk);
                 values.push((chunk_key(split), self.machines_value(split)));
@@ -175,11 +181,11 @@
         values
     }
 
-    /// The value that lists the teams.
+    /// Builds the value that lists the teams.
     fn teams_value(&self) -> ShardMapChunk {
         let mut shards = BTreeMap::new();
         for (team, owner) in &self.owners.teams {
-            entry_of(&mut shards, owner).teams.push(team.clone());
+            entry_for(&mut shards, owner).teams.push(team.clone());
         }
         ShardMapChunk {
             shards: shards.into_values().collect(),
@@ -187,12 +193,12 @@
         }
     }
 
-    /// The value of one chunk of machines.
+    /// Builds the value of one chunk of machines.
     fn machines_value(&self, chunk: usize) -> ShardMapChunk {
         let mut shards = BTreeMap::new();
         for id in self.chunks.machines_in(chunk) {
             if let Some(owner) = self.owners.machines.get(id) {
-                entry_of(&mut shards, owner).machines.push(id.clone());
+                entry_for(&mut shards, owner).machines.push(id.clone());
             }
         }
         ShardMapChunk {
@@ -202,17 +208,17 @@
     }
 }
 
-/// Machines that a value of this many KiB holds; at least one.
+/// Number of machines that fit into a value of this many KiB; at least one.
 #[expect(
     clippy::cast_possible_truncation,
-    reason = "the cast rounds down and saturates, which is what is wanted here"
+    reason = "rounding down and saturation are intended"
 )]
 fn chunk_capacity(value_kb: f64) -> usize {
     ((value_kb * 1024.0 / MACHINE_BYTES) as usize).max(1)
 }
 
-/// The entry of an owner among the shards of one value; empty at first.
-fn entry_of<'shards, 'owner>(
+/// Finds the entry of an owner in one value, or inserts an empty one.
+fn entry_for<'shards, 'owner>(
     shards: &'shards mut BTreeMap<&'owner ShardOwner, ShardEntry>,
     owner: &'owner ShardOwner,
 ) -> &'shards mut ShardEntry {
--- a/src/core/leader/shard_map_editor/machine_chunks.rs
+++ b/src/core/leader/shard_map_editor/machine_chunks.rs
@@ -1,20 +1,20 @@
-//! Which stored chunk of the shard map lists which machine.
+//! Assignment of machines to the stored chunks of the shard map.
 
 use crate::ids::MachineId;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The machines of the shard map, divided into chunks of bounded size.
 ///
-/// Chunks are numbered from zero and keep their numbers, also when they become empty.
+/// Chunks are numbered from zero. A chunk keeps its number when it becomes empty.
 pub(super) struct MachineChunks {
     chunk_of: BTreeMap<MachineId, usize>,
     members: Vec<BTreeSet<MachineId>>,
-    /// Machines that one chunk may list.
+    /// Most machines that one chunk may list.
     capacity: usize,
 }
 
 impl MachineChunks {
-    /// No chunks yet; each will list up to `capacity` machines.
+    /// Starts without chunks; each chunk will list up to `capacity` machines.
     pub(super) fn new(capacity: usize) -> Self {
         Self {
             chunk_of: BTreeMap::new(),
@@ -23,14 +23,14 @@
         }
     }
 
-    /// Makes sure that the chunk exists.
-    pub(super) fn ensure(&mut self, chunk: usize) {
+    /// Creates this chunk and those before it, unless they exist.
+    pub(super) fn ensure_chunk(&mut self, chunk: usize) {
         if self.members.len() <= chunk {
             self.members.resize_with(chunk + 1, BTreeSet::new);
         }
     }
 
-    /// Puts the machine into this chunk, which must exist; returns the chunk that listed it before.
+    /// Moves the machine to this chunk, which must exist; returns the chunk that listed it before, if any.
     pub(super) fn place(&mut self, id: &MachineId, chunk: usize) -> Option<usize> {
         let earlier = self.chunk_of.insert(id.clone(), chunk);
         if let Some(members) = earlier.and_then(|earlier| self.members.get_mut(earlier)) {
@@ -42,8 +42,8 @@
         earlier
     }
 
-    /// The chunk that lists the machine; a new machine gets the first chunk with capacity left.
-    pub(super) fn chunk_for(&mut self, id: &MachineId) -> usize {
+    /// The chunk that lists the machine. A new machine is placed in the first chunk below its capacity.
+    pub(super) fn find_or_assign_chunk(&mut self, id: &MachineId) -> usize {
         if let Some(chunk) = self.chunk_of.get(id) {
             return *chunk;
         }
@@ -52,12 +52,12 @@
             .iter()
             .position(|members| members.len() < self.capacity);
         let chunk = open.unwrap_or(self.members.len());
-        self.ensure(chunk);
+        self.ensure_chunk(chunk);
         self.place(id, chunk);
         chunk
     }
 
-    /// Removes the machine; returns the chunk that listed it.
+    /// Removes the machine; returns the chunk that listed it, if any.
     pub(super) fn remove(&mut self, id: &MachineId) -> Option<usize> {
         let chunk = self.chunk_of.remove(id)?;
         if let Some(members) = self.members.get_mut(chunk) {
@@ -66,8 +66,8 @@
         Some(chunk)
     }
 
-    /// Moves what an overfull chunk lists beyond its capacity, up to one chunk's worth, to a new chunk
-    /// and returns the number of that; None if the chunk is within its capacity.
+    /// Moves the machines beyond a chunk's capacity, at most one chunkful, to a new chunk and returns its
+    /// number; None if the chunk is within its capacity.
     pub(super) fn split_off(&mut self, chunk: usize) -> Option<usize> {
         let excess = self.machines_in(chunk).skip(self.capacity);
         let excess: Vec<MachineId> = excess.take(self.capacity).cloned().collect();
@@ -75,7 +75,7 @@
             return None;
         }
         let split = self.members.len();
-        self.ensure(split);
+        self.ensure_chunk(split);
         for id in &excess {
             self.place(id, split);
         }
@@ -87,7 +87,8 @@
         self.members.get(chunk).into_iter().flatten()
     }
 
-    /// How many machines have a chunk, and how many entries the chunks have together: the same number.
+    /// The number of machines and the total number of chunk entries; they are equal if the chunks are
+    /// consistent.
     #[cfg(test)]
     pub(super) fn counts(&self) -> (usize, usize) {
         let entries = self.members.iter().map(BTreeSet::len).sum();
--- a/src/core/leader/shard_map_editor/tests.rs
+++ b/src/core/leader/shard_map_editor/tests.rs
@@ -15,7 +15,7 @@
 #[test]
 #[expect(
     clippy::too_many_lines,
-    reason = "one history of events, each step depends on the ones before"
+    reason = "one sequence of events in which each step depends on the previous ones"
 )]
 fn the_shard_map_is_read_back_and_keeps_within_the_value_limit() {
     let mut editor = ShardMapEditor::new(1 << 20, &BTreeMap::new(), 4.0);
@@ -50,8 +50,8 @@
         next.next_token().unwrap() > highest,
         "fencing tokens rise with every leader"
     );
-    // Limits were lowered: what is stored larger is split when it is next written, and until all is
-    // written every machine stays on the map.
+    // After the value limit is lowered, a larger chunk is split when it is next written. Every machine stays
+    // in the stored map until all parts are written.
     let mut lower = ShardMapEditor::new(1 << 22, &stored, 2.0);
     lower.set_machine(&"m-000003".into(), owner("drumhead-0", 9));
     let mut lowered = stored.clone();
@@ -83,9 +83,10 @@
     );
 }
 
-/// A fleet that ran for weeks under one leader once used up its fencing tokens: no owner could change any more.
+/// Guards against a leader that runs for weeks and uses up its fencing tokens, so that no owner can change
+/// any more.
 #[test]
-fn tokens_count_as_exhausted_long_before_they_run_out() {
+fn tokens_are_reported_as_running_low_long_before_they_run_out() {
     let mut editor = ShardMapEditor::new(7, &BTreeMap::new(), 4.0);
     let mut changes = 0;
     while !editor.tokens_running_low() {
--- a/src/core/leader/spare_machines.rs
+++ b/src/core/leader/spare_machines.rs
@@ -1,5 +1,5 @@
-//! Machines that shards can spare, by kind: indexed once for all demands of one turn, so that transferring
-//! many machines costs in proportion to them and not to the fleet.
+//! Index of the machines that shards can spare, by kind. It is built once for many demands, so that the cost
+//! of each transfer does not grow with the fleet.
 
 use crate::core::messages::capacity_demand::{MachineDemand, MachineOffer};
 use crate::ids::{MachineId, Node};
@@ -8,13 +8,13 @@
 /// A machine that can be spared, and the controller that owns it.
 #[derive(Debug, PartialEq)]
 pub(super) struct SpareMachine {
-    /// The machine.
+    /// Its name in the shard map.
     pub(super) id: MachineId,
-    /// The controller whose shard it is in.
+    /// The controller to whose shard it belongs at present.
     pub(super) owner: Node,
 }
 
-/// What shards can spare, in the order in which it is taken.
+/// The machines that shards can spare, in the order in which they are taken.
 #[derive(Default)]
 pub(super) struct SparePool {
     /// Idle machines that no plan uses.
@@ -26,8 +26,9 @@
 }
 
 impl SparePool {
-    /// Takes an acceptable machine of another controller than `except`, preferably an idle one of the cheapest
-    /// kind. Queued tasks also get idle machines that are kept for what is only forecast in other shards.
+    /// Takes an acceptable machine of a controller other than `except`, preferably an idle one of the
+    /// cheapest kind. Demand of queued tasks may also take idle machines that other shards reserve for
+    /// forecast demand.
     pub(super) fn take_for(
         &mut self,
         demand: &MachineDemand,
@@ -47,40 +48,42 @@
     }
 }
 
-/// A machine with its place in its shard's list.
+/// A machine and its position in its shard's list; earlier machines are taken first.
 #[derive(Debug)]
 struct ListedMachine {
-    place: usize,
+    position: usize,
     id: MachineId,
 }
 
-/// Machines that may be taken from their shards, in the order in which the shards list them.
+/// Machines that may be taken from their shards, by kind and shard, in the order in which the shards list
+/// them.
 #[derive(Debug, Default)]
 pub(super) struct SpareMachines {
     by_kind: BTreeMap<MachineOffer, BTreeMap<Node, VecDeque<ListedMachine>>>,
 }
 
 impl SpareMachines {
-    /// Adds the machines that a shard lists, with their kinds.
+    /// Adds the machines that a shard can spare, with their kinds.
     pub(super) fn add(
         &mut self,
         node: &Node,
         listed: impl IntoIterator<Item = (MachineId, MachineOffer)>,
     ) {
-        for (place, (id, offer)) in listed.into_iter().enumerate() {
+        for (position, (id, offer)) in listed.into_iter().enumerate() {
             let shards = self.by_kind.entry(offer).or_default();
             let machines = shards.entry(node.clone()).or_default();
-            machines.push_back(ListedMachine { place, id });
+            machines.push_back(ListedMachine { position, id });
         }
     }
 
-    /// Takes the first machine of any of these kinds that another controller than `except` owns.
+    /// Takes a machine of any of these kinds from the first controller, by name, that has one and is not
+    /// `except`. Of that controller's machines of these kinds, the one that it lists first is taken.
     pub(super) fn take(&mut self, kinds: &[MachineOffer], except: &Node) -> Option<SpareMachine> {
         let first_of = |kind: &MachineOffer| {
             let shards = self.by_kind.get(kind)?.iter();
             let mut others = shards.filter(|(node, _)| *node != except);
             let (node, first) = others.find_map(|(node, listed)| Some((node, listed.front()?)))?;
-            Some((node.clone(), first.place, kind.clone()))
+            Some((node.clone(), first.position, kind.clone()))
         };
         let (owner, _, kind) = kinds.iter().filter_map(first_of).min()?;
         let machines = self.by_kind.get_mut(&kind)?.get_mut(&owner)?;
--- a/src/core/leader/spare_machines/tests.rs
+++ b/src/core/leader/spare_machines/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn the_first_machine_of_another_shard_is_taken_once() {
+fn the_first_listed_machine_of_another_shard_is_taken_only_once() {
     let (g4, g8) = (kind("g4"), kind("g8"));
     let listed = |number: usize, kind: &MachineOffer| (format!("m-{number}").into(), kind.clone());
     let mut spare = SpareMachines::default();
--- a/src/core/leader/zone_contact.rs
+++ b/src/core/leader/zone_contact.rs
@@ -1,51 +1,54 @@
-//! Zones whose machines are no longer heard, as when a zone's network is partitioned from all others.
+//! Detection of zones that can't be reached, as when a network partition separates a zone from all others.
 //!
-//! A machine rented in such a zone could not report, so tasks for it would wait until the zone is back. The
-//! leader rents in other zones meanwhile, and does not count on machines that are booting there.
+//! The heartbeats of a machine rented in such a zone would not arrive, so its tasks would wait until the
+//! partition ends. The leader rents in other zones meanwhile, and does not expect machines that boot in the
+//! zone.
 
 use crate::config::Workers;
 use crate::core::model::time::Time;
 use crate::ids::Zone;
 use std::collections::BTreeMap;
 
-/// Machines of a zone that must be silent at the same time for the zone to count as unreachable: fewer may
-/// have failed independently.
-const LEAST_SILENT: usize = 3;
+/// Number of a zone's machines that must be unresponsive at the same time for the zone to count as
+/// unreachable. Fewer may have failed independently.
+const MIN_UNRESPONSIVE_MACHINES: usize = 3;
 
-/// Fraction of a zone's machines that must be silent. The others may have owners that got them too recently
-/// to tell.
-const SILENT_FRACTION: f64 = 0.5;
+/// Fraction of a zone's machines that must be unresponsive for the zone to count as unreachable. The owners
+/// of the others may have received them too recently to tell.
+const UNRESPONSIVE_FRACTION: f64 = 0.5;
 
-/// Worker leases for which a zone counts as unreachable after it last seemed so. Silent machines are returned
-/// after about as many, and then nothing shows the state of the zone any more.
-const REMEMBERED_LEASES: f64 = 3.0;
+/// Worker leases for which a zone counts as unreachable after its machines last indicated that. Unresponsive
+/// machines are returned after about as many leases, and from then on nothing indicates the state of the
+/// zone.
+const UNREACHABLE_LEASES: f64 = 3.0;
 
-/// The zones that count as unreachable.
+/// The zones that count as unreachable at present.
 #[derive(Debug, Default)]
 pub(super) struct ZoneContact {
-    /// Until when each counts as that.
+    /// When each zone stops counting as unreachable, unless its machines indicate it again before.
     unreachable_until: BTreeMap<Zone, Time>,
 }
 
 /// Numbers of machines in one zone.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ZoneMachines {
-    /// All of them.
+    /// Machines of the zone in the shard map.
     pub(super) total: usize,
-    /// Those that their owners no longer hear.
-    pub(super) silent: usize,
+    /// Those of them that their owners have declared unresponsive.
+    pub(super) unresponsive: usize,
 }
 
 impl ZoneMachines {
-    /// Whether so many are silent that the zone as a whole seems unreachable.
-    fn seem_unreachable(&self) -> bool {
-        self.silent >= LEAST_SILENT && self.silent as f64 >= self.total as f64 * SILENT_FRACTION
+    /// Whether so many machines are unresponsive that the zone as a whole is probably unreachable.
+    fn indicate_unreachable_zone(&self) -> bool {
+        self.unresponsive >= MIN_UNRESPONSIVE_MACHINES
+            && self.unresponsive as f64 >= self.total as f64 * UNRESPONSIVE_FRACTION
     }
 }
 
 impl ZoneContact {
-    /// Takes in how many machines of each zone are silent. A zone without machines keeps its state until that
-    /// expires.
+    /// Updates the state of the zones from the counts of their machines. A zone without machines keeps its
+    /// state until that expires.
     pub(super) fn update(
         &mut self,
         zones: &BTreeMap<Zone, ZoneMachines>,
@@ -53,17 +56,17 @@
         now: Time,
     ) {
         for (zone, machines) in zones {
-            if !machines.seem_unreachable() {
+            if !machines.indicate_unreachable_zone() {
                 self.unreachable_until.remove(zone);
                 continue;
             }
-            let until = now + workers.lease_s * REMEMBERED_LEASES;
+            let until = now + workers.lease_s * UNREACHABLE_LEASES;
             if self.unreachable_until.insert(zone.clone(), until).is_none() {
                 tracing::info!(
                     %zone,
-                    silent = machines.silent,
+                    silent = machines.unresponsive,
                     total = machines.total,
-                    "zone counts as unreachable"
+                    "zone unreachable: machines are rented in other zones"
                 );
             }
         }
--- a/src/core/leader/zone_contact/tests.rs
+++ b/src/core/leader/zone_contact/tests.rs
@@ -8,17 +8,26 @@
     cancel_s: 39.0,
 };
 
-fn zones(total: usize, silent: usize) -> BTreeMap<Zone, ZoneMachines> {
-    BTreeMap::from([(Zone::from("a"), ZoneMachines { total, silent })])
+fn zones(total: usize, unresponsive: usize) -> BTreeMap<Zone, ZoneMachines> {
+    BTreeMap::from([(
+        Zone::from("a"),
+        ZoneMachines {
+            total,
+            unresponsive,
+        },
+    )])
 }
 
-/// While a zone was unreachable for two minutes, the tasks of its machines once waited for machines rented in
-/// that very zone.
+/// Guards against tasks that wait for machines rented in an unreachable zone. In one run, a zone was
+/// unreachable for two minutes, and the replacements of its machines were rented in the same zone.
 #[test]
-fn a_zone_of_silent_machines_is_unreachable_until_one_is_heard() {
+fn a_zone_is_unreachable_while_half_of_its_machines_are_unresponsive() {
     let (mut contact, zone) = (ZoneContact::default(), Zone::from("a"));
     contact.update(&zones(10, 4), &WORKERS, 10.0);
-    assert!(!contact.is_unreachable(&zone), "most of them are heard");
+    assert!(
+        !contact.is_unreachable(&zone),
+        "most of its machines respond"
+    );
     contact.update(&zones(2, 2), &WORKERS, 11.0);
     assert!(
         !contact.is_unreachable(&zone),
@@ -29,10 +38,13 @@
     contact.update(&BTreeMap::new(), &WORKERS, 50.0);
     assert!(
         contact.is_unreachable(&zone),
-        "its machines were returned: nothing shows its state"
+        "the state is kept while the zone has no machines"
+    );
+    contact.update(&BTreeMap::new(), &WORKERS, 12.0 + 14.0 * UNREACHABLE_LEASES);
+    assert!(
+        !contact.is_unreachable(&zone),
+        "the state expires, and machines are rented there again"
     );
-    contact.update(&BTreeMap::new(), &WORKERS, 12.0 + 14.0 * REMEMBERED_LEASES);
-    assert!(!contact.is_unreachable(&zone), "it is tried again");
     contact.update(&zones(10, 10), &WORKERS, 60.0);
     contact.update(&zones(10, 1), &WORKERS, 61.0);
     assert!(!contact.is_unreachable(&zone));
