--- a/src/core/controller/hello.rs
+++ b/src/core/controller/hello.rs
@@ -65,7 +65,10 @@
             number,
             wants_extension: self.ownership.wants_extension(now),
             wants_consent: self.ownership.wanted_consents(),
-            running: self.leased_shard().map(Shard::running).unwrap_or_default(),
+            running: self
+                .leased_shard()
+                .map(Shard::all_task_counts)
+                .unwrap_or_default(),
             unresponsive: self.unresponsive.all(now),
             update: None,
             final_states_after: self.wanted_final_states(),
@@ -93,10 +96,10 @@
         let shard = self.shard.as_ref()?;
         let (images, contacts) = match scope {
             ImageScope::Known => (
-                shard.known_images(),
+                shard.images_on_all_machines(),
                 self.contacts.with(shard.machine_contacts()),
             ),
-            ImageScope::Own => (shard.own_images(), shard.machine_contacts()),
+            ImageScope::Own => (shard.images_on_owned_machines(), shard.machine_contacts()),
             ImageScope::None => (ImageHints::default(), MachineContacts::default()),
         };
         let contacts = if self.acts_on_failures() {
@@ -105,7 +108,7 @@
             MachineContacts::default()
         };
         let refused = self.leader.as_ref().map(Leader::unavailable_offers);
-        Some(shard.update_for(node, &self.store, refused, images, contacts))
+        Some(shard.peer_update_for(node, &self.store, refused, images, contacts))
     }
 
     /// A sibling sends a request.
@@ -117,7 +120,7 @@
             }
             MeshMessage::Poll(id) => self.relayed_request(request, UserRequest::Poll(id)),
             MeshMessage::Cancel(id) => self.relayed_request(request, UserRequest::Cancel(id)),
-            MeshMessage::Heartbeat(heartbeat) => self.relayed_heartbeat(request, &heartbeat),
+            MeshMessage::Heartbeat(heartbeat) => self.answer_relayed_heartbeat(request, &heartbeat),
             MeshMessage::Cancelled(_) => {
                 self.store.want_sync();
                 self.outbox.mesh_answer(request, MeshReply::Noted);
@@ -189,7 +192,7 @@
             leader.set_demand(&sender.node, update.demand.clone());
         }
         match self.shard.as_mut() {
-            Some(shard) => shard.take_update(
+            Some(shard) => shard.apply_peer_update(
                 &mut self.outbox,
                 &self.store,
                 &sender.node,
@@ -228,7 +231,7 @@
                     Some(MeshReply::HeartbeatResponse(response)) => response,
                     _ => None,
                 };
-                self.heartbeat_relayed(request, &owner, *heartbeat, response);
+                self.finish_heartbeat_relay(request, &owner, *heartbeat, response);
             }
             _ => {}
         }
--- a/src/core/shard/soon_ready/tests.rs
+++ b/src/core/shard/soon_ready/tests.rs
@@ -6,8 +6,8 @@
 use crate::core::records::keys::job_key;
 use crate::core::records::shard_map::ShardEntry;
 use crate::core::records::versioned::put;
-use crate::core::shard::owned_jobs::describe;
-use crate::core::test_support::{map, owner as process, shard, types};
+use crate::core::shard::owned_jobs::describe_attempt;
+use crate::core::test_support::{map, owner, shard, types};
 use crate::ids::{Attempt, TaskId, Version};
 use crate::wire::TaskState;
 
@@ -36,13 +36,13 @@
     fn new() -> Self {
         let (mut shard, mut outbox, mut store) = shard();
         let machines = vec!["m-1".into()];
-        let mine = ShardEntry {
-            owner: process("n0"),
+        let shard_entry = ShardEntry {
+            owner: owner("n0"),
             teams: vec!["red".into()],
             machines,
         };
-        map(&mut store, 1, vec![mine]);
-        shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+        map(&mut store, 1, vec![shard_entry]);
+        shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
         Self {
             shard,
             outbox,
@@ -69,7 +69,7 @@
         let id = JobId::from(format!("req-{id:06}"));
         let job = self.shard.jobs.get_mut(&id).unwrap();
         let mut tracked = TrackedAttempt::new(0.0);
-        describe(&mut tracked, &self.shard.config, &job.spec);
+        describe_attempt(&mut tracked, &self.shard.config, &job.spec);
         tracked.phase = Phase::Seen(TaskState::Running);
         tracked.started_at = started_at;
         job.set(
@@ -148,7 +148,7 @@
     fixture.run(1, 0, Some(0.0));
     fixture.run(2, 0, Some(0.0));
     assert_eq!(fixture.soon_ready(20.0).demands.len(), 1);
-    let elsewhere = fixture.shard.jobs.remove(&JobId::from("req-000002"));
+    let removed_job = fixture.shard.jobs.remove(&JobId::from("req-000002"));
     assert!(
         fixture.soon_ready(20.0).demands.is_empty(),
         "a dependency runs in another shard"
@@ -156,7 +156,7 @@
     fixture
         .shard
         .jobs
-        .insert("req-000002".into(), elsewhere.unwrap());
+        .insert("req-000002".into(), removed_job.unwrap());
     let (id, cancelled) = record(2, 1, &[]);
     fixture.accept((id, cancelled.cancelled(1)), 5);
     assert!(
