--- a/src/core/leader/cloud_requests.rs
+++ b/src/core/leader/cloud_requests.rs
@@ -216,10 +216,10 @@
         self.rental_in_flight = true;
         let rental = order.rental.clone();
         let operation = CloudOperation::Rent {
-            term: self.key_version,
-            order,
+            token: self.key_version,
+            request: order,
         };
-        outbox.cloud(Some(operation), CloudCall::Rent(rental));
+        outbox.call_cloud(Some(operation), CloudCall::Rent(rental));
     }
 
     fn send_release(&mut self, outbox: &mut Outbox) {
@@ -237,10 +237,10 @@
             .collect();
         self.release_in_flight = true;
         let operation = CloudOperation::Release {
-            term: self.key_version,
+            token: self.key_version,
             machines: machines.clone(),
         };
-        outbox.cloud(
+        outbox.call_cloud(
             Some(operation),
             CloudCall::Release(MachineNames { machines }),
         );
@@ -261,10 +261,10 @@
         self.list_in_flight = true;
         let after = seen.last().map(|listed| listed.machine.to_string());
         let operation = CloudOperation::List {
-            term: self.key_version,
-            seen,
+            token: self.key_version,
+            listed: seen,
         };
-        outbox.cloud(Some(operation), CloudCall::List { after });
+        outbox.call_cloud(Some(operation), CloudCall::List { after });
     }
 
     /// Takes a token from the rate limiter; returns whether a request may be sent now.
@@ -285,12 +285,14 @@
             self.pause_until = now + outbox.jitter(1.0 / self.config.deployment.cloud.rps);
         }
         match operation {
-            CloudOperation::List { term, .. }
-            | CloudOperation::Rent { term, .. }
-            | CloudOperation::Release { term, .. }
-                if term != self.key_version => {}
-            CloudOperation::List { seen, .. } => self.handle_list_page(outbox, seen, reply, owners),
-            CloudOperation::Rent { order, .. } => {
+            CloudOperation::List { token, .. }
+            | CloudOperation::Rent { token, .. }
+            | CloudOperation::Release { token, .. }
+                if token != self.key_version => {}
+            CloudOperation::List { listed: seen, .. } => {
+                self.handle_list_page(outbox, seen, reply, owners)
+            }
+            CloudOperation::Rent { request: order, .. } => {
                 self.rental_in_flight = false;
                 self.handle_rental_reply(order, reply, now);
             }
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -78,7 +78,7 @@
     /// Creates the leader for this version of the leader key, starting from the replica's shard map.
     pub fn new(config: &Rc<Config>, key_version: Version, store: &StoreReplica, now: Time) -> Self {
         let value_kb = config.deployment.state.value_kb;
-        let editor = ShardMapEditor::new(key_version, store.map(), value_kb);
+        let editor = ShardMapEditor::new(key_version, store.map_chunks(), value_kb);
         let fresh_deployment = editor.owners().teams.is_empty();
         Self {
             config: config.clone(),
@@ -195,7 +195,7 @@
         write: &MapWrite,
         reply: &StoreReply,
     ) {
-        if write.term == self.key_version {
+        if write.token == self.key_version {
             self.map_writer
                 .handle_reply(outbox, store, &write.writes, reply);
         }
