--- a/src/core/shard/acquired_machines.rs
+++ b/src/core/shard/acquired_machines.rs
@@ -1,5 +1,6 @@
-//! Contacts of this shard's machines for their next owners, and the answers of machines that came to this
-//! shard and were asked what is on them ([`crate::core::controller::acquired_machines`]).
+//! Machines that change their owner. The shard provides the contacts of its machines for their next owners,
+//! and applies the answers of newly owned machines that were asked which tasks they run
+//! ([`crate::core::controller::acquired_machines`]).
 
 use crate::core::messages::shard_update::{MachineContact, MachineContacts};
 use crate::core::model::resources::Resources;
@@ -10,7 +11,7 @@
 use crate::wire::Heartbeat;
 
 impl Shard {
-    /// Addresses and agent epochs of the machines of this shard.
+    /// Addresses and agent epochs of the owned machines that have shown their current token.
     pub(crate) fn machine_contacts(&self) -> MachineContacts {
         self.machines
             .values()
@@ -25,7 +26,7 @@
             .collect()
     }
 
-    /// Applies the heartbeat with which a machine has answered the inspection.
+    /// Applies the heartbeat with which a newly owned machine has answered its inspection.
     pub(crate) fn apply_inspection_reply(
         &mut self,
         store: &StoreReplica,
@@ -44,8 +45,8 @@
         if machine.total == Resources::default() {
             machine.describe(heartbeat, catalog.types());
         }
-        // The worker may have begun a new agent epoch a moment ago, after the lease of the one before had
-        // expired: then its lease ends later than the former owner's last answer would have it.
+        // The worker may have begun a new agent epoch just now, after its previous lease had expired. Its
+        // current lease then ends later than the former owner's last answer implies.
         machine.last_answered = machine.last_answered.max(now);
         machine.known_empty = false;
         self.apply_command_reply(store, machine_id, heartbeat, now);
--- a/src/core/shard/commands.rs
+++ b/src/core/shard/commands.rs
@@ -1,4 +1,5 @@
-//! Commands to machines: starts and stops, sent in direct messages and in the responses to heartbeats.
+//! Issues start and stop commands to machines and sends them in direct messages. The responses to heartbeats
+//! carry the same commands ([`crate::core::shard::tracking`]).
 
 use crate::core::effects::outbox::Outbox;
 use crate::core::effects::{CallId, WorkerReply};
@@ -15,16 +16,16 @@
 use crate::wire::{DirectCommands, Heartbeat};
 use std::collections::BTreeSet;
 
-/// Direct messages in flight at once at most, as a part of the limit on sockets. Further commands go in the
-/// responses to the next heartbeats, or directly as soon as other messages have been answered.
+/// Maximum number of direct messages in flight, per socket of the process's limit. Further commands wait for
+/// the next heartbeat of their machine or until another direct message was answered.
 const DIRECT_MESSAGES_PER_SOCKET: f64 = 0.15;
 
-/// Direct messages to a machine that may arrive late, at which it gets a new token. This bounds the number
-/// of starts that must be tracked for a worker that never answers.
+/// Number of unanswered direct messages at which a machine gets a new token, which voids them. This bounds
+/// the number of starts that must be tracked for a worker that never answers.
 pub(super) const MAX_UNANSWERED_MESSAGES: usize = 8;
 
 impl Shard {
-    /// Issues the start of a task.
+    /// Places a task on a machine and queues the start command.
     pub(crate) fn start_task(
         &mut self,
         job_id: &JobId,
@@ -64,7 +65,7 @@
         self.unsent_commands.insert(machine_id.clone());
     }
 
-    /// Requests the stop of an attempt, and of all tasks of its gang if it belongs to one.
+    /// Requests the stop of an attempt, and of the same attempt of all other tasks if the job is a gang.
     pub(crate) fn stop_attempt(
         &mut self,
         machine_id: &MachineId,
@@ -83,7 +84,8 @@
         }
     }
 
-    /// The other tasks of a gang that are placed in this attempt, and their machines.
+    /// The other tasks of a gang that are placed in this attempt, with their machines; empty if the job is
+    /// not a gang.
     fn other_gang_tasks(&self, task: &TaskId, attempt: Attempt) -> Vec<(MachineId, TaskId)> {
         let Some(job) = self.jobs.get(&task.job).filter(|job| job.is_gang()) else {
             return Vec::new();
@@ -100,7 +102,7 @@
             .collect()
     }
 
-    /// The most direct messages that may be in flight at once.
+    /// Maximum number of direct messages in flight.
     pub(crate) fn max_direct_commands(&self) -> usize {
         let sockets = self.config.deployment.limits.fd_limit as f64;
         #[expect(
@@ -111,7 +113,7 @@
         messages
     }
 
-    /// Sends commands that machines have not been sent yet, in as many messages as may be in flight.
+    /// Sends unsent commands in direct messages, up to the maximum number in flight.
     pub(crate) fn send_direct_commands(&mut self, outbox: &mut Outbox) {
         let limit = self.max_direct_commands();
         while outbox.direct_commands() < limit
@@ -121,13 +123,13 @@
         }
     }
 
-    /// Sends one machine the commands that it needs, if a direct message can bring them.
+    /// Sends the commands for one machine in a direct message, if the machine is known to accept it.
     fn send_commands_to(&mut self, outbox: &mut Outbox, machine_id: &MachineId) {
         let Some(machine) = self.machines.get(machine_id) else {
             return;
         };
         if !machine.is_owned {
-            // Its owner must send the commands, and is told of them in the next update.
+            // The machine's owner has to send the commands and learns of them from the next update.
             self.sync_soon = true;
             return;
         }
@@ -152,7 +154,7 @@
         self.starts_in_flight.sent(machine_id, call, fence, starts);
     }
 
-    /// A direct message was answered, or its answer is no longer awaited.
+    /// Handles the outcome of a direct message: an answer, a failure to send, or no answer in time.
     pub fn handle_command_reply(
         &mut self,
         store: &StoreReplica,
@@ -168,7 +170,7 @@
             }
             WorkerReply::NotSent => {
                 let unsent = self.starts_in_flight.outcome_known(machine_id, call);
-                self.drop_unsent(machine_id, unsent, now);
+                self.drop_unsent_starts(machine_id, unsent, now);
             }
             WorkerReply::Unknown => {
                 let given_up = self.starts_in_flight.given_up(machine_id, call);
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Applies the heartbeat in the answer to a direct message.
+    /// Applies the heartbeat in the answer to a direct message or to an inspection.
     pub(super) fn apply_command_reply(
         &mut self,
         store: &StoreReplica,
@@ -189,7 +191,7 @@
         heartbeat: &Heartbeat,
         now: Time,
     ) {
-        // If the machine has changed its owner meanwhile, the new one reports what is on it.
+        // If the machine has a new owner by now, that owner reports its tasks.
         let machine = self.machines.get_mut(machine_id);
         let Some(machine) = machine.filter(|machine| machine.is_owned) else {
             return;
@@ -203,9 +205,14 @@
         }
     }
 
-    /// A direct message could not be sent: the attempts that it would have started, and that no other
-    /// message in flight starts, are not on the machine.
-    fn drop_unsent(&mut self, machine_id: &MachineId, starts: BTreeSet<AttemptKey>, now: Time) {
+    /// Drops the attempts whose starts were in a direct message that could not be sent. Attempts that another
+    /// message in flight may start are kept.
+    fn drop_unsent_starts(
+        &mut self,
+        machine_id: &MachineId,
+        starts: BTreeSet<AttemptKey>,
+        now: Time,
+    ) {
         let machine = self.machines.get_mut(machine_id);
         let Some(machine) = machine.filter(|machine| machine.is_owned) else {
             return;
--- a/src/core/shard/lease_expiry.rs
+++ b/src/core/shard/lease_expiry.rs
@@ -1,5 +1,5 @@
-//! When a machine without heartbeats must have lost its attempts: its worker's lease expires a bounded time
-//! after its last heartbeat was answered.
+//! Determines when the attempts of a machine without heartbeats must have ended: the lease of its worker
+//! expires a bounded time after the last answered heartbeat.
 
 use crate::core::messages::shard_update::Unresponsive;
 use crate::core::model::time::{CLOCK_DRIFT, Time};
@@ -7,26 +7,27 @@
 use crate::core::store::replica::StoreReplica;
 use crate::ids::MachineId;
 
-/// Part of a lease without heartbeats after which a machine is declared unresponsive. Before that, a worker
-/// that does not reach its owner is with another controller, which relays its heartbeats: this takes a
-/// heartbeat interval, 4 s without an answer and a pause of 1 s.
-const UNRESPONSIVE_LEASES: f64 = 0.7;
+/// Time without heartbeats after which a machine is declared unresponsive, in leases. It leaves a worker that
+/// cannot reach its owner enough time to find another controller, which relays its heartbeats: one heartbeat
+/// interval, 4 s without an answer and a pause of 1 s.
+const UNRESPONSIVE_AFTER_LEASES: f64 = 0.7;
 
-/// Part of a heartbeat interval that is added to a lease, for the delays of its messages.
+/// Margin added to a lease for message delays, in heartbeat intervals.
 const LEASE_MARGIN_HEARTBEATS: f64 = 0.1;
 
 impl Shard {
-    /// Seconds after its last answered heartbeat for which a machine may still have its attempts.
-    fn lease(&self) -> Time {
+    /// The longest time, in seconds, for which a machine may still run attempts after its last answered
+    /// heartbeat.
+    fn max_lease_s(&self) -> Time {
         let workers = &self.config.deployment.workers;
         workers.lease_s * (1.0 + CLOCK_DRIFT) + workers.report_s * LEASE_MARGIN_HEARTBEATS
     }
 
-    /// Declares machines unresponsive that have sent no heartbeat for long. They are not answered any more
-    /// under their present tokens, so that their next owners need not wait as long as if they had been
-    /// answered until the change of owner. Nothing is declared while this process receives no heartbeats
-    /// at all or was paused, for then the fault is its own, nor while it could not get new tokens for the
-    /// machines.
+    /// Declares machines unresponsive that have sent no heartbeat for [`UNRESPONSIVE_AFTER_LEASES`]. They are
+    /// no longer answered under their current tokens. Their next owners can therefore count the leases from
+    /// the last answers instead of from the change of owner. No machine is declared unresponsive while this
+    /// process receives no heartbeats at all or was paused, because the fault is then its own, nor while its
+    /// store replica is outdated, because it could not get new tokens for the machines.
     pub(crate) fn declare_unresponsive(&mut self, store: &StoreReplica, now: Time) {
         let workers = &self.config.deployment.workers;
         let receives_nothing = now > self.last_heartbeat + workers.report_s;
@@ -34,7 +35,7 @@
         if self.catching_up || receives_nothing || store_is_outdated {
             return;
         }
-        let limit = workers.lease_s * UNRESPONSIVE_LEASES;
+        let limit = workers.lease_s * UNRESPONSIVE_AFTER_LEASES;
         for machine in self.machines.values_mut() {
             let since = machine.last_answered.max(machine.heartbeat_expected_since);
             let is_silent = now > since + limit && machine.previous_owner.is_none();
@@ -42,7 +43,7 @@
         }
     }
 
-    /// The machines of this shard that are unresponsive, for the siblings.
+    /// The owned machines that were declared unresponsive, as reported to siblings.
     pub(crate) fn unresponsive_machines(&self, now: Time) -> Vec<Unresponsive> {
         self.machines
             .values()
@@ -55,12 +56,11 @@
             .collect()
     }
 
-    /// Machines whose leases must have expired are empty, if no other process could have answered them
-    /// until then; only a shard map read after that can show it. Otherwise a process that acts on lease
-    /// extensions, or whose reads of the store are slow, could take a machine for silent that has moved
-    /// to a sibling.
+    /// Marks machines as empty whose leases must have expired without another process answering them. Only a
+    /// shard map that was read after the expiry proves this. Otherwise a process that acts on lease
+    /// extensions, or that reads the store slowly, could mark a machine as empty that a sibling now owns.
     pub(crate) fn expire_machines(&mut self, store: &StoreReplica, now: Time) {
-        let lease = self.lease();
+        let lease = self.max_lease_s();
         let expired: Vec<MachineId> = self
             .machines
             .values()
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The machine's lease has expired: nothing is on it any more.
+    /// Drops all attempts of a machine whose lease has expired, and voids the starts in flight to it.
     fn expire_machine(&mut self, machine_id: &MachineId, now: Time) {
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
@@ -91,7 +91,7 @@
         self.drop_attempts(machine_id, now);
     }
 
-    /// The cloud has deleted the machine.
+    /// Removes a machine that the cloud has deleted, after dropping its attempts.
     pub(crate) fn remove_machine(&mut self, machine_id: &MachineId, now: Time) {
         if !self.machines.contains_key(machine_id) {
             return;
--- a/src/core/shard/mod.rs
+++ b/src/core/shard/mod.rs
@@ -1,8 +1,9 @@
 //! The shard of this process: the teams and machines that the shard map assigns to it, and their jobs.
 //!
-//! [`Shard`] is the only owner of this state. It is created when the process has registered in the store and is
-//! dropped when its ownership lease is lost. Each module beside this one adds one job to it: following the shard map,
-//! reconciling heartbeats, rounds of placement, planning of capacity, exchange with sibling controllers.
+//! [`Shard`] is the only owner of this state. It is created when the process has registered in the store and
+//! is dropped when the process loses its ownership lease. Each submodule implements one responsibility of the
+//! shard, such as following the shard map, reconciling heartbeats, placing tasks, planning capacity, or
+//! exchanging updates with sibling controllers.
 
 pub mod acquired_machines;
 pub mod capacity_planning;
@@ -47,79 +48,82 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Interval, as a part of a worker's lease, at which machines are checked for what changes with time alone.
-const MACHINE_CHECK_LEASES: f64 = 0.005;
+/// Interval between checks of machines for changes that no message triggers, such as an expired lease. In
+/// leases of a worker.
+const MACHINE_CHECK_INTERVAL_LEASES: f64 = 0.005;
 
-/// Shortest interval between rounds of placement, as a part of a worker's lease.
-const ROUND_LEASES: f64 = 0.0025;
+/// Shortest interval between placement rounds, in leases of a worker.
+const MIN_ROUND_INTERVAL_LEASES: f64 = 0.0025;
 
-/// Part of the heartbeat interval after which a round of placement runs even if nothing has changed.
-const IDLE_ROUND_HEARTBEATS: f64 = 0.25;
+/// Time after which a placement round runs even if nothing has changed, in heartbeat intervals.
+const MAX_ROUND_INTERVAL_HEARTBEATS: f64 = 0.25;
 
-/// The teams, machines and jobs of one process, and what is under way for them.
+/// The teams, machines and jobs of one process, and the commands and records in flight for them.
 pub struct Shard {
     pub(crate) config: Rc<Config>,
-    /// The process that owns the shard, as the store names it.
+    /// Incarnation of the owning process, under which it is registered in the store.
     pub(crate) incarnation: u64,
     /// Unfinished jobs of the owned teams.
     pub(crate) jobs: BTreeMap<JobId, Job>,
-    /// Jobs that depend on a cancelled one, and when to record their cancellation.
+    /// Jobs to be cancelled because a dependency was cancelled, with the time at which to record that.
     pub(crate) dependency_cancelled: BTreeMap<JobId, Time>,
-    /// The owned machines, and others' machines as far as they may run tasks of the owned teams.
+    /// The owned machines, and machines of other owners that may run tasks of the owned teams.
     pub(crate) machines: BTreeMap<MachineId, Machine>,
+    /// The teams that the shard map assigns to this process.
     pub(crate) teams: BTreeMap<Team, OwnedTeam>,
-    /// Change count of the shard map when it was followed last.
+    /// Change count of the shard map that was applied last; `None` before the first one.
     last_map_change: Option<u64>,
-    /// Machines with commands that are to be sent at once.
+    /// Machines with commands to send in direct messages, without waiting for their next heartbeats.
     pub(crate) unsent_commands: BTreeSet<MachineId>,
-    /// Machines that were gained and have not been asked yet which tasks they run.
+    /// Newly owned machines that have not been asked yet which tasks they run.
     pub(crate) uninspected_machines: BTreeSet<MachineId>,
-    /// Something has changed since the last round of placement.
+    /// Whether anything that affects placement has changed since the last placement round.
     pub(crate) changed_since_round: bool,
-    /// The machines on which tasks of each job may run.
+    /// Index from each job to the machines that may run its tasks.
     pub(crate) task_index: TaskIndex,
-    /// Start commands that may still reach machines.
+    /// Start commands that machines may still receive.
     pub(crate) starts_in_flight: StartsInFlight,
-    /// Starts that were held back because another attempt of the task may still run.
+    /// Number of starts that were held back because another attempt of the task may still run.
     pub(crate) starts_held_back: u64,
-    /// Jobs whose progress or end is not recorded in the store yet.
+    /// Jobs whose progress or completion has yet to be recorded in the store.
     pub(crate) unrecorded: Unrecorded,
-    /// Jobs with tasks that may run on machines that have not been reconciled.
+    /// Jobs with tasks that may run on machines that are not reconciled yet.
     pub(crate) unreconciled_jobs: BTreeSet<JobId>,
     next_machine_check: Time,
     pub(crate) next_shard_log: Time,
-    /// Attempts and jobs examined because something happened to them.
+    /// Number of attempts and jobs examined because an event concerned them.
     pub(crate) visits: u64,
-    /// Rounds of placement so far.
+    /// Number of placement rounds so far.
     rounds: u64,
     last_round: Time,
-    /// Rate of the writes to the store that record jobs.
+    /// Limits the rate of writes to the store that record the progress of jobs.
     pub(crate) record_rate: TokenBucket,
-    /// Done and running tasks of each job, for display.
+    /// Numbers of completed and running tasks of each job, for status requests.
     pub(crate) task_counts: BTreeMap<JobId, (u32, u32)>,
-    /// When `running` was counted.
+    /// When `task_counts` was computed.
     pub(crate) task_counts_at: Time,
     pub(crate) weights: Weights,
     pub(crate) forecast: Forecast,
-    /// What the shard lacks and can spare, for the leader.
+    /// Capacity that the shard lacks and capacity that it can give up, for the leader.
     pub(crate) demand: CapacityDemand,
     pub(crate) next_plan: Time,
-    /// Offers that the cloud refuses at present, as the leader has told.
+    /// Machine offers that the cloud currently refuses, as reported by the leader.
     pub(crate) refused_offers: BTreeSet<MachineOffer>,
-    /// Images that machines hold, as far as siblings have told.
+    /// Images cached on machines, as reported by siblings.
     pub(crate) image_hints: ImageHints,
-    /// Siblings that want to know of the owned machines.
+    /// Siblings that have asked for observations of the owned machines.
     pub(crate) listeners: BTreeSet<Node>,
-    /// Siblings have to be told of something before the next regular exchange.
+    /// Whether siblings need an update before the next regular exchange.
     pub(crate) sync_soon: bool,
-    /// When the last heartbeat of a worker arrived.
+    /// When the last heartbeat of any worker arrived.
     pub(crate) last_heartbeat: Time,
-    /// The process was paused and has not read yet what happened meanwhile.
+    /// Whether the process was paused and has not yet read the changes made in the meantime.
     pub(crate) catching_up: bool,
 }
 
 impl Shard {
-    /// An empty shard of the process `incarnation`; `image_hints` are the images of machines that siblings have told of.
+    /// Creates an empty shard for the process `incarnation`; `image_hints` are the images cached on machines,
+    /// as reported by siblings.
     pub fn new(config: &Rc<Config>, incarnation: u64, image_hints: ImageHints, now: Time) -> Self {
         let rate = write_rate(config, config.controllers());
         Self {
@@ -159,8 +163,8 @@
         }
     }
 
-    /// Does everything that is due at the outbox's time. The steps depend on one another in this order: ownership
-    /// first, then jobs, then machines, then placement, then what is told to machines.
+    /// Performs all steps that are due at the outbox's time. Each step relies on the ones before it:
+    /// ownership comes first, then jobs, machines, placement, and the commands to machines.
     pub fn advance(
         &mut self,
         outbox: &mut Outbox,
@@ -182,7 +186,7 @@
         self.log_shard_when_due(now);
     }
 
-    /// Takes over the records of jobs that have changed in the store.
+    /// Applies the job records that have changed in the store.
     fn follow_job_records(&mut self, store: &mut StoreReplica, now: Time, wall_ms: u64) {
         for id in store.take_changed() {
             if let Some(stored) = store.job(&id) {
@@ -192,18 +196,19 @@
         }
     }
 
-    /// Checks machines for what changes with time alone, a fixed number of times per lease however much happens.
+    /// Checks machines for changes that no message triggers. The number of checks per lease is constant and
+    /// does not grow with the number of events.
     fn check_machines(&mut self, store: &StoreReplica, catalog: &Catalog, now: Time) {
         if now < self.next_machine_check {
             return;
         }
         self.next_machine_check =
-            now + self.config.deployment.workers.lease_s * MACHINE_CHECK_LEASES;
+            now + self.config.deployment.workers.lease_s * MACHINE_CHECK_INTERVAL_LEASES;
         for machine in self.machines.values_mut() {
             if machine.total == Resources::default() && !machine.address.is_empty() {
                 machine.set_type(catalog.types());
             }
-            // Another process of the same controller has registered, so that one has ended.
+            // Once another process of the same controller has registered, the earlier one has ended.
             let has_ended = |process: &ProcessId| {
                 let registered = store.node(&process.node);
                 registered.is_some_and(|key| key.record.incarnation != process.incarnation)
@@ -216,12 +221,14 @@
         self.expire_machines(store, now);
     }
 
-    /// A round of placement examines the whole shard, so that changes close together share one round.
+    /// Runs a placement round if one is due. A round examines the whole shard, so changes that are close
+    /// together share one round.
     fn place_when_due(&mut self, outbox: &mut Outbox, store: &StoreReplica, catalog: &Catalog) {
         let workers = &self.config.deployment.workers;
         let since_round = outbox.now - self.last_round;
-        let is_due = self.changed_since_round && since_round >= workers.lease_s * ROUND_LEASES;
-        if !is_due && since_round <= workers.report_s * IDLE_ROUND_HEARTBEATS {
+        let is_due =
+            self.changed_since_round && since_round >= workers.lease_s * MIN_ROUND_INTERVAL_LEASES;
+        if !is_due && since_round <= workers.report_s * MAX_ROUND_INTERVAL_HEARTBEATS {
             return;
         }
         self.changed_since_round = false;
@@ -233,13 +240,13 @@
         self.write_grants(outbox, store, &usage);
     }
 
-    /// Attempts and jobs examined so far because something happened to them, and rounds of placement: what the work of
-    /// the shard is in proportion to.
+    /// Numbers of examined attempts and jobs, and of placement rounds, so far. The shard's computing time is
+    /// proportional to them.
     pub fn work(&self) -> (u64, u64) {
         (self.visits, self.rounds)
     }
 
-    /// Whether any machine is owned.
+    /// Whether this shard owns any machine.
     pub fn has_machines(&self) -> bool {
         self.machines.values().any(|machine| machine.is_owned)
     }
@@ -252,7 +259,7 @@
             .count()
     }
 
-    /// Number of owned machines whose heartbeats a sibling has relayed since this moment.
+    /// Number of owned machines whose heartbeats a sibling has relayed at `since` or later.
     pub fn machines_relayed_since(&self, since: Time) -> usize {
         let owned = self.machines.values().filter(|machine| machine.is_owned);
         owned
@@ -260,7 +267,8 @@
             .count()
     }
 
-    /// Notes that a sibling has relayed a heartbeat of this machine, so its worker does not reach this controller.
+    /// Records that a sibling has relayed a heartbeat of this machine, so its worker cannot reach this
+    /// controller.
     pub(crate) fn record_relayed_heartbeat(&mut self, id: &MachineId, now: Time) {
         if let Some(machine) = self.machines.get_mut(id) {
             machine.last_relayed = now;
--- a/src/core/shard/reconciliation.rs
+++ b/src/core/shard/reconciliation.rs
@@ -1,4 +1,4 @@
-//! Reconciliation of teams: the point at which everything that may run of a team is known.
+//! Reconciliation of teams. A team is reconciled once all machines that may run its tasks have reported them.
 
 use crate::core::shard::Shard;
 use crate::core::store::replica::StoreReplica;
@@ -6,18 +6,19 @@
 use std::collections::BTreeSet;
 
 impl Shard {
-    /// Once every machine is reconciled, tasks of a team that no heartbeat has shown run nowhere.
+    /// Reconciles the teams whose machines are all reconciled. Tasks of such a team that no heartbeat has
+    /// shown are not running.
     pub(crate) fn reconcile_teams(&mut self, store: &StoreReplica) {
-        self.strike_reconciled_machines(store);
+        self.remove_reconciled_machines(store);
         for incomplete_gang in self.reconcile_jobs() {
-            self.lose_all_attempts(&incomplete_gang);
+            self.stop_incomplete_gang(&incomplete_gang);
         }
     }
 
-    /// Removes the machines that are reconciled by now from the teams that wait for them.
-    fn strike_reconciled_machines(&mut self, store: &StoreReplica) {
+    /// Removes reconciled and deleted machines from the lists of the teams that wait for them.
+    fn remove_reconciled_machines(&mut self, store: &StoreReplica) {
         let machines = &self.machines;
-        let on_map = &store.owners().machines;
+        let mapped_machines = &store.owners().machines;
         let is_reconciled = |id: &MachineId| {
             let machine = machines.get(id);
             machine.is_some_and(|machine| machine.is_owned && machine.reconciled())
@@ -29,14 +30,15 @@
         for (team, owned) in unreconciled_teams {
             owned
                 .unreconciled
-                .retain(|id| on_map.contains_key(id) && !is_reconciled(id));
+                .retain(|id| mapped_machines.contains_key(id) && !is_reconciled(id));
             if owned.is_reconciled() {
-                tracing::info!(%team, "team reconciled");
+                tracing::info!(%team, "team reconciled: all its tasks may be started");
             }
         }
     }
 
-    /// Reconciles the jobs of reconciled teams. Returns the gangs that have lost a part between two owners.
+    /// Reconciles the jobs of reconciled teams. Returns the gangs of which only some tasks are running,
+    /// because others were lost while the team changed its owner.
     fn reconcile_jobs(&mut self) -> Vec<JobId> {
         let mut incomplete_gangs = Vec::new();
         for id in std::mem::take(&mut self.unreconciled_jobs) {
@@ -59,8 +61,8 @@
         incomplete_gangs
     }
 
-    /// What is left of a gang that has lost a part can't go on.
-    fn lose_all_attempts(&mut self, gang: &JobId) {
+    /// Stops all attempts of a gang that has lost a task, because the remaining tasks cannot continue.
+    fn stop_incomplete_gang(&mut self, gang: &JobId) {
         let attempts: BTreeSet<Attempt> = match self.jobs.get(gang) {
             Some(job) => job.attempts(),
             None => return,
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Teams of which everything that may run is known, so that all their tasks may be started.
+    /// The reconciled teams, any task of which may be started.
     pub fn reconciled_teams(&self) -> Vec<Team> {
         let reconciled = self.teams.iter().filter(|(_, owned)| owned.is_reconciled());
         reconciled.map(|(team, _)| team.clone()).collect()
--- a/src/core/shard/tests.rs
+++ b/src/core/shard/tests.rs
@@ -9,17 +9,17 @@
 use crate::core::test_support::{map, owner, record, shard};
 use crate::ids::{Attempt, FencingToken, TaskId, Version};
 
-/// Its owner may have changed without this process having read so; then somebody else answers
-/// it, and its tasks live on (hunted days of a starved controller).
+/// The machine's owner may have changed without this process having read the new shard map. The new owner
+/// then answers the machine, and its tasks keep running. Found in simulated days with a starved controller.
 #[test]
-fn a_silent_machine_is_empty_only_by_a_map_read_after_its_lease() {
+fn machine_is_known_empty_only_by_a_map_read_after_its_lease_expired() {
     let (mut shard, mut outbox, mut store) = shard();
-    let mine = ShardEntry {
+    let own_entry = ShardEntry {
         owner: owner("n0"),
         teams: vec![],
         machines: vec!["m-1".into()],
     };
-    map(&mut store, 5, vec![mine]);
+    map(&mut store, 5, vec![own_entry]);
     shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
     store.set_current_as_of(9.0);
     shard.expire_machines(&store, 60.0);
@@ -29,33 +29,37 @@
     assert!(shard.machines[&MachineId::from("m-1")].known_empty);
 }
 
-/// Who has a silent machine next counts its lease from the last answer that its former owner
-/// told of, if the map says that nobody else had it in between.
+/// The next owner of an unresponsive machine counts its lease from the last answer that the former owner
+/// reported, if the map shows that no other process owned the machine in between.
 #[test]
-fn the_lease_of_a_silent_machine_is_counted_on_through_a_hand_over() {
+fn new_owner_counts_the_lease_of_an_unresponsive_machine_from_its_last_answer() {
     let (mut shard, mut outbox, mut store) = shard();
     let mut unresponsive = UnresponsiveMachines::default();
-    let said = |id: &str| Unresponsive {
+    let declared = |id: &str| Unresponsive {
         machine: id.into(),
         token: FencingToken(8),
         age: 6.0,
     };
-    unresponsive.note([said("m-1"), said("m-2")], 20.0);
-    let known = ShardOwner {
+    unresponsive.note([declared("m-1"), declared("m-2")], 20.0);
+    let successor = ShardOwner {
         previous_token: Some(FencingToken(8)),
         ..owner("n0")
     };
-    let chain = ShardEntry {
-        owner: known,
+    let with_previous_token = ShardEntry {
+        owner: successor,
         teams: vec![],
         machines: vec!["m-1".into()],
     };
-    let other = ShardEntry {
+    let without_previous_token = ShardEntry {
         owner: owner("n0"),
         teams: vec![],
         machines: vec!["m-2".into()],
     };
-    map(&mut store, 5, vec![chain, other]);
+    map(
+        &mut store,
+        5,
+        vec![with_previous_token, without_previous_token],
+    );
     outbox.begin(21.0, 0);
     shard.follow_map(&mut outbox, &store, &unresponsive);
     let answered = |shard: &Shard, id: &str| shard.machines[&MachineId::from(id)].last_answered;
@@ -63,10 +67,10 @@
     assert_eq!(answered(&shard, "m-2"), 21.0);
 }
 
-/// In the first seconds of a share one machine got the replicas of four images, which shared
-/// its fetch rate, while hundreds were about to report.
+/// In the first seconds after a shard was assigned, one machine got the replicas of four images, which shared
+/// its fetch rate, while hundreds of other machines were about to send their first heartbeats.
 #[test]
-fn what_would_queue_for_a_fetch_waits_for_machines_about_to_report() {
+fn replicas_that_would_queue_for_an_image_fetch_wait_for_machines_about_to_report() {
     let (mut shard, mut outbox, mut store) = shard();
     let machines = vec!["m-1".into(), "m-2".into()];
     map(
@@ -104,23 +108,23 @@
     outbox.begin(60.0, 0);
     let mut usage = shard.usage(&store, outbox.wall_ms);
     shard.schedule(outbox.now, &mut usage, &Catalog::default());
-    assert_eq!(started(&shard), 4, "not for ever");
+    assert_eq!(started(&shard), 4, "the wait is bounded");
 }
 
-/// What was said of its last answer has to stay true until it has a fresh token.
+/// Siblings were told of the machine's last answer, so no later one may be sent under the same token.
 #[test]
 #[expect(
     clippy::too_many_lines,
     reason = "one history of events, each step depends on the ones before"
 )]
-fn a_machine_declared_unresponsive_is_not_answered_under_that_token() {
+fn unresponsive_machine_is_not_answered_until_it_has_a_new_token() {
     let (mut shard, mut outbox, mut store) = shard();
-    let mine = ShardEntry {
+    let own_entry = ShardEntry {
         owner: owner("n0"),
         teams: vec![],
         machines: vec!["m-1".into()],
     };
-    map(&mut store, 5, vec![mine]);
+    map(&mut store, 5, vec![own_entry]);
     shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
     let heartbeat = |sequence| crate::wire::Heartbeat {
         machine: "m-1".into(),
@@ -151,7 +155,7 @@
     shard.declare_unresponsive(&current, 1.0 + lease * 0.75);
     assert!(
         shard.unresponsive_machines(lease).is_empty(),
-        "hearing nobody says nothing of one"
+        "without any heartbeats, the fault may be this process's own"
     );
     shard.last_heartbeat = 1.0 + lease * 0.75;
     shard.declare_unresponsive(&current, 1.0 + lease * 0.75);
@@ -164,17 +168,17 @@
         shard.demand.tokens_to_renew,
         [("m-1".into(), FencingToken(9))]
     );
-    // With a fresh token it is heard again, and has the time to be.
-    let fresh = ShardOwner {
+    // Under a new token its heartbeats are accepted again, and the time without heartbeats starts anew.
+    let renewed = ShardOwner {
         token: FencingToken(10),
         ..owner("n0")
     };
-    let mine = ShardEntry {
-        owner: fresh,
+    let own_entry = ShardEntry {
+        owner: renewed,
         teams: vec![],
         machines: vec!["m-1".into()],
     };
-    map(&mut store, 6, vec![mine]);
+    map(&mut store, 6, vec![own_entry]);
     outbox.begin(1.0 + lease * 0.8, 0);
     shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
     shard.declare_unresponsive(&current, 1.0 + lease * 0.8);
@@ -182,11 +186,11 @@
     assert!(!machine.unresponsive && machine.token == FencingToken(10));
 }
 
-/// A leader owns a machine by its own write, before it has read the jobs that came before.
+/// A leader that assigns itself a machine owns it by its own write, before it has read earlier jobs.
 #[test]
-fn a_machine_with_unknown_tasks_is_not_told_as_settled() {
+fn machine_with_a_task_of_an_unknown_job_is_not_reported_as_reconciled() {
     let (mut shard, mut outbox, mut store) = shard();
-    let mine = ShardEntry {
+    let own_entry = ShardEntry {
         owner: owner("n0"),
         teams: vec![],
         machines: vec!["m-1".into()],
@@ -196,7 +200,7 @@
         teams: vec!["red".into()],
         machines: vec![],
     };
-    map(&mut store, 5, vec![mine, other]);
+    map(&mut store, 5, vec![own_entry, other]);
     shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
     shard.listeners.insert("n1".into());
     let id = MachineId::from("m-1");
@@ -205,35 +209,36 @@
         job: "req-000001".into(),
         index: 0,
     };
-    let shown = crate::wire::ReportedTask {
+    let reported = crate::wire::ReportedTask {
         task: task.to_string(),
         attempt: Attempt(1),
         state: crate::wire::TaskState::Running,
         exit: None,
         checkpointed: None,
     };
-    shard.apply_reported_task(&store, &id, task.clone(), &shown, outbox.now);
-    let news = |shard: &Shard, store: &StoreReplica| {
-        let news = shard.update_for(
+    shard.apply_reported_task(&store, &id, task.clone(), &reported, outbox.now);
+    let update_lengths = |shard: &Shard, store: &StoreReplica| {
+        let update = shard.update_for(
             &"n1".into(),
             store,
             None,
             ImageHints::new(),
             Default::default(),
         );
-        (news.reconciled.len(), news.observations.len())
+        (update.reconciled.len(), update.observations.len())
     };
-    assert_eq!(news(&shard, &store), (0, 0));
+    assert_eq!(update_lengths(&shard, &store), (0, 0));
     store.apply_write(&put(&job_key(&task.job), &record(false), None), 4);
-    shard.apply_reported_task(&store, &id, task, &shown, outbox.now);
-    assert_eq!(news(&shard, &store), (1, 1));
+    shard.apply_reported_task(&store, &id, task, &reported, outbox.now);
+    assert_eq!(update_lengths(&shard, &store), (1, 1));
 }
 
-/// A sibling that has read of the team's next owner before this one did leaves it out.
+/// A sibling may read of the team's next owner before this process does, and then omits the team from its
+/// updates. Such an update must not count as proof that the team has no tasks on the sibling's machines.
 #[test]
-fn silence_about_a_team_that_the_sender_gives_to_another_says_nothing() {
+fn update_without_a_team_does_not_reconcile_its_machines() {
     let (mut shard, mut outbox, mut store) = shard();
-    let mine = ShardEntry {
+    let own_entry = ShardEntry {
         owner: owner("n0"),
         teams: vec!["red".into()],
         machines: vec![],
@@ -243,7 +248,7 @@
         teams: vec![],
         machines: vec!["m-1".into()],
     };
-    map(&mut store, 5, vec![mine, other]);
+    map(&mut store, 5, vec![own_entry, other]);
     shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
     let id = MachineId::from("m-1");
     let mut machine = Machine::named(id.clone(), FencingToken(9), 0.0);
@@ -255,7 +260,7 @@
     };
     machine.attempts.insert((task, Attempt(1)), tracked);
     shard.machines.insert(id.clone(), machine);
-    let news = |teams: &[&str]| crate::core::messages::shard_update::PeerUpdate {
+    let update_about = |teams: &[&str]| crate::core::messages::shard_update::PeerUpdate {
         revision: 7,
         teams: teams.iter().map(|team| Team::from(*team)).collect(),
         listening: false,
@@ -267,38 +272,38 @@
         images: ImageHints::new(),
         contacts: Default::default(),
     };
-    shard.take_update(&mut outbox, &store, &"n1".into(), 1, news(&[]));
+    shard.take_update(&mut outbox, &store, &"n1".into(), 1, update_about(&[]));
     assert!(
         shard.machines.contains_key(&id)
             && !shard.teams[&Team::from("red")].unreconciled.is_empty()
     );
-    shard.take_update(&mut outbox, &store, &"n1".into(), 1, news(&["red"]));
+    shard.take_update(&mut outbox, &store, &"n1".into(), 1, update_about(&["red"]));
     assert!(
         !shard.machines.contains_key(&id)
             && shard.teams[&Team::from("red")].unreconciled.is_empty()
     );
 }
 
-/// The map gave the team to another controller and back between two reads of it: what that one has
-/// started meanwhile is not known here.
+/// The map assigned the team to another controller and back between two reads by this process, which does not
+/// know the tasks that the other controller started in between.
 #[test]
-fn a_team_under_another_term_is_settled_anew() {
+fn team_with_a_new_token_is_reconciled_again() {
     let (mut shard, mut outbox, mut store) = shard();
     let other = ShardEntry {
         owner: owner("n1"),
         teams: vec![],
         machines: vec!["m-1".into()],
     };
-    let mine = |token| ShardOwner {
+    let own_token = |token| ShardOwner {
         token: FencingToken(token),
         ..owner("n0")
     };
-    let share_of = |token| ShardEntry {
-        owner: mine(token),
+    let entry_with_token = |token| ShardEntry {
+        owner: own_token(token),
         teams: vec!["red".into()],
         machines: vec![],
     };
-    map(&mut store, 5, vec![share_of(9), other.clone()]);
+    map(&mut store, 5, vec![entry_with_token(9), other.clone()]);
     shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
     shard
         .teams
@@ -310,7 +315,7 @@
     store.apply_write(&put(&job_key(&id), &record(false), None), 7);
     shard.take_job(&store, &id, &Rc::new(record(false)), 7, (1.0, 0));
     assert_eq!(shard.jobs[&id].unreconciled(), 0);
-    map(&mut store, 8, vec![share_of(11), other]);
+    map(&mut store, 8, vec![entry_with_token(11), other]);
     store.apply_write(
         &put(&job_key(&"req-000002".into()), &record(false), None),
         9,
@@ -321,16 +326,16 @@
     assert_eq!(
         shard.jobs[&id].unreconciled(),
         2,
-        "perhaps started elsewhere meanwhile"
+        "the other controller may have started them"
     );
 }
 
-/// A leader that gives itself a team has written the map before it has read the jobs that the
-/// team's former owner read, and perhaps started, before that.
+/// A leader that assigns itself a team writes the map before it has read earlier jobs, which the team's
+/// former owner may have read and started.
 #[test]
-fn only_jobs_from_after_the_gain_are_known_to_run_nowhere() {
+fn only_unstarted_jobs_recorded_after_the_team_was_gained_need_no_reconciliation() {
     let (mut shard, mut outbox, mut store) = shard();
-    let mine = ShardEntry {
+    let own_entry = ShardEntry {
         owner: owner("n0"),
         teams: vec!["red".into()],
         machines: vec![],
@@ -340,7 +345,7 @@
         teams: vec![],
         machines: vec!["m-1".into()],
     };
-    map(&mut store, 105, vec![mine, other]);
+    map(&mut store, 105, vec![own_entry, other]);
     shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
     let ids = ["req-000001", "req-000002", "req-000003"].map(JobId::from);
     for (id, version, done) in [
@@ -354,12 +359,12 @@
     assert_eq!(
         unreconciled,
         [2, 1, 0],
-        "before the gain; begun before it was seen; after it"
+        "recorded before the team was gained; recorded later, but partly done; recorded later"
     );
 }
 
-/// A team's new owner counts what was cancelled lately, and since it has the team, until all machines
-/// have told what they hold; a long history of cancellations delays nothing.
+/// Until all machines have reported their tasks, a team's new owner counts jobs that were cancelled recently,
+/// or after it gained the team, as still running. A long history of older cancellations delays no start.
 #[test]
 #[expect(
     clippy::too_many_lines,
@@ -373,29 +378,30 @@
         ended_ms: Some(at),
         ..record(false).cancelled(at)
     };
-    let tell = |store: &mut StoreReplica, id: &str, record: &JobRecord, version: Version| {
-        store.apply_write(&put(&job_key(&id.into()), record, None), version);
-    };
+    let write_record =
+        |store: &mut StoreReplica, id: &str, record: &JobRecord, version: Version| {
+            store.apply_write(&put(&job_key(&id.into()), record, None), version);
+        };
     for number in 0..50 {
         let old = cancelled(now_ms - 61_000);
-        tell(&mut store, &format!("req-{number:06}"), &old, number + 1);
+        write_record(&mut store, &format!("req-{number:06}"), &old, number + 1);
     }
-    let mine = |teams| ShardEntry {
+    let own_entry = |teams| ShardEntry {
         owner: owner("n0"),
         teams,
         machines: vec!["m-1".into()],
     };
-    map(&mut store, 60, vec![mine(vec!["red".into()])]);
+    map(&mut store, 60, vec![own_entry(vec!["red".into()])]);
     shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
     outbox.begin(1.0, now_ms);
     let used = |shard: &Shard, store: &StoreReplica| shard.usage(store, now_ms).gpus(&"red".into());
-    assert_eq!(used(&shard, &store), 0.0, "long gone");
-    tell(&mut store, "req-000100", &cancelled(recent_ms), 59);
-    assert_eq!(used(&shard, &store), 2.0, "perhaps still there");
-    // Carried out late, after newer ones: the team was gained before.
-    tell(&mut store, "req-000101", &cancelled(1), 61);
+    assert_eq!(used(&shard, &store), 0.0, "ended long ago");
+    write_record(&mut store, "req-000100", &cancelled(recent_ms), 59);
+    assert_eq!(used(&shard, &store), 2.0, "may still be running");
+    // An old cancellation that was recorded after the team was gained counts too.
+    write_record(&mut store, "req-000101", &cancelled(1), 61);
     assert_eq!(used(&shard, &store), 4.0);
-    // What is seen is counted where it is, and not twice.
+    // A reported attempt is counted on its machine, and not a second time.
     let machine = shard.machines.get_mut(&MachineId::from("m-1")).unwrap();
     let mut tracked = TrackedAttempt::new(0.0);
     describe_terminating(
@@ -428,13 +434,14 @@
         gpus_max: 9.0,
     };
     assert!(shard.usage(&store, now_ms).allows(&team_limits, 1.0, 1.0));
-    // Whose it was is not known: by an older version, and no later record is old.
+    // A record from an older software version does not name its team, and no later record shows that it is
+    // old.
     let plain = JobRecord {
         ended_ms: None,
         terminating: None,
         ..cancelled(1)
     };
-    tell(&mut store, "req-000102", &plain, 62);
+    write_record(&mut store, "req-000102", &plain, 62);
     assert!(!shard.usage(&store, now_ms).allows(&team_limits, 1.0, 1.0));
     shard
         .teams
@@ -442,12 +449,16 @@
         .unwrap()
         .unreconciled
         .clear();
-    assert_eq!(used(&shard, &store), 1.0, "settled: only what is held");
+    assert_eq!(
+        used(&shard, &store),
+        1.0,
+        "reconciled: only reported attempts count"
+    );
     assert!(shard.usage(&store, now_ms).allows(&team_limits, 1.0, 1.0));
 }
 
-/// Records of an older version, which don't tell their time, are as old as the records before which
-/// they were written.
+/// Records from an older software version do not contain their time. They are at least as old as any record
+/// that was written after them.
 #[test]
 fn cancellations_without_a_time_count_until_a_later_record_is_old() {
     let (_, _, mut store) = shard();
@@ -487,19 +498,20 @@
     );
 }
 
-/// Starts on many machines at once do not take all sockets: what is over goes as others are answered.
+/// Starts on many machines at once must not use up all sockets: further messages are sent as earlier ones are
+/// answered.
 #[test]
-fn direct_orders_under_way_are_bounded() {
+fn direct_messages_in_flight_are_bounded() {
     let (mut shard, mut outbox, mut store) = shard();
     let ids: Vec<MachineId> = (0..150)
         .map(|n| MachineId::from(format!("m-{n:03}")))
         .collect();
-    let mine = ShardEntry {
+    let own_entry = ShardEntry {
         owner: owner("n0"),
         teams: vec!["red".into()],
         machines: ids.clone(),
     };
-    map(&mut store, 5, vec![mine]);
+    map(&mut store, 5, vec![own_entry]);
     shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
     for (index, id) in (0..).zip(&ids) {
         let machine = shard.machines.get_mut(id).unwrap();
@@ -515,7 +527,7 @@
     }
     shard.send_direct_commands(&mut outbox);
     let sent = outbox.take_effects();
-    assert_eq!(sent.len(), 105, "of 700 sockets");
+    assert_eq!(sent.len(), 105, "for a limit of 700 sockets");
     shard.send_direct_commands(&mut outbox);
     assert!(outbox.take_effects().is_empty());
     for effect in sent.into_iter().take(20) {
@@ -528,16 +540,16 @@
     assert_eq!(outbox.take_effects().len(), 20);
 }
 
-/// A deadline counts from the submission; every other time from when the last dependency was done.
+/// A deadline counts from the submission. Every other time counts from the end of the last dependency.
 #[test]
-fn waiting_for_others_counts_towards_the_deadline_only() {
+fn waiting_for_dependencies_counts_towards_the_deadline_only() {
     let (mut shard, mut outbox, mut store) = shard();
-    let mine = ShardEntry {
+    let own_entry = ShardEntry {
         owner: owner("n0"),
         teams: vec!["red".into()],
         machines: vec![],
     };
-    map(&mut store, 5, vec![mine]);
+    map(&mut store, 5, vec![own_entry]);
     shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
     let mut waiting = JobRecord {
         accepted_ms: 10_000,
@@ -555,11 +567,11 @@
     };
     done(&mut store, "req-000001", 55_000);
     shard.take_job(&store, &id, &Rc::new(waiting.clone()), 9, (now, wall_ms));
-    assert!(shard.jobs.is_empty(), "one of them is not done");
+    assert!(shard.jobs.is_empty(), "one dependency is not done");
     done(&mut store, "req-000002", 40_000);
     shard.take_job(&store, &id, &Rc::new(waiting), 9, (now, wall_ms));
     let job = &shard.jobs[&id];
-    assert_eq!(job.submitted, 95.0, "5 s ago, with the last of them");
+    assert_eq!(job.submitted, 95.0, "the last dependency was done 5 s ago");
     assert_eq!(
         job.deadline,
         Some(140.0),
--- a/src/core/shard/tracking.rs
+++ b/src/core/shard/tracking.rs
@@ -1,10 +1,10 @@
-//! Reconciliation of the machines' heartbeats with the attempts and jobs known here.
+//! Reconciles the machines' heartbeats with the attempts and jobs known to this process.
 //!
-//! An attempt counts as possibly on a machine from the moment its start is issued until it is seen
-//! ended or the machine is known to be empty, and as long as its start may still arrive
+//! An attempt may be on a machine from the moment its start is issued. It is tracked until the machine
+//! reports its end or is known to be empty, and as long as its start may still arrive
 //! ([`crate::core::machines::starts_in_flight`]). A machine is known to be empty when its agent epoch has
-//! advanced, its deletion was confirmed, or its lease must have expired since its last answered heartbeat
-//! ([`crate::core::shard::lease_expiry`]).
+//! advanced, when its deletion was confirmed, or when its lease must have expired since its last answered
+//! heartbeat ([`crate::core::shard::lease_expiry`]).
 
 mod attempt_end;
 mod cordon;
@@ -25,15 +25,16 @@
 use crate::wire::{Command, Exit, Heartbeat, HeartbeatResponse, ReportedTask, TaskState};
 use std::collections::BTreeSet;
 
-/// Heartbeats that may fail to show an attempt whose start was in the responses to earlier ones, until it
-/// is taken to be absent.
-const HEARTBEATS_WITHOUT_START: u32 = 3;
+/// Number of heartbeats without an attempt, although earlier responses carried its start, after which the
+/// attempt is considered absent.
+const MISSED_HEARTBEATS_UNTIL_ABSENT: u32 = 3;
 
-/// The same for an attempt that is to be stopped anyway.
-const HEARTBEATS_WITHOUT_STOPPED_START: u32 = 1;
+/// As [`MISSED_HEARTBEATS_UNTIL_ABSENT`], for an attempt whose stop was requested.
+const MISSED_HEARTBEATS_UNTIL_STOPPED_ABSENT: u32 = 1;
 
 impl Shard {
-    /// Answers a heartbeat of a worker; None if its machine is not owned by this process.
+    /// Applies a heartbeat of a worker and returns the answer to it; `None` if this process does not own the
+    /// machine.
     pub fn handle_heartbeat(
         &mut self,
         store: &StoreReplica,
@@ -49,7 +50,7 @@
             machine.describe(heartbeat, catalog.types());
         }
         if heartbeat.token > machine.token {
-            // The machine has a later owner or token, which the shard map will show here soon.
+            // The machine has a newer owner or token that this process has not read from the shard map yet.
             return Some(Answer::unavailable());
         }
         let freshness = machine.accept_heartbeat(heartbeat, HeartbeatOrigin::Periodic);
@@ -62,11 +63,12 @@
             self.apply_heartbeat(store, heartbeat, new_epoch, origin, now);
         }
         self.last_heartbeat = now;
-        self.respond(store, heartbeat, now)
+        self.answer_heartbeat(store, heartbeat, now)
     }
 
-    /// The response to a heartbeat, which extends the machine's lease unless it is refused.
-    fn respond(
+    /// Builds the answer to a heartbeat. Unless the heartbeat is refused, the answer extends the machine's
+    /// lease.
+    fn answer_heartbeat(
         &mut self,
         store: &StoreReplica,
         heartbeat: &Heartbeat,
@@ -74,16 +76,16 @@
     ) -> Option<Answer> {
         let machine = self.machines.get_mut(&heartbeat.machine)?;
         if machine.unresponsive {
-            // Siblings were told that the machine is not answered any more under its present token.
+            // Siblings rely on the machine no longer being answered under its current token.
             machine.needs_new_token = true;
             self.sync_soon |= self.demand.request_new_token(&machine.id, machine.token);
             return Some(Answer::unavailable());
         }
         machine.last_answered = now;
         machine.known_empty = false;
-        // Until the machine has shown its token it is sent the token and no commands but stops for jobs
-        // that are over. It must be answered, for that keeps its tasks alive; and if its owner changes
-        // again and again, it might never get those stops otherwise.
+        // Until a heartbeat has shown the token, the response carries the token and only stops for finished
+        // jobs. The heartbeat must be answered, because the answer keeps the machine's tasks alive. A machine
+        // whose owner changes repeatedly might otherwise never receive those stops.
         let commands = if machine.token_confirmed {
             let channel = CommandChannel::HeartbeatResponse;
             let batch = machine.commands(&self.starts_in_flight, channel);
@@ -91,7 +93,7 @@
                 .answered(&machine.id, heartbeat.agent_epoch, batch.starts);
             batch.commands
         } else {
-            stops_for_ended_jobs(heartbeat, store)
+            stops_for_finished_jobs(heartbeat, store)
         };
         let response = HeartbeatResponse {
             token: machine.token,
@@ -104,7 +106,7 @@
         })
     }
 
-    /// Applies a heartbeat that is newer than every message of the machine before.
+    /// Applies a heartbeat that is newer than every earlier message of the machine.
     pub(super) fn apply_heartbeat(
         &mut self,
         store: &StoreReplica,
@@ -138,9 +140,9 @@
         self.apply_reported_tasks(store, heartbeat, origin, now);
     }
 
-    /// The worker has begun a new agent epoch: every attempt of the earlier one has ended, and nothing
-    /// sent in it will be executed. If the worker's lease had expired, responses may not reach it: it
-    /// has to show a new token.
+    /// Drops the attempts of the previous agent epoch when the worker has begun a new one. Those attempts
+    /// have ended, and the worker executes no command that was sent in that epoch. If the worker's lease had
+    /// expired, responses may not reach the worker, so it has to show a new token.
     fn drop_attempts_of_earlier_epoch(&mut self, machine_id: &MachineId, now: Time) {
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
@@ -151,13 +153,13 @@
             tracing::info!(
                 machine = %machine_id,
                 attempts = machine.attempts.len(),
-                "new agent epoch: attempts of the earlier one have ended"
+                "worker began a new agent epoch: its earlier attempts have ended"
             );
         }
         self.drop_attempts(machine_id, now);
     }
 
-    /// Reconciles all attempts on a machine with those that its heartbeat shows.
+    /// Reconciles all tracked attempts of a machine with the attempts in its heartbeat.
     fn apply_reported_tasks(
         &mut self,
         store: &StoreReplica,
@@ -175,7 +177,7 @@
         self.drop_missing_attempts(&heartbeat.machine, &shown, origin, now);
     }
 
-    /// Drops the attempts that a machine does not show, or not any more.
+    /// Drops tracked attempts that are missing from a machine's heartbeat.
     fn drop_missing_attempts(
         &mut self,
         machine_id: &MachineId,
@@ -196,12 +198,11 @@
                 absent.push(key.clone());
                 continue;
             }
-            // The answer to a direct message may be older than the response that carries the start; and
-            // while a direct message with the start is unanswered, a heartbeat without the attempt proves
-            // nothing.
-            let may_count = origin == HeartbeatOrigin::Periodic
+            // The answer to a direct message may be older than the response that carries the start. While a
+            // direct message with the start is unanswered, the worker may still receive it.
+            let counts_as_missed = origin == HeartbeatOrigin::Periodic
                 && !self.starts_in_flight.awaits_answer(machine_id, key);
-            if may_count && misses_one_too_many(tracked) {
+            if counts_as_missed && count_missed_heartbeat(tracked) {
                 machine.unreachable = true;
                 absent.push(key.clone());
             }
@@ -211,7 +212,7 @@
         }
     }
 
-    /// Applies the state of one task as its machine shows it.
+    /// Applies the state of one attempt as reported by its machine.
     pub(super) fn apply_reported_task(
         &mut self,
         store: &StoreReplica,
@@ -231,15 +232,15 @@
         self.changed_since_round |= changed;
         let (task, attempt) = &key;
         if !self.jobs.contains_key(&task.job) {
-            let job_is_over = store
+            let job_is_finished = store
                 .job(&task.job)
                 .is_some_and(|stored| stored.record.is_final());
-            if job_is_over {
-                self.stop_and_forget(machine_id, &key);
+            if job_is_finished {
+                self.stop_attempt_of_finished_job(machine_id, &key);
             }
-            // The attempt of another owner's team is that owner's; one of a job that is not known yet
-            // will be followed once the job is.
-            self.sync_soon |= changed && !job_is_over;
+            // If another controller owns the job's team, that controller handles the attempt. If the job is
+            // not known yet, the attempt is reconciled once the job is.
+            self.sync_soon |= changed && !job_is_finished;
             return;
         }
         self.reconcile_with_job(machine_id, &key);
@@ -248,8 +249,8 @@
         }
     }
 
-    /// Records how far an attempt has come, and returns whether that is new; None if the machine is
-    /// not known.
+    /// Records the phase of an attempt and returns whether the phase has changed; `None` if the machine is
+    /// unknown.
     fn record_phase(
         &mut self,
         store: &StoreReplica,
@@ -274,7 +275,7 @@
                 %task,
                 machine = %machine_id,
                 seconds = %format_args!("{:.1}", now - tracked.issued_at),
-                "image is on the machine"
+                "image is available on the machine"
             );
             if let Some((image, gb)) = tracked.image.clone() {
                 machine.record_image_use(&image, gb);
@@ -283,8 +284,8 @@
         Some(changed)
     }
 
-    /// The job of this attempt is over: the attempt is stopped, and its exit may be forgotten.
-    fn stop_and_forget(&mut self, machine_id: &MachineId, key: &AttemptKey) {
+    /// Stops an attempt of a finished job and allows the worker to forget its exit.
+    fn stop_attempt_of_finished_job(&mut self, machine_id: &MachineId, key: &AttemptKey) {
         let machine = self.machines.get_mut(machine_id);
         let Some(tracked) = machine.and_then(|machine| machine.attempts.get_mut(key)) else {
             return;
@@ -295,8 +296,8 @@
         }
     }
 
-    /// Places the task where this attempt of it is, or stops the attempt if another is meant to run or
-    /// none is needed any more.
+    /// Marks the task as placed in this attempt if it has no placement yet. Stops the attempt if the task is
+    /// placed in another attempt or needs none.
     fn reconcile_with_job(&mut self, machine_id: &MachineId, (task, attempt): &AttemptKey) {
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
@@ -319,7 +320,7 @@
                     %task,
                     attempt = attempt.0,
                     machine = %machine_id,
-                    "surplus attempt is stopped"
+                    "stopping surplus attempt: the task is placed in another attempt or needs none"
                 );
                 self.unsent_commands.insert(machine_id.clone());
             }
@@ -329,24 +330,24 @@
     }
 }
 
-/// Counts a heartbeat that does not show an attempt whose start was issued, and returns whether the
-/// attempt is now taken to be absent.
-fn misses_one_too_many(tracked: &mut TrackedAttempt) -> bool {
+/// Counts a heartbeat without an attempt whose start was issued, and returns whether the attempt is now
+/// considered absent.
+fn count_missed_heartbeat(tracked: &mut TrackedAttempt) -> bool {
     tracked.missed_heartbeats += 1;
-    let allowed = if tracked.stop.is_some() {
-        HEARTBEATS_WITHOUT_STOPPED_START
+    let limit = if tracked.stop.is_some() {
+        MISSED_HEARTBEATS_UNTIL_STOPPED_ABSENT
     } else {
-        HEARTBEATS_WITHOUT_START
+        MISSED_HEARTBEATS_UNTIL_ABSENT
     };
-    tracked.missed_heartbeats >= allowed
+    tracked.missed_heartbeats >= limit
 }
 
-/// Stops for the attempts that a heartbeat shows of jobs that are over.
-fn stops_for_ended_jobs(heartbeat: &Heartbeat, store: &StoreReplica) -> Vec<Command> {
-    let is_over = |job: &JobId| store.job(job).is_some_and(|job| job.record.is_final());
+/// Stop commands for the running attempts in a heartbeat whose jobs are finished.
+fn stops_for_finished_jobs(heartbeat: &Heartbeat, store: &StoreReplica) -> Vec<Command> {
+    let is_finished = |job: &JobId| store.job(job).is_some_and(|job| job.record.is_final());
     let must_stop = |reported: &&ReportedTask| {
         reported.state != TaskState::Exited
-            && TaskId::parse(&reported.task).is_some_and(|task| is_over(&task.job))
+            && TaskId::parse(&reported.task).is_some_and(|task| is_finished(&task.job))
     };
     heartbeat
         .tasks
--- a/src/core/shard/tracking/attempt_end.rs
+++ b/src/core/shard/tracking/attempt_end.rs
@@ -1,4 +1,5 @@
-//! The end of attempts: exits that machines report, and attempts that are no longer on their machines.
+//! Handles the end of attempts: exits reported by machines, and attempts that are no longer on their
+//! machines.
 
 use crate::core::jobs::job::Task;
 use crate::core::model::time::Time;
@@ -6,19 +7,19 @@
 use crate::ids::{Attempt, MachineId, TaskId};
 use crate::wire::{Exit, Kind};
 
-/// Failures of a task after which the time until its next attempt does not grow any more.
-const LONGEST_BACKOFF_FAILURES: u32 = 5;
+/// Number of failures of a task from which on its retry delay no longer grows.
+const MAX_BACKOFF_FAILURES: u32 = 5;
 
-/// Part of a heartbeat interval after which a start that a machine refused is tried again.
-const REFUSED_RETRY_HEARTBEATS: f64 = 0.5;
+/// Delay before a start that a machine refused is retried, in heartbeat intervals.
+const REFUSED_START_RETRY_HEARTBEATS: f64 = 0.5;
 
-/// Seconds until a task is tried again after this many failures: 1, doubled with each further one.
+/// Retry delay in seconds after this many failures: 1 s after the first, doubled with each further failure.
 fn backoff_s(failures: u32) -> Time {
-    2f64.powi(failures.min(LONGEST_BACKOFF_FAILURES) as i32 - 1)
+    2f64.powi(failures.min(MAX_BACKOFF_FAILURES) as i32 - 1)
 }
 
 impl Shard {
-    /// A machine has shown for the first time that an attempt has ended.
+    /// Handles the first report of an attempt's exit.
     pub(in crate::core::shard) fn handle_task_exit(
         &mut self,
         machine_id: &MachineId,
@@ -41,7 +42,7 @@
         let is_placed_here =
             job.task(task.index) == Some(&Task::Placed(machine_id.clone(), attempt));
         if reason == Exit::Done && job.spec.kind != Kind::Service {
-            // The worker may forget this exit only once it is recorded.
+            // The worker may forget this exit only after the store has recorded it.
             let zone = is_placed_here.then_some(&machine.zone);
             job.set(task.index, Task::Done, zone);
             job.failures.prove();
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Sets when a task may be tried again after an attempt that did not complete.
+    /// Sets the earliest time of the task's next attempt after one that did not complete.
     fn delay_retry(&mut self, machine_id: &MachineId, task: &TaskId, reason: Exit, now: Time) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -67,18 +68,19 @@
             Exit::Error | Exit::Other => {
                 retry.failures += 1;
                 retry.not_before = now + backoff_s(retry.failures);
-                self.note_failure(machine_id, task, now);
+                self.handle_task_failure(machine_id, task, now);
             }
             Exit::NoRoom | Exit::Busy | Exit::UnknownJob => {
                 let interval = self.config.deployment.workers.report_s;
-                retry.not_before = now + interval * REFUSED_RETRY_HEARTBEATS;
+                retry.not_before = now + interval * REFUSED_START_RETRY_HEARTBEATS;
             }
             Exit::Stopped | Exit::PeersGone | Exit::GangIncomplete | Exit::Done => {}
         }
     }
 
-    /// The task that was placed in this attempt has lost it. It waits, or is where another attempt of it
-    /// may be: a surplus attempt is stopped, but until it has ended no other may start.
+    /// Updates the task that was placed in a lost attempt. The task waits, unless another attempt of it may
+    /// still be on a machine: it is then placed in that attempt, because no new one may start until a surplus
+    /// attempt has ended.
     fn handle_lost_attempt(&mut self, machine_id: &MachineId, task: &TaskId, attempt: Attempt) {
         let other = self.other_attempt(task);
         let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -96,7 +98,7 @@
         self.gang_lost_one(&task.job, attempt);
     }
 
-    /// Drops all attempts on a machine, in order ([`Self::drop_attempt`]).
+    /// Drops all attempts on a machine, ordered by task and attempt ([`Self::drop_attempt`]).
     pub(in crate::core::shard) fn drop_attempts(&mut self, machine_id: &MachineId, now: Time) {
         let Some(machine) = self.machines.get(machine_id) else {
             return;
@@ -107,8 +109,8 @@
         }
     }
 
-    /// An attempt is not on the machine, or not any more, and is no longer tracked; unless its start may
-    /// still arrive: then the machine needs a new token, which makes that start void.
+    /// Stops tracking an attempt that is not on its machine. If the attempt's start may still arrive, the
+    /// attempt stays tracked and the machine needs a new token, which voids that start.
     pub(in crate::core::shard) fn drop_attempt(
         &mut self,
         machine_id: &MachineId,
--- a/src/core/shard/tracking/cordon.rs
+++ b/src/core/shard/tracking/cordon.rs
@@ -1,20 +1,21 @@
-//! Cordons machines on which several jobs fail that fail nowhere else.
+//! Cordons machines on which several jobs fail that fail on no other machine.
 
 use crate::core::model::time::Time;
 use crate::core::shard::Shard;
 use crate::ids::{JobId, MachineId, TaskId};
 use std::collections::BTreeSet;
 
-/// Leases for which a faulty machine is cordoned.
-const CORDON_LEASES: f64 = 20.0;
+/// Duration for which a faulty machine is cordoned, in leases of a worker.
+const CORDON_DURATION_LEASES: f64 = 20.0;
 
-/// Jobs that must have failed on one machine only to make it seem faulty. A single one may itself be at
-/// fault.
-const FAULTY_MACHINE_JOBS: usize = 2;
+/// Number of jobs that must have failed on a machine, and on no other, before the machine is considered
+/// faulty. A single job may itself be faulty.
+const MIN_FAULTY_MACHINE_JOBS: usize = 2;
 
 impl Shard {
-    /// A task has failed on this machine: its job or the machine may be at fault.
-    pub(super) fn note_failure(&mut self, machine_id: &MachineId, task: &TaskId, now: Time) {
+    /// Records that a task has failed on this machine, and cordons or uncordons machines accordingly. Either
+    /// the job or the machine may be faulty.
+    pub(super) fn handle_task_failure(&mut self, machine_id: &MachineId, task: &TaskId, now: Time) {
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
@@ -32,16 +33,19 @@
             "task failed"
         );
         if fails_everywhere {
-            tracing::info!(job = %task.job, "job fails on every machine: it is only probed");
+            tracing::info!(
+                job = %task.job,
+                "job fails on every machine: only probes of it are started until one runs"
+            );
             self.forecast.withdraw(&job.spec);
         }
         let failed_on = job.failures.machines().clone();
         self.cordon_if_faulty(machine_id, now);
-        self.uncordon(&failed_on, now);
+        self.uncordon_if_not_faulty(&failed_on, now);
     }
 
-    /// Cordons a machine on which several jobs failed that failed nowhere else. A job that was submitted
-    /// with a mistake fails on every machine, and proves nothing of machines.
+    /// Cordons a machine on which several jobs failed that failed on no other machine. A job that was
+    /// submitted with a mistake fails on every machine, so it says nothing about a particular machine.
     fn cordon_if_faulty(&mut self, machine_id: &MachineId, now: Time) {
         let jobs = &self.jobs;
         let Some(machine) = self.machines.get_mut(machine_id) else {
@@ -54,9 +58,10 @@
         if let Some(machine) = self.machines.get_mut(machine_id) {
             tracing::info!(
                 machine = %machine_id,
-                "machine cordoned: tasks of several jobs fail on it alone"
+                "machine cordoned: several jobs have failed on it and on no other machine"
             );
-            machine.cordoned_until = now + self.config.deployment.workers.lease_s * CORDON_LEASES;
+            machine.cordoned_until =
+                now + self.config.deployment.workers.lease_s * CORDON_DURATION_LEASES;
         }
     }
 
@@ -69,12 +74,13 @@
         };
         self.machines.get(machine_id).is_some_and(|machine| {
             let failed = machine.failed_jobs.iter();
-            failed.filter(fails_here_only).count() >= FAULTY_MACHINE_JOBS
+            failed.filter(fails_here_only).count() >= MIN_FAULTY_MACHINE_JOBS
         })
     }
 
-    /// A job has failed on another machine too: those that were cordoned because of it may be used again.
-    fn uncordon(&mut self, failed_on: &BTreeSet<MachineId>, now: Time) {
+    /// Uncordons those machines in `failed_on` that no longer seem faulty, because a job that failed on them
+    /// has failed on another machine too.
+    fn uncordon_if_not_faulty(&mut self, failed_on: &BTreeSet<MachineId>, now: Time) {
         for machine_id in failed_on {
             let is_cordoned = self
                 .machines
@@ -86,7 +92,7 @@
             {
                 tracing::info!(
                     machine = %machine_id,
-                    "machine uncordoned: what failed on it fails elsewhere too"
+                    "machine uncordoned: a job that failed on it has failed on another machine too"
                 );
                 machine.cordoned_until = now;
                 self.changed_since_round = true;
--- a/src/core/shard/tracking/tests.rs
+++ b/src/core/shard/tracking/tests.rs
@@ -13,7 +13,7 @@
 
 const JOB: &str = "req-000001";
 
-/// A shard with the team and two machines, which have shown its token.
+/// A shard with one team and two machines that have shown their tokens.
 struct Fixture {
     shard: Shard,
     outbox: Outbox,
@@ -44,7 +44,7 @@
         fixture
     }
 
-    /// The shard map assigns the first machine to one owner, and the second and the team to another.
+    /// Assigns the first machine to one owner, and the second machine and the team to another.
     fn assign(&mut self, version: u64, first: ShardOwner, rest: ShardOwner) {
         let first = ShardEntry {
             owner: first,
@@ -62,8 +62,8 @@
             .follow_map(&mut self.outbox, &self.store, &unresponsive);
     }
 
-    /// The leader removes the first machine, which is deleted, from the shard map.
-    fn delete_first(&mut self) {
+    /// Removes the first machine from the shard map, as the leader does once the machine is deleted.
+    fn delete_first_machine(&mut self) {
         let rest = ShardEntry {
             owner: owner("n0"),
             teams: vec!["red".into()],
@@ -75,7 +75,7 @@
             .follow_map(&mut self.outbox, &self.store, &unresponsive);
     }
 
-    /// The next heartbeat of a machine.
+    /// Creates the next heartbeat of a machine, with a new sequence number.
     fn next_heartbeat(&mut self, machine: &str, tasks: &[ReportedTask]) -> Heartbeat {
         self.sequence += 1;
         Heartbeat {
@@ -92,12 +92,13 @@
         }
     }
 
-    /// A worker sends a heartbeat; returns the commands in the response.
+    /// Handles the next heartbeat of a machine and returns the commands in the response.
     fn heartbeat(&mut self, machine: &str, tasks: &[ReportedTask]) -> Vec<Command> {
         let heartbeat = self.next_heartbeat(machine, tasks);
         self.handle_heartbeat(heartbeat)
     }
 
+    /// Handles a heartbeat and returns the commands in the response; none if it is refused.
     fn handle_heartbeat(&mut self, heartbeat: Heartbeat) -> Vec<Command> {
         let catalog = Catalog::default();
         let answer =
@@ -109,14 +110,15 @@
         }
     }
 
-    /// The newest heartbeat once more.
+    /// Creates a heartbeat with the sequence number of the last one.
     fn copy_of_last_heartbeat(&mut self, machine: &str) -> Heartbeat {
         self.sequence -= 1;
         self.next_heartbeat(machine, &[])
     }
 
-    /// A sibling reports that the first machine is reconciled under a token, without any task.
-    fn observe(&mut self, token: FencingToken) {
+    /// Applies an update in which a sibling reports the first machine as reconciled under a token, without
+    /// tasks.
+    fn apply_empty_observation(&mut self, token: FencingToken) {
         let update = crate::core::messages::shard_update::PeerUpdate {
             revision: 100,
             teams: ["red".into()].into(),
@@ -133,7 +135,7 @@
             .take_update(&mut self.outbox, &self.store, &"n1".into(), 1, update);
     }
 
-    /// Starts a task on the first machine; returns the direct message with the start.
+    /// Starts a task on the first machine and returns the call id of the direct message with the start.
     fn start(&mut self, index: u32) -> CallId {
         self.shard.start_task(
             &JOB.into(),
@@ -145,7 +147,7 @@
         self.send_direct().unwrap().0
     }
 
-    /// The next direct message.
+    /// Sends direct messages and returns the first one.
     fn send_direct(&mut self) -> Option<(CallId, Vec<Command>)> {
         self.shard.send_direct_commands(&mut self.outbox);
         self.outbox
@@ -166,13 +168,14 @@
             .handle_command_reply(store, &machine, call, reply, self.outbox.now);
     }
 
+    /// Whether the first attempt of a task is tracked on the first machine.
     fn tracks(&self, index: u32) -> bool {
         let machine = self.shard.machines.get(&MachineId::from("m-1"));
         machine.is_some_and(|machine| machine.attempts.contains_key(&(task(index), Attempt(1))))
     }
 
-    /// Starts that are issued in a round of placement.
-    fn started_in_a_round(&mut self) -> usize {
+    /// Runs a placement round and returns the number of starts that it issues.
+    fn starts_in_placement_round(&mut self) -> usize {
         let catalog = Catalog::default();
         let before: usize = self
             .shard
@@ -206,13 +209,13 @@
     }
 }
 
-fn reported(index: u32, attempt: u64, state: TaskState, why: Option<Exit>) -> ReportedTask {
+fn reported(index: u32, attempt: u64, state: TaskState, exit: Option<Exit>) -> ReportedTask {
     let (task, attempt) = (task(index).to_string(), Attempt(attempt));
     ReportedTask {
         task,
         attempt,
         state,
-        exit: why,
+        exit,
         checkpointed: None,
     }
 }
@@ -221,23 +224,24 @@
     reported(index, 1, TaskState::Exited, Some(Exit::NoRoom))
 }
 
-fn forgets(commands: &[Command]) -> bool {
+fn contains_forget(commands: &[Command]) -> bool {
     commands
         .iter()
         .any(|command| matches!(command, Command::Forget { .. }))
 }
 
-/// Two messages with one start are in flight; the later is refused, the earlier arrives late.
+/// Two messages with the same start are in flight. The later one could not be sent, the earlier one may still
+/// arrive.
 #[test]
-fn a_refused_message_proves_nothing_of_an_earlier_one() {
+fn unsent_message_does_not_void_an_earlier_start() {
     let mut fixture = Fixture::new();
     let delayed = fixture.start(0);
-    let refused = fixture.start(1);
-    fixture.reply(refused, WorkerReply::NotSent);
+    let unsent = fixture.start(1);
+    fixture.reply(unsent, WorkerReply::NotSent);
     assert!(fixture.tracks(0), "its start may still arrive");
     assert!(
         !fixture.tracks(1),
-        "the only message with its start never left"
+        "the only message with its start was not sent"
     );
     fixture.reply(delayed, WorkerReply::Unknown);
     for _ in 0..5 {
@@ -245,17 +249,17 @@
     }
     assert!(fixture.tracks(0));
     let machine = &fixture.shard.machines[&MachineId::from("m-1")];
-    assert!(machine.needs_new_token, "a new token makes it void");
+    assert!(machine.needs_new_token, "a new token voids the start");
 }
 
-/// The same when heartbeats do not show the task while the earlier message is in flight.
+/// As above, with heartbeats that do not show the task while the earlier message is in flight.
 #[test]
-fn heartbeats_without_a_task_prove_nothing_while_its_start_is_in_flight() {
+fn attempt_missing_from_heartbeats_is_kept_while_its_start_is_in_flight() {
     let mut fixture = Fixture::new();
     let delayed = fixture.start(0);
     fixture.heartbeat("m-1", &[]);
-    let refused = fixture.start(1);
-    fixture.reply(refused, WorkerReply::NotSent);
+    let unsent = fixture.start(1);
+    fixture.reply(unsent, WorkerReply::NotSent);
     fixture
         .shard
         .stop_attempt(&"m-1".into(), &task(0), Attempt(1), 0.0);
@@ -279,24 +283,29 @@
     fixture.heartbeat("m-1", &[]);
     assert!(
         !fixture.tracks(0),
-        "void under the new token, and not there"
+        "its start is void under the new token, and the machine does not show it"
     );
 }
 
-/// A worker that has forgotten an exit would start the task again.
+/// A worker that has forgotten an exit would execute a late start of the same attempt.
 #[test]
 fn an_exit_is_not_forgotten_while_a_start_is_in_flight() {
     let mut fixture = Fixture::new();
     let delayed = fixture.start(0);
     fixture.heartbeat("m-1", &[]);
     let commands = fixture.heartbeat("m-1", &[refused_start(0)]);
-    assert!(!forgets(&commands), "the direct message may still come");
+    assert!(
+        !contains_forget(&commands),
+        "the direct message may still arrive"
+    );
     let answer = fixture.next_heartbeat("m-1", &[refused_start(0)]);
     fixture.reply(delayed, WorkerReply::Executed(answer));
-    assert!(forgets(&fixture.heartbeat("m-1", &[refused_start(0)])));
+    assert!(contains_forget(
+        &fixture.heartbeat("m-1", &[refused_start(0)])
+    ));
 }
 
-/// A start in the response to a heartbeat may arrive until the worker sends the next heartbeat.
+/// A start in the response to a heartbeat may arrive until the worker has sent its next heartbeat.
 #[test]
 fn an_exit_is_not_forgotten_while_the_response_to_a_heartbeat_is_in_flight() {
     let mut fixture = Fixture::new();
@@ -310,14 +319,19 @@
         .send_direct()
         .map(|(_, commands)| commands)
         .unwrap_or_default();
-    assert!(!forgets(&direct), "overtakes the response");
-    assert!(forgets(&fixture.heartbeat("m-1", &[refused_start(0)])));
+    assert!(
+        !contains_forget(&direct),
+        "the direct message may overtake the response"
+    );
+    assert!(contains_forget(
+        &fixture.heartbeat("m-1", &[refused_start(0)])
+    ));
 }
 
-/// A message sent under an earlier ownership of the machine proves nothing under a later token, and needs no
-/// new one.
+/// A start that was sent under an earlier ownership of the machine is void once the machine has shown a later
+/// token, so it delays no forgetting of exits.
 #[test]
-fn a_message_of_an_earlier_ownership_is_void_under_the_present_token() {
+fn message_of_an_earlier_ownership_is_void_under_the_current_token() {
     let mut fixture = Fixture::new();
     let delayed = fixture.start(0);
     fixture.assign(
@@ -340,17 +354,18 @@
     assert!(fixture.tracks(0));
     fixture.token = FencingToken(11);
     assert!(
-        forgets(&fixture.heartbeat("m-1", &[refused_start(0)])),
-        "shown under the present token"
+        contains_forget(&fixture.heartbeat("m-1", &[refused_start(0)])),
+        "reported under the current token"
     );
 }
 
-/// A refusal that is received after the machine had another owner, before it has shown the new token.
+/// The failure to send is received after the machine had another owner, and before it has shown its new
+/// token.
 #[test]
-fn a_refusal_received_after_the_machine_came_back_proves_nothing_of_an_earlier_message() {
+fn unsent_message_does_not_void_an_earlier_start_after_the_machine_was_regained() {
     let mut fixture = Fixture::new();
     fixture.start(0);
-    let refused = fixture.start(1);
+    let unsent = fixture.start(1);
     fixture.assign(
         8,
         ShardOwner {
@@ -367,11 +382,11 @@
         },
         owner("n0"),
     );
-    fixture.reply(refused, WorkerReply::NotSent);
+    fixture.reply(unsent, WorkerReply::NotSent);
     assert!(fixture.tracks(0));
 }
 
-/// A surplus attempt is still on its machine when the other ends.
+/// A surplus attempt may still be on its machine when the other attempt ends.
 #[test]
 fn a_task_waits_until_every_attempt_of_it_has_ended() {
     let mut fixture = Fixture::new();
@@ -386,41 +401,42 @@
     let failed = reported(0, 1, TaskState::Exited, Some(Exit::Stopped));
     fixture.heartbeat("m-1", &[failed.clone(), running(1)]);
     assert_eq!(
-        fixture.started_in_a_round(),
+        fixture.starts_in_placement_round(),
         0,
-        "it is on the second machine"
+        "an attempt is still on the second machine"
     );
     fixture.heartbeat(
         "m-2",
         &[reported(0, 2, TaskState::Exited, Some(Exit::Stopped))],
     );
-    assert_eq!(fixture.started_in_a_round(), 1);
+    assert_eq!(fixture.starts_in_placement_round(), 1);
     assert_eq!(
         fixture.shard.starts_held_back, 0,
-        "known, so the last safeguard was not needed"
+        "the attempts were known, so no start had to be held back"
     );
 }
 
-/// A refused message whose start is also in the response to a heartbeat: the task is kept, and nothing has to
-/// be made void.
+/// The response to a heartbeat carries the same start as an unsent message: the attempt is kept, and no start
+/// has to be voided.
 #[test]
-fn a_refused_message_needs_no_new_token_while_a_response_carries_the_start() {
+fn unsent_message_needs_no_new_token_while_a_response_carries_the_start() {
     let mut fixture = Fixture::new();
-    let refused = fixture.start(0);
+    let unsent = fixture.start(0);
     fixture.heartbeat("m-1", &[]);
-    fixture.reply(refused, WorkerReply::NotSent);
+    fixture.reply(unsent, WorkerReply::NotSent);
     assert!(fixture.tracks(0));
     assert!(!fixture.shard.machines[&MachineId::from("m-1")].needs_new_token);
 }
 
-/// Once a start in flight is void, a task that is not shown is not there, and may start elsewhere.
+/// Once a start in flight is void, an attempt that the machine does not show is dropped, and the task may
+/// start elsewhere.
 #[test]
 fn a_start_in_flight_is_void_once_its_machine_cannot_execute_it() {
-    let tracked_after = |happens: fn(&mut Fixture)| {
+    let tracked_after = |event: fn(&mut Fixture)| {
         let mut fixture = Fixture::new();
         let late = fixture.start(0);
         fixture.reply(late, WorkerReply::Unknown);
-        happens(&mut fixture);
+        event(&mut fixture);
         fixture.tracks(0)
     };
     assert!(tracked_after(|_| {}));
@@ -435,7 +451,7 @@
         fixture.store.set_current_as_of(1000.0);
         fixture.shard.expire_machines(&fixture.store, 1000.0);
     }));
-    assert!(!tracked_after(Fixture::delete_first));
+    assert!(!tracked_after(Fixture::delete_first_machine));
     assert!(!tracked_after(|fixture| {
         fixture.assign(
             8,
@@ -445,14 +461,14 @@
             },
             owner("n0"),
         );
-        fixture.observe(FencingToken(10));
+        fixture.apply_empty_observation(FencingToken(10));
     }));
 }
 
-/// These prove nothing: a heartbeat with a lower token, a copy, observations of a former owner or under an
-/// earlier token.
+/// None of these proves that an attempt is absent: a heartbeat under a lower token, a duplicate heartbeat, an
+/// observation of a controller that does not own the machine, or an observation under an earlier token.
 #[test]
-fn outdated_heartbeats_and_observations_leave_a_task_where_it_may_be() {
+fn outdated_heartbeats_and_observations_do_not_drop_an_attempt() {
     let mut fixture = Fixture::new();
     let late = fixture.start(0);
     let older = fixture.copy_of_last_heartbeat("m-1");
@@ -475,9 +491,9 @@
     for _ in 0..5 {
         fixture.heartbeat("m-1", &[]);
     }
-    assert!(fixture.tracks(0), "shown under a lower token");
-    fixture.observe(FencingToken(9));
-    assert!(fixture.tracks(0), "not the owner of the machine");
+    assert!(fixture.tracks(0), "the heartbeats have a lower token");
+    fixture.apply_empty_observation(FencingToken(9));
+    assert!(fixture.tracks(0), "the sibling does not own the machine");
     fixture.assign(
         9,
         ShardOwner {
@@ -486,31 +502,33 @@
         },
         owner("n0"),
     );
-    fixture.observe(FencingToken(9));
-    assert!(fixture.tracks(0), "an earlier token");
-    fixture.observe(FencingToken(12));
+    fixture.apply_empty_observation(FencingToken(9));
+    assert!(fixture.tracks(0), "the observation has an earlier token");
+    fixture.apply_empty_observation(FencingToken(12));
     assert!(!fixture.tracks(0));
 }
 
-/// The last safeguard: a task that waits by a fault of the tracking is not started beside its attempt.
+/// If the tracking wrongly shows a task as waiting while an attempt of it may still run, no second attempt is
+/// started.
 #[test]
-fn a_second_attempt_is_held_back_and_counted() {
+fn second_attempt_is_held_back_and_counted() {
     let mut fixture = Fixture::new();
     fixture.start(0);
     let job = fixture.shard.jobs.get_mut(&JOB.into()).unwrap();
     job.set(0, Task::Waiting, None);
     assert_eq!(
-        fixture.started_in_a_round(),
+        fixture.starts_in_placement_round(),
         1,
-        "the other task of the job only"
+        "only the other task of the job"
     );
     assert_eq!(fixture.shard.starts_held_back, 1);
 }
 
-/// A worker that answers no direct message receives all commands in the responses to its heartbeats, and gets
-/// a new token now and then, so that the number of messages that may arrive late stays bounded.
+/// A worker that answers no direct message receives all commands in the responses to its heartbeats. It gets
+/// a new token after a number of unanswered messages, so that the number of messages that may arrive late
+/// stays bounded.
 #[test]
-fn a_worker_that_never_answers_gets_a_new_token() {
+fn worker_that_never_answers_gets_a_new_token() {
     let mut fixture = Fixture::new();
     let needs_new_token =
         |fixture: &Fixture| fixture.shard.machines[&MachineId::from("m-1")].needs_new_token;
@@ -527,7 +545,7 @@
         assert_eq!(
             starts.count(),
             1,
-            "an attempt that was seen needs no other start"
+            "an attempt that was reported needs no further start"
         );
         fixture.reply(call, WorkerReply::Unknown);
         let running: Vec<ReportedTask> = (1..=attempt as u64)
