--- a/src/core/shard/grants/tests.rs
+++ b/src/core/shard/grants/tests.rs
@@ -98,14 +98,14 @@
             .apply_write(&put(&teams_key(), &chunk, None), self.version);
         let unresponsive = UnresponsiveMachines::default();
         self.shard
-            .follow_map(&mut self.outbox, &self.store, &unresponsive);
-        self.shard.follow_grants(&self.store);
+            .apply_map_changes(&mut self.outbox, &self.store, &unresponsive);
+        self.shard.read_grant_records(&self.store);
     }
 
     /// The store replica has read up to the revision of the shard map.
     fn synced(&mut self) {
         self.store.read_up_to(self.version);
-        self.shard.follow_grants(&self.store);
+        self.shard.read_grant_records(&self.store);
     }
 
     fn reconcile(&mut self) {
@@ -178,8 +178,8 @@
             self.version = version;
         }
         self.shard
-            .grant_written(&mut self.outbox, &mut self.store, written, reply);
-        self.shard.follow_grants(&self.store);
+            .handle_grant_reply(&mut self.outbox, &mut self.store, written, reply);
+        self.shard.read_grant_records(&self.store);
     }
 }
 
@@ -367,7 +367,7 @@
         ..(*spec).clone()
     }));
     let taken_at = (0.0, 0);
-    scene.shard.take_job(
+    scene.shard.apply_job_record(
         &scene.store,
         &"req-000001".into(),
         &Rc::new(waiting),
@@ -403,13 +403,13 @@
     tell(&mut store, "n0", true, 1);
     tell(&mut store, "n1", false, 2);
     let mut leader = Leader::new(&config, 3, &store, 0.0);
-    leader.note_grant_keepers(&store);
+    leader.update_grant_keepers(&store);
     assert!(
         !leader.keeps_grants(&owner("n0")),
         "n1 would be asked to go on without"
     );
     tell(&mut store, "n1", true, 4);
-    leader.note_grant_keepers(&store);
+    leader.update_grant_keepers(&store);
     assert!(leader.keeps_grants(&owner("n0")));
 }
 
@@ -480,7 +480,7 @@
             token: FencingToken(index as u64 + 1),
             ..owner(node)
         };
-        map.carry_grants(&team, &owner, *keeps);
+        map.update_grants_kept_since(&team, &owner, *keeps);
         map.set_team(&team, owner);
         noted.push(map.owners().grants_kept_since.get(&team).map(|term| term.0));
     }
--- a/src/core/shard/mod.rs
+++ b/src/core/shard/mod.rs
@@ -42,7 +42,7 @@
 use crate::core::scheduling::forecast::Forecast;
 use crate::core::scheduling::placement::Weights;
 use crate::core::shard::owned_team::OwnedTeam;
-use crate::core::shard::progress_records::{Unrecorded, write_rate};
+use crate::core::shard::progress_records::{UnrecordedJobs, write_rate_per_controller};
 use crate::core::store::replica::StoreReplica;
 use crate::ids::{JobId, MachineId, Node, Team};
 use std::collections::{BTreeMap, BTreeSet};
@@ -86,7 +86,7 @@
     /// Number of starts that were held back because another attempt of the task may still run.
     pub(crate) starts_held_back: u64,
     /// Jobs whose progress or completion has yet to be recorded in the store.
-    pub(crate) unrecorded: Unrecorded,
+    pub(crate) unrecorded: UnrecordedJobs,
     /// Jobs with tasks that may run on machines that are not reconciled yet.
     pub(crate) unreconciled_jobs: BTreeSet<JobId>,
     next_machine_check: Time,
@@ -125,7 +125,7 @@
     /// Creates an empty shard for the process `incarnation`; `image_hints` are the images cached on machines,
     /// as reported by siblings.
     pub fn new(config: &Rc<Config>, incarnation: u64, image_hints: ImageHints, now: Time) -> Self {
-        let rate = write_rate(config, config.controllers());
+        let rate = write_rate_per_controller(config, config.controllers());
         Self {
             config: config.clone(),
             incarnation,
@@ -140,7 +140,7 @@
             task_index: TaskIndex::default(),
             starts_in_flight: StartsInFlight::default(),
             starts_held_back: 0,
-            unrecorded: Unrecorded::default(),
+            unrecorded: UnrecordedJobs::default(),
             unreconciled_jobs: BTreeSet::new(),
             next_machine_check: now,
             next_shard_log: now,
@@ -173,15 +173,15 @@
         unresponsive: &UnresponsiveMachines,
     ) {
         let now = outbox.now;
-        self.follow_map(outbox, store, unresponsive);
-        self.follow_grants(store);
+        self.apply_map_changes(outbox, store, unresponsive);
+        self.read_grant_records(store);
         self.follow_job_records(store, now, outbox.wall_ms);
         self.check_machines(store, catalog, now);
         self.reconcile_teams(store);
         self.record_progress(outbox);
         self.record_dependent_cancellations(outbox, store);
         self.place_when_due(outbox, store, catalog);
-        self.count_running(now);
+        self.count_running_tasks(now);
         self.send_direct_commands(outbox);
         self.log_shard_when_due(now);
     }
@@ -191,7 +191,7 @@
         for id in store.take_changed() {
             if let Some(stored) = store.job(&id) {
                 let (record, version) = (stored.record.clone(), stored.version);
-                self.take_job(store, &id, &record, version, (now, wall_ms));
+                self.apply_job_record(store, &id, &record, version, (now, wall_ms));
             }
         }
     }
--- a/src/core/shard/tests.rs
+++ b/src/core/shard/tests.rs
@@ -5,7 +5,7 @@
 use crate::core::records::keys::job_key;
 use crate::core::records::shard_map::{ShardEntry, ShardOwner};
 use crate::core::records::versioned::put;
-use crate::core::shard::owned_jobs::describe_terminating;
+use crate::core::shard::owned_jobs::describe_terminating_attempt;
 use crate::core::test_support::{map, owner, record, shard};
 use crate::ids::{Attempt, FencingToken, TaskId, Version};
 
@@ -20,7 +20,7 @@
         machines: vec!["m-1".into()],
     };
     map(&mut store, 5, vec![own_entry]);
-    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     store.set_current_as_of(9.0);
     shard.expire_machines(&store, 60.0);
     assert!(!shard.machines[&MachineId::from("m-1")].known_empty);
@@ -61,7 +61,7 @@
         vec![with_previous_token, without_previous_token],
     );
     outbox.begin(21.0, 0);
-    shard.follow_map(&mut outbox, &store, &unresponsive);
+    shard.apply_map_changes(&mut outbox, &store, &unresponsive);
     let answered = |shard: &Shard, id: &str| shard.machines[&MachineId::from(id)].last_answered;
     assert!((14.0..14.1).contains(&answered(&shard, "m-1")));
     assert_eq!(answered(&shard, "m-2"), 21.0);
@@ -82,7 +82,7 @@
             machines,
         }],
     );
-    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     let first = shard.machines.get_mut(&MachineId::from("m-1")).unwrap();
     first.token_confirmed = true;
     first.total = Resources {
@@ -94,7 +94,7 @@
     for (id, image) in [("req-000001", "a"), ("req-000002", "b")] {
         let mut record = record(false);
         Rc::make_mut(record.spec.as_mut().unwrap()).image = image.into();
-        shard.take_job(&store, &id.into(), &Rc::new(record), 9, (0.0, 0));
+        shard.apply_job_record(&store, &id.into(), &Rc::new(record), 9, (0.0, 0));
     }
     let started = |shard: &Shard| shard.machines[&MachineId::from("m-1")].attempts.len();
     outbox.begin(0.1, 0);
@@ -125,7 +125,7 @@
         machines: vec!["m-1".into()],
     };
     map(&mut store, 5, vec![own_entry]);
-    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     let heartbeat = |sequence| crate::wire::Heartbeat {
         machine: "m-1".into(),
         address: "a".into(),
@@ -180,7 +180,7 @@
     };
     map(&mut store, 6, vec![own_entry]);
     outbox.begin(1.0 + lease * 0.8, 0);
-    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     shard.declare_unresponsive(&current, 1.0 + lease * 0.8);
     let machine = &shard.machines[&MachineId::from("m-1")];
     assert!(!machine.unresponsive && machine.token == FencingToken(10));
@@ -201,7 +201,7 @@
         machines: vec![],
     };
     map(&mut store, 5, vec![own_entry, other]);
-    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     shard.listeners.insert("n1".into());
     let id = MachineId::from("m-1");
     shard.machines.get_mut(&id).unwrap().token_confirmed = true;
@@ -218,7 +218,7 @@
     };
     shard.apply_reported_task(&store, &id, task.clone(), &reported, outbox.now);
     let update_lengths = |shard: &Shard, store: &StoreReplica| {
-        let update = shard.update_for(
+        let update = shard.peer_update_for(
             &"n1".into(),
             store,
             None,
@@ -249,7 +249,7 @@
         machines: vec!["m-1".into()],
     };
     map(&mut store, 5, vec![own_entry, other]);
-    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     let id = MachineId::from("m-1");
     let mut machine = Machine::named(id.clone(), FencingToken(9), 0.0);
     let mut tracked = TrackedAttempt::new(0.0);
@@ -272,12 +272,12 @@
         images: ImageHints::new(),
         contacts: Default::default(),
     };
-    shard.take_update(&mut outbox, &store, &"n1".into(), 1, update_about(&[]));
+    shard.apply_peer_update(&mut outbox, &store, &"n1".into(), 1, update_about(&[]));
     assert!(
         shard.machines.contains_key(&id)
             && !shard.teams[&Team::from("red")].unreconciled.is_empty()
     );
-    shard.take_update(&mut outbox, &store, &"n1".into(), 1, update_about(&["red"]));
+    shard.apply_peer_update(&mut outbox, &store, &"n1".into(), 1, update_about(&["red"]));
     assert!(
         !shard.machines.contains_key(&id)
             && shard.teams[&Team::from("red")].unreconciled.is_empty()
@@ -304,7 +304,7 @@
         machines: vec![],
     };
     map(&mut store, 5, vec![entry_with_token(9), other.clone()]);
-    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     shard
         .teams
         .get_mut(&Team::from("red"))
@@ -313,16 +313,16 @@
         .clear();
     let id = JobId::from("req-000001");
     store.apply_write(&put(&job_key(&id), &record(false), None), 7);
-    shard.take_job(&store, &id, &Rc::new(record(false)), 7, (1.0, 0));
+    shard.apply_job_record(&store, &id, &Rc::new(record(false)), 7, (1.0, 0));
     assert_eq!(shard.jobs[&id].unreconciled(), 0);
     map(&mut store, 8, vec![entry_with_token(11), other]);
     store.apply_write(
         &put(&job_key(&"req-000002".into()), &record(false), None),
         9,
     );
-    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     assert!(!shard.teams[&Team::from("red")].unreconciled.is_empty());
-    shard.take_job(&store, &id, &Rc::new(record(false)), 7, (1.0, 0));
+    shard.apply_job_record(&store, &id, &Rc::new(record(false)), 7, (1.0, 0));
     assert_eq!(
         shard.jobs[&id].unreconciled(),
         2,
@@ -346,14 +346,14 @@
         machines: vec!["m-1".into()],
     };
     map(&mut store, 105, vec![own_entry, other]);
-    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     let ids = ["req-000001", "req-000002", "req-000003"].map(JobId::from);
     for (id, version, done) in [
         (&ids[0], 100, false),
         (&ids[1], 107, true),
         (&ids[2], 108, false),
     ] {
-        shard.take_job(&store, id, &Rc::new(record(done)), version, (1.0, 0));
+        shard.apply_job_record(&store, id, &Rc::new(record(done)), version, (1.0, 0));
     }
     let unreconciled = ids.map(|id| shard.jobs[&id].unreconciled());
     assert_eq!(
@@ -392,7 +392,7 @@
         machines: vec!["m-1".into()],
     };
     map(&mut store, 60, vec![own_entry(vec!["red".into()])]);
-    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     outbox.begin(1.0, now_ms);
     let used = |shard: &Shard, store: &StoreReplica| shard.usage(store, now_ms).gpus(&"red".into());
     assert_eq!(used(&shard, &store), 0.0, "ended long ago");
@@ -404,7 +404,7 @@
     // A reported attempt is counted on its machine, and not a second time.
     let machine = shard.machines.get_mut(&MachineId::from("m-1")).unwrap();
     let mut tracked = TrackedAttempt::new(0.0);
-    describe_terminating(
+    describe_terminating_attempt(
         &mut tracked,
         store
             .job(&"req-000100".into())
@@ -512,7 +512,7 @@
         machines: ids.clone(),
     };
     map(&mut store, 5, vec![own_entry]);
-    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     for (index, id) in (0..).zip(&ids) {
         let machine = shard.machines.get_mut(id).unwrap();
         machine.token_confirmed = true;
@@ -550,7 +550,7 @@
         machines: vec![],
     };
     map(&mut store, 5, vec![own_entry]);
-    shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+    shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     let mut waiting = JobRecord {
         accepted_ms: 10_000,
         ..record(false)
@@ -566,10 +566,10 @@
         );
     };
     done(&mut store, "req-000001", 55_000);
-    shard.take_job(&store, &id, &Rc::new(waiting.clone()), 9, (now, wall_ms));
+    shard.apply_job_record(&store, &id, &Rc::new(waiting.clone()), 9, (now, wall_ms));
     assert!(shard.jobs.is_empty(), "one dependency is not done");
     done(&mut store, "req-000002", 40_000);
-    shard.take_job(&store, &id, &Rc::new(waiting), 9, (now, wall_ms));
+    shard.apply_job_record(&store, &id, &Rc::new(waiting), 9, (now, wall_ms));
     let job = &shard.jobs[&id];
     assert_eq!(job.submitted, 95.0, "the last dependency was done 5 s ago");
     assert_eq!(
--- a/src/core/shard/tracking/attempt_end.rs
+++ b/src/core/shard/tracking/attempt_end.rs
@@ -47,9 +47,9 @@
             job.set(task.index, Task::Done, zone);
             job.failures.prove();
             if job.is_gang() {
-                self.gang_done(&task.job);
+                self.complete_gang(&task.job);
             }
-            return self.note_progress(&task.job, now);
+            return self.queue_for_recording(&task.job, now);
         }
         tracked.may_forget = true;
         if is_placed_here {
@@ -82,7 +82,7 @@
     /// still be on a machine: it is then placed in that attempt, because no new one may start until a surplus
     /// attempt has ended.
     fn handle_lost_attempt(&mut self, machine_id: &MachineId, task: &TaskId, attempt: Attempt) {
-        let other = self.other_attempt(task);
+        let other = self.find_live_attempt(task);
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -95,7 +95,7 @@
             let zone = self.machines.get(&machine).map(|machine| &machine.zone);
             job.set(task.index, Task::Placed(machine, attempt), zone);
         }
-        self.gang_lost_one(&task.job, attempt);
+        self.stop_rest_of_gang(&task.job, attempt);
     }
 
     /// Drops all attempts on a machine, ordered by task and attempt ([`Self::drop_attempt`]).
