--- a/src/core/shard/lease_expiry.rs
+++ b/src/core/shard/lease_expiry.rs
@@ -1,8 +1,8 @@
 //! Determines when the attempts of a machine without heartbeats must have ended: the lease of its worker
 //! expires a bounded time after the last answered heartbeat.
 
-use crate::core::messages::shard_update::Unresponsive;
-use crate::core::model::time::{CLOCK_DRIFT, Time};
+use crate::core::messages::shard_update::UnresponsiveMachine;
+use crate::core::model::time::{MAX_CLOCK_DRIFT, Time};
 use crate::core::shard::Shard;
 use crate::core::store::replica::StoreReplica;
 use crate::ids::MachineId;
@@ -20,7 +20,7 @@
     /// heartbeat.
     fn max_lease_s(&self) -> Time {
         let workers = &self.config.deployment.workers;
-        workers.lease_s * (1.0 + CLOCK_DRIFT) + workers.report_s * LEASE_MARGIN_HEARTBEATS
+        workers.lease_s * (1.0 + MAX_CLOCK_DRIFT) + workers.report_s * LEASE_MARGIN_HEARTBEATS
     }
 
     /// Declares machines unresponsive that have sent no heartbeat for [`UNRESPONSIVE_AFTER_LEASES`]. They are
@@ -44,11 +44,11 @@
     }
 
     /// The owned machines that were declared unresponsive, as reported to siblings.
-    pub(crate) fn unresponsive_machines(&self, now: Time) -> Vec<Unresponsive> {
+    pub(crate) fn unresponsive_machines(&self, now: Time) -> Vec<UnresponsiveMachine> {
         self.machines
             .values()
             .filter(|machine| machine.is_owned && machine.unresponsive)
-            .map(|machine| Unresponsive {
+            .map(|machine| UnresponsiveMachine {
                 machine: machine.id.clone(),
                 token: machine.token,
                 age: now - machine.last_answered,
--- a/src/core/shard/reconciliation.rs
+++ b/src/core/shard/reconciliation.rs
@@ -18,7 +18,7 @@
     /// Removes reconciled and deleted machines from the lists of the teams that wait for them.
     fn remove_reconciled_machines(&mut self, store: &StoreReplica) {
         let machines = &self.machines;
-        let mapped_machines = &store.owners().machines;
+        let mapped_machines = &store.shard_map().machines;
         let is_reconciled = |id: &MachineId| {
             let machine = machines.get(id);
             machine.is_some_and(|machine| machine.is_owned && machine.reconciled())
