--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,11 +1,11 @@
-//! The command line: runs a controller, checks files, prints schemas and asks a running controller.
+//! The command line: it runs a controller, checks files, prints schemas and queries a running controller.
 //!
 //! The doc comments of arguments and commands are their `--help` texts.
 
 use crate::config::Config;
 use crate::features::Features;
 use crate::status::Status;
-use crate::{operator, service};
+use crate::{service, status_client};
 use clap::{Parser, Subcommand, ValueEnum};
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -48,7 +48,7 @@
     Schema { of: SchemaOf },
 }
 
-/// What has a published schema.
+/// A file or answer with a published JSON schema.
 #[derive(Clone, Copy, ValueEnum)]
 enum SchemaOf {
     /// The features file.
@@ -57,14 +57,14 @@
     Status,
 }
 
-/// Exit code if the controller could not start.
+/// Exit code if the controller cannot start.
 const SERVICE_ERROR: u8 = 1;
-/// Exit code for wrong arguments and invalid files.
+/// Exit code for invalid arguments and invalid files.
 const USAGE_ERROR: u8 = 2;
-/// Exit code if the controller that is asked gives no answer.
+/// Exit code if the queried controller gives no valid answer.
 const NO_ANSWER: u8 = 3;
 
-/// Runs the program with the process's arguments and returns its exit code.
+/// Runs the program with the arguments of the process and returns the exit code.
 pub fn main() -> ExitCode {
     let args = Args::parse();
     match (args.command, args.config) {
@@ -77,7 +77,7 @@
     }
 }
 
-/// Reports whether a file is valid.
+/// Prints whether a file is valid, and the error if it is not.
 fn report_check<T, E: Display>(file: &Path, loaded: Result<T, E>) -> ExitCode {
     match loaded {
         Ok(_) => {
@@ -89,14 +89,14 @@
 }
 
 fn print_status(address: SocketAddr, json: bool) -> ExitCode {
-    let status = match operator::status(address) {
+    let status = match status_client::fetch_status(address) {
         Ok(status) => status,
         Err(error) => return fail_with(NO_ANSWER, &error),
     };
     if json {
         return print_json(&status);
     }
-    print!("{}", status.table());
+    print!("{}", status.to_tables());
     ExitCode::SUCCESS
 }
 
@@ -143,7 +143,7 @@
     ExitCode::from(code)
 }
 
-/// Logs to standard error at the level that the environment variable `LOG_LEVEL` names.
+/// Logs to standard error at the level in the environment variable `LOG_LEVEL`, by default at `info`.
 fn init_logging() {
     let requested = std::env::var("LOG_LEVEL").unwrap_or_else(|_| "info".into());
     let level = match requested.as_str() {
--- a/src/cloud_client.rs
+++ b/src/cloud_client.rs
@@ -1,6 +1,6 @@
-//! Requests to the cloud: one attempt each, with a timeout. The core decides on retries.
+//! The client of the cloud. It makes one attempt per call, with a timeout; the core decides about retries.
 //!
-//! Protocol words: the cloud's paths (`/flavors`, `/rentals`) and query parameters.
+//! Protocol names: the cloud's paths (`/flavors`, `/rentals`) and query parameters.
 
 use crate::core::effects::{CloudCall, CloudReply};
 use crate::http::{Client, RequestError};
@@ -8,36 +8,36 @@
 use hyper::Method;
 use std::time::Duration;
 
-/// Machines that one page of the list may hold.
+/// Greatest number of machines on one page of the list.
 const PAGE_MACHINES: usize = 500;
-/// The error with which the cloud refuses a rental that it has no machines for.
+/// The `error` of the cloud's answer to a rental if it has no machines left.
 const NO_CAPACITY: &str = "no capacity";
 
-/// A client of the cloud.
+/// Makes the calls of the core to the cloud.
 pub struct CloudClient {
     client: Client,
     timeout: Duration,
 }
 
 impl CloudClient {
-    /// A client whose requests fail after `timeout`.
+    /// Creates a client whose calls fail after `timeout`.
     pub fn new(client: Client, timeout: Duration) -> Self {
         Self { client, timeout }
     }
 
-    /// Makes one attempt at a call.
+    /// Makes one attempt at a call and returns its outcome.
     pub async fn call(&self, call: CloudCall) -> CloudReply {
-        let (method, path, body) = request(&call);
+        let (method, path, body) = build_request(&call);
         match self.client.send(method, &path, body, self.timeout).await {
-            Ok((status, body)) => reply(&call, status, &body),
+            Ok((status, body)) => interpret_response(&call, status, &body),
             Err(RequestError::NotSent) => CloudReply::Refused,
-            Err(RequestError::Unknown) => CloudReply::Unknown,
+            Err(RequestError::OutcomeUnknown) => CloudReply::Unknown,
         }
     }
 }
 
 /// The method, path and body of a call.
-fn request(call: &CloudCall) -> (Method, String, Vec<u8>) {
+fn build_request(call: &CloudCall) -> (Method, String, Vec<u8>) {
     match call {
         CloudCall::Types => (Method::GET, "/flavors".to_owned(), Vec::new()),
         CloudCall::List { after } => {
@@ -53,8 +53,8 @@
     }
 }
 
-/// What the response to a call means.
-fn reply(call: &CloudCall, status: u16, body: &[u8]) -> CloudReply {
+/// Returns the outcome of a call whose response has this status and body.
+fn interpret_response(call: &CloudCall, status: u16, body: &[u8]) -> CloudReply {
     match (status, call) {
         (200, CloudCall::Types) => {
             decode::<MachineTypes>(body).map_or(CloudReply::Unknown, CloudReply::Types)
@@ -69,12 +69,13 @@
         (503, CloudCall::Rent(_)) if has_error(body, NO_CAPACITY) => CloudReply::NoCapacity,
         (429 | 503, _) => CloudReply::Refused,
         _ => {
-            tracing::error!(%status, ?call, "unexpected status of the cloud");
+            tracing::error!(%status, ?call, "cloud answered with an unexpected status; the call counts as refused");
             CloudReply::Refused
         }
     }
 }
 
+/// Whether the body of a response has exactly this `error`.
 fn has_error(body: &[u8], error: &str) -> bool {
     decode::<serde_json::Value>(body)
         .is_some_and(|answer| answer.get("error").is_some_and(|found| found == error))
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,7 +1,7 @@
-//! The platform's settings file, validated before anything starts.
+//! The settings file of a controller. It is validated before anything starts.
 //!
-//! Its words differ from ours in two places: `host_name` (name of a controller) and `area` (zone). The
-//! types below `Config` mirror the tables of the file.
+//! Two of its field names differ from the terms of the code: `host_name` (name of a controller) and `area`
+//! (zone). The types below `Config` correspond to the tables of the file.
 
 use crate::features::Features;
 use crate::ids::{ControllerName, Team, Zone};
@@ -10,32 +10,32 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The lowest limit on sockets with which all listeners and clients get some.
+/// Lowest limit on sockets and files. With fewer, some listeners or clients would get no socket.
 const MIN_FD_LIMIT: usize = 32;
-/// The lowest limit on operations of a transaction with which guarded writes are possible.
+/// Lowest limit on operations of a transaction: one precondition and one write.
 const MIN_TXN_OPS: usize = 2;
 
-/// Why a settings file can't be used.
+/// Why a settings file is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("cannot read settings file {path}: {source}")]
     Read {
-        /// The file.
+        /// Path of the file, as given on the command line.
         path: String,
-        /// The system's error.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The file is not TOML, or a field is missing or has the wrong type. Holds the parser's message on one
-    /// line.
+    /// The file is not valid TOML, or a field is missing or has the wrong type. Holds the parser's message
+    /// on one line.
     #[error("settings: {0}")]
     Parse(String),
-    /// A value is out of its range.
+    /// A value is out of range.
     #[error("settings: {field}: {problem}")]
     Invalid {
         /// The field's path in the file.
         field: String,
-        /// What is required of it.
+        /// The requirement that the value does not meet.
         problem: &'static str,
     },
 }
@@ -43,13 +43,13 @@
 /// The settings of one controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Config {
-    /// This controller's name.
+    /// Name of this controller, unique in the fleet.
     #[serde(rename = "host_name")]
     pub controller: ControllerName,
-    /// The zone that it runs in.
+    /// The zone that this controller runs in.
     #[serde(rename = "area")]
     pub zone: Zone,
-    /// The address to listen on for users, workers and health checks.
+    /// The address to listen on for requests of users, workers and health checks.
     pub front: SocketAddr,
     /// The address to listen on for other controllers and operators.
     #[serde(rename = "mesh_addr")]
@@ -57,11 +57,11 @@
     /// The other controllers of the fleet.
     #[serde(default)]
     pub siblings: Vec<Sibling>,
-    /// The services that controllers depend on.
+    /// Addresses of the services that controllers depend on.
     pub services: Services,
-    /// What is the same for all controllers of the fleet.
+    /// Settings that all controllers of the fleet share.
     pub deployment: Deployment,
-    /// What the installation switches on, from a file of its own.
+    /// Optional features, which are read from a separate file.
     #[serde(skip)]
     pub features: Features,
 }
@@ -69,86 +69,86 @@
 /// Another controller of the fleet.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Sibling {
-    /// Its name.
+    /// Name of the controller, unique in the fleet.
     #[serde(rename = "host_name")]
     pub controller: ControllerName,
-    /// The address on which it listens for controllers.
+    /// The address on which it listens for other controllers (its `mesh_addr`).
     pub addr: SocketAddr,
 }
 
-/// The services that controllers depend on.
+/// Addresses of the services that controllers depend on.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Services {
-    /// Address of the cloud, which rents machines.
+    /// Address of the cloud's API for renting machines.
     pub cloud: SocketAddr,
     /// Address of the key-value store.
     pub state: SocketAddr,
 }
 
-/// What is the same for all controllers of a fleet.
+/// Settings that all controllers of a fleet share.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Deployment {
-    /// How far the wall clocks of two controllers may differ, in milliseconds.
+    /// Greatest difference between the wall clocks of two controllers, in milliseconds.
     #[serde(default)]
     pub clock_error_ms: f64,
     /// Guarantees and limits of teams.
     #[serde(default)]
     pub teams: Vec<TeamLimits>,
-    /// Service-level objectives.
+    /// Service-level objectives of workload classes.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// How workers behave.
+    /// Timing of workers.
     pub workers: Workers,
     /// Limits of the key-value store.
     pub state: StoreLimits,
     /// Limits of the cloud.
     pub cloud: CloudLimits,
-    /// Limits of a controller's process.
+    /// Resource limits of a controller's process.
     pub limits: ProcessLimits,
 }
 
-/// A team's guarantee and limit; 0 means none.
+/// A team's guarantee and limit; 0 means that there is none.
 #[derive(Debug, Clone, Deserialize)]
 pub struct TeamLimits {
-    /// The team.
+    /// Name of the team.
     pub name: Team,
-    /// CPUs that it is guaranteed.
+    /// CPUs that the team is guaranteed.
     #[serde(default)]
     pub cpus: f64,
-    /// CPUs that its tasks may use at most.
+    /// CPUs that all tasks of the team may use together at most.
     #[serde(default)]
     pub cpus_max: f64,
-    /// GPUs that it is guaranteed.
+    /// GPUs that the team is guaranteed.
     #[serde(default)]
     pub gpus: f64,
-    /// GPUs that its tasks may use at most.
+    /// GPUs that all tasks of the team may use together at most.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// What is expected of a class; kinds that are not known are ignored.
+/// A service-level objective of a workload class. Objectives of an unknown kind are ignored.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// What is to happen in time: `wait` (the start of a task) or `finished` (the completion of a job).
+    /// The event that has to happen in time: `wait` (start of a task) or `finished` (completion of a job).
     pub kind: String,
-    /// The workload class that it is for.
+    /// The workload class; an objective without one is ignored.
     pub class: Option<String>,
-    /// Seconds from the submission within which it is to happen.
+    /// Seconds from the submission to the event; an objective without them is ignored.
     pub within_s: Option<f64>,
 }
 
-/// How workers behave.
+/// Timing of workers.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
     /// Seconds between two heartbeats of a worker.
     pub report_s: f64,
-    /// Seconds without an answer after which a worker stops all its tasks.
+    /// Seconds without an answer to its heartbeats after which a worker stops all its tasks.
     pub lease_s: f64,
     /// Seconds that a member of a gang waits for the others to be ready.
     pub gang_wait_s: f64,
-    /// Seconds after which the members of a gang notice that one of them is gone.
+    /// Seconds after which the members of a gang notice that another member is gone.
     pub gang_peer_s: f64,
-    /// Seconds within which a cancelled job has to have ended.
+    /// Seconds within which all tasks of a cancelled job must have ended.
     pub cancel_s: f64,
 }
 
@@ -157,17 +157,17 @@
 pub struct StoreLimits {
     /// Requests per second.
     pub rps: f64,
-    /// Writing requests per second.
+    /// Write requests per second.
     pub write_rps: f64,
-    /// Size of a value, in KiB.
+    /// Greatest size of a value, in KiB.
     pub value_kb: f64,
-    /// Preconditions and writes of one transaction.
+    /// Greatest number of preconditions and writes of one transaction, counted together.
     pub txn_ops: usize,
-    /// Limits that hold from some moment on, which nobody is told.
+    /// Limits that come into force at a time that the settings do not state.
     pub next: Option<FutureStoreLimits>,
 }
 
-/// Limits of the key-value store that replace the present ones at some time; those left out stay.
+/// Limits of the key-value store that later replace the present ones; a limit that is `None` stays.
 #[derive(Debug, Clone, Deserialize)]
 pub struct FutureStoreLimits {
     /// See [`StoreLimits::rps`].
@@ -181,8 +181,8 @@
 }
 
 impl StoreLimits {
-    /// Applies the lower of the present and the later limits from the start, since the settings do not say
-    /// when the later ones begin to hold.
+    /// Applies the lower of the present and the future limits from the start, because the settings do not
+    /// state when the future limits come into force.
     fn apply_lower_limits(&mut self) {
         let Some(next) = self.next.take() else { return };
         self.rps = next.rps.map_or(self.rps, |rps| self.rps.min(rps));
@@ -203,21 +203,21 @@
 pub struct CloudLimits {
     /// Requests per second.
     pub rps: f64,
-    /// Seconds by which the list of machines may be out of date.
+    /// Seconds by which the cloud's list of machines may be out of date.
     pub list_lag_s: f64,
 }
 
-/// Limits of a controller's process.
+/// Resource limits of a controller's process.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ProcessLimits {
-    /// Memory, in MiB.
+    /// Memory of the process, in MiB.
     pub mem_mb: f64,
-    /// Open sockets and files.
+    /// Sockets and files that the process may have open at the same time.
     pub fd_limit: usize,
 }
 
 impl Config {
-    /// Reads and validates a file.
+    /// Reads and validates a settings file.
     pub fn load(path: &Path) -> Result<Self, ConfigError> {
         let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Read {
             path: path.display().to_string(),
@@ -226,7 +226,7 @@
         Self::parse(&text)
     }
 
-    /// Parses and validates the text of a file.
+    /// Parses and validates the text of a settings file.
     pub fn parse(text: &str) -> Result<Self, ConfigError> {
         let mut config: Self = toml::from_str(text)
             .map_err(|error| ConfigError::Parse(error.to_string().trim().replace('\n', " | ")))?;
@@ -235,11 +235,11 @@
         Ok(config)
     }
 
-    /// Checks what the types of the fields do not express.
+    /// Checks the constraints that the field types do not express.
     fn validate(&self) -> Result<(), ConfigError> {
         self.deployment.validate()?;
         if self.controller.as_str().is_empty() {
-            return invalid("host_name", "must not be empty");
+            return invalid_field("host_name", "must not be empty");
         }
         self.validate_siblings()?;
         self.deployment.validate_teams()?;
@@ -250,18 +250,18 @@
         let mut names = HashSet::from([&self.controller]);
         for sibling in &self.siblings {
             if !names.insert(&sibling.controller) {
-                return invalid("siblings.host_name", "each controller must be named once");
+                return invalid_field("siblings.host_name", "each controller must be named once");
             }
         }
         Ok(())
     }
 
-    /// The number of controllers, this one included.
+    /// The number of controllers in the fleet, this one included.
     pub fn controller_count(&self) -> usize {
         self.siblings.len() + 1
     }
 
-    /// A team's guarantee and limit, if the settings name it.
+    /// A team's guarantee and limit; `None` if the settings do not list the team.
     pub fn team_limits(&self, team: &Team) -> Option<&TeamLimits> {
         self.deployment
             .teams
@@ -269,17 +269,17 @@
             .find(|limits| limits.name == *team)
     }
 
-    /// The shortest objective on the starts of a class's tasks in seconds, if there is one.
+    /// The shortest objective for the start of a class's tasks, in seconds from the submission.
     pub fn wait_objective(&self, class: &str) -> Option<f64> {
-        self.objective("wait", class)
+        self.shortest_objective("wait", class)
     }
 
-    /// The shortest objective on the completion of a class's jobs in seconds, if there is one.
+    /// The shortest objective for the completion of a class's jobs, in seconds from the submission.
     pub fn finish_objective(&self, class: &str) -> Option<f64> {
-        self.objective("finished", class)
+        self.shortest_objective("finished", class)
     }
 
-    fn objective(&self, kind: &str, class: &str) -> Option<f64> {
+    fn shortest_objective(&self, kind: &str, class: &str) -> Option<f64> {
         self.deployment
             .objectives
             .iter()
@@ -309,8 +309,8 @@
             ("deployment.clock_error_ms", self.clock_error_ms),
             ("deployment.cloud.list_lag_s", self.cloud.list_lag_s),
         ] {
-            if !is_amount(value) {
-                return invalid(field, "must not be negative");
+            if !is_non_negative(value) {
+                return invalid_field(field, "must not be negative");
             }
         }
         if let Some(next) = &self.state.next {
@@ -318,7 +318,7 @@
         }
         require_txn_ops("deployment.state.txn_ops", self.state.txn_ops)?;
         if self.limits.fd_limit < MIN_FD_LIMIT {
-            return invalid("deployment.limits.fd_limit", "must be at least 32");
+            return invalid_field("deployment.limits.fd_limit", "must be at least 32");
         }
         Ok(())
     }
@@ -326,8 +326,8 @@
     fn validate_teams(&self) -> Result<(), ConfigError> {
         for team in &self.teams {
             let amounts = [team.cpus, team.cpus_max, team.gpus, team.gpus_max];
-            if !amounts.into_iter().all(is_amount) {
-                return invalid("deployment.teams", "amounts must not be negative");
+            if !amounts.into_iter().all(is_non_negative) {
+                return invalid_field("deployment.teams", "amounts must not be negative");
             }
         }
         Ok(())
@@ -363,25 +363,25 @@
     if value.is_finite() && value > 0.0 {
         Ok(())
     } else {
-        invalid(field, "must be a positive number")
+        invalid_field(field, "must be a positive number")
     }
 }
 
-/// A transaction needs at least one precondition and one write.
+/// Requires room for one precondition and one write in a transaction.
 fn require_txn_ops(field: &str, operations: usize) -> Result<(), ConfigError> {
     if operations >= MIN_TXN_OPS {
         Ok(())
     } else {
-        invalid(field, "must be at least 2")
+        invalid_field(field, "must be at least 2")
     }
 }
 
-/// Whether a number is finite and not negative.
-fn is_amount(value: f64) -> bool {
+/// Whether a number is finite and at least 0.
+fn is_non_negative(value: f64) -> bool {
     value.is_finite() && value >= 0.0
 }
 
-fn invalid<T>(field: &str, problem: &'static str) -> Result<T, ConfigError> {
+fn invalid_field<T>(field: &str, problem: &'static str) -> Result<T, ConfigError> {
     Err(ConfigError::Invalid {
         field: field.into(),
         problem,
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -31,9 +31,9 @@
 fd_limit = 700
 "#;
 
-/// The settings do not say when the later limits begin to hold.
+/// The settings do not state when the future limits come into force.
 #[test]
-fn the_lower_of_present_and_later_limits_holds_from_the_start() {
+fn the_lower_of_present_and_future_limits_applies_from_the_start() {
     let with = |next: &str| {
         let text = TEST_SETTINGS.replace("txn_ops = 8", &format!("txn_ops = 8\nnext = {next}"));
         Config::parse(&text).map(|config| config.deployment.state)
--- a/src/features.rs
+++ b/src/features.rs
@@ -1,7 +1,7 @@
-//! The optional features file, which enables features that are off by default. It is named on the command
-//! line and validated as a whole before anything starts.
+//! The optional features file, which enables features that are off by default. Its path is given on the
+//! command line, and it is validated before anything starts.
 //!
-//! `ochredrum schema features` prints the JSON schema of the file, doc comments of its types included.
+//! `ochredrum schema features` prints the JSON schema of the file, including the doc comments of its types.
 
 use failure_detector::{MIN_SUSPECT_HEARTBEATS, SUSPECT_HEARTBEATS};
 use garde::Validate;
@@ -10,22 +10,22 @@
 use serde::Deserialize;
 use std::path::Path;
 
-/// Why a features file can't be used.
+/// Why a features file is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum FeaturesError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("cannot read features file {path}: {source}")]
     Read {
-        /// The file.
+        /// Path of the file, as given on the command line.
         path: String,
-        /// The system's error.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The file is not TOML, a value has the wrong type, or a field is unknown. Holds the parser's message on
-    /// one line.
+    /// The file is not valid TOML, a value has the wrong type, or a field is missing or unknown. Holds the
+    /// parser's message on one line.
     #[error("features: {0}")]
     Parse(String),
-    /// A value is out of its range.
+    /// A value is out of range. Holds the names of the fields and their problems on one line.
     #[error("features: {0}")]
     Invalid(String),
 }
@@ -50,7 +50,7 @@
     #[garde(skip)]
     pub enabled: bool,
     /// Heartbeats (twentieths of `lease_s`) without an answer after which a controller is suspected.
-    #[garde(custom(is_number), range(min = MIN_SUSPECT_HEARTBEATS, max = 8.0))]
+    #[garde(custom(require_number), range(min = MIN_SUSPECT_HEARTBEATS, max = 8.0))]
     pub suspect_heartbeats: f64,
 }
 
@@ -63,15 +63,15 @@
     pub enabled: bool,
     /// Part of a team's limit that its owner holds beyond what is used, so that ordinary starts wait
     /// for no write. A new owner can't use it until all machines have told what they hold.
-    #[garde(custom(is_number), range(min = 0.01, max = 1.0))]
+    #[garde(custom(require_number), range(min = 0.01, max = 1.0))]
     pub headroom: f64,
     /// Leases of workers (`lease_s`) after which an owner gives back what it does not need.
-    #[garde(custom(is_number), range(min = 0.1, max = 1000.0))]
+    #[garde(custom(require_number), range(min = 0.1, max = 1000.0))]
     pub give_back_leases: f64,
 }
 
-/// Rejects NaN, which a range check alone accepts.
-fn is_number(value: &f64, _: &()) -> garde::Result {
+/// Rejects NaN, which a range check accepts.
+fn require_number(value: &f64, _: &()) -> garde::Result {
     if value.is_nan() {
         Err(garde::Error::new("not a number"))
     } else {
@@ -80,7 +80,7 @@
 }
 
 impl Features {
-    /// Reads and validates a file.
+    /// Reads and validates a features file.
     pub fn load(path: &Path) -> Result<Self, FeaturesError> {
         let text = std::fs::read_to_string(path).map_err(|source| FeaturesError::Read {
             path: path.display().to_string(),
@@ -89,7 +89,7 @@
         Self::parse(&text)
     }
 
-    /// Parses and validates the text of a file.
+    /// Parses and validates the text of a features file.
     pub fn parse(text: &str) -> Result<Self, FeaturesError> {
         let one_line = |text: String| text.trim().replace('\n', " | ");
         let features: Self = toml::from_str(text)
@@ -100,8 +100,8 @@
         Ok(features)
     }
 
-    /// Heartbeats without an answer after which a controller is suspected: the setting if failure detection is
-    /// enabled, else the default.
+    /// Unanswered heartbeats after which a controller is suspected: the configured number if failure
+    /// detection is enabled, else the default.
     pub fn suspect_heartbeats(&self) -> f64 {
         let detection = self
             .failure_detection
@@ -110,7 +110,7 @@
         detection.map_or(SUSPECT_HEARTBEATS, |detection| detection.suspect_heartbeats)
     }
 
-    /// Whether controllers act on detected failures.
+    /// Whether controllers act on detected failures, which they do if failure detection is enabled.
     pub fn acts_on_failures(&self) -> bool {
         self.failure_detection
             .as_ref()
--- a/src/features/tests.rs
+++ b/src/features/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-const GOOD: &str = "[quota_ledger]\nenabled = true\nheadroom = 0.125\ngive_back_leases = 1.0\n";
+const VALID_FEATURES: &str =
+    "[quota_ledger]\nenabled = true\nheadroom = 0.125\ngive_back_leases = 1.0\n";
 
 #[test]
 fn the_shipped_file_is_valid() {
@@ -24,7 +25,7 @@
         ("enabled = true\n", "", "enabled"),
         ("quota_ledger", "quota", "quota"),
     ] {
-        let error = Features::parse(&GOOD.replace(from, to))
+        let error = Features::parse(&VALID_FEATURES.replace(from, to))
             .unwrap_err()
             .to_string();
         assert!(
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn a_feature_that_is_not_enabled_is_off() {
-    let off = Features::parse(&GOOD.replace("true", "false")).unwrap();
+fn a_quota_ledger_that_is_not_enabled_gives_no_headroom() {
+    let off = Features::parse(&VALID_FEATURES.replace("true", "false")).unwrap();
     assert_eq!(off.headroom(10.0), None);
 }
--- a/src/front.rs
+++ b/src/front.rs
@@ -1,6 +1,6 @@
 //! The listener for users, workers and health checks (MessagePack over HTTP).
 //!
-//! Protocol words: the paths (`/v1/jobs`, `withdraw` for cancelling, `/checkin` for heartbeats,
+//! Protocol names: the paths (`/v1/jobs`, `withdraw` for cancelling, `/checkin` for heartbeats,
 //! `/healthz`).
 
 use crate::core::effects::{Answer, Body, UserRequest};
@@ -20,7 +20,7 @@
 /// The content type of all messages of the protocol.
 pub const MESSAGE_PACK: &str = "application/msgpack";
 
-/// What a method and path ask for; ids of jobs are not checked yet.
+/// The operation that a method and path select. Job ids are not validated yet.
 #[derive(Debug, PartialEq, Eq)]
 enum Route<'a> {
     Submit,
@@ -30,17 +30,17 @@
     Health,
     /// The path exists, but not with this method.
     WrongMethod,
-    Unknown,
+    UnknownPath,
 }
 
-fn route<'a>(method: &Method, path: &'a str) -> Route<'a> {
+fn match_route<'a>(method: &Method, path: &'a str) -> Route<'a> {
     let (expected, route) = match path {
         "/v1/jobs" => (Method::POST, Route::Submit),
         "/checkin" => (Method::POST, Route::Heartbeat),
         "/healthz" => (Method::GET, Route::Health),
-        _ => match job_route(path) {
+        _ => match match_job_route(path) {
             Some(found) => found,
-            None => return Route::Unknown,
+            None => return Route::UnknownPath,
         },
     };
     if *method == expected {
@@ -50,8 +50,8 @@
     }
 }
 
-/// The method and route of a path below one job.
-fn job_route(path: &str) -> Option<(Method, Route<'_>)> {
+/// Returns the expected method and the route of a path below `/v1/jobs/`.
+fn match_job_route(path: &str) -> Option<(Method, Route<'_>)> {
     let rest = path.strip_prefix("/v1/jobs/")?;
     match rest.split_once('/') {
         None if !rest.is_empty() => Some((Method::GET, Route::Poll(rest))),
@@ -60,54 +60,58 @@
     }
 }
 
-/// Why a request is refused before it reaches the core.
-enum Refusal {
-    /// No such path, or no job can have such an id.
+/// Why a request is rejected before it reaches the core.
+enum Rejection {
+    /// The path does not exist, or the job id in it is invalid.
     NotFound,
     /// The path exists, but not with this method.
     MethodNotAllowed,
-    /// The body was not read to its end.
+    /// The whole body could not be read.
     UnreadBody(BodyError),
-    /// The body is not a submission; the user is told why.
+    /// The body is not a valid submission; the answer says why.
     InvalidSubmission(SubmissionError),
-    /// The body is not a heartbeat.
+    /// The body is not a valid heartbeat.
     InvalidHeartbeat,
 }
 
-impl Refusal {
+impl Rejection {
     fn into_reply(self) -> Reply {
         match self {
-            Self::NotFound => to_reply(Answer::empty(404)),
-            Self::MethodNotAllowed => to_reply(Answer::empty(405)),
+            Self::NotFound => encode_answer(Answer::empty(404)),
+            Self::MethodNotAllowed => encode_answer(Answer::empty(405)),
             Self::UnreadBody(error) => unread_body_reply(error),
-            Self::InvalidSubmission(error) => bad_request(&error.to_string()),
-            Self::InvalidHeartbeat => bad_request("not a report"),
+            Self::InvalidSubmission(error) => bad_request_reply(&error.to_string()),
+            Self::InvalidHeartbeat => bad_request_reply("not a report"),
         }
     }
 }
 
-/// After a body that was not read to its end the connection can't be used again, so it is closed.
+/// Closes the connection: it cannot be used again because part of the body may be unread.
 fn unread_body_reply(error: BodyError) -> Reply {
     let status = match error {
-        BodyError::TooLarge | BodyError::Broken => 400,
-        BodyError::Slow => 408,
+        BodyError::TooLarge | BodyError::ConnectionFailed => 400,
+        BodyError::TimedOut => 408,
     };
-    let mut reply = to_reply(Answer::empty(status));
+    let mut reply = encode_answer(Answer::empty(status));
     reply
         .headers_mut()
         .insert(CONNECTION, HeaderValue::from_static("close"));
     reply
 }
 
-fn bad_request(problem: &str) -> Reply {
-    to_reply(Answer::value(400, serde_json::json!({"error": problem})))
+fn bad_request_reply(problem: &str) -> Reply {
+    encode_answer(Answer::value(400, serde_json::json!({"error": problem})))
 }
 
-/// Answers one request. Its body must arrive within `body_timeout`.
-pub async fn handle(inbox: Rc<Inbox>, request: Request<Incoming>, body_timeout: Duration) -> Reply {
+/// Answers one request, whose body must arrive within `body_timeout`.
+pub async fn handle_request(
+    inbox: Rc<Inbox>,
+    request: Request<Incoming>,
+    body_timeout: Duration,
+) -> Reply {
     match read_request(request, body_timeout).await {
-        Ok(request) => to_reply(inbox.request(request).await),
-        Err(refusal) => refusal.into_reply(),
+        Ok(request) => encode_answer(inbox.submit_request(request).await),
+        Err(rejection) => rejection.into_reply(),
     }
 }
 
@@ -115,44 +119,46 @@
 async fn read_request(
     request: Request<Incoming>,
     body_timeout: Duration,
-) -> Result<ExternalRequest, Refusal> {
+) -> Result<ExternalRequest, Rejection> {
     let path = request.uri().path().to_owned();
-    match route(request.method(), &path) {
-        Route::Unknown => Err(Refusal::NotFound),
-        Route::WrongMethod => Err(Refusal::MethodNotAllowed),
+    match match_route(request.method(), &path) {
+        Route::UnknownPath => Err(Rejection::NotFound),
+        Route::WrongMethod => Err(Rejection::MethodNotAllowed),
         Route::Health => Ok(ExternalRequest::Health),
-        Route::Poll(id) => Ok(ExternalRequest::User(UserRequest::Poll(job_id(id)?))),
-        Route::Cancel(id) => Ok(ExternalRequest::User(UserRequest::Cancel(job_id(id)?))),
-        Route::Submit => submission(&read_body(request, body_timeout).await?),
-        Route::Heartbeat => heartbeat(&read_body(request, body_timeout).await?),
+        Route::Poll(id) => Ok(ExternalRequest::User(UserRequest::Poll(parse_job_id(id)?))),
+        Route::Cancel(id) => Ok(ExternalRequest::User(UserRequest::Cancel(parse_job_id(
+            id,
+        )?))),
+        Route::Submit => parse_submit_request(&read_body(request, body_timeout).await?),
+        Route::Heartbeat => parse_heartbeat(&read_body(request, body_timeout).await?),
     }
 }
 
-fn job_id(text: &str) -> Result<JobId, Refusal> {
+fn parse_job_id(text: &str) -> Result<JobId, Rejection> {
     if is_valid_job_id(text) {
         Ok(JobId::from(text))
     } else {
-        Err(Refusal::NotFound)
+        Err(Rejection::NotFound)
     }
 }
 
-async fn read_body(request: Request<Incoming>, timeout: Duration) -> Result<Bytes, Refusal> {
+async fn read_body(request: Request<Incoming>, timeout: Duration) -> Result<Bytes, Rejection> {
     let body = http::read_body(request.into_body(), BODY_LIMIT, timeout).await;
-    body.map_err(Refusal::UnreadBody)
+    body.map_err(Rejection::UnreadBody)
 }
 
-fn submission(body: &Bytes) -> Result<ExternalRequest, Refusal> {
-    let (id, spec) = parse_submission(body).map_err(Refusal::InvalidSubmission)?;
+fn parse_submit_request(body: &Bytes) -> Result<ExternalRequest, Rejection> {
+    let (id, spec) = parse_submission(body).map_err(Rejection::InvalidSubmission)?;
     let submit = UserRequest::Submit(id, Box::new(spec));
     Ok(ExternalRequest::User(submit))
 }
 
-fn heartbeat(body: &Bytes) -> Result<ExternalRequest, Refusal> {
-    let heartbeat: Heartbeat = decode(body).ok_or(Refusal::InvalidHeartbeat)?;
+fn parse_heartbeat(body: &Bytes) -> Result<ExternalRequest, Rejection> {
+    let heartbeat: Heartbeat = decode(body).ok_or(Rejection::InvalidHeartbeat)?;
     Ok(ExternalRequest::Heartbeat(Box::new(heartbeat)))
 }
 
-fn to_reply(answer: Answer) -> Reply {
+fn encode_answer(answer: Answer) -> Reply {
     let body = match &answer.body {
         Body::Empty => encode(&serde_json::json!({})),
         Body::Value(value) => encode(value),
--- a/src/front/tests.rs
+++ b/src/front/tests.rs
@@ -1,25 +1,25 @@
 use super::*;
 
 #[test]
-fn paths_and_methods() {
+fn requests_are_routed_by_path_and_method() {
     let get = Method::GET;
     let post = Method::POST;
-    assert_eq!(route(&post, "/v1/jobs"), Route::Submit);
-    assert_eq!(route(&get, "/v1/jobs"), Route::WrongMethod);
+    assert_eq!(match_route(&post, "/v1/jobs"), Route::Submit);
+    assert_eq!(match_route(&get, "/v1/jobs"), Route::WrongMethod);
     assert_eq!(
-        route(&get, "/v1/jobs/req-000001"),
+        match_route(&get, "/v1/jobs/req-000001"),
         Route::Poll("req-000001")
     );
     assert_eq!(
-        route(&post, "/v1/jobs/req-000001/withdraw"),
+        match_route(&post, "/v1/jobs/req-000001/withdraw"),
         Route::Cancel("req-000001")
     );
     assert_eq!(
-        route(&get, "/v1/jobs/req-000001/withdraw"),
+        match_route(&get, "/v1/jobs/req-000001/withdraw"),
         Route::WrongMethod
     );
-    assert_eq!(route(&get, "/v1/jobs/"), Route::Unknown);
-    assert_eq!(route(&get, "/v1/jobs/a/b"), Route::Unknown);
-    assert_eq!(route(&post, "/checkin"), Route::Heartbeat);
-    assert_eq!(route(&get, "/other"), Route::Unknown);
+    assert_eq!(match_route(&get, "/v1/jobs/"), Route::UnknownPath);
+    assert_eq!(match_route(&get, "/v1/jobs/a/b"), Route::UnknownPath);
+    assert_eq!(match_route(&post, "/checkin"), Route::Heartbeat);
+    assert_eq!(match_route(&get, "/other"), Route::UnknownPath);
 }
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 as all other modules use it: a client with timeouts and reused connections, a server with a
-//! bounded number of connections, and bodies that are read whole within limits.
+//! HTTP/1.1 for all other modules: a client with timeouts and reused connections, a server with a bounded
+//! number of connections, and bodies that are read into memory within limits of size and time.
 
 mod client;
 mod server;
@@ -15,31 +15,35 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// A response whose whole body is in memory.
+/// A response with its whole body in memory.
 pub type Reply = Response<Full<Bytes>>;
 
-/// Why the body of a request was not read.
+/// Why the body of a request could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyError {
-    /// It is larger than the limit.
+    /// The body is larger than the limit.
     TooLarge,
-    /// It did not arrive in time.
-    Slow,
-    /// The connection failed.
-    Broken,
+    /// The body did not arrive in time.
+    TimedOut,
+    /// The connection failed, or the body is not valid HTTP.
+    ConnectionFailed,
 }
 
-/// Reads the whole body of a request, of at most `limit` bytes, within the time `within`.
-pub async fn read_body(body: Incoming, limit: usize, within: Duration) -> Result<Bytes, BodyError> {
-    match timeout(within, Limited::new(body, limit).collect()).await {
-        Err(_) => Err(BodyError::Slow),
+/// Reads the whole body of a request. It may have at most `limit` bytes and must arrive within `time_limit`.
+pub async fn read_body(
+    body: Incoming,
+    limit: usize,
+    time_limit: Duration,
+) -> Result<Bytes, BodyError> {
+    match timeout(time_limit, Limited::new(body, limit).collect()).await {
+        Err(_) => Err(BodyError::TimedOut),
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(BodyError::TooLarge),
-        Ok(Err(_)) => Err(BodyError::Broken),
+        Ok(Err(_)) => Err(BodyError::ConnectionFailed),
     }
 }
 
-/// A response with this status, body and content type.
+/// Builds a response. An invalid status becomes 200.
 pub fn reply(status: u16, body: Vec<u8>, content_type: &'static str) -> Reply {
     let mut reply = Response::new(Full::new(body.into()));
     *reply.status_mut() = StatusCode::from_u16(status).unwrap_or_default();
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,4 +1,4 @@
-//! A client that makes one attempt per request.
+//! An HTTP client that makes one attempt per request; callers decide about retries.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -13,20 +13,21 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout_at};
 
-/// Why a request has no response. The difference decides whether it may be repeated safely.
+/// Why a request has no response. The variant tells whether the request can be repeated safely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestError {
-    /// No connection could be made: the request was not sent.
+    /// No connection could be made, so the request was not sent.
     NotSent,
-    /// No complete response in time: the request may have been executed, or may still be.
-    Unknown,
+    /// No complete response arrived in time: the request may have been executed, or may still be.
+    OutcomeUnknown,
 }
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// A client of one address that keeps idle connections for later requests.
+/// A client of one server that keeps idle connections for later requests.
 pub struct Client {
     address: SocketAddr,
+    /// Value of the `Host` header.
     host: String,
     content_type: &'static str,
     idle: RefCell<Vec<Sender>>,
@@ -34,8 +35,8 @@
 }
 
 impl Client {
-    /// A client that sends bodies of `content_type` and keeps at most `max_idle` connections. With 0 it
-    /// asks the server to close each connection after its response.
+    /// Creates a client that sends bodies of `content_type` and keeps at most `max_idle` idle connections.
+    /// If that is 0, it asks the server to close each connection after the response.
     pub fn new(address: SocketAddr, content_type: &'static str, max_idle: usize) -> Self {
         Self {
             address,
@@ -46,8 +47,8 @@
         }
     }
 
-    /// Sends one request and returns the status and body of the response. The timeout covers connecting
-    /// and reading the whole response.
+    /// Sends one request and returns the status and body of the response. The timeout covers connecting,
+    /// sending and reading the whole response.
     pub async fn send(
         &self,
         method: Method,
@@ -56,17 +57,17 @@
         timeout: Duration,
     ) -> Result<(u16, Bytes), RequestError> {
         let deadline = Instant::now() + timeout;
-        let mut sender = self.connection(deadline).await?;
-        let request = self.request(method, path, body)?;
-        let response = timeout_at(deadline, exchange(&mut sender, request))
+        let mut sender = self.take_or_open_connection(deadline).await?;
+        let request = self.build_request(method, path, body)?;
+        let response = timeout_at(deadline, send_and_read_response(&mut sender, request))
             .await
-            .map_err(|_| RequestError::Unknown)??;
-        self.keep(sender);
+            .map_err(|_| RequestError::OutcomeUnknown)??;
+        self.keep_idle(sender);
         Ok(response)
     }
 
-    /// An idle connection, or a new one if there is none.
-    async fn connection(&self, deadline: Instant) -> Result<Sender, RequestError> {
+    /// Returns an idle connection, or a new one if there is none.
+    async fn take_or_open_connection(&self, deadline: Instant) -> Result<Sender, RequestError> {
         if let Some(sender) = self.take_idle() {
             return Ok(sender);
         }
@@ -89,8 +90,8 @@
         let stream = TcpStream::connect(self.address)
             .await
             .map_err(|_| RequestError::NotSent)?;
-        // Messages are small and their responses are awaited, so they must not be delayed. A socket on
-        // which this can't be set still works.
+        // Messages are small and callers wait for the responses, so Nagle's algorithm would only add delay.
+        // A socket that rejects the option still works.
         stream.set_nodelay(true).ok();
         let (sender, connection) = handshake(TokioIo::new(stream))
             .await
@@ -99,7 +100,7 @@
         Ok(sender)
     }
 
-    fn request(
+    fn build_request(
         &self,
         method: Method,
         path: &str,
@@ -118,7 +119,7 @@
             .map_err(|_| RequestError::NotSent)
     }
 
-    fn keep(&self, sender: Sender) {
+    fn keep_idle(&self, sender: Sender) {
         let mut idle = self.idle.borrow_mut();
         if idle.len() < self.max_idle && !sender.is_closed() {
             idle.push(sender);
@@ -126,19 +127,19 @@
     }
 }
 
-async fn exchange(
+async fn send_and_read_response(
     sender: &mut Sender,
     request: Request<Full<Bytes>>,
 ) -> Result<(u16, Bytes), RequestError> {
     let response = sender
         .send_request(request)
         .await
-        .map_err(|_| RequestError::Unknown)?;
+        .map_err(|_| RequestError::OutcomeUnknown)?;
     let status = response.status().as_u16();
     let body = response
         .into_body()
         .collect()
         .await
-        .map_err(|_| RequestError::Unknown)?;
+        .map_err(|_| RequestError::OutcomeUnknown)?;
     Ok((status, body.to_bytes()))
 }
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,4 +1,4 @@
-//! A server whose number of connections is bounded.
+//! An HTTP server with a bounded number of connections.
 
 use super::Reply;
 use crate::wire::BODY_LIMIT;
@@ -17,15 +17,15 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{Instant, sleep};
 
-/// Pause after a connection could not be accepted, which happens when sockets run out or when the client
-/// has closed it already. Without a pause the loop would spin.
+/// Pause after a failure to accept a connection: no socket is left, or the client has already closed the
+/// connection. Without the pause the loop would spin.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Accepts connections and answers their requests with `handler`. Does not return.
 ///
-/// At `max_connections` the connection that has been idle for longest is closed in favour of a new one, so
-/// that clients which only hold connections can't keep others out. If all are busy, the new one is
-/// closed.
+/// At `max_connections` the server closes the connection that has been idle for longest and accepts the new
+/// one, so that clients with idle connections cannot lock out others. If all connections are busy, it closes
+/// the new one.
 pub async fn serve<H, F>(listener: TcpListener, max_connections: usize, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + 'static,
@@ -41,7 +41,7 @@
         if open.count() >= max_connections && !open.close_longest_idle() {
             continue;
         }
-        // A socket on which this can't be set still works.
+        // A socket that rejects the option still works.
         stream.set_nodelay(true).ok();
         last_id += 1;
         let connection = open.add(last_id);
@@ -77,21 +77,21 @@
         .max_buf_size(BODY_LIMIT)
         .serve_connection(TokioIo::new(stream), service);
     if let Err(error) = served.await {
-        tracing::debug!(%error, "connection ended");
+        tracing::debug!(%error, "HTTP connection ended with an error");
     }
 }
 
-/// An accepted connection.
+/// The state of an accepted connection.
 struct Connection {
-    /// When it was accepted, or when its last response was ready.
+    /// When the connection was accepted or its last response was ready, whichever is later.
     last_used: Cell<Instant>,
     /// Whether a request is being handled.
     busy: Cell<bool>,
-    /// The task that serves it.
+    /// The task that serves the connection, to abort it; `None` until it is spawned.
     task: RefCell<Option<AbortHandle>>,
 }
 
-/// The connections of one listener, by their ids in the order in which they were accepted.
+/// The open connections of one listener by id. Ids increase in the order of acceptance.
 #[derive(Default)]
 struct OpenConnections(RefCell<BTreeMap<u64, Rc<Connection>>>);
 
@@ -114,7 +114,7 @@
         self.0.borrow_mut().remove(&id);
     }
 
-    /// Closes the connection that has been idle for longest; false if all are busy.
+    /// Closes the connection that has been idle for longest. Returns false if all connections are busy.
     fn close_longest_idle(&self) -> bool {
         let mut open = self.0.borrow_mut();
         let longest_idle = open
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,13 +1,13 @@
-//! Identifiers: each kind of name and number has a type of its own, so that they can't be confused.
+//! Identifiers. Each kind of name and number has its own type, so that they cannot be confused.
 //!
-//! Names are immutable and cheap to clone, since they are copied into many maps and messages.
+//! Names are immutable and cheap to clone because they are copied into many maps and messages.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::sync::Arc;
 
-/// Defines a type for one kind of name.
-macro_rules! name {
+/// Defines the type of one kind of name.
+macro_rules! define_name {
     ($(#[$doc:meta])* $type:ident) => {
         $(#[$doc])*
         #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -53,72 +53,72 @@
     };
 }
 
-name!(
+define_name!(
     /// Name of a controller (`host_name` in the settings).
     ControllerName
 );
-name!(
+define_name!(
     /// Id of a job, chosen by its user.
     JobId
 );
-name!(
+define_name!(
     /// Id of a machine, assigned by the cloud.
     MachineId
 );
-name!(
-    /// Name of a team.
+define_name!(
+    /// Name of a team, which has a guarantee and a limit in the settings.
     Team
 );
-name!(
-    /// Name of a machine type.
+define_name!(
+    /// Name of a machine type that the cloud offers.
     MachineTypeName
 );
-name!(
-    /// Name of a zone.
+define_name!(
+    /// Name of a zone of the cloud (`area` in the settings).
     Zone
 );
-name!(
-    /// Name of an image.
+define_name!(
+    /// Name of the image that a task runs.
     Image
 );
 
-/// Fencing token: a worker rejects commands under a lower token than the highest that it has seen.
+/// Fencing token: a worker rejects commands whose token is lower than the highest that it has seen.
 ///
-/// Tokens derive from revisions of the key-value store, so none is used twice and later ones are higher.
+/// Tokens derive from revisions of the key-value store: each is used once, and later ones are higher.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct FencingToken(
-    /// The number that messages carry.
+    /// The token as messages contain it.
     pub u64,
 );
 
-/// Number of one attempt to run a task. All members of a gang start under the same one.
+/// Number of one attempt to run a task. All members of a gang start under the same number.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Attempt(
-    /// The number that messages carry.
+    /// The number as messages contain it.
     pub u64,
 );
 
-/// The version of a key in the key-value store: the revision of its last write, or 0 if the key does not
-/// exist.
+/// Version of a key in the key-value store: the revision of the key's last write, or 0 if the key does
+/// not exist.
 pub type Version = u64;
 
 /// Id of one task of a job; in messages `JOB/INDEX`.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// The job.
+    /// The job that the task belongs to.
     pub job: JobId,
     /// The task's index among the tasks of its job, from 0.
     pub index: u32,
 }
 
 impl TaskId {
-    /// Parses the form used in messages; `None` if the text does not have it.
+    /// Parses `JOB/INDEX`; `None` if the text has another form.
     pub fn parse(text: &str) -> Option<Self> {
         let (job, index) = text.rsplit_once('/')?;
         Some(Self {
--- a/src/inbox.rs
+++ b/src/inbox.rs
@@ -1,9 +1,9 @@
-//! The bounded queue of inputs to the core, and the way of its answers back to those who wait for them.
+//! The bounded queue of inputs to the core, and the delivery of the core's answers to waiting requests.
 //!
-//! When the core falls behind, requests are refused by kind: those of users first, then heartbeats,
-//! health checks and operators' requests, then messages of siblings. A refused request is answered at
-//! once with the time after which to retry. Replies to this process's own calls, lease renewals among them,
-//! are never refused: there are only as many as there are calls.
+//! When the core falls behind, requests are rejected by kind: users' requests first, then heartbeats, health
+//! checks and operators' requests, then messages of siblings. A rejected request is answered at once; the
+//! answer to users and workers states when to retry. Replies to the process's own calls, such as
+//! lease renewals, are never rejected: their number is bounded by the number of calls.
 
 use crate::core::effects::{Answer, Input, RequestId, UserRequest};
 use crate::core::messages::mesh::{MeshMessage, MeshReply};
@@ -14,17 +14,18 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
-/// How full the queue may be, as a fraction of its capacity, for users' requests to be accepted.
-const USER_ADMISSION: f64 = 0.5;
-/// The same for heartbeats, health checks and operators' requests.
-const HEARTBEAT_ADMISSION: f64 = 0.75;
-/// The same for siblings' messages.
-const SIBLING_ADMISSION: f64 = 1.0;
-/// Users' requests that may wait for an answer at the same time, as a fraction of the limit on sockets.
+/// Fraction of the queue's capacity up to which users' requests are accepted.
+const USER_FILL_LIMIT: f64 = 0.5;
+/// Fraction of the queue's capacity up to which heartbeats, health checks and operators' requests are
+/// accepted.
+const HEARTBEAT_FILL_LIMIT: f64 = 0.75;
+/// Fraction of the queue's capacity up to which siblings' messages are accepted.
+const SIBLING_FILL_LIMIT: f64 = 1.0;
+/// Greatest number of users' requests that wait for an answer, as a fraction of the limit on sockets.
 const PENDING_USERS_FRACTION: f64 = 0.5;
-/// Users' requests that may wait however low the limit on sockets is.
+/// Lower bound of that number, however low the limit on sockets is.
 const MIN_PENDING_USERS: usize = 8;
-/// How long an answer is waited for. The core answers or gives up every request long before.
+/// How long a request waits for its answer. The core answers or abandons each request long before that.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A request from outside that the core answers with an [`Answer`].
@@ -40,11 +41,11 @@
 }
 
 impl ExternalRequest {
-    /// How full the queue may be for this request to be accepted.
-    fn admission(&self) -> f64 {
+    /// Fraction of the queue's capacity up to which this request is accepted.
+    fn fill_limit(&self) -> f64 {
         match self {
-            Self::User(_) => USER_ADMISSION,
-            Self::Heartbeat(_) | Self::Health | Self::Status => HEARTBEAT_ADMISSION,
+            Self::User(_) => USER_FILL_LIMIT,
+            Self::Heartbeat(_) | Self::Health | Self::Status => HEARTBEAT_FILL_LIMIT,
         }
     }
 
@@ -62,12 +63,12 @@
     }
 }
 
-/// The queue as listeners use it, and the requests that wait for their answers.
+/// The sending end of the queue, and the requests that wait for answers.
 pub struct Inbox {
     queue: mpsc::UnboundedSender<Input>,
-    /// How many requests may be queued. Replies to own calls do not count.
+    /// Greatest number of queued requests. Replies to the process's own calls do not count.
     capacity: usize,
-    /// Requests that are in the queue now.
+    /// Number of requests in the queue.
     queued: Cell<usize>,
     last_id: Cell<u64>,
     pending: RefCell<HashMap<RequestId, oneshot::Sender<Answer>>>,
@@ -77,7 +78,7 @@
 }
 
 impl Inbox {
-    /// An inbox that feeds `queue`, with bounds in proportion to the limit on sockets.
+    /// Creates an inbox that feeds `queue`. Its bounds are proportional to the limit on sockets.
     pub fn new(queue: mpsc::UnboundedSender<Input>, fd_limit: usize) -> Self {
         #[expect(
             clippy::cast_possible_truncation,
@@ -96,12 +97,12 @@
         }
     }
 
-    /// Passes a request to the core and waits for its answer. Over the bounds the answer says at once when
-    /// to retry.
-    pub async fn request(&self, request: ExternalRequest) -> Answer {
+    /// Passes a request to the core and waits for the answer. If a bound is exceeded, it returns at once an
+    /// answer that states when to retry.
+    pub async fn submit_request(&self, request: ExternalRequest) -> Answer {
         let is_user = request.is_user();
         let too_many_users = is_user && self.pending_users.get() >= self.max_pending_users;
-        if too_many_users || !self.admits(request.admission()) {
+        if too_many_users || !self.has_capacity(request.fill_limit()) {
             return Answer::unavailable();
         }
         let pending = PendingRequest::new(self, is_user);
@@ -116,10 +117,10 @@
         }
     }
 
-    /// Passes a sibling's message to the core and waits for its reply; `None` over the bounds, or if the
-    /// core gives none in time.
-    pub async fn mesh_request(&self, message: MeshMessage) -> Option<MeshReply> {
-        if !self.admits(SIBLING_ADMISSION) {
+    /// Passes a sibling's message to the core and waits for the reply. Returns `None` if the queue is full or
+    /// the core does not reply in time.
+    pub async fn submit_mesh_message(&self, message: MeshMessage) -> Option<MeshReply> {
+        if !self.has_capacity(SIBLING_FILL_LIMIT) {
             return None;
         }
         let pending = PendingRequest::new(self, false);
@@ -131,39 +132,40 @@
         timeout(ANSWER_TIMEOUT, receiver).await.ok()?.ok()
     }
 
-    /// Records that the core has taken a batch out of the queue.
+    /// Removes a batch that the core has taken from the count of queued requests.
     pub fn record_taken_batch(&self, batch: &[Input]) {
         let requests = batch.iter().filter(|input| input.is_request()).count();
         self.queued.set(self.queued.get().saturating_sub(requests));
     }
 
-    /// Passes the core's answer to the request that waits for it. If it no longer waits, nothing happens.
-    pub fn answer(&self, id: RequestId, answer: Answer) {
+    /// Passes the core's answer to the waiting request; drops it if the request no longer waits.
+    pub fn deliver_answer(&self, id: RequestId, answer: Answer) {
         if let Some(sender) = self.pending.borrow_mut().remove(&id) {
             sender.send(answer).ok();
         }
     }
 
-    /// Passes the core's reply to the sibling that waits for it. If it no longer waits, nothing happens.
-    pub fn answer_mesh(&self, id: RequestId, reply: MeshReply) {
+    /// Passes the core's reply to the waiting message of a sibling; drops it if the message no longer waits.
+    pub fn deliver_mesh_reply(&self, id: RequestId, reply: MeshReply) {
         if let Some(sender) = self.pending_mesh.borrow_mut().remove(&id) {
             sender.send(reply).ok();
         }
     }
 
-    fn admits(&self, admission: f64) -> bool {
-        (self.queued.get() as f64) < self.capacity as f64 * admission
+    /// Whether the queue holds less than this fraction of its capacity.
+    fn has_capacity(&self, fill_limit: f64) -> bool {
+        (self.queued.get() as f64) < self.capacity as f64 * fill_limit
     }
 
-    /// Adds an input to the queue; false once the process is shutting down.
+    /// Adds a request to the queue. Returns false if the process is shutting down.
     fn enqueue(&self, input: Input) -> bool {
         self.queued.set(self.queued.get() + 1);
         self.queue.send(input).is_ok()
     }
 }
 
-/// A request that waits for its answer. However the wait ends, also if the client disconnects, dropping
-/// this removes every trace of the request from the inbox.
+/// A request that waits for its answer. Dropping it removes the request from the inbox, however the wait ends:
+/// with an answer, with a timeout or because the client disconnected.
 struct PendingRequest<'a> {
     inbox: &'a Inbox,
     id: RequestId,
@@ -187,7 +189,7 @@
     fn drop(&mut self) {
         self.inbox.pending.borrow_mut().remove(&self.id);
         self.inbox.pending_mesh.borrow_mut().remove(&self.id);
-        // Never below zero: `new` added what is subtracted here.
+        // This cannot underflow: `new` added the same number.
         let users = self.inbox.pending_users.get() - usize::from(self.is_user);
         self.inbox.pending_users.set(users);
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! ochredrum: a scheduler for fleets of machines that serve language models.
 //!
-//! The library has two parts. [`core`] makes all decisions and does no I/O. The other modules turn
-//! messages into its inputs, and its effects into requests. See `docs/design.md`.
+//! The library has two parts. [`core`] makes all decisions and does no I/O. The other modules convert
+//! messages into inputs of the core, and effects of the core into requests. See `docs/design.md`.
 
 pub mod cli;
 pub mod cloud_client;
@@ -13,9 +13,10 @@
 pub mod ids;
 pub mod inbox;
 pub mod mesh;
-pub mod operator;
+
 pub mod service;
 pub mod status;
+pub mod status_client;
 pub mod store_client;
 pub mod wire;
 pub mod worker_client;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program. Everything it does is in the library.
+//! The `ochredrum` program, which only calls the library's command line.
 
 fn main() -> std::process::ExitCode {
     ochredrum::cli::main()
--- a/src/mesh.rs
+++ b/src/mesh.rs
@@ -1,5 +1,5 @@
-//! The listener for other controllers (CBOR over HTTP) and for operators (JSON), and the client for other
-//! controllers.
+//! The listener for other controllers (CBOR over HTTP) and operators (JSON over HTTP), and the client for
+//! other controllers.
 
 use crate::config::ProcessLimits;
 use crate::core::effects::Body;
@@ -14,19 +14,23 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-const CBOR: &str = "application/cbor";
+/// Content type of messages between controllers.
+const CBOR_CONTENT_TYPE: &str = "application/cbor";
+/// HTTP path for messages between controllers.
 const MESH_PATH: &str = "/mesh/v1";
-/// Connections to one sibling that are kept for later messages.
+/// Greatest number of idle connections to one sibling.
 const MAX_IDLE_CONNECTIONS: usize = 4;
-/// The part of a process's memory that one message may take: a hello lists every running job and machine.
+/// Fraction of the process's memory that one message may take. The longest messages, hellos, list every
+/// running job and machine.
 const MESSAGE_MEMORY_FRACTION: f64 = 1.0 / 16.0;
-/// The lowest limit on a message, in bytes, however little memory the process has.
+/// Lower bound of the limit on a message, in bytes, however little memory the process has.
 const MIN_MESSAGE_LIMIT: usize = 1024 * 1024;
-const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
+/// The settings give memory in MiB.
+const BYTES_PER_MIB: f64 = 1024.0 * 1024.0;
 
-/// The largest message that is accepted, in bytes.
-pub fn message_limit(limits: &ProcessLimits) -> usize {
-    let bytes = limits.mem_mb * BYTES_PER_MB * MESSAGE_MEMORY_FRACTION;
+/// Size of the largest message that is accepted, in bytes.
+pub fn max_message_bytes(limits: &ProcessLimits) -> usize {
+    let bytes = limits.mem_mb * BYTES_PER_MIB * MESSAGE_MEMORY_FRACTION;
     #[expect(
         clippy::cast_possible_truncation,
         reason = "whole bytes are enough; `as` saturates beyond usize"
@@ -35,14 +39,18 @@
     bytes.max(MIN_MESSAGE_LIMIT)
 }
 
-/// A client of the sibling at this address.
-pub fn client(address: SocketAddr) -> Client {
-    Client::new(address, CBOR, MAX_IDLE_CONNECTIONS)
+/// Creates a client of the sibling at this address.
+pub fn new_client(address: SocketAddr) -> Client {
+    Client::new(address, CBOR_CONTENT_TYPE, MAX_IDLE_CONNECTIONS)
 }
 
-/// Makes one attempt to send a message; `None` without a valid reply in time.
-pub async fn send(client: &Client, message: &MeshMessage, timeout: Duration) -> Option<MeshReply> {
-    let body = encode(message)?;
+/// Makes one attempt to send a message. Returns `None` if no valid reply arrives in time.
+pub async fn send_message(
+    client: &Client,
+    message: &MeshMessage,
+    timeout: Duration,
+) -> Option<MeshReply> {
+    let body = encode_cbor(message)?;
     let (status, body) = client
         .send(Method::POST, MESH_PATH, body, timeout)
         .await
@@ -50,17 +58,18 @@
     (status == 200).then(|| ciborium::from_reader(body.as_ref()).ok())?
 }
 
-/// Answers one request. Its body has at most `message_limit` bytes and must arrive within `body_timeout`.
-pub async fn handle(
+/// Answers one request. Its body may have at most `max_message_bytes` bytes and must arrive within
+/// `body_timeout`.
+pub async fn handle_request(
     inbox: Rc<Inbox>,
     request: Request<Incoming>,
-    message_limit: usize,
+    max_message_bytes: usize,
     body_timeout: Duration,
 ) -> Reply {
     match request.uri().path() {
         STATUS_PATH => answer_status(&inbox, request.method()).await,
-        MESH_PATH => answer_message(&inbox, request, message_limit, body_timeout).await,
-        _ => http::reply(404, Vec::new(), CBOR),
+        MESH_PATH => answer_message(&inbox, request, max_message_bytes, body_timeout).await,
+        _ => http::reply(404, Vec::new(), CBOR_CONTENT_TYPE),
     }
 }
 
@@ -68,33 +77,34 @@
 async fn answer_message(
     inbox: &Inbox,
     request: Request<Incoming>,
-    limit: usize,
+    max_message_bytes: usize,
     body_timeout: Duration,
 ) -> Reply {
     if request.method() != Method::POST {
-        return http::reply(405, Vec::new(), CBOR);
+        return http::reply(405, Vec::new(), CBOR_CONTENT_TYPE);
     }
-    let Ok(body) = http::read_body(request.into_body(), limit, body_timeout).await else {
-        return http::reply(400, Vec::new(), CBOR);
+    let Ok(body) = http::read_body(request.into_body(), max_message_bytes, body_timeout).await
+    else {
+        return http::reply(400, Vec::new(), CBOR_CONTENT_TYPE);
     };
     let Ok(message) = ciborium::from_reader::<MeshMessage, _>(body.as_ref()) else {
-        return http::reply(400, Vec::new(), CBOR);
+        return http::reply(400, Vec::new(), CBOR_CONTENT_TYPE);
     };
-    let Some(reply) = inbox.mesh_request(message).await else {
-        return http::reply(503, Vec::new(), CBOR);
+    let Some(reply) = inbox.submit_mesh_message(message).await else {
+        return http::reply(503, Vec::new(), CBOR_CONTENT_TYPE);
     };
-    match encode(&reply) {
-        Some(body) => http::reply(200, body, CBOR),
-        None => http::reply(500, Vec::new(), CBOR),
+    match encode_cbor(&reply) {
+        Some(body) => http::reply(200, body, CBOR_CONTENT_TYPE),
+        None => http::reply(500, Vec::new(), CBOR_CONTENT_TYPE),
     }
 }
 
-/// Answers an operator's request for the status, which changes nothing.
+/// Answers an operator's request for the status. The request does not change the controller's state.
 async fn answer_status(inbox: &Inbox, method: &Method) -> Reply {
     if method != Method::GET {
         return http::reply(405, Vec::new(), JSON_CONTENT_TYPE);
     }
-    let answer = inbox.request(ExternalRequest::Status).await;
+    let answer = inbox.submit_request(ExternalRequest::Status).await;
     let Body::Status(status) = answer.body else {
         return http::reply(answer.status, Vec::new(), JSON_CONTENT_TYPE);
     };
@@ -104,7 +114,8 @@
     }
 }
 
-fn encode(message: &impl Serialize) -> Option<Vec<u8>> {
+/// Encodes a message as CBOR; `None` if it cannot be represented.
+fn encode_cbor(message: &impl Serialize) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     ciborium::into_writer(message, &mut body).ok()?;
     Some(body)
--- a/src/service.rs
+++ b/src/service.rs
@@ -1,6 +1,6 @@
-//! The running process. One task owns the core: listeners and clients put inputs into its queue, it
-//! processes them in batches, and its effects go back to the listeners and clients. Everything runs on
-//! one thread.
+//! The process of a controller. Listeners and clients put inputs into a queue. One task owns the core: it
+//! processes the inputs in batches and passes the core's effects to the listeners and clients. Everything
+//! runs on one thread.
 
 mod clients;
 
@@ -20,34 +20,35 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, timeout};
 
-/// Inputs that the core processes in one batch at most.
+/// Greatest number of inputs that the core processes in one batch.
 const MAX_BATCH: usize = 256;
-/// Tenths of the process's sockets for users and workers, and for siblings. The rest is for this process's
-/// own calls.
+/// Tenths of the process's sockets that serve users and workers. The sockets that no listener may use are
+/// for the process's own calls.
 const FRONT_SOCKET_TENTHS: usize = 7;
+/// Tenths of the process's sockets that serve siblings.
 const MESH_SOCKET_TENTHS: usize = 1;
-/// The body of a request must arrive within the workers' lease divided by this.
+/// The timeout for the body of a request is the workers' lease divided by this.
 const BODY_TIMEOUTS_PER_LEASE: u32 = 4;
-/// Without inputs the core still runs this many times per workers' lease, since the time alone may require
-/// an action.
+/// Without inputs the core runs this many times per workers' lease, because some actions depend only on
+/// the time.
 const TICKS_PER_LEASE: u32 = 200;
 
-/// Why the process can't serve.
+/// Why a controller cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum ServiceError {
-    /// The runtime can't be started.
-    #[error("cannot start the runtime: {0}")]
+    /// The async runtime cannot be started.
+    #[error("cannot start the async runtime: {0}")]
     Runtime(std::io::Error),
-    /// A listener's address can't be bound.
+    /// An address from the settings cannot be bound.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The address to listen on (`front` or `mesh_addr`).
         address: SocketAddr,
-        /// The system's error.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The system provides no random numbers.
-    #[error("no randomness: {0}")]
+    /// The operating system provides no random numbers.
+    #[error("cannot read random numbers from the operating system: {0}")]
     Random(String),
 }
 
@@ -61,11 +62,11 @@
 }
 
 async fn serve(config: Config) -> Result<(), ServiceError> {
-    let front_listener = listen(config.front).await?;
-    let mesh_listener = listen(config.mesh).await?;
+    let front_listener = bind_listener(config.front).await?;
+    let mesh_listener = bind_listener(config.mesh).await?;
     let (queue, inputs) = mpsc::unbounded_channel();
     let limits = &config.deployment.limits;
-    let lease = lease(&config);
+    let lease = worker_lease(&config);
     let body_timeout = lease / BODY_TIMEOUTS_PER_LEASE;
     let inbox = Rc::new(Inbox::new(queue.clone(), limits.fd_limit));
     serve_front(front_listener, limits, body_timeout, inbox.clone());
@@ -78,13 +79,13 @@
     Ok(())
 }
 
-/// How long a worker keeps running its tasks without an answer to its heartbeats. All timeouts are in
-/// proportion to it.
-fn lease(config: &Config) -> Duration {
+/// How long a worker continues to run its tasks without an answer to its heartbeats. All timeouts of the
+/// process are proportional to it.
+fn worker_lease(config: &Config) -> Duration {
     Duration::from_secs_f64(config.deployment.workers.lease_s)
 }
 
-async fn listen(address: SocketAddr) -> Result<TcpListener, ServiceError> {
+async fn bind_listener(address: SocketAddr) -> Result<TcpListener, ServiceError> {
     TcpListener::bind(address)
         .await
         .map_err(|source| ServiceError::Listen { address, source })
@@ -98,7 +99,7 @@
 ) {
     let max_connections = limits.fd_limit * FRONT_SOCKET_TENTHS / 10;
     spawn_local(http::serve(listener, max_connections, move |request| {
-        front::handle(inbox.clone(), request, body_timeout)
+        front::handle_request(inbox.clone(), request, body_timeout)
     }));
 }
 
@@ -109,19 +110,19 @@
     inbox: Rc<Inbox>,
 ) {
     let max_connections = limits.fd_limit * MESH_SOCKET_TENTHS / 10;
-    let message_limit = mesh::message_limit(limits);
+    let max_message_bytes = mesh::max_message_bytes(limits);
     spawn_local(http::serve(listener, max_connections, move |request| {
-        mesh::handle(inbox.clone(), request, message_limit, body_timeout)
+        mesh::handle_request(inbox.clone(), request, max_message_bytes, body_timeout)
     }));
 }
 
-/// The seed of this process's random numbers, its incarnation among them.
+/// The seed of all random numbers of this process, including its incarnation.
 fn random_seed() -> Result<u64, ServiceError> {
     let random = OsRng
         .try_next_u64()
         .map_err(|error| ServiceError::Random(error.to_string()))?;
-    // The time makes the incarnation differ from earlier ones even where the system's random numbers
-    // repeat, as after a restored snapshot.
+    // The time makes the incarnation differ from earlier ones even if the operating system's random numbers
+    // repeat, for example after a machine is restored from a snapshot.
     Ok(random ^ unix_time_ms())
 }
 
@@ -143,7 +144,7 @@
     let start = Instant::now();
     let mut batch = Vec::new();
     loop {
-        // All queued inputs form one batch. Without any the core runs all the same after a tick.
+        // Up to `MAX_BATCH` queued inputs form one batch. After a tick without inputs the batch is empty.
         if timeout(tick, inputs.recv_many(&mut batch, MAX_BATCH)).await == Ok(0) {
             return;
         }
@@ -151,9 +152,9 @@
         let now = start.elapsed().as_secs_f64();
         for effect in core.step(now, unix_time_ms(), std::mem::take(&mut batch)) {
             match effect {
-                Effect::Answer(request, answer) => inbox.answer(request, answer),
-                Effect::MeshAnswer(request, reply) => inbox.answer_mesh(request, reply),
-                effect => clients.call(effect),
+                Effect::Answer(request, answer) => inbox.deliver_answer(request, answer),
+                Effect::MeshAnswer(request, reply) => inbox.deliver_mesh_reply(request, reply),
+                effect => clients.start_call(effect),
             }
         }
     }
--- a/src/service/clients.rs
+++ b/src/service/clients.rs
@@ -15,17 +15,18 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// Connections that are kept to the store and to the cloud.
+/// Greatest number of idle connections to the store.
 const STORE_MAX_IDLE: usize = 8;
+/// Greatest number of idle connections to the cloud.
 const CLOUD_MAX_IDLE: usize = 2;
-/// Each call's timeout is the workers' lease divided by one of these. Calls on which a renewal of leases
-/// depends are the shortest; rentals may take longer.
+// The timeout of a call is the workers' lease divided by one of these numbers. Calls on which the
+// renewal of a lease depends have the shortest timeouts, and calls to the cloud the longest.
 const STORE_TIMEOUTS_PER_LEASE: u32 = 12;
 const CLOUD_TIMEOUTS_PER_LEASE: u32 = 3;
 const WORKER_TIMEOUTS_PER_LEASE: u32 = 10;
 const MESH_TIMEOUTS_PER_LEASE: u32 = 12;
 
-/// All clients of a controller, and the queue for the replies that they get.
+/// All clients of a controller, and the queue into which they put replies.
 pub struct Clients {
     queue: mpsc::UnboundedSender<Input>,
     store: Rc<StoreClient>,
@@ -36,14 +37,14 @@
 }
 
 impl Clients {
-    /// Clients for the addresses and timeouts of the settings. Replies go to `queue`.
+    /// Creates clients with the addresses and timeouts of the settings. Replies go to `queue`.
     pub fn new(config: &Config, queue: mpsc::UnboundedSender<Input>) -> Rc<Self> {
         let services = &config.services;
-        let lease = super::lease(config);
+        let lease = super::worker_lease(config);
         let store = Client::new(services.state, MESSAGE_PACK, STORE_MAX_IDLE);
         let cloud = Client::new(services.cloud, MESSAGE_PACK, CLOUD_MAX_IDLE);
         let siblings = config.siblings.iter().map(|sibling| {
-            let client = mesh::client(sibling.addr);
+            let client = mesh::new_client(sibling.addr);
             (sibling.controller.clone(), Rc::new(client))
         });
         Rc::new(Self {
@@ -56,38 +57,40 @@
         })
     }
 
-    /// Starts a call. Its reply comes back as an input of the core.
-    pub fn call(&self, effect: Effect) {
+    /// Starts the call that an effect requests. The reply becomes an input of the core. Calls to siblings that
+    /// the settings do not list are dropped.
+    pub fn start_call(&self, effect: Effect) {
         match effect {
             Effect::Store(id, call) => {
                 let client = self.store.clone();
                 let reply = async move { client.call(call).await };
-                self.spawn(id, reply, Input::Store);
+                self.spawn_call(id, reply, Input::Store);
             }
             Effect::Cloud(id, call) => {
                 let client = self.cloud.clone();
                 let reply = async move { client.call(call).await };
-                self.spawn(id, reply, Input::Cloud);
+                self.spawn_call(id, reply, Input::Cloud);
             }
             Effect::Worker(id, address, commands) => {
                 let timeout = self.worker_timeout;
-                let reply = async move { worker_client::send(&address, &commands, timeout).await };
-                self.spawn(id, reply, Input::Worker);
+                let reply =
+                    async move { worker_client::send_commands(&address, &commands, timeout).await };
+                self.spawn_call(id, reply, Input::Worker);
             }
             Effect::Mesh(id, node, message) => {
                 let Some(client) = self.siblings.get(&node).cloned() else {
                     return;
                 };
                 let timeout = self.mesh_timeout;
-                let reply = async move { mesh::send(&client, &message, timeout).await };
-                self.spawn(id, reply, Input::MeshReply);
+                let reply = async move { mesh::send_message(&client, &message, timeout).await };
+                self.spawn_call(id, reply, Input::MeshReply);
             }
-            // Answers go through the inbox, not to a client.
+            // The inbox delivers answers; no client is involved.
             Effect::Answer(..) | Effect::MeshAnswer(..) => {}
         }
     }
 
-    fn spawn<R: 'static>(
+    fn spawn_call<R: 'static>(
         &self,
         id: CallId,
         reply: impl Future<Output = R> + 'static,
@@ -95,7 +98,7 @@
     ) {
         let queue = self.queue.clone();
         spawn_local(async move {
-            // This fails only while the process shuts down.
+            // Sending fails only while the process shuts down.
             queue.send(input(id, reply.await)).ok();
         });
     }
--- a/src/status.rs
+++ b/src/status.rs
@@ -1,15 +1,15 @@
-//! The status that a controller reports to operators: team limits, other controllers and failovers. It is
-//! read-only, served as JSON on the listener for controllers and printed as tables by the command line.
+//! The status that a controller reports to operators: team limits, other controllers and failovers. The
+//! listener for controllers serves it as JSON, and the command line prints it as tables. It is read-only.
 //!
-//! `ochredrum schema status` prints the JSON schema, doc comments of the types included.
+//! `ochredrum schema status` prints the JSON schema, including the doc comments of the types.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::fmt::Write;
 
-/// The path at which the status is served.
+/// HTTP path of the status on the listener for controllers.
 pub const STATUS_PATH: &str = "/status/v1";
-/// The content type of the status.
+/// Content type of the status and of the requests for it.
 pub const JSON_CONTENT_TYPE: &str = "application/json";
 
 /// What one controller knows.
@@ -214,20 +214,28 @@
 }
 
 impl Status {
-    /// The tables that the command line prints: teams, then other controllers and failovers if there are
-    /// any.
-    pub fn table(&self) -> String {
-        let teams: Vec<_> = self.teams.iter().map(TeamStatus::row).collect();
-        let mut text = format!("{}\n\n{}", self.summary(), table(TEAM_COLUMNS, &teams));
+    /// Formats the tables that the command line prints: teams, then other controllers and failovers if
+    /// there are any.
+    pub fn to_tables(&self) -> String {
+        let teams: Vec<_> = self.teams.iter().map(TeamStatus::table_row).collect();
+        let mut text = format!(
+            "{}\n\n{}",
+            self.summary(),
+            format_table(TEAM_COLUMNS, &teams)
+        );
         if !self.siblings.is_empty() {
-            let rows: Vec<_> = self.siblings.iter().map(SiblingStatus::row).collect();
+            let rows: Vec<_> = self.siblings.iter().map(SiblingStatus::table_row).collect();
             text.push('\n');
-            text.push_str(&table(SIBLING_COLUMNS, &rows));
+            text.push_str(&format_table(SIBLING_COLUMNS, &rows));
         }
         if !self.hand_overs.is_empty() {
-            let rows: Vec<_> = self.hand_overs.iter().map(HandOverStatus::row).collect();
+            let rows: Vec<_> = self
+                .hand_overs
+                .iter()
+                .map(HandOverStatus::table_row)
+                .collect();
             text.push('\n');
-            text.push_str(&table(HAND_OVER_COLUMNS, &rows));
+            text.push_str(&format_table(HAND_OVER_COLUMNS, &rows));
         }
         text
     }
@@ -268,8 +276,11 @@
 ];
 const HAND_OVER_COLUMNS: [&str; 4] = ["FAILED", "TEAMS", "MACHINES", "WAITS FOR"];
 
-/// A table whose columns are as wide as their widest cells.
-fn table<const COLUMNS: usize>(header: [&str; COLUMNS], rows: &[[String; COLUMNS]]) -> String {
+/// Formats a table whose columns are as wide as their widest cells.
+fn format_table<const COLUMNS: usize>(
+    header: [&str; COLUMNS],
+    rows: &[[String; COLUMNS]],
+) -> String {
     let width = |column: usize| {
         let cells = rows.iter().filter_map(|row| row.get(column));
         let widths = cells.map(|cell| cell.chars().count());
@@ -278,23 +289,23 @@
     };
     let widths: Vec<usize> = (0..COLUMNS).map(width).collect();
     let mut text = String::new();
-    let mut line = |cells: &[&str]| {
+    let mut write_line = |cells: &[&str]| {
         for (cell, width) in cells.iter().zip(&widths) {
-            // Writing to a string can't fail.
+            // Writing to a `String` does not fail.
             write!(text, "{cell:<width$}  ").ok();
         }
         text.truncate(text.trim_end().len());
         text.push('\n');
     };
-    line(&header);
+    write_line(&header);
     for row in rows {
-        line(&row.each_ref().map(String::as_str));
+        write_line(&row.each_ref().map(String::as_str));
     }
     text
 }
 
 impl SiblingStatus {
-    fn row(&self) -> [String; 6] {
+    fn table_row(&self) -> [String; 6] {
         let stage = match self.stage {
             StageStatus::Alive => "alive",
             StageStatus::Suspected => "suspected",
@@ -302,7 +313,7 @@
             StageStatus::HandedOver => "handed over",
         };
         let key = if self.key_gone { "gone" } else { "there" };
-        let opinions: Vec<String> = self.told.iter().map(OpinionStatus::text).collect();
+        let opinions: Vec<String> = self.told.iter().map(OpinionStatus::to_text).collect();
         [
             self.controller.clone(),
             stage.into(),
@@ -319,14 +330,14 @@
 }
 
 impl OpinionStatus {
-    fn text(&self) -> String {
+    fn to_text(&self) -> String {
         let hears = if self.suspects { "no" } else { "yes" };
         format!("{} {hears} ({:.1} s ago)", self.observer, self.age_s)
     }
 }
 
 impl HandOverStatus {
-    fn row(&self) -> [String; 4] {
+    fn table_row(&self) -> [String; 4] {
         let waits_for = match self.waits_for {
             HandOverWait::Key => "its key to go".into(),
             HandOverWait::Consents { given, needed } => format!("consents, {given} of {needed}"),
@@ -342,31 +353,32 @@
 }
 
 impl TeamStatus {
-    fn row(&self) -> [String; 9] {
+    fn table_row(&self) -> [String; 9] {
         let owned = self.owned.as_ref();
         [
             self.team.clone(),
             self.owner.clone().unwrap_or_else(|| "-".into()),
-            self.limit.text(),
-            self.guarantee.text(),
-            self.granted(true).text(),
-            self.granted(false).plus(self.folded).text(),
-            owned.map_or_else(|| "?".into(), |owned| owned.used.text()),
+            self.limit.to_text(),
+            self.guarantee.to_text(),
+            self.sum_grants(true).to_text(),
+            self.sum_grants(false).add(self.folded).to_text(),
+            owned.map_or_else(|| "?".into(), |owned| owned.used.to_text()),
             owned.map_or_else(|| "?".into(), |owned| owned.unknown_machines.to_string()),
-            self.state().into(),
+            self.state_text().into(),
         ]
     }
 
-    /// The sum of the grants of the present owner (`current`), or of all former ones that are named.
-    fn granted(&self, current: bool) -> Capacity {
+    /// The sum of the grants of the present owner if `current`, else of all former owners that are listed.
+    fn sum_grants(&self, current: bool) -> Capacity {
         self.grants
             .iter()
             .filter(|grant| grant.current == current)
             .map(|grant| grant.granted)
-            .fold(Capacity::default(), Capacity::plus)
+            .fold(Capacity::default(), Capacity::add)
     }
 
-    fn state(&self) -> &'static str {
+    /// The text of the `STATE` column.
+    fn state_text(&self) -> &'static str {
         match (self.record, self.owned.as_ref().map(|owned| owned.basis)) {
             (RecordState::Damaged, _) => "damaged record",
             (_, Some(BasisStatus::Undecided)) => "reading",
@@ -382,14 +394,14 @@
 }
 
 impl Capacity {
-    fn plus(self, other: Self) -> Self {
+    fn add(self, other: Self) -> Self {
         Self {
             cpus: self.cpus + other.cpus,
             gpus: self.gpus + other.gpus,
         }
     }
 
-    fn text(self) -> String {
+    fn to_text(self) -> String {
         match (self.cpus > 0.0, self.gpus > 0.0) {
             (false, false) => "-".into(),
             (true, false) => format!("{} CPU", self.cpus),
--- a/src/status/tests.rs
+++ b/src/status/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn status() -> Status {
+fn example_status() -> Status {
     let gpus = |gpus: f64| Capacity { cpus: 0.0, gpus };
     let grant = |controller: &str, granted: f64, current: bool| GrantStatus {
         controller: controller.into(),
@@ -33,8 +33,8 @@
         }],
         detection_on: true,
         siblings: vec![
-            sibling("n1", StageStatus::Alive),
-            sibling("n2", StageStatus::Confirmed),
+            sibling_status("n1", StageStatus::Alive),
+            sibling_status("n2", StageStatus::Confirmed),
         ],
         hand_overs: vec![HandOverStatus {
             controller: "n2".into(),
@@ -49,7 +49,7 @@
     }
 }
 
-fn sibling(controller: &str, stage: StageStatus) -> SiblingStatus {
+fn sibling_status(controller: &str, stage: StageStatus) -> SiblingStatus {
     let failed = stage == StageStatus::Confirmed;
     SiblingStatus {
         controller: controller.into(),
@@ -73,7 +73,7 @@
 #[test]
 fn the_tables_show_grants_siblings_and_failovers() {
     assert_eq!(
-        status().table(),
+        example_status().to_tables(),
         "n0 (process 7), leads\n\n\
          TEAM  OWNER  LIMIT   GUARANTEE  GRANTED  OTHERS  USED      UNKNOWN  STATE\n\
          blue  n0     24 GPU  8 GPU      5 GPU    10 GPU  12.5 GPU  3        taking over\n\n\
@@ -86,9 +86,9 @@
 }
 
 #[test]
-fn the_published_schema_covers_what_is_sent() {
+fn the_published_schema_describes_every_field_of_the_answer() {
     let schema = serde_json::to_value(schemars::schema_for!(Status)).unwrap();
-    let sent = serde_json::to_value(status()).unwrap();
+    let sent = serde_json::to_value(example_status()).unwrap();
     let validator = jsonschema::validator_for(&schema).unwrap();
     assert!(
         validator.is_valid(&sent),
@@ -113,13 +113,16 @@
     let mut wrong = sent.clone();
     wrong["siblings"][0]["stage"] = "dead".into();
     assert!(!validator.is_valid(&wrong));
-    assert_eq!(serde_json::from_value::<Status>(sent).unwrap(), status());
+    assert_eq!(
+        serde_json::from_value::<Status>(sent).unwrap(),
+        example_status()
+    );
 }
 
-/// An answer of the previous version, which reported no siblings, can be parsed.
+/// An older version reported no siblings and no failovers.
 #[test]
-fn an_answer_of_an_earlier_version_is_read() {
-    let mut earlier = serde_json::to_value(status()).unwrap();
+fn an_answer_of_an_older_version_can_be_parsed() {
+    let mut earlier = serde_json::to_value(example_status()).unwrap();
     let fields = earlier.as_object_mut().unwrap();
     for field in ["detection_on", "siblings", "hand_overs"] {
         fields.remove(field);
--- a/src/operator.rs
+++ b/src/status_client.rs
@@ -1,4 +1,4 @@
-//! The operators' client: it asks a running controller for its status.
+//! The client of the command line: it asks a running controller for its status.
 
 use crate::http::{Client, RequestError};
 use crate::status::{JSON_CONTENT_TYPE, STATUS_PATH, Status};
@@ -6,55 +6,55 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long an answer is waited for.
-const TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout of the whole request.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why an operator gets no answer.
+/// Why a controller's status cannot be shown.
 #[derive(Debug, thiserror::Error)]
-pub enum OperatorError {
-    /// The runtime can't be started.
-    #[error("cannot start the runtime: {0}")]
+pub enum StatusError {
+    /// The async runtime cannot be started.
+    #[error("cannot start the async runtime: {0}")]
     Runtime(std::io::Error),
     /// No process listens at the address.
     #[error("{0} can't be reached (is it the address of mesh_addr?)")]
     Unreachable(SocketAddr),
-    /// The answer took too long, or the connection failed. The number is the timeout in seconds.
+    /// The answer took too long, or the connection failed. Holds the address and the timeout in seconds.
     #[error("{0} gives no answer within {1} s")]
     NoAnswer(SocketAddr, u64),
-    /// The answer is not a success.
+    /// The answer has a status other than 200.
     #[error("{address} answers with status {status}")]
     Refused {
-        /// The address that was asked.
+        /// The `mesh_addr` that the request was sent to.
         address: SocketAddr,
         /// The HTTP status of the answer.
         status: u16,
     },
-    /// The answer can't be parsed; the controller may run another version.
+    /// The answer cannot be parsed; the controller may run another version.
     #[error("{0} answers what this version can't read: {1}")]
     Unreadable(SocketAddr, serde_json::Error),
 }
 
 /// Asks the controller with this `mesh_addr` for its status.
-pub fn status(address: SocketAddr) -> Result<Status, OperatorError> {
+pub fn fetch_status(address: SocketAddr) -> Result<Status, StatusError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(OperatorError::Runtime)?;
+        .map_err(StatusError::Runtime)?;
     let local = tokio::task::LocalSet::new();
     local.block_on(&runtime, request_status(address))
 }
 
-async fn request_status(address: SocketAddr) -> Result<Status, OperatorError> {
+async fn request_status(address: SocketAddr) -> Result<Status, StatusError> {
     let client = Client::new(address, JSON_CONTENT_TYPE, 1);
     let answer = client
-        .send(Method::GET, STATUS_PATH, Vec::new(), TIMEOUT)
+        .send(Method::GET, STATUS_PATH, Vec::new(), STATUS_TIMEOUT)
         .await;
     let (status, body) = answer.map_err(|error| match error {
-        RequestError::NotSent => OperatorError::Unreachable(address),
-        RequestError::Unknown => OperatorError::NoAnswer(address, TIMEOUT.as_secs()),
+        RequestError::NotSent => StatusError::Unreachable(address),
+        RequestError::OutcomeUnknown => StatusError::NoAnswer(address, STATUS_TIMEOUT.as_secs()),
     })?;
     if status != 200 {
-        return Err(OperatorError::Refused { address, status });
+        return Err(StatusError::Refused { address, status });
     }
-    serde_json::from_slice(&body).map_err(|error| OperatorError::Unreadable(address, error))
+    serde_json::from_slice(&body).map_err(|error| StatusError::Unreadable(address, error))
 }
--- a/src/store_client.rs
+++ b/src/store_client.rs
@@ -1,6 +1,7 @@
-//! Requests to the key-value store: one attempt each, with a timeout. The core decides on retries.
+//! The client of the key-value store. It makes one attempt per call, with a timeout; the core decides about
+//! retries.
 //!
-//! Protocol words: the store's paths (`/kv`, `/watch`, `/multi`, `/leases`) and query parameters.
+//! Protocol names: the store's paths (`/kv`, `/watch`, `/multi`, `/leases`) and query parameters.
 
 use crate::core::effects::{StoreCall, StoreReply};
 use crate::http::{Client, RequestError};
@@ -8,34 +9,34 @@
 use hyper::Method;
 use std::time::Duration;
 
-/// Entries that one page of a listing may hold.
+/// Greatest number of entries on one page of a listing.
 const PAGE_ENTRIES: usize = 500;
 
-/// A client of the key-value store.
+/// Makes the calls of the core to the key-value store.
 pub struct StoreClient {
     client: Client,
     timeout: Duration,
 }
 
 impl StoreClient {
-    /// A client whose requests fail after `timeout`.
+    /// Creates a client whose calls fail after `timeout`.
     pub fn new(client: Client, timeout: Duration) -> Self {
         Self { client, timeout }
     }
 
-    /// Makes one attempt at a call.
+    /// Makes one attempt at a call and returns its outcome.
     pub async fn call(&self, call: StoreCall) -> StoreReply {
-        let (method, path, body) = request(&call);
+        let (method, path, body) = build_request(&call);
         match self.client.send(method, &path, body, self.timeout).await {
-            Ok((status, body)) => reply(&call, status, &body),
+            Ok((status, body)) => interpret_response(&call, status, &body),
             Err(RequestError::NotSent) => StoreReply::Refused,
-            Err(RequestError::Unknown) => StoreReply::Unknown,
+            Err(RequestError::OutcomeUnknown) => StoreReply::Unknown,
         }
     }
 }
 
 /// The method, path and body of a call.
-fn request(call: &StoreCall) -> (Method, String, Vec<u8>) {
+fn build_request(call: &StoreCall) -> (Method, String, Vec<u8>) {
     match call {
         StoreCall::List { prefix, from } => {
             let from = from
@@ -61,8 +62,8 @@
     }
 }
 
-/// What the response to a call means.
-fn reply(call: &StoreCall, status: u16, body: &[u8]) -> StoreReply {
+/// Returns the outcome of a call whose response has this status and body.
+fn interpret_response(call: &StoreCall, status: u16, body: &[u8]) -> StoreReply {
     match (status, call) {
         (429, _) => StoreReply::Busy,
         (503, _) => StoreReply::Refused,
@@ -78,7 +79,8 @@
                 StoreReply::Committed(answer.revision)
             }),
         (409, StoreCall::Commit(_)) => StoreReply::Conflict,
-        // The store answers an expired lease and an exceeded limit with the same status.
+        // The store answers with the same status to an expired lease and to an exceeded limit. Only
+        // transactions that use a lease can meet an expired one.
         (400, StoreCall::Commit(transaction)) if transaction.has_lease() => {
             StoreReply::LeaseNotFound
         }
@@ -92,7 +94,7 @@
             StoreReply::LeaseNotFound
         }
         _ => {
-            tracing::debug!(%status, ?call, "unexpected status of the store");
+            tracing::debug!(%status, ?call, "store answered with an unexpected status; the outcome of the call is unknown");
             StoreReply::Unknown
         }
     }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,9 +1,9 @@
 //! The published protocol: every message that users, workers, the cloud and the key-value store
 //! exchange with a controller, as MessagePack.
 //!
-//! The protocol has a vocabulary of its own. Each of its words is mapped to the usual term once, in the
-//! serde attributes and constants of the modules below; the rest of the program uses the usual terms.
-//! Each module lists the words that it maps.
+//! The protocol uses unusual names. Each one is mapped to the usual term once, in the serde attributes and
+//! constants of the submodules; the rest of the program uses the usual terms. Each submodule lists the
+//! names that it maps.
 
 mod answers;
 mod cloud;
@@ -29,17 +29,17 @@
     Command, DirectCommands, ExitReason, Heartbeat, HeartbeatResponse, ReportedTask, TaskState,
 };
 
-/// The published limit on the size of a request body, in bytes.
+/// The protocol's limit on the size of a request body, in bytes.
 pub const BODY_LIMIT: usize = 64 * 1024;
 
 /// Encodes a message as MessagePack.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
-    // Our own types hold nothing that MessagePack cannot represent, so this does not fail; peers would
-    // reject an empty body.
+    // The types of this crate hold nothing that MessagePack cannot represent, so encoding does not fail.
+    // If it did, the receiver would reject the empty body.
     rmp_serde::to_vec_named(message).unwrap_or_default()
 }
 
-/// Decodes a message from MessagePack; `None` if the bytes are not such a message.
+/// Decodes a message from MessagePack; `None` if the bytes are not a valid `T`.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Option<T> {
     rmp_serde::from_slice(body).ok()
 }
--- a/src/wire/answers.rs
+++ b/src/wire/answers.rs
@@ -1,9 +1,9 @@
-//! What a controller answers to users, and where it redirects workers.
+//! Answers to users, and redirects of workers to another controller.
 //!
-//! Protocol words: `nameId` (job id), `stance` (status of a job), `withdrawn` (cancelled),
+//! Protocol names: `nameId` (job id), `stance` (status of a job), `withdrawn` (cancelled),
 //! `conductor` (the controller that a worker is redirected to).
 //!
-//! Answers are untyped JSON values since one controller may relay another's answer to a user.
+//! Answers are untyped JSON values because a controller may relay another controller's answer to a user.
 
 use crate::ids::{ControllerName, JobId};
 use serde::{Deserialize, Serialize};
@@ -31,16 +31,16 @@
     json!({"nameId": id, "stance": status})
 }
 
-/// The answer to a poll: as [`status_answer`], with the number of tasks that are done and that run.
+/// The answer to a poll: the fields of [`status_answer`] and the numbers of completed and running tasks.
 pub fn progress_answer(id: &JobId, status: JobStatus, done: u32, running: u32) -> Value {
     json!({"nameId": id, "stance": status, "done": done, "running": running})
 }
 
-/// The answer that tells a worker which controller to send its heartbeats to; without one the worker
-/// tries any other.
-pub fn redirect_answer(node: Option<&ControllerName>) -> Value {
-    match node {
-        Some(node) => json!({"conductor": node}),
+/// The answer that redirects a worker's heartbeats to the controller `controller`. If it is `None`, the worker
+/// tries any other controller.
+pub fn redirect_answer(controller: Option<&ControllerName>) -> Value {
+    match controller {
+        Some(controller) => json!({"conductor": controller}),
         None => json!({}),
     }
 }
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -1,6 +1,6 @@
-//! The cloud's messages: machine types, rentals and the list of rented machines.
+//! Messages of the cloud: machine types, rentals and the list of rented machines.
 //!
-//! Protocol words: `breeds`, `breed` (machine types, machine type), `label` (name of a type), `cores`
+//! Protocol names: `breeds`, `breed` (machine types, machine type), `label` (name of a type), `cores`
 //! (CPUs), `cards` (GPUs), `memGb`, `cacheGb`, `pullGbPerS` (rate of image fetches), `rate`,
 //! `marketPrice` (on-demand and spot price), `bootS`, `yards`, `yard` (zones, zone), `hire` (id of a
 //! rental request), `loaners` (spot instances), `howMany`, `drumheads` (machines), `nameId` (machine
@@ -12,39 +12,39 @@
 /// The machine types that the cloud offers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineTypes {
-    /// One entry per type.
+    /// One entry per machine type, in the order of the cloud's answer.
     #[serde(rename = "breeds")]
     pub types: Vec<MachineType>,
 }
 
-/// A machine type.
+/// Size, price and availability of one machine type.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Its name.
+    /// Name by which rentals and machines refer to this type.
     #[serde(rename = "label")]
     pub name: MachineTypeName,
-    /// Number of CPUs.
+    /// CPUs of one machine.
     #[serde(rename = "cores")]
     pub cpus: f64,
-    /// Number of GPUs; 0 if the cloud leaves it out or sends null.
+    /// GPUs of one machine; 0 if the cloud omits the field or sends null.
     #[serde(rename = "cards", default, deserialize_with = "zero_if_null")]
     pub gpus: f64,
-    /// Memory in GB.
+    /// Memory of one machine, in GB.
     #[serde(rename = "memGb")]
     pub memory_gb: f64,
-    /// Size of the image cache in GB.
+    /// Size of a machine's image cache, in GB.
     #[serde(rename = "cacheGb", default)]
     pub cache_gb: f64,
     /// Rate at which images are fetched, in GB per second.
     #[serde(rename = "pullGbPerS", default)]
     pub fetch_gb_per_s: f64,
-    /// On-demand price, in the cloud's unit.
+    /// On-demand price of one machine, in the cloud's unit.
     #[serde(rename = "rate")]
     pub price: f64,
-    /// Price as a spot instance, in the same unit.
+    /// Price of one spot instance, in the unit of `price`.
     #[serde(rename = "marketPrice", default)]
     pub spot_price: f64,
-    /// Seconds from the rental to the first heartbeat.
+    /// Seconds from the rental to the first heartbeat of the machine's worker.
     #[serde(rename = "bootS", default)]
     pub boot_s: f64,
     /// The zones in which the type is offered.
@@ -55,27 +55,27 @@
 /// A request to rent machines of one type in one zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rental {
-    /// Idempotency key: the cloud executes requests with the same one once.
+    /// Idempotency key: the cloud executes requests with the same key only once.
     #[serde(rename = "hire")]
     pub request: String,
-    /// The machine type.
+    /// Type of all machines of this request.
     #[serde(rename = "breed")]
     pub type_name: MachineTypeName,
-    /// The zone.
+    /// Zone of all machines of this request.
     #[serde(rename = "yard")]
     pub zone: Zone,
     /// Whether to rent spot instances.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Number of machines.
+    /// Number of machines to rent.
     #[serde(rename = "howMany")]
     pub count: u32,
 }
 
-/// Machine ids: the result of a rental, or the machines to return.
+/// Ids of machines: those that a rental produced, or those to release.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineIds {
-    /// The machines.
+    /// Ids that the cloud assigned.
     #[serde(rename = "drumheads")]
     pub machines: Vec<MachineId>,
 }
@@ -94,25 +94,25 @@
 /// A rented machine, as the cloud lists it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachine {
-    /// The machine.
+    /// Id that the cloud assigned.
     #[serde(rename = "nameId")]
     pub machine: MachineId,
-    /// Address of its worker, once it has one.
+    /// Address of the machine's worker; `None` until it has one.
     #[serde(default)]
     pub address: Option<String>,
-    /// Its type.
+    /// Name of the machine's type.
     #[serde(rename = "breed")]
     pub type_name: MachineTypeName,
-    /// Its zone.
+    /// Zone in which the machine was rented.
     #[serde(rename = "yard")]
     pub zone: Zone,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     #[serde(rename = "loaners", default)]
     pub spot: bool,
-    /// Its state.
+    /// Whether the machine has booted or failed.
     #[serde(rename = "stance")]
     pub state: MachineState,
-    /// Seconds since it was rented.
+    /// Seconds since the machine was rented.
     #[serde(rename = "heldS", default)]
     pub age_s: f64,
 }
@@ -120,18 +120,18 @@
 /// The state of a rented machine.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum MachineState {
-    /// It has not booted yet.
+    /// The machine has not booted yet.
     #[serde(rename = "starting")]
     Booting,
-    /// It has booted.
+    /// The machine has booted.
     #[serde(rename = "running")]
     Running,
-    /// It failed and does not recover.
+    /// The machine failed and does not recover.
     #[serde(rename = "failed")]
     Failed,
 }
 
-/// The cloud may leave out the number of GPUs of a type without any, or send null.
+/// Reads null as 0: the cloud may omit the number of GPUs of a type without GPUs, or send null.
 fn zero_if_null<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
     Ok(Option::deserialize(deserializer)?.unwrap_or_default())
 }
--- a/src/wire/job_spec.rs
+++ b/src/wire/job_spec.rs
@@ -1,6 +1,6 @@
-//! The description of a job, in the form in which job records store it.
+//! The description of a job, as job records store it.
 //!
-//! Protocol words: `sweep` (job array), `ensemble` (gang), `standing` (service); `best_effort`,
+//! Protocol names: `sweep` (job array), `ensemble` (gang), `standing` (service); `best_effort`,
 //! `standard`, `high`, `critical` (priorities). The field names of submissions are mapped in
 //! [`super::submission`]; the short names here are those of stored records.
 
@@ -11,7 +11,7 @@
 /// How the tasks of a job are scheduled.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub enum JobKind {
-    /// A job array: tasks are independent of one another.
+    /// A job array: tasks do not depend on one another.
     #[serde(rename = "sweep")]
     Array,
     /// Gang scheduling: all tasks run at the same time or none does.
@@ -25,41 +25,41 @@
 /// The priority of a job; greater values are more urgent.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Serialize, Deserialize)]
 pub enum Priority {
-    /// Best effort.
+    /// Best effort: the least urgent jobs.
     #[serde(rename = "best_effort")]
     Low,
-    /// Standard.
+    /// The priority of ordinary jobs.
     #[serde(rename = "standard")]
     Normal,
-    /// Urgent.
+    /// More urgent than ordinary jobs.
     #[serde(rename = "high")]
     High,
-    /// Production services.
+    /// Production services: the most urgent jobs.
     #[serde(rename = "critical")]
     Production,
 }
 
 impl Priority {
-    /// Number of priorities.
+    /// Number of priorities, for arrays that have one element per priority.
     pub const COUNT: usize = Self::Production as usize + 1;
 }
 
-/// What a user submitted. Job records hold it as it is, under short names to keep the records small.
+/// A job as its user submitted it. Job records store it under short field names to stay small.
 #[derive(Clone, PartialEq, Debug, Serialize, Deserialize)]
 pub struct JobSpec {
     /// The workload class, which service-level objectives refer to.
     #[serde(rename = "c")]
     pub class: String,
-    /// The team that the job counts towards.
+    /// The team whose guarantee and limit the job's tasks count towards.
     #[serde(rename = "t")]
     pub team: Team,
-    /// How its tasks are scheduled.
+    /// How the job's tasks are scheduled.
     #[serde(rename = "k")]
     pub kind: JobKind,
-    /// Its priority.
+    /// Urgency relative to other jobs.
     #[serde(rename = "p")]
     pub priority: Priority,
-    /// Number of tasks, at least 1.
+    /// Number of tasks of the job, at least 1.
     #[serde(rename = "n")]
     pub tasks: u32,
     /// CPUs of one task.
@@ -86,7 +86,7 @@
     /// Whether all tasks must run in the same zone.
     #[serde(rename = "oz", default, skip_serializing_if = "is_false")]
     pub one_zone: bool,
-    /// Whether the tasks must be spread over zones: none may hold more than half of them (rounded up).
+    /// Whether the tasks must be spread over zones: no zone may hold more than half of them (rounded up).
     #[serde(rename = "sp", default, skip_serializing_if = "is_false")]
     pub spread: bool,
     /// Whether tasks may run on spot instances.
@@ -98,13 +98,13 @@
     /// Seconds between two checkpoints of a task; 0 if it writes none.
     #[serde(rename = "ck")]
     pub checkpoint_interval_s: f64,
-    /// Seconds that writing a checkpoint takes.
+    /// Seconds that a task takes to write a checkpoint.
     #[serde(rename = "sv")]
     pub checkpoint_write_s: f64,
-    /// Seconds from the submission within which the job should complete.
+    /// Seconds from the submission within which the job should complete; `None` without a deadline.
     #[serde(rename = "dl", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
-    /// Jobs that must be done before any task of this one starts (the edges of the DAG).
+    /// Jobs that must be done before any task of this job starts.
     #[serde(
         rename = "aw",
         default,
@@ -115,7 +115,7 @@
     pub dependencies: Vec<JobId>,
 }
 
-/// Writes job ids as one string without their common prefix, so that hundreds fit into a stored value.
+/// Serializes job ids as one string without their common prefix, so that hundreds fit into a stored value.
 fn serialize_dependencies<S: Serializer>(
     dependencies: &[JobId],
     serializer: S,
--- a/src/wire/store.rs
+++ b/src/wire/store.rs
@@ -1,6 +1,6 @@
 //! Messages of the key-value store: entries, compare-and-swap transactions, changes and leases.
 //!
-//! Protocol words: `guards` (preconditions), `stamp` (version of a key), `ledger` (revision of the
+//! Protocol names: `guards` (preconditions), `stamp` (version of a key), `ledger` (revision of the
 //! store), `data` (value), `write` (put), `drop` (delete), `log` (changes), `tenure` (lease), `lifeMs`
 //! (time to live of a lease).
 
@@ -8,12 +8,12 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A condition of a transaction: a key has this version.
+/// A condition of a transaction: a key must have a given version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Precondition {
-    /// The key.
+    /// The key whose version is compared.
     pub key: String,
-    /// The version that it must have; 0 means that it must not exist.
+    /// The version that the key must have; 0 means that the key must not exist.
     #[serde(rename = "stamp")]
     pub version: Version,
 }
@@ -24,26 +24,26 @@
 pub enum Write {
     /// Creates or replaces a key.
     Put {
-        /// The key.
+        /// The key to create or replace.
         #[serde(rename = "write")]
         key: String,
-        /// Its new value.
+        /// The new value of the key.
         #[serde(rename = "data")]
         value: Value,
-        /// The lease with which the store deletes the key, if any.
+        /// The lease at whose end the store deletes the key, if any.
         #[serde(rename = "tenure", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
     /// Deletes a key.
     Delete {
-        /// The key.
+        /// The key to delete.
         #[serde(rename = "drop")]
         key: String,
     },
 }
 
 impl Write {
-    /// Size of the value in bytes, as the store's limit on values counts it.
+    /// Size of the value in bytes, as the store's limit on values counts it; 0 for a deletion.
     pub fn value_bytes(&self) -> usize {
         match self {
             Self::Put { value, .. } => value.to_string().len(),
@@ -52,18 +52,18 @@
     }
 }
 
-/// A compare-and-swap transaction: all writes are applied if all preconditions hold, else none.
+/// A compare-and-swap transaction: the store applies all writes if all preconditions hold, else none.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// What must hold.
+    /// Conditions that must all hold.
     #[serde(rename = "guards")]
     pub preconditions: Vec<Precondition>,
-    /// What is written.
+    /// Writes that are applied together.
     pub writes: Vec<Write>,
 }
 
 impl Transaction {
-    /// Whether it writes a key that is attached to a lease.
+    /// Whether the transaction attaches a key to a lease.
     pub fn has_lease(&self) -> bool {
         self.writes
             .iter()
@@ -74,20 +74,20 @@
 /// The result of a committed transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CommitResponse {
-    /// The store's revision with it, which is the new version of all written keys.
+    /// The store's revision after the transaction, which is the new version of all written keys.
     #[serde(rename = "ledger")]
     pub revision: Version,
 }
 
-/// A key and its value.
+/// A key with its value and version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The key.
+    /// The whole key, prefix included.
     pub key: String,
-    /// Its value.
+    /// The stored value.
     #[serde(rename = "data")]
     pub value: Value,
-    /// The revision of its last write.
+    /// The revision of the key's last write.
     #[serde(rename = "stamp")]
     pub version: Version,
 }
@@ -111,18 +111,18 @@
     /// The revision up to which the changes are complete.
     #[serde(rename = "ledger")]
     pub revision: Version,
-    /// The changes.
+    /// The changes, in the order of the store's answer.
     #[serde(rename = "log", default)]
     pub events: Vec<Change>,
 }
 
-/// A change of one key: exactly one of `put` and `deleted` names it.
+/// A change of one key: exactly one of `put_key` and `deleted_key` names the key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// The key, if it was written.
+    /// The key if it was created or replaced, else `None`.
     #[serde(rename = "write", default, skip_serializing_if = "Option::is_none")]
     pub put_key: Option<String>,
-    /// The key, if it was deleted.
+    /// The key if it was deleted, else `None`.
     #[serde(rename = "drop", default, skip_serializing_if = "Option::is_none")]
     pub deleted_key: Option<String>,
     /// The written value; null for a deletion.
@@ -136,7 +136,7 @@
 /// A request for a new lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Milliseconds after which it expires unless it is renewed.
+    /// Milliseconds after which the lease expires unless it is renewed.
     #[serde(rename = "lifeMs")]
     pub ttl_ms: u64,
 }
@@ -144,7 +144,7 @@
 /// The answer to a request for a lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseResponse {
-    /// The new lease.
+    /// The id of the new lease.
     #[serde(rename = "tenure")]
     pub lease: u64,
 }
--- a/src/wire/submission.rs
+++ b/src/wire/submission.rs
@@ -1,6 +1,6 @@
 //! Parsing and validation of job submissions.
 //!
-//! Protocol words: the field names of a submission, which [`field`] maps.
+//! Protocol names: the field names of a submission, which [`field`] maps.
 
 use super::job_spec::JobSpec;
 use crate::ids::{JobId, MachineTypeName, Zone};
@@ -8,15 +8,15 @@
 use serde::de::DeserializeOwned;
 use serde_json::{Map, Value};
 
-/// The published limit on the number of tasks of a job.
+/// The protocol's limit on the number of tasks of a job.
 const MAX_TASKS: u64 = 100_000;
-/// What every job id begins with.
+/// The prefix of every job id.
 pub(super) const JOB_ID_PREFIX: &str = "req-";
-/// How many digits follow the prefix of a job id. The protocol names the lower bound only; the upper
-/// one bounds what is stored.
+/// Number of digits after the prefix of a job id. The protocol defines only the lower bound; the upper
+/// bound limits the size of stored ids.
 const JOB_ID_DIGITS: std::ops::RangeInclusive<usize> = 6..=20;
 
-/// The protocol's names of the fields of a submission.
+/// Field names of a submission in the protocol.
 mod field {
     pub const ID: &str = "nameId";
     pub const CLASS: &str = "herd";
@@ -41,13 +41,13 @@
     pub const DEPENDENCIES: &str = "awaits";
 }
 
-/// Why a request body is not a valid submission. Users get the text as the answer's `error`.
+/// Why a request body is not a valid submission. The answer to the user has this text as `error`.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum SubmissionError {
-    /// The body is not one whole MessagePack value.
+    /// The body is not exactly one MessagePack value.
     #[error("not MessagePack")]
     NotMessagePack,
-    /// The value is not a map.
+    /// The body is a MessagePack value other than a map.
     #[error("not a map")]
     NotMap,
     /// The named field is missing, or its value has the wrong type or is out of range.
@@ -55,16 +55,16 @@
     Field(&'static str),
 }
 
-/// Whether a text has the form of a job id: `req-` and at least six digits.
+/// Whether a text has the form of a job id: `req-` and 6 to 20 digits.
 pub fn is_valid_job_id(text: &str) -> bool {
     text.strip_prefix(JOB_ID_PREFIX).is_some_and(|digits| {
         JOB_ID_DIGITS.contains(&digits.len()) && digits.bytes().all(|byte| byte.is_ascii_digit())
     })
 }
 
-/// Parses the body of a submission and checks every field against the published rules.
+/// Parses the body of a submission and checks every field against the rules of the protocol.
 ///
-/// Returns an error that names the first wrong field. The fields are checked in a fixed order.
+/// The error names the first invalid field. The fields are checked in a fixed order.
 pub fn parse_submission(body: &[u8]) -> Result<(JobId, JobSpec), SubmissionError> {
     let map = parse_map(body)?;
     let fields = Fields(&map);
@@ -79,7 +79,7 @@
         team: fields.text(field::TEAM)?.into(),
         kind: fields.keyword(field::KIND)?,
         priority: fields.keyword(field::PRIORITY)?,
-        tasks: task_count(tasks)?,
+        tasks: parse_task_count(tasks)?,
         cpus: fields.amount(field::CPUS)?,
         gpus: fields.amount(field::GPUS)?,
         memory_gb: fields.amount(field::MEMORY_GB)?,
@@ -99,7 +99,7 @@
     Ok((id, spec))
 }
 
-/// The body as a map, if it is exactly one.
+/// Decodes the body, which must be exactly one map.
 fn parse_map(body: &[u8]) -> Result<Map<String, Value>, SubmissionError> {
     let mut reader = rmp_serde::Deserializer::new(body);
     let value = Value::deserialize(&mut reader).map_err(|_| SubmissionError::NotMessagePack)?;
@@ -112,7 +112,7 @@
     }
 }
 
-fn task_count(value: &Value) -> Result<u32, SubmissionError> {
+fn parse_task_count(value: &Value) -> Result<u32, SubmissionError> {
     value
         .as_u64()
         .filter(|count| (1..=MAX_TASKS).contains(count))
@@ -142,7 +142,7 @@
         boolean.ok_or(SubmissionError::Field(name))
     }
 
-    /// A number that is neither negative nor infinite (infinite ones and NaN are read as null).
+    /// A number that is not negative. Infinite numbers and NaN are decoded as null, so they count as missing.
     fn amount(&self, name: &'static str) -> Result<f64, SubmissionError> {
         self.required(name)?
             .as_f64()
@@ -150,13 +150,13 @@
             .ok_or(SubmissionError::Field(name))
     }
 
-    /// One of the keywords that the serde attributes of `T` name.
+    /// A value that is one of the names in the serde attributes of `T`.
     fn keyword<T: DeserializeOwned>(&self, name: &'static str) -> Result<T, SubmissionError> {
         let value = self.required(name)?.clone();
         serde_json::from_value(value).map_err(|_| SubmissionError::Field(name))
     }
 
-    /// The elements of an array, each converted by `convert`; `None` without such a field.
+    /// The elements of an array of strings, each converted by `convert`; `None` if the field is missing.
     fn list<T>(
         &self,
         name: &'static str,
--- a/src/wire/tests.rs
+++ b/src/wire/tests.rs
@@ -2,7 +2,7 @@
 use crate::ids::JobId;
 use serde_json::{Value, json};
 
-fn example() -> Value {
+fn published_example() -> Value {
     json!({"nameId":"req-000412","herd":"train","crew":"vision","shape":"ensemble",
         "urgency":"high","beats":16,"cores":8.0,"cards":1.0,"memGb":64.0,"pressing":"img-07",
         "sizeGb":6.2,"breeds":["g8"],"yard":null,"samePlace":true,"apart":false,
@@ -11,7 +11,7 @@
 
 #[test]
 fn the_published_example_is_parsed() {
-    let (id, spec) = parse_submission(&encode(&example())).unwrap();
+    let (id, spec) = parse_submission(&encode(&published_example())).unwrap();
     assert_eq!(id.as_str(), "req-000412");
     assert_eq!(
         (spec.kind, spec.priority, spec.tasks),
@@ -23,9 +23,9 @@
 }
 
 #[test]
-fn malformed_submissions_are_rejected() {
+fn invalid_submissions_are_rejected_and_dependencies_are_sorted() {
     let with = |name: &str, value: Value| {
-        let mut job = example();
+        let mut job = published_example();
         job[name] = value;
         parse_submission(&encode(&job))
     };
@@ -72,8 +72,8 @@
         parse_submission(b"\x93\x01\x02\x03"),
         Err(SubmissionError::NotMap)
     );
-    // NaN is a valid MessagePack float, but no valid amount.
-    let mut nan = rmp_serde::to_vec_named(&example()).unwrap();
+    // NaN is a valid MessagePack float but not a valid amount.
+    let mut nan = rmp_serde::to_vec_named(&published_example()).unwrap();
     let at = nan
         .windows(6)
         .position(|bytes| bytes == b"\xa5cores")
--- a/src/worker_client.rs
+++ b/src/worker_client.rs
@@ -1,4 +1,4 @@
-//! Commands that are sent to a machine's worker directly, instead of in the answer to a heartbeat.
+//! The client of workers, for commands that do not wait for the next heartbeat.
 
 use crate::core::effects::WorkerReply;
 use crate::front::MESSAGE_PACK;
@@ -7,12 +7,16 @@
 use hyper::Method;
 use std::time::Duration;
 
-/// The worker's path for commands.
+/// HTTP path of the worker for commands.
 const COMMANDS_PATH: &str = "/do";
 
-/// Makes one attempt to send commands, on a connection of its own: there are many machines and few
-/// sockets, so none is kept open.
-pub async fn send(address: &str, commands: &DirectCommands, timeout: Duration) -> WorkerReply {
+/// Makes one attempt to send commands. It opens a connection and closes it afterwards, because there are more
+/// machines than sockets.
+pub async fn send_commands(
+    address: &str,
+    commands: &DirectCommands,
+    timeout: Duration,
+) -> WorkerReply {
     let Ok(address) = address.parse() else {
         return WorkerReply::NotSent;
     };
@@ -24,7 +28,7 @@
     {
         Ok((200, body)) => decode(&body).map_or(WorkerReply::Unknown, WorkerReply::Executed),
         Ok((409, body)) => decode(&body).map_or(WorkerReply::Unknown, WorkerReply::Fenced),
-        Ok(_) | Err(RequestError::Unknown) => WorkerReply::Unknown,
+        Ok(_) | Err(RequestError::OutcomeUnknown) => WorkerReply::Unknown,
         Err(RequestError::NotSent) => WorkerReply::NotSent,
     }
 }
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -47,7 +47,7 @@
         // Refused before it is read to its end: an answer, or a closed connection.
         assert!(matches!(
             post(encode(&large)).await,
-            Ok((400, _)) | Err(RequestError::Unknown)
+            Ok((400, _)) | Err(RequestError::OutcomeUnknown)
         ));
         for (field, value) in [
             ("crew", json!("nobody")),
