--- a/src/front.rs
+++ b/src/front.rs
@@ -125,10 +125,14 @@
         Route::UnknownPath => Err(Rejection::NotFound),
         Route::WrongMethod => Err(Rejection::MethodNotAllowed),
         Route::Health => Ok(ExternalRequest::Health),
-        Route::Poll(id) => Ok(ExternalRequest::User(UserRequest::Poll(parse_job_id(id)?))),
-        Route::Cancel(id) => Ok(ExternalRequest::User(UserRequest::Cancel(parse_job_id(
-            id,
-        )?))),
+        Route::Poll(id) => {
+            let id = parse_job_id(id)?;
+            Ok(ExternalRequest::User(UserRequest::Poll(id)))
+        }
+        Route::Cancel(id) => {
+            let id = parse_job_id(id)?;
+            Ok(ExternalRequest::User(UserRequest::Cancel(id)))
+        }
         Route::Submit => parse_submit_request(&read_body(request, body_timeout).await?),
         Route::Heartbeat => parse_heartbeat(&read_body(request, body_timeout).await?),
     }
--- a/src/inbox.rs
+++ b/src/inbox.rs
@@ -164,8 +164,8 @@
     }
 }
 
-/// A request that waits for its answer. Dropping it removes the request from the inbox, however the wait ends:
-/// with an answer, with a timeout or because the client disconnected.
+/// A request that waits for its answer. Dropping it removes the request from the inbox, however the wait
+/// ends: with an answer, with a timeout or because the client disconnected.
 struct PendingRequest<'a> {
     inbox: &'a Inbox,
     id: RequestId,
--- a/src/service.rs
+++ b/src/service.rs
@@ -79,8 +79,8 @@
     Ok(())
 }
 
-/// How long a worker continues to run its tasks without an answer to its heartbeats. All timeouts of the
-/// process are proportional to it.
+/// How long a worker continues to run its tasks without an answer to its heartbeats. The timeouts of
+/// calls and of request bodies are proportional to it.
 fn worker_lease(config: &Config) -> Duration {
     Duration::from_secs_f64(config.deployment.workers.lease_s)
 }
--- a/src/service/clients.rs
+++ b/src/service/clients.rs
@@ -57,8 +57,8 @@
         })
     }
 
-    /// Starts the call that an effect requests. The reply becomes an input of the core. Calls to siblings that
-    /// the settings do not list are dropped.
+    /// Starts the call that an effect requests. The reply becomes an input of the core. A call to a sibling
+    /// that the settings do not list is dropped.
     pub fn start_call(&self, effect: Effect) {
         match effect {
             Effect::Store(id, call) => {
--- a/src/status_client.rs
+++ b/src/status_client.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StatusError {
     /// The async runtime cannot be started.
-    #[error("cannot start the async runtime: {0}")]
+    #[error("cannot start the runtime: {0}")]
     Runtime(std::io::Error),
     /// No process listens at the address.
     #[error("{0} can't be reached (is it the address of mesh_addr?)")]
--- a/src/wire/answers.rs
+++ b/src/wire/answers.rs
@@ -36,8 +36,8 @@
     json!({"nameId": id, "stance": status, "done": done, "running": running})
 }
 
-/// The answer that redirects a worker's heartbeats to the controller `controller`. If it is `None`, the worker
-/// tries any other controller.
+/// The answer that redirects a worker's heartbeats to `controller`; if that is `None`, the worker tries any
+/// other controller.
 pub fn redirect_answer(controller: Option<&ControllerName>) -> Value {
     match controller {
         Some(controller) => json!({"conductor": controller}),
