--- a/crates/failure-detector/src/detector.rs
+++ b/crates/failure-detector/src/detector.rs
@@ -2,7 +2,7 @@
 
 use crate::local_health::LocalHealth;
 use crate::opinion::{Opinion, ReceivedOpinion, StoredOpinion};
-use crate::peer::{Evidence, Observation, Peer, Stage};
+use crate::peer::{EvaluationContext, Evidence, Peer, Stage};
 use crate::{Incarnation, Seconds, Settings};
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct StageChange<C> {
     /// The controller.
-    pub of: C,
+    pub controller: C,
     /// The previous judgement.
     pub from: Stage,
     /// The new one.
@@ -43,34 +43,34 @@
 
     /// Records that a step of the observer begins; to be called before any evidence of that step. After a
     /// pause of the observer itself, silence of others counts from this step.
-    pub fn step(&mut self, now: Seconds) {
-        self.health.step(&self.settings, now);
+    pub fn begin_step(&mut self, now: Seconds) {
+        self.health.record_step(&self.settings, now);
     }
 
     /// Records that a controller answered the heartbeat that was sent at `sent`.
     pub fn heartbeat_answered(
         &mut self,
-        of: &C,
+        controller: &C,
         incarnation: Incarnation,
         sent: Seconds,
         now: Seconds,
     ) {
-        if let Some(peer) = self.peers.get_mut(of) {
+        if let Some(peer) = self.peers.get_mut(controller) {
             peer.heartbeat_answered(incarnation, sent, now);
         }
     }
 
     /// Records that a message of a controller's own arrived. It shows only that messages from there arrive, so
     /// it is information for operators and does not count as an answer.
-    pub fn message_received(&mut self, of: &C, now: Seconds) {
-        if let Some(peer) = self.peers.get_mut(of) {
+    pub fn message_received(&mut self, controller: &C, now: Seconds) {
+        if let Some(peer) = self.peers.get_mut(controller) {
             peer.message_received(now);
         }
     }
 
     /// Records that a worker has left this controller and reached the observer.
-    pub fn worker_left(&mut self, of: &C, now: Seconds) {
-        if let Some(peer) = self.peers.get_mut(of) {
+    pub fn worker_left(&mut self, controller: &C, now: Seconds) {
+        if let Some(peer) = self.peers.get_mut(controller) {
             peer.worker_left(now);
         }
     }
@@ -78,7 +78,7 @@
     /// Records the opinions of another observer.
     pub fn receive_opinions(&mut self, from: &C, opinions: Vec<Opinion<C>>, now: Seconds) {
         for opinion in opinions {
-            let Some(peer) = self.peers.get_mut(&opinion.of) else {
+            let Some(peer) = self.peers.get_mut(&opinion.controller) else {
                 continue;
             };
             let stored = StoredOpinion {
@@ -91,32 +91,32 @@
     }
 
     /// Sets whether a controller's key in the key-value store is gone.
-    pub fn set_key_gone(&mut self, of: &C, gone: bool) {
-        if let Some(peer) = self.peers.get_mut(of) {
+    pub fn set_key_gone(&mut self, controller: &C, gone: bool) {
+        if let Some(peer) = self.peers.get_mut(controller) {
             peer.set_key_gone(gone);
         }
     }
 
     /// Sets whether a controller owns nothing any more.
-    pub fn set_owns_nothing(&mut self, of: &C, owns_nothing: bool) {
-        if let Some(peer) = self.peers.get_mut(of) {
+    pub fn set_owns_nothing(&mut self, controller: &C, owns_nothing: bool) {
+        if let Some(peer) = self.peers.get_mut(controller) {
             peer.set_owns_nothing(owns_nothing);
         }
     }
 
     /// Judges all controllers again. Each change is returned once.
-    pub fn judge(&mut self, now: Seconds) -> Vec<StageChange<C>> {
-        let observation = Observation::new(&self.settings, &self.health, now);
+    pub fn update_stages(&mut self, now: Seconds) -> Vec<StageChange<C>> {
+        let context = EvaluationContext::new(&self.settings, &self.health, now);
         let mut changes = Vec::new();
-        for (of, peer) in &mut self.peers {
+        for (controller, peer) in &mut self.peers {
             let from = peer.stage();
-            let to = peer.judge(&observation);
+            let to = peer.update_stage(&context);
             if from != to {
                 changes.push(StageChange {
-                    of: of.clone(),
+                    controller: controller.clone(),
                     from,
                     to,
-                    evidence: peer.evidence(&observation),
+                    evidence: peer.evidence(&context),
                 });
             }
         }
@@ -124,61 +124,67 @@
     }
 
     /// The judgement of a controller. An unknown one counts as alive.
-    pub fn stage(&self, of: &C) -> Stage {
-        self.peers.get(of).map_or(Stage::Alive, Peer::stage)
+    pub fn stage(&self, controller: &C) -> Stage {
+        self.peers.get(controller).map_or(Stage::Alive, Peer::stage)
     }
 
     /// Whether a controller has answered recently. Unlike [`Self::stage`] this is false of one that has never
     /// answered.
-    pub fn hears(&self, of: &C, now: Seconds) -> bool {
-        let observation = Observation::new(&self.settings, &self.health, now);
+    pub fn is_reachable(&self, controller: &C, now: Seconds) -> bool {
+        let context = EvaluationContext::new(&self.settings, &self.health, now);
         self.peers
-            .get(of)
-            .is_some_and(|peer| peer.has_answered_recently(&observation))
+            .get(controller)
+            .is_some_and(|peer| peer.has_answered_recently(&context))
     }
 
     /// How long the answers of a controller have been missing; 0 for an unknown one.
-    pub fn silence(&self, of: &C, now: Seconds) -> Seconds {
-        let observation = Observation::new(&self.settings, &self.health, now);
+    pub fn silence(&self, controller: &C, now: Seconds) -> Seconds {
+        let context = EvaluationContext::new(&self.settings, &self.health, now);
         self.peers
-            .get(of)
-            .map_or(0.0, |peer| peer.silence(&observation))
+            .get(controller)
+            .map_or(0.0, |peer| peer.silence(&context))
     }
 
     /// Whether any other controller has answered recently.
-    pub fn hears_any(&self, now: Seconds) -> bool {
-        self.peers.keys().any(|of| self.hears(of, now))
+    pub fn any_reachable(&self, now: Seconds) -> bool {
+        self.peers
+            .keys()
+            .any(|controller| self.is_reachable(controller, now))
     }
 
     /// The process of a controller that last answered.
-    pub fn incarnation(&self, of: &C) -> Option<Incarnation> {
-        self.peers.get(of).and_then(Peer::incarnation)
+    pub fn incarnation(&self, controller: &C) -> Option<Incarnation> {
+        self.peers.get(controller).and_then(Peer::incarnation)
     }
 
     /// Whether the failure of a controller is confirmed.
-    pub fn has_failed(&self, of: &C) -> bool {
-        self.stage(of) >= Stage::Confirmed
+    pub fn has_failed(&self, controller: &C) -> bool {
+        self.stage(controller) >= Stage::Confirmed
     }
 
     /// The opinions to send to other observers. An observer that gets no answers from any other sends none:
     /// the link to the observer itself may be what has failed.
     pub fn opinions_to_send(&self, now: Seconds) -> Vec<Opinion<C>> {
-        if !self.settings.shares_opinions_when_isolated && !self.hears_any(now) {
+        if !self.settings.shares_opinions_when_isolated && !self.any_reachable(now) {
             return Vec::new();
         }
-        let observation = Observation::new(&self.settings, &self.health, now);
-        let opinion = |(of, peer): (&C, &Peer<C>)| Opinion {
-            of: of.clone(),
+        let context = EvaluationContext::new(&self.settings, &self.health, now);
+        let opinion = |(controller, peer): (&C, &Peer<C>)| Opinion {
+            controller: controller.clone(),
             incarnation: peer.incarnation(),
-            silence_s: peer.silence(&observation),
+            silence_s: peer.silence(&context),
             suspects: peer.stage() >= Stage::Suspected,
         };
         self.peers.iter().map(opinion).collect()
     }
 
     /// The last opinion of each other observer on a controller.
-    pub fn received_opinions(&self, of: &C, now: Seconds) -> Vec<ReceivedOpinion<C>> {
-        let stored = self.peers.get(of).into_iter().flat_map(Peer::opinions);
+    pub fn received_opinions(&self, controller: &C, now: Seconds) -> Vec<ReceivedOpinion<C>> {
+        let stored = self
+            .peers
+            .get(controller)
+            .into_iter()
+            .flat_map(Peer::opinions);
         let received = |(observer, opinion): (&C, &StoredOpinion)| ReceivedOpinion {
             observer: observer.clone(),
             suspects: opinion.suspects,
@@ -190,10 +196,10 @@
 
     /// What the judgement of each controller is based on.
     pub fn evidence(&self, now: Seconds) -> BTreeMap<C, Evidence> {
-        let observation = Observation::new(&self.settings, &self.health, now);
+        let context = EvaluationContext::new(&self.settings, &self.health, now);
         self.peers
             .iter()
-            .map(|(of, peer)| (of.clone(), peer.evidence(&observation)))
+            .map(|(controller, peer)| (controller.clone(), peer.evidence(&context)))
             .collect()
     }
 }
--- a/crates/failure-detector/src/lib.rs
+++ b/crates/failure-detector/src/lib.rs
@@ -14,13 +14,13 @@
 mod interval;
 mod local_health;
 mod opinion;
-mod partial;
+mod partial_failure;
 mod peer;
 mod settings;
 
 pub use detector::{Detector, StageChange};
 pub use opinion::{Opinion, ReceivedOpinion};
-pub use partial::{OwnContact, PartialFailure};
+pub use partial_failure::{ControllerContacts, PartialFailure};
 pub use peer::{Evidence, Stage};
 pub use settings::{MIN_SUSPECT_HEARTBEATS, SUSPECT_HEARTBEATS, Settings};
 
--- a/crates/failure-detector/src/local_health.rs
+++ b/crates/failure-detector/src/local_health.rs
@@ -26,7 +26,7 @@
     }
 
     /// Records that a step of the observer begins.
-    pub fn step(&mut self, settings: &Settings, now: Seconds) {
+    pub fn record_step(&mut self, settings: &Settings, now: Seconds) {
         let Some(last) = self.last_step.replace(now) else {
             self.silence_counts_from = now;
             return;
--- a/crates/failure-detector/src/opinion.rs
+++ b/crates/failure-detector/src/opinion.rs
@@ -8,7 +8,7 @@
 pub struct Opinion<C> {
     /// The controller that is judged.
     #[serde(rename = "c")]
-    pub of: C,
+    pub controller: C,
     /// The process of it that last answered the observer.
     #[serde(rename = "i")]
     pub incarnation: Option<Incarnation>,
--- a/crates/failure-detector/src/partial.rs
+++ b/crates/failure-detector/src/partial_failure.rs
@@ -22,12 +22,12 @@
     /// No worker reaches it, but its workers reach other controllers.
     CutFromWorkers,
     /// The key-value store refuses it, but serves other controllers.
-    RefusedByState,
+    RefusedByStore,
 }
 
 /// What a controller knows of its own contacts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct OwnContact {
+pub struct ControllerContacts {
     /// Interval between two heartbeats of a worker.
     pub report_s: Seconds,
     /// How long a worker keeps running without an answer.
@@ -37,28 +37,28 @@
     /// Machines that it owns.
     pub machines: usize,
     /// How long no worker has reached it.
-    pub workers_silent_s: Seconds,
+    pub worker_silence_s: Seconds,
     /// Of its machines, those whose workers recently reached other controllers.
-    pub machines_elsewhere: usize,
+    pub machines_reaching_others: usize,
     /// Whether some other controller was recently reached by a worker, which it redirected here.
-    pub others_get_workers: bool,
+    pub others_redirect_workers: bool,
     /// How long the store has served it nothing.
-    pub store_silent_s: Seconds,
+    pub store_silence_s: Seconds,
     /// Refusals by the store since it last answered otherwise.
     pub refusals: u32,
     /// Other controllers that answer.
-    pub others_heard: usize,
+    pub others_reachable: usize,
     /// Of these, the ones that the store served while it refused this controller.
-    pub others_served: usize,
+    pub others_served_by_store: usize,
 }
 
-impl OwnContact {
+impl ControllerContacts {
     /// What the controller has lost, if another one could do better.
     pub fn partial_failure(&self) -> Option<PartialFailure> {
         if self.is_cut_from_workers() {
             Some(PartialFailure::CutFromWorkers)
         } else if self.is_refused_alone() {
-            Some(PartialFailure::RefusedByState)
+            Some(PartialFailure::RefusedByStore)
         } else {
             None
         }
@@ -69,18 +69,18 @@
             return false;
         }
         let enough = (self.machines as f64 * ELSEWHERE_FRACTION).ceil();
-        let enough_elsewhere = self.machines_elsewhere as f64 >= enough;
-        let missed_heartbeats = self.workers_silent_s > self.report_s * LONGEST_REPORT_INTERVALS;
+        let enough_elsewhere = self.machines_reaching_others as f64 >= enough;
+        let missed_heartbeats = self.worker_silence_s > self.report_s * LONGEST_REPORT_INTERVALS;
         let long_silence = (self.report_s * LONG_SILENCE_REPORT_INTERVALS)
             .max(self.lease_s * LONG_SILENCE_LEASE_FRACTION);
-        let silent_for_long = self.workers_silent_s > long_silence;
-        (missed_heartbeats && enough_elsewhere) || (silent_for_long && self.others_get_workers)
+        let silent_for_long = self.worker_silence_s > long_silence;
+        (missed_heartbeats && enough_elsewhere) || (silent_for_long && self.others_redirect_workers)
     }
 
     fn is_refused_alone(&self) -> bool {
         self.refusals >= MIN_REFUSALS
-            && self.store_silent_s > self.key_lifetime_s * REFUSED_LIFETIME_FRACTION
-            && self.others_served > 0
-            && self.others_served * 2 > self.others_heard
+            && self.store_silence_s > self.key_lifetime_s * REFUSED_LIFETIME_FRACTION
+            && self.others_served_by_store > 0
+            && self.others_served_by_store * 2 > self.others_reachable
     }
 }
--- a/crates/failure-detector/src/peer.rs
+++ b/crates/failure-detector/src/peer.rs
@@ -50,7 +50,7 @@
 
 /// The circumstances in which an observer judges its peers.
 #[derive(Debug)]
-pub struct Observation<'a> {
+pub struct EvaluationContext<'a> {
     settings: &'a Settings,
     /// The factor by which the observer's own slowness raises thresholds.
     threshold_factor: f64,
@@ -59,7 +59,7 @@
     now: Seconds,
 }
 
-impl<'a> Observation<'a> {
+impl<'a> EvaluationContext<'a> {
     /// The circumstances at the time `now`.
     pub fn new(settings: &'a Settings, health: &LocalHealth, now: Seconds) -> Self {
         Self {
@@ -184,42 +184,42 @@
     }
 
     /// How long its answers have been missing, as far as silence counts.
-    pub fn silence(&self, observation: &Observation) -> Seconds {
-        let counts_from = observation.silence_counts_from;
+    pub fn silence(&self, context: &EvaluationContext) -> Seconds {
+        let counts_from = context.silence_counts_from;
         let last_answer = self.last_answer.unwrap_or(counts_from);
-        observation.now - last_answer.max(counts_from)
+        context.now - last_answer.max(counts_from)
     }
 
     /// Whether it answered within its threshold, even if the observer has paused since.
-    pub fn has_answered_recently(&self, observation: &Observation) -> bool {
-        let threshold = self.threshold(observation);
+    pub fn has_answered_recently(&self, context: &EvaluationContext) -> bool {
+        let threshold = self.threshold(context);
         self.last_answer
-            .is_some_and(|answer| observation.now - answer < threshold)
+            .is_some_and(|answer| context.now - answer < threshold)
     }
 
     /// The silence after which it is suspected.
-    fn threshold(&self, observation: &Observation) -> Seconds {
-        let settings = observation.settings;
-        let least = if self.has_lost_workers(observation) {
+    fn threshold(&self, context: &EvaluationContext) -> Seconds {
+        let settings = context.settings;
+        let least = if self.has_lost_workers(context) {
             settings.suspect_corroborated_after_s
         } else {
             settings.suspect_after_s
         };
         let usual = least.max(self.answer_interval.longest_usual());
-        let raised = usual * observation.threshold_factor * self.refutation_factor(observation);
+        let raised = usual * context.threshold_factor * self.refutation_factor(context);
         raised.min(settings.max_suspect_after_s)
     }
 
-    fn has_lost_workers(&self, observation: &Observation) -> bool {
+    fn has_lost_workers(&self, context: &EvaluationContext) -> bool {
         self.last_worker_left
-            .is_some_and(|left| observation.now - left < observation.settings.suspect_after_s)
+            .is_some_and(|left| context.now - left < context.settings.suspect_after_s)
     }
 
     /// The factor by which refuted suspicions raise the threshold: a controller that was suspected wrongly is
     /// suspected more slowly for a while.
-    fn refutation_factor(&self, observation: &Observation) -> f64 {
-        let settings = observation.settings;
-        if observation.now - self.last_refutation > settings.refutation_ttl_s {
+    fn refutation_factor(&self, context: &EvaluationContext) -> f64 {
+        let settings = context.settings;
+        if context.now - self.last_refutation > settings.refutation_ttl_s {
             return 1.0;
         }
         // The cap makes the conversion lossless.
@@ -231,26 +231,25 @@
     /// Observers that get no answers from any process of it; `own` says whether this one does not. Old
     /// opinions do not count. Which process an observer heard last does not matter: it may have been cut off
     /// while the controller restarted.
-    fn votes(&self, own: bool, observation: &Observation) -> usize {
-        let ttl = observation.settings.opinion_ttl_s;
-        let counts = |opinion: &&StoredOpinion| {
-            opinion.suspects && observation.now - opinion.received_at < ttl
-        };
+    fn votes(&self, own: bool, context: &EvaluationContext) -> usize {
+        let ttl = context.settings.opinion_ttl_s;
+        let counts =
+            |opinion: &&StoredOpinion| opinion.suspects && context.now - opinion.received_at < ttl;
         usize::from(own) + self.opinions.values().filter(counts).count()
     }
 
     /// Judges it again and returns the new judgement.
-    pub fn judge(&mut self, observation: &Observation) -> Stage {
-        self.stage = self.judgement(observation);
+    pub fn update_stage(&mut self, context: &EvaluationContext) -> Stage {
+        self.stage = self.determine_stage(context);
         self.stage
     }
 
-    fn judgement(&self, observation: &Observation) -> Stage {
-        let is_suspected = self.silence(observation) > self.threshold(observation);
+    fn determine_stage(&self, context: &EvaluationContext) -> Stage {
+        let is_suspected = self.silence(context) > self.threshold(context);
         if !is_suspected {
             return Stage::Alive;
         }
-        let has_quorum = self.votes(true, observation) >= observation.settings.quorum;
+        let has_quorum = self.votes(true, context) >= context.settings.quorum;
         match (self.key_gone || has_quorum, self.owns_nothing) {
             (false, _) => Stage::Suspected,
             (true, false) => Stage::Confirmed,
@@ -259,16 +258,16 @@
     }
 
     /// What the judgement is based on.
-    pub fn evidence(&self, observation: &Observation) -> Evidence {
+    pub fn evidence(&self, context: &EvaluationContext) -> Evidence {
         Evidence {
             stage: self.stage,
             incarnation: self.incarnation,
-            silence_s: self.silence(observation),
-            threshold_s: self.threshold(observation),
-            last_message_s: self.last_message.map(|message| observation.now - message),
-            votes: self.votes(self.stage >= Stage::Suspected, observation),
+            silence_s: self.silence(context),
+            threshold_s: self.threshold(context),
+            last_message_s: self.last_message.map(|message| context.now - message),
+            votes: self.votes(self.stage >= Stage::Suspected, context),
             key_gone: self.key_gone,
-            workers_left: self.has_lost_workers(observation),
+            workers_left: self.has_lost_workers(context),
         }
     }
 }
--- a/crates/failure-detector/tests/model.rs
+++ b/crates/failure-detector/tests/model.rs
@@ -280,7 +280,7 @@
                 self.last_paused[node] = self.now;
             } else {
                 let now = self.now;
-                self.nodes[node].detector.step(now);
+                self.nodes[node].detector.begin_step(now);
             }
         }
         self.deliver();
@@ -291,7 +291,7 @@
             let before: Vec<Stage> = (0..count)
                 .map(|of| self.nodes[node].detector.stage(&of))
                 .collect();
-            self.nodes[node].detector.judge(self.now);
+            self.nodes[node].detector.update_stages(self.now);
             self.heartbeats(node);
             self.check(node, &before);
         }
--- a/crates/failure-detector/tests/unit.rs
+++ b/crates/failure-detector/tests/unit.rs
@@ -10,7 +10,7 @@
 )]
 
 use failure_detector::{
-    Detector, Incarnation, MIN_SUSPECT_HEARTBEATS, Opinion, OwnContact, PartialFailure,
+    ControllerContacts, Detector, Incarnation, MIN_SUSPECT_HEARTBEATS, Opinion, PartialFailure,
     SUSPECT_HEARTBEATS, Settings, Stage,
 };
 
@@ -27,18 +27,18 @@
 fn advance(detector: &mut Detector<u8>, from: f64, until: f64, answers: &[u8]) {
     let mut now = from;
     while now < until {
-        detector.step(now);
-        for of in answers {
-            detector.heartbeat_answered(of, FIRST, now, now);
+        detector.begin_step(now);
+        for controller in answers {
+            detector.heartbeat_answered(controller, FIRST, now, now);
         }
-        detector.judge(now);
+        detector.update_stages(now);
         now += 0.05;
     }
 }
 
-fn suspicion(of: u8, incarnation: Incarnation) -> Vec<Opinion<u8>> {
+fn suspicion(controller: u8, incarnation: Incarnation) -> Vec<Opinion<u8>> {
     vec![Opinion {
-        of,
+        controller,
         incarnation: Some(incarnation),
         silence_s: 3.0,
         suspects: true,
@@ -64,25 +64,25 @@
     advance(&mut detector, 6.5, 7.2, &[2, 3, 4]);
     assert_eq!(detector.stage(&1), Stage::Suspected);
     detector.receive_opinions(&2, suspicion(1, FIRST), 7.2);
-    detector.judge(7.2);
+    detector.update_stages(7.2);
     assert_eq!(
         detector.stage(&1),
         Stage::Suspected,
         "two of five are no quorum"
     );
     detector.receive_opinions(&3, suspicion(1, SECOND), 7.2);
-    let changes = detector.judge(7.2);
+    let changes = detector.update_stages(7.2);
     assert_eq!(
         (changes.len(), changes[0].to, changes[0].evidence.votes),
         (1, Stage::Confirmed, 3)
     );
-    assert!(detector.judge(7.2).is_empty(), "returned once");
+    assert!(detector.update_stages(7.2).is_empty(), "returned once");
     assert!(detector.has_failed(&1) && !detector.has_failed(&2));
     detector.set_owns_nothing(&1, true);
-    detector.judge(7.2);
+    detector.update_stages(7.2);
     assert_eq!(detector.stage(&1), Stage::HandedOver);
     detector.heartbeat_answered(&1, SECOND, 7.3, 7.3);
-    detector.judge(7.3);
+    detector.update_stages(7.3);
     assert_eq!(detector.stage(&1), Stage::Alive, "its next process answers");
 }
 
@@ -102,7 +102,7 @@
 #[test]
 fn a_late_answer_of_an_earlier_process_is_ignored() {
     let mut detector = Detector::new([1, 2], settings(3));
-    detector.step(1.0);
+    detector.begin_step(1.0);
     detector.heartbeat_answered(&1, SECOND, 1.0, 1.0);
     detector.heartbeat_answered(&1, FIRST, 0.4, 1.1);
     assert_eq!(detector.incarnation(&1), Some(SECOND));
@@ -151,8 +151,8 @@
     advance(&mut detector, 0.0, 5.0, &[1, 2]);
     let mut now = 5.0;
     while now < 7.7 {
-        detector.step(now);
-        detector.judge(now);
+        detector.begin_step(now);
+        detector.update_stages(now);
         now += 0.4;
     }
     assert_eq!(
@@ -161,8 +161,8 @@
         "its own steps are 0.4 s apart"
     );
     while now < 12.0 {
-        detector.step(now);
-        detector.judge(now);
+        detector.begin_step(now);
+        detector.update_stages(now);
         now += 0.4;
     }
     assert_eq!(
@@ -191,21 +191,21 @@
     assert!(detector.opinions_to_send(9.0).is_empty());
 }
 
-fn contact() -> OwnContact {
-    OwnContact {
+fn contact() -> ControllerContacts {
+    ControllerContacts {
         report_s: 3.0,
         key_lifetime_s: 4.9,
         lease_s: 14.0,
         machines: 10,
-        others_heard: 4,
-        ..OwnContact::default()
+        others_reachable: 4,
+        ..ControllerContacts::default()
     }
 }
 
 #[test]
 fn a_cut_from_workers_requires_that_others_reach_them() {
-    let silent = OwnContact {
-        workers_silent_s: 5.0,
+    let silent = ControllerContacts {
+        worker_silence_s: 5.0,
         ..contact()
     };
     assert_eq!(
@@ -213,18 +213,18 @@
         None,
         "all machines may have failed"
     );
-    let few = OwnContact {
-        machines_elsewhere: 4,
+    let few = ControllerContacts {
+        machines_reaching_others: 4,
         ..silent
     };
     assert_eq!(few.partial_failure(), None);
-    let most = OwnContact {
-        machines_elsewhere: 5,
+    let most = ControllerContacts {
+        machines_reaching_others: 5,
         ..silent
     };
     assert_eq!(most.partial_failure(), Some(PartialFailure::CutFromWorkers));
-    let just_now = OwnContact {
-        workers_silent_s: 4.0,
+    let just_now = ControllerContacts {
+        worker_silence_s: 4.0,
         ..most
     };
     assert_eq!(
@@ -232,8 +232,8 @@
         None,
         "workers send heartbeats about every 3 s"
     );
-    let some = OwnContact {
-        others_get_workers: true,
+    let some = ControllerContacts {
+        others_redirect_workers: true,
         ..silent
     };
     assert_eq!(
@@ -241,15 +241,15 @@
         None,
         "a worker may change controllers for reasons of its own"
     );
-    let for_long = OwnContact {
-        workers_silent_s: 6.1,
+    let for_long = ControllerContacts {
+        worker_silence_s: 6.1,
         ..some
     };
     assert_eq!(
         for_long.partial_failure(),
         Some(PartialFailure::CutFromWorkers)
     );
-    let without = OwnContact {
+    let without = ControllerContacts {
         machines: 0,
         ..most
     };
@@ -258,22 +258,22 @@
 
 #[test]
 fn an_outage_of_the_store_is_no_partial_failure() {
-    let refused = OwnContact {
-        store_silent_s: 3.0,
+    let refused = ControllerContacts {
+        store_silence_s: 3.0,
         refusals: 3,
         ..contact()
     };
     assert_eq!(refused.partial_failure(), None);
-    let others_served = OwnContact {
-        others_served: 3,
+    let others_served_by_store = ControllerContacts {
+        others_served_by_store: 3,
         ..refused
     };
     assert_eq!(
-        others_served.partial_failure(),
-        Some(PartialFailure::RefusedByState)
+        others_served_by_store.partial_failure(),
+        Some(PartialFailure::RefusedByStore)
     );
-    let half = OwnContact {
-        others_served: 2,
+    let half = ControllerContacts {
+        others_served_by_store: 2,
         ..refused
     };
     assert_eq!(
@@ -281,9 +281,9 @@
         None,
         "the store may be failing for all"
     );
-    let slow = OwnContact {
+    let slow = ControllerContacts {
         refusals: 0,
-        ..others_served
+        ..others_served_by_store
     };
     assert_eq!(
         slow.partial_failure(),
--- a/src/core/controller/deferred_heartbeats.rs
+++ b/src/core/controller/deferred_heartbeats.rs
@@ -195,11 +195,11 @@
         let serves = |node: &&Node| self.can_serve(node);
         let after = self
             .peers
-            .heard(now)
+            .reachable_nodes(now)
             .filter(serves)
             .find(|node| **node > self.config.node);
         let next = after
-            .or_else(|| self.peers.heard(now).find(serves))
+            .or_else(|| self.peers.reachable_nodes(now).find(serves))
             .cloned();
         match next {
             Some(node) => self.redirect(request, Some(node)),
--- a/src/core/controller/failure_detection.rs
+++ b/src/core/controller/failure_detection.rs
@@ -19,7 +19,7 @@
 use crate::core::model::time::Time;
 use crate::core::shard::Shard;
 use crate::ids::{Node, Version};
-use failure_detector::{Evidence, OwnContact, PartialFailure, Stage, StageChange};
+use failure_detector::{ControllerContacts, Evidence, PartialFailure, Stage, StageChange};
 use std::collections::BTreeSet;
 
 /// Part of the ownership lease's lifetime by which a sibling's last contact with the store has to be later
@@ -54,7 +54,7 @@
     /// Updates the stage of every sibling from the present evidence, and logs each change.
     pub(crate) fn update_sibling_stages(&mut self) {
         self.add_store_evidence();
-        for change in self.peers.detector_mut().judge(self.outbox.now) {
+        for change in self.peers.detector_mut().update_stages(self.outbox.now) {
             log_stage_change(&change);
         }
         if self.abandoned_lease_is_settled() {
@@ -137,11 +137,11 @@
         let is_registered = self.store.node(of).is_some_and(|stored| {
             stored.record.incarnation == abandoned.incarnation && stored.record.lease == lease
         });
-        if !is_registered || !self.reads_store() || self.detection.has_ended(lease) {
+        if !is_registered || !self.reads_store() || self.detection.has_ended_lease(lease) {
             return;
         }
         tracing::info!(controller = %of, lease, "ending the lease of a controller that stepped down");
-        self.detection.note_ended(lease);
+        self.detection.record_ended_lease(lease);
         self.end_lease(lease);
         self.store.request_read();
     }
@@ -164,7 +164,7 @@
                 let pause = worker_lease * UNREACHABLE_PAUSE_LEASES;
                 self.step_down(StepDownReason::UnreachableByWorkers, pause);
             }
-            PartialFailure::RefusedByState => {
+            PartialFailure::RefusedByStore => {
                 let incarnation = self.ownership.incarnation();
                 let abandoned = AbandonedLease { incarnation, lease };
                 self.detection.announce_abandoned_lease(abandoned, now);
@@ -175,45 +175,45 @@
     }
 
     /// This controller's contact with workers and the store, and that of its siblings for comparison.
-    fn own_contact(&self) -> OwnContact {
+    fn own_contact(&self) -> ControllerContacts {
         let workers = &self.config.deployment.workers;
-        let mut contact = OwnContact {
+        let mut contact = ControllerContacts {
             report_s: workers.report_s,
             lease_s: workers.lease_s,
             key_lifetime_s: self.ownership.ttl(),
-            workers_silent_s: self.outbox.now - self.peers.last_worker_contact(),
-            ..OwnContact::default()
+            worker_silence_s: self.outbox.now - self.peers.last_worker_contact(),
+            ..ControllerContacts::default()
         };
         // This examines all machines of the shard, so it runs only if workers are silent.
         if let Some(shard) = &self.shard
-            && contact.workers_silent_s > workers.report_s
+            && contact.worker_silence_s > workers.report_s
         {
             self.add_worker_contact(shard, &mut contact);
         }
-        if self.acts_on_failures() && self.detection.refusals() > 0 {
+        if self.acts_on_failures() && self.detection.store_refusals() > 0 {
             self.add_store_contact(&mut contact);
         }
         contact
     }
 
-    fn add_worker_contact(&self, shard: &Shard, contact: &mut OwnContact) {
+    fn add_worker_contact(&self, shard: &Shard, contact: &mut ControllerContacts) {
         let now = self.outbox.now;
         contact.machines = shard.machine_count();
-        contact.others_get_workers = self.peers.redirected_from_sibling(now);
+        contact.others_redirect_workers = self.peers.sibling_redirects_workers(now);
         if self.acts_on_failures() {
             let since = now - contact.report_s * RECENT_RELAY_INTERVALS;
-            contact.machines_elsewhere = shard.machines_relayed_since(since);
+            contact.machines_reaching_others = shard.machines_relayed_since(since);
         }
     }
 
-    fn add_store_contact(&self, contact: &mut OwnContact) {
+    fn add_store_contact(&self, contact: &mut ControllerContacts) {
         let now = self.outbox.now;
         let silence = self.store.seconds_since_store_reply(now);
         let later = now - silence + self.ownership.ttl() * LATER_CONTACT_TTLS;
-        contact.store_silent_s = silence;
-        contact.refusals = self.detection.refusals();
-        contact.others_heard = self.peers.heard(now).count();
-        contact.others_served = self.peers.count_with_store_contact(later, now);
+        contact.store_silence_s = silence;
+        contact.refusals = self.detection.store_refusals();
+        contact.others_reachable = self.peers.reachable_nodes(now).count();
+        contact.others_served_by_store = self.peers.count_with_store_contact(later, now);
     }
 
     /// Whether renewing the lease would keep the key of a process that cannot act: its ownership has ended,
@@ -225,7 +225,7 @@
         self.acts_on_failures()
             && !self.ownership.holds_lease(now)
             && self.store.seconds_since_store_reply(now) > self.ownership.ttl()
-            && !self.peers.heard_any(now)
+            && !self.peers.any_reachable(now)
     }
 
     /// The version of the leader's key, if the leader has failed and this controller is to take over. Of the
@@ -277,7 +277,7 @@
 /// Logs that a sibling has reached another stage.
 fn log_stage_change(change: &StageChange<Node>) {
     let StageChange {
-        of,
+        controller,
         from,
         to,
         evidence,
@@ -288,19 +288,19 @@
     let incarnation = evidence.incarnation.map_or(0, |incarnation| incarnation.0);
     match to {
         Stage::Alive => {
-            tracing::info!(controller = %of, incarnation, previous_stage = ?from, "controller is alive");
+            tracing::info!(%controller, incarnation, previous_stage = ?from, "controller is alive");
         }
         Stage::Suspected => {
             let silence_seconds = format_args!("{:.1}", evidence.silence_s);
             tracing::info!(
-                controller = %of, incarnation, %silence_seconds, "controller is suspected to have failed"
+                %controller, incarnation, %silence_seconds, "controller is suspected to have failed"
             );
         }
         Stage::Confirmed => {
-            tracing::info!(controller = %of, votes, key_gone, "controller has failed");
+            tracing::info!(%controller, votes, key_gone, "controller has failed");
         }
         Stage::HandedOver => {
-            tracing::info!(controller = %of, "failed controller no longer owns any team or machine");
+            tracing::info!(%controller, "failed controller no longer owns any team or machine");
         }
     }
 }
--- a/src/core/controller/failure_detection/tests.rs
+++ b/src/core/controller/failure_detection/tests.rs
@@ -23,7 +23,7 @@
 fn suspicion(of: &str) -> Vec<Opinion<Node>> {
     let incarnation = Some(Incarnation(1));
     vec![Opinion {
-        of: of.into(),
+        controller: of.into(),
         incarnation,
         silence_s: 3.0,
         suspects: true,
@@ -92,7 +92,7 @@
     let mut core = core_without_its_leader();
     let now = core.outbox.now;
     assert!(!core.has_preferred_successor(), "n0 is not heard");
-    core.peers.answered(&"n0".into(), 2, now);
+    core.peers.record_answer(&"n0".into(), 2, now);
     assert!(core.has_preferred_successor());
     core.store.apply_write(
         &crate::wire::Write::Delete {
@@ -137,11 +137,11 @@
 fn controller_does_not_step_down_when_the_store_serves_no_sibling() {
     let mut core = running_core(4, START);
     for node in ["n0", "n2", "n3", "n4"] {
-        core.peers.answered(&node.into(), 1, START);
+        core.peers.record_answer(&node.into(), 1, START);
     }
     core.outbox.begin_step(START + 1.9, 0);
     for _ in 0..9 {
-        core.detection.store_refused();
+        core.detection.record_store_refusal();
     }
     core.step_down_on_partial_failure(OWN_LEASE);
     assert!(
@@ -187,7 +187,7 @@
     let later = START + core.ownership.ttl() * 1.5;
     core.outbox.begin_step(later, 0);
     assert!(core.renewal_would_delay_failover());
-    core.peers.answered(&"n2".into(), 1, later);
+    core.peers.record_answer(&"n2".into(), 1, later);
     assert!(
         !core.renewal_would_delay_failover(),
         "a sibling is heard, so only the store is unavailable"
--- a/src/core/controller/heartbeat_routing.rs
+++ b/src/core/controller/heartbeat_routing.rs
@@ -92,7 +92,7 @@
             heartbeat.token == owner.token || self.relays.contains(&heartbeat.machine);
         owner.node != self.config.node
             && knows_owner
-            && self.peers.hears(&owner.node, self.outbox.now)
+            && self.peers.is_reachable(&owner.node, self.outbox.now)
     }
 
     /// Whether a worker must not be sent to its machine's owner, because the owner answers no worker. If the
--- a/src/core/controller/hello.rs
+++ b/src/core/controller/hello.rs
@@ -21,7 +21,7 @@
             return;
         }
         let delay = self.outbox.jitter(self.peers.hello_interval());
-        let number = self.peers.begin_hellos(now + delay);
+        let number = self.peers.begin_hello_round(now + delay);
         self.refresh_machine_knowledge();
         let hello = self.hello_without_update(number);
         let nodes: Vec<Node> = self.peers.nodes().cloned().collect();
@@ -64,7 +64,7 @@
             incarnation: process.incarnation,
             sequence_number: number,
             wants_extension: self.ownership.wants_extension(now),
-            wants_consent: self.ownership.wanted_consents(),
+            wants_consent: self.ownership.pending_consent_requests(),
             task_counts: self
                 .leased_shard()
                 .map(Shard::all_task_counts)
@@ -85,7 +85,7 @@
 
     /// The version after which siblings are asked for final states, while syncs with the store fail.
     fn wanted_final_states(&self) -> Option<Version> {
-        let is_behind = self.outbox.now - self.store.current_as_of() > self.peers.recent();
+        let is_behind = self.outbox.now - self.store.current_as_of() > self.peers.recent_window();
         (is_behind && self.store.is_complete()).then(|| self.store.final_states_known_up_to())
     }
 
@@ -95,11 +95,11 @@
         let scope = self.peers.take_image_scope(node);
         let shard = self.shard.as_ref()?;
         let (images, contacts) = match scope {
-            ImageScope::Known => (
+            ImageScope::AllKnown => (
                 shard.images_on_all_machines(),
                 self.contacts.with(shard.machine_contacts()),
             ),
-            ImageScope::Own => (shard.images_on_owned_machines(), shard.machine_contacts()),
+            ImageScope::OwnMachines => (shard.images_on_owned_machines(), shard.machine_contacts()),
             ImageScope::None => (ImageHints::default(), MachineContacts::default()),
         };
         let contacts = if self.acts_on_failures() {
@@ -151,7 +151,7 @@
         let consents = hello
             .wants_consent
             .into_iter()
-            .filter(|process| self.ownership.consent(process, now))
+            .filter(|process| self.ownership.try_consent(process, now))
             .collect();
         if is_newest {
             if let Some(update) = hello.update {
@@ -263,7 +263,7 @@
     /// Whether this controller's reads of the store work.
     pub(crate) fn reads_store(&self) -> bool {
         let silence = self.store.seconds_since_store_reply(self.outbox.now);
-        self.store.is_complete() && silence < self.peers.recent()
+        self.store.is_complete() && silence < self.peers.recent_window()
     }
 
     /// Answers a health check: whether this controller can take requests, since it reads the store, or
@@ -272,7 +272,7 @@
     pub(crate) fn health(&mut self, request: RequestId) {
         let is_able = self.store.is_complete()
             && self.catalog.known()
-            && (self.reads_store() || self.peers.heard_any(self.outbox.now));
+            && (self.reads_store() || self.peers.any_reachable(self.outbox.now));
         self.outbox
             .answer(request, Answer::empty(if is_able { 200 } else { 503 }));
     }
--- a/src/core/controller/inputs.rs
+++ b/src/core/controller/inputs.rs
@@ -91,11 +91,11 @@
     /// What a reply of the store, or its absence, says of this controller's contact with it.
     fn note_store_contact(&mut self, reply: &StoreReply) {
         match reply {
-            StoreReply::Refused => self.detection.store_refused(),
+            StoreReply::Refused => self.detection.record_store_refusal(),
             StoreReply::Busy => {}
-            StoreReply::Unknown => self.detection.store_not_refused(),
+            StoreReply::Unknown => self.detection.reset_store_refusals(),
             _ => {
-                self.detection.store_not_refused();
+                self.detection.reset_store_refusals();
                 self.store.record_store_reply(self.outbox.now);
             }
         }
--- a/src/core/controller/machine_claims.rs
+++ b/src/core/controller/machine_claims.rs
@@ -15,11 +15,11 @@
         let now = self.outbox.now;
         let owner_is_live = self.store.is_registered(&owner.node, owner.incarnation);
         let shows_owners_token = heartbeat.token == owner.token;
-        let same_zone = heartbeat.zone == self.config.zone && self.peers.heard_any(now);
+        let same_zone = heartbeat.zone == self.config.zone && self.peers.any_reachable(now);
         owner.node != self.config.node
             && owner_is_live
             && (shows_owners_token || same_zone)
-            && !self.peers.hears(&owner.node, now)
+            && !self.peers.is_reachable(&owner.node, now)
             && !(self.acts_on_failures() && self.lease_expires_soon(&owner.node))
             && self.shard.is_some()
             && self.ownership.holds_lease(now)
--- a/src/core/controller/ownership.rs
+++ b/src/core/controller/ownership.rs
@@ -96,7 +96,7 @@
             .map(|stored| stored.record.lease)
             .collect();
         for lease in leases {
-            if self.ownership.note_predecessor_ended(lease) {
+            if self.ownership.record_predecessor_ended(lease) {
                 self.end_lease(lease);
             }
         }
@@ -117,7 +117,7 @@
             return;
         }
         self.ownership
-            .publish_consents_if_leader_unheard(&self.store, &self.peers, now);
+            .publish_consents_if_leader_unreachable(&self.store, &self.peers, now);
         let record = self.process_record(lease);
         let Some(KeyWrite { key, version, call }) = self.next_key_write(&record) else {
             return;
--- a/src/core/controller/status.rs
+++ b/src/core/controller/status.rs
@@ -115,7 +115,7 @@
         if self.leader.is_none() {
             return Some(HandOverWait::Leader);
         }
-        let consents = self.ownership.consents_to(process);
+        let consents = self.ownership.consent_progress(process);
         let (given, needed) = (consents.given, consents.needed);
         Some(HandOverWait::Consents { given, needed })
     }
--- a/src/core/controller/user_requests.rs
+++ b/src/core/controller/user_requests.rs
@@ -276,7 +276,7 @@
         }
         let counts = self.shard.as_ref().and_then(|shard| shard.task_counts(id));
         let (done, running) = counts
-            .or_else(|| self.peers.running(id))
+            .or_else(|| self.peers.task_counts(id))
             .unwrap_or((record.done.len(), 0));
         let status = if running > 0 {
             JobStatus::Running
--- a/src/core/leader/failover.rs
+++ b/src/core/leader/failover.rs
@@ -43,7 +43,7 @@
         ownership.retain_consent_requests(&failed);
         let mut preconditions = Vec::new();
         for process in failed {
-            if !ownership.lease_expired(&process, store, peers, now) {
+            if !ownership.confirm_ownership_ended(&process, store, peers, now) {
                 continue;
             }
             let restarted = live.process_of(&process.node);
--- a/src/core/membership/failure_detection.rs
+++ b/src/core/membership/failure_detection.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Default)]
 pub struct FailureDetection {
     /// Calls that the store refused since its last other reply.
-    refusals: u32,
+    store_refusals: u32,
     /// The lease that this controller's previous incarnation stepped down from, and when it did.
     abandoned: Option<(AbandonedLease, Time)>,
     /// The abandoned lease of a sibling that was ended last.
@@ -21,18 +21,18 @@
 
 impl FailureDetection {
     /// The store refused a call.
-    pub fn store_refused(&mut self) {
-        self.refusals += 1;
+    pub fn record_store_refusal(&mut self) {
+        self.store_refusals += 1;
     }
 
     /// The store replied otherwise, or not at all, which is no refusal.
-    pub fn store_not_refused(&mut self) {
-        self.refusals = 0;
+    pub fn reset_store_refusals(&mut self) {
+        self.store_refusals = 0;
     }
 
     /// Calls that the store refused since its last other reply.
-    pub fn refusals(&self) -> u32 {
-        self.refusals
+    pub fn store_refusals(&self) -> u32 {
+        self.store_refusals
     }
 
     /// The previous incarnation has stepped down without ending its lease, which is reported to siblings.
@@ -53,12 +53,12 @@
     }
 
     /// Whether this abandoned lease of a sibling was the last one that this controller ended.
-    pub fn has_ended(&self, lease: u64) -> bool {
+    pub fn has_ended_lease(&self, lease: u64) -> bool {
         self.ended_lease == Some(lease)
     }
 
     /// This controller ends the abandoned lease of a sibling.
-    pub fn note_ended(&mut self, lease: u64) {
+    pub fn record_ended_lease(&mut self, lease: u64) {
         self.ended_lease = Some(lease);
     }
 
--- a/src/core/membership/ownership.rs
+++ b/src/core/membership/ownership.rs
@@ -208,7 +208,7 @@
     }
 
     /// The version of the leader's key, if this process holds that key as far as it knows.
-    pub fn leads(&self, store: &StoreReplica) -> Option<Version> {
+    pub fn leader_key_version(&self, store: &StoreReplica) -> Option<Version> {
         let leader = store.leader()?;
         let is_own =
             leader.record.node == self.node && leader.record.incarnation == self.incarnation;
@@ -321,7 +321,7 @@
 
     /// Notes that the lease of an earlier process of this controller is being ended. Returns whether
     /// it was not the last one for which this was noted.
-    pub fn note_predecessor_ended(&mut self, lease: u64) -> bool {
+    pub fn record_predecessor_ended(&mut self, lease: u64) -> bool {
         self.ended_predecessor.replace(lease) != Some(lease)
     }
 
--- a/src/core/membership/ownership/consents.rs
+++ b/src/core/membership/ownership/consents.rs
@@ -67,7 +67,7 @@
 impl OwnershipLease {
     /// Answers a request for consent to the failover of a process. There is none while an extension
     /// that was granted here is valid.
-    pub fn consent(&mut self, process: &ProcessId, now: Time) -> bool {
+    pub fn try_consent(&mut self, process: &ProcessId, now: Time) -> bool {
         let is_released = if *process == self.process() {
             // This controller's own vote supports its ownership for as long as that lasts.
             !self.holds_lease(now)
@@ -82,12 +82,12 @@
     }
 
     /// Processes to whose failover siblings are to be asked for consent.
-    pub fn wanted_consents(&self) -> Vec<ProcessId> {
+    pub fn pending_consent_requests(&self) -> Vec<ProcessId> {
         self.consents.requests.keys().cloned().collect()
     }
 
     /// Consents to the failover of a process, as collected in replies to hellos.
-    pub fn consents_to(&self, process: &ProcessId) -> ConsentProgress {
+    pub fn consent_progress(&self, process: &ProcessId) -> ConsentProgress {
         let requested = self.consents.requests.get(process);
         ConsentProgress {
             given: requested.map_or(0, BTreeSet::len),
@@ -106,7 +106,7 @@
 
     /// Whether the ownership of a process without a key has certainly ended, so that the leader may
     /// assign its shard to others. Requests consents until then.
-    pub fn lease_expired(
+    pub fn confirm_ownership_ended(
         &mut self,
         process: &ProcessId,
         store: &StoreReplica,
@@ -135,7 +135,7 @@
     /// Whether a majority consents to the failover of a process, in replies to hellos or in their
     /// keys; requests the consent of siblings.
     fn majority_consents(&mut self, process: &ProcessId, store: &StoreReplica, now: Time) -> bool {
-        let own = self.consent(process, now).then(|| self.node.clone());
+        let own = self.try_consent(process, now).then(|| self.node.clone());
         let requests = &mut self.consents.requests;
         self.consents.has_unsent_request |= !requests.contains_key(process);
         let replied = requests.entry(process.clone()).or_default();
@@ -171,7 +171,7 @@
 
     /// Consents to the failover of processes that own something but have no key, while the leader,
     /// which would request that, is not heard. Consents are kept, since they are valid for good.
-    pub fn publish_consents_if_leader_unheard(
+    pub fn publish_consents_if_leader_unreachable(
         &mut self,
         store: &StoreReplica,
         peers: &Peers,
@@ -181,7 +181,7 @@
             return;
         }
         self.consents.next_publication = now + self.ttl * PUBLISH_TTLS;
-        let is_unheard = |node: &Node| *node != self.node && !peers.hears(node, now);
+        let is_unheard = |node: &Node| *node != self.node && !peers.is_reachable(node, now);
         let leader = store.leader();
         if leader.is_none_or(|leader| !is_unheard(&leader.record.node)) {
             return;
@@ -189,7 +189,7 @@
         let owning = store.shard_map().owning_processes().into_iter();
         self.consents.published = owning
             .filter(|process| store.node(&process.node).is_none())
-            .filter(|process| self.consent(process, now))
+            .filter(|process| self.try_consent(process, now))
             .collect();
     }
 }
--- a/src/core/membership/ownership/tests.rs
+++ b/src/core/membership/ownership/tests.rs
@@ -93,17 +93,17 @@
     let process = ProcessId::new(Node::from("n1"), 7);
     let since = 100.0;
     let expired_at = since + ownership.staleness_bound * (1.0 + MAX_CLOCK_DRIFT) + ownership.margin;
-    assert!(!ownership.lease_expired(&process, &store, &peers, since));
+    assert!(!ownership.confirm_ownership_ended(&process, &store, &peers, since));
     assert!(
-        !ownership.lease_expired(&process, &store, &peers, expired_at + 1.0),
+        !ownership.confirm_ownership_ended(&process, &store, &peers, expired_at + 1.0),
         "a version whose staleness may be unbounded"
     );
     peers.note_bounded_staleness(&process);
-    assert!(!ownership.lease_expired(&process, &store, &peers, expired_at - 0.01));
-    assert!(ownership.lease_expired(&process, &store, &peers, expired_at + 0.01));
+    assert!(!ownership.confirm_ownership_ended(&process, &store, &peers, expired_at - 0.01));
+    assert!(ownership.confirm_ownership_ended(&process, &store, &peers, expired_at + 0.01));
     let other = ProcessId::new(Node::from("n1"), 8);
     assert!(
-        !ownership.lease_expired(&other, &store, &peers, expired_at + 1.0),
+        !ownership.confirm_ownership_ended(&other, &store, &peers, expired_at + 1.0),
         "another process"
     );
 }
--- a/src/core/membership/peers.rs
+++ b/src/core/membership/peers.rs
@@ -80,9 +80,9 @@
     /// None.
     None,
     /// Those on the machines of the sender's shard.
-    Own,
+    OwnMachines,
     /// All that the sender knows of.
-    Known,
+    AllKnown,
 }
 
 /// The siblings of this controller.
@@ -92,7 +92,7 @@
     next_hello: Time,
     hello_interval: Time,
     /// Seconds within which an event counts as recent.
-    recent: Time,
+    recent_window: Time,
     /// Number of the newest hello of this process.
     hello_number: u64,
     last_worker_contact: Time,
@@ -110,7 +110,7 @@
             peers: siblings().map(|node| (node, Peer::new())).collect(),
             next_hello: 0.0,
             hello_interval,
-            recent: hello_interval * RECENT_HELLOS,
+            recent_window: hello_interval * RECENT_HELLOS,
             hello_number: 0,
             last_worker_contact: Time::NEG_INFINITY,
         }
@@ -136,9 +136,9 @@
         self.peers.contains_key(node)
     }
 
-    /// Seconds within which an event counts as recent: a few intervals between hellos.
-    pub fn recent(&self) -> Time {
-        self.recent
+    /// Seconds within which an event counts as recent_window: a few intervals between hellos.
+    pub fn recent_window(&self) -> Time {
+        self.recent_window
     }
 
     // Hellos that this controller sends.
@@ -154,7 +154,7 @@
     }
 
     /// Begins a round of hellos; the next is due at `next`. Returns the number of these hellos.
-    pub fn begin_hellos(&mut self, next: Time) -> u64 {
+    pub fn begin_hello_round(&mut self, next: Time) -> u64 {
         self.next_hello = next;
         self.hello_number += 1;
         self.hello_number
@@ -178,9 +178,9 @@
     pub fn take_image_scope(&mut self, node: &Node) -> ImageScope {
         let peer = self.peers.get_mut(node);
         if peer.is_some_and(|peer| std::mem::take(&mut peer.needs_all_images)) {
-            ImageScope::Known
+            ImageScope::AllKnown
         } else if self.hello_number.is_multiple_of(IMAGES_EVERY) {
-            ImageScope::Own
+            ImageScope::OwnMachines
         } else {
             ImageScope::None
         }
@@ -262,36 +262,36 @@
     }
 
     /// Whether any sibling has answered recently.
-    pub fn heard_any(&self, now: Time) -> bool {
-        self.detector.hears_any(now)
+    pub fn any_reachable(&self, now: Time) -> bool {
+        self.detector.any_reachable(now)
     }
 
     /// Whether a sibling has answered recently.
-    pub fn hears(&self, node: &Node, now: Time) -> bool {
-        self.detector.hears(node, now)
+    pub fn is_reachable(&self, node: &Node, now: Time) -> bool {
+        self.detector.is_reachable(node, now)
     }
 
     /// Siblings that have answered recently.
-    pub fn heard(&self, now: Time) -> impl Iterator<Item = &Node> {
-        self.heard_peers(now).map(|(node, _)| node)
+    pub fn reachable_nodes(&self, now: Time) -> impl Iterator<Item = &Node> {
+        self.reachable_peers(now).map(|(node, _)| node)
     }
 
-    fn heard_peers(&self, now: Time) -> impl Iterator<Item = (&Node, &Peer)> {
+    fn reachable_peers(&self, now: Time) -> impl Iterator<Item = (&Node, &Peer)> {
         self.peers
             .iter()
-            .filter(move |(node, _)| self.hears(node, now))
+            .filter(move |(node, _)| self.is_reachable(node, now))
     }
 
     /// Number of siblings that have answered recently and that the store answered after `since`.
     pub fn count_with_store_contact(&self, since: Time, now: Time) -> usize {
-        self.heard_peers(now)
+        self.reachable_peers(now)
             .filter(|(_, peer)| peer.store_contact > since)
             .count()
     }
 
     /// Whether a sibling has answered recently that it can read the store.
     pub fn reads_store(&self, node: &Node, now: Time) -> bool {
-        self.hears(node, now) && self.peers.get(node).is_some_and(|peer| peer.reads_store)
+        self.is_reachable(node, now) && self.peers.get(node).is_some_and(|peer| peer.reads_store)
     }
 
     /// The first sibling by name that can read the store, and so answer users' requests.
@@ -300,7 +300,7 @@
     }
 
     /// Tasks done and running of a job that runs in a sibling's shard.
-    pub fn running(&self, job: &JobId) -> Option<(u32, u32)> {
+    pub fn task_counts(&self, job: &JobId) -> Option<(u32, u32)> {
         self.peers
             .values()
             .find_map(|peer| peer.running.get(job).copied())
@@ -328,19 +328,19 @@
     /// Whether workers were recently redirected to a sibling.
     pub fn redirects_to(&self, node: &Node, now: Time) -> bool {
         let peer = self.peers.get(node);
-        peer.is_some_and(|peer| now - peer.last_redirect < self.recent)
+        peer.is_some_and(|peer| now - peer.last_redirect < self.recent_window)
     }
 
     /// Whether a sibling that has answered recently redirects workers to this controller, so that
     /// workers reach that sibling.
-    pub fn redirected_from_sibling(&self, now: Time) -> bool {
-        self.heard_peers(now)
+    pub fn sibling_redirects_workers(&self, now: Time) -> bool {
+        self.reachable_peers(now)
             .any(|(_, peer)| peer.redirects_workers)
     }
 
     /// Has a sibling's process that reads the store answer a hello.
     #[cfg(test)]
-    pub fn answered(&mut self, node: &Node, incarnation: u64, now: Time) {
+    pub fn record_answer(&mut self, node: &Node, incarnation: u64, now: Time) {
         self.detector
             .heartbeat_answered(node, Incarnation(incarnation), now, now);
         if let Some(peer) = self.peers.get_mut(node) {
--- a/src/core/membership/process_pause.rs
+++ b/src/core/membership/process_pause.rs
@@ -39,7 +39,7 @@
     }
 
     /// A step begins. Returns the duration of the pause before it, if there was one.
-    pub fn step(&mut self, now: Time) -> Option<Time> {
+    pub fn record_step(&mut self, now: Time) -> Option<Time> {
         let elapsed = now - self.last_step.replace(now).unwrap_or(now);
         let was_paused = elapsed > self.threshold;
         if was_paused {
--- a/src/core/membership/process_pause/tests.rs
+++ b/src/core/membership/process_pause/tests.rs
@@ -16,11 +16,11 @@
 #[test]
 fn a_process_catches_up_until_others_were_heard_again() {
     let mut process_pause = process_pause();
-    assert_eq!(process_pause.step(10.0), None, "the first step");
-    assert_eq!(process_pause.step(10.5), None, "a busy moment");
+    assert_eq!(process_pause.record_step(10.0), None, "the first step");
+    assert_eq!(process_pause.record_step(10.5), None, "a busy moment");
     assert!(!process_pause.is_catching_up(10.4, 10.5));
-    assert_eq!(process_pause.step(17.5), Some(7.0));
-    assert_eq!(process_pause.step(17.6), None);
+    assert_eq!(process_pause.record_step(17.5), Some(7.0));
+    assert_eq!(process_pause.record_step(17.6), None);
     assert!(
         process_pause.is_catching_up(17.4, 30.0),
         "nothing was read since"
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -102,8 +102,8 @@
     /// time of day in milliseconds.
     pub fn step(&mut self, now: Time, wall_ms: u64, batch: Vec<Input>) -> Vec<Effect> {
         self.outbox.begin_step(now, wall_ms);
-        self.peers.detector_mut().step(now);
-        if let Some(paused) = self.process_pause.step(now) {
+        self.peers.detector_mut().begin_step(now);
+        if let Some(paused) = self.process_pause.record_step(now) {
             self.resumed(paused);
         }
         for input in batch {
@@ -227,7 +227,7 @@
             self.shard = Some(Shard::new(&self.config, incarnation, image_hints, now));
             self.peers.note_worker_contact(now);
         }
-        let term = self.ownership.leads(&self.store);
+        let term = self.ownership.leader_key_version(&self.store);
         if self.leader.as_ref().map(Leader::key_version) != term {
             // The map as of the revision of the leader's key has every change of earlier leaders.
             let readable_term = term.filter(|term| self.store.revision() >= *term);
--- a/src/core/test_support.rs
+++ b/src/core/test_support.rs
@@ -198,9 +198,9 @@
     let mut now = from;
     while now <= until {
         core.outbox.begin_step(now, 0);
-        core.peers.detector_mut().step(now);
+        core.peers.detector_mut().begin_step(now);
         for sibling in siblings {
-            core.peers.answered(&Node::from(*sibling), 1, now);
+            core.peers.record_answer(&Node::from(*sibling), 1, now);
         }
         core.update_sibling_stages();
         now += 0.1;
