--- a/src/core/leader/live_processes.rs
+++ b/src/core/leader/live_processes.rs
@@ -2,7 +2,7 @@
 
 use crate::core::model::process::ProcessId;
 use crate::core::store::replica::StoreReplica;
-use crate::ids::Node;
+use crate::ids::ControllerName;
 use std::collections::BTreeMap;
 
 /// Registered controllers, each with the incarnation of its process, ordered by name.
@@ -10,7 +10,7 @@
 /// A process's key disappears from the store when its lease ends. So an owner that is not registered has
 /// failed or was restarted.
 pub(super) struct LiveProcesses {
-    incarnations: BTreeMap<Node, u64>,
+    incarnations: BTreeMap<ControllerName, u64>,
 }
 
 impl LiveProcesses {
@@ -35,12 +35,12 @@
     }
 
     /// The controllers that have a live process, ordered by name.
-    pub(super) fn nodes(&self) -> impl Iterator<Item = &Node> {
+    pub(super) fn nodes(&self) -> impl Iterator<Item = &ControllerName> {
         self.incarnations.keys()
     }
 
     /// Whether the controller has a live process.
-    pub(super) fn has_node(&self, node: &Node) -> bool {
+    pub(super) fn has_node(&self, node: &ControllerName) -> bool {
         self.incarnations.contains_key(node)
     }
 
@@ -50,7 +50,7 @@
     }
 
     /// The live process of a controller; None if it has none.
-    pub(super) fn process_of(&self, node: &Node) -> Option<ProcessId> {
+    pub(super) fn process_of(&self, node: &ControllerName) -> Option<ProcessId> {
         let incarnation = self.incarnations.get(node)?;
         Some(ProcessId::new(node.clone(), *incarnation))
     }
--- a/src/core/leader/rebalance.rs
+++ b/src/core/leader/rebalance.rs
@@ -5,7 +5,7 @@
 use crate::core::leader::Leader;
 use crate::core::leader::live_processes::LiveProcesses;
 use crate::core::model::time::Time;
-use crate::ids::{MachineId, Node, Team};
+use crate::ids::{ControllerName, MachineId, Team};
 
 /// Seconds between two periodic rebalancings.
 const REBALANCE_INTERVAL_S: Time = 30.0;
@@ -47,7 +47,7 @@
 
     /// A team of this controller that has no queued tasks. Queued tasks would be delayed while the new owner
     /// learns which tasks run on which machines.
-    fn team_without_queue(&self, node: &Node) -> Option<Team> {
+    fn team_without_queue(&self, node: &ControllerName) -> Option<Team> {
         let demand = self.demands.get(node)?;
         let mut teams = self.editor.owners().teams.iter();
         let last = teams.rfind(|(team, owner)| {
@@ -60,9 +60,9 @@
     /// machine stays where it is, because it may be unable to reach another controller.
     fn redistribute_teamless_shards(&mut self, live: &LiveProcesses) {
         let with_teams = live.nodes().filter(|node| self.team_count(node) > 0);
-        let with_teams: Vec<&Node> = with_teams.collect();
+        let with_teams: Vec<&ControllerName> = with_teams.collect();
         let machines = self.editor.owners().machines.iter();
-        let teamless: Vec<(MachineId, Node)> = machines
+        let teamless: Vec<(MachineId, ControllerName)> = machines
             .filter(|(_, owner)| live.has_node(&owner.node) && self.team_count(&owner.node) == 0)
             .filter(|(id, _)| !self.claimed.contains_key(*id))
             .map(|(id, owner)| (id.clone(), owner.node.clone()))
@@ -78,7 +78,7 @@
     fn move_machine_to_longest_queue(&mut self, live: &LiveProcesses) {
         let with_teams = live.nodes().filter(|node| self.team_count(node) > 0);
         let queues = with_teams.filter_map(|node| Some((node, self.demands.get(node)?.queued)));
-        let queues: Vec<(&Node, f64)> = queues.collect();
+        let queues: Vec<(&ControllerName, f64)> = queues.collect();
         let longest = queues
             .iter()
             .max_by(|(_, one), (_, other)| one.total_cmp(other));
@@ -98,7 +98,7 @@
     }
 
     /// The machine that this controller can best spare: an idle one, or else the one with the most free GPUs.
-    fn machine_to_move(&self, node: &Node) -> Option<MachineId> {
+    fn machine_to_move(&self, node: &ControllerName) -> Option<MachineId> {
         let demand = self.demands.get(node)?;
         let idle = demand.spare_machines.iter();
         let with_free_gpus = demand.machines_with_free_gpus.iter().map(|(id, _)| id);
--- a/src/core/leader/scaling.rs
+++ b/src/core/leader/scaling.rs
@@ -12,7 +12,7 @@
 use crate::core::messages::capacity_demand::{MachineDemand, MachineOffer};
 use crate::core::model::time::Time;
 use crate::core::scheduling::catalog::Catalog;
-use crate::ids::{Node, Zone};
+use crate::ids::{ControllerName, Zone};
 use std::collections::BTreeMap;
 
 /// Seconds between two plans of rentals and returns.
@@ -20,7 +20,7 @@
 
 /// The number of machines of one kind that a controller lacks.
 struct Shortage {
-    node: Node,
+    node: ControllerName,
     count: u32,
 }
 
@@ -163,7 +163,7 @@
 
 /// Counts the expected machines that were rented for this controller, by kind.
 fn expected_for<'machines>(
-    node: &Node,
+    node: &ControllerName,
     expected: &[&'machines PendingMachine],
 ) -> BTreeMap<&'machines MachineOffer, u32> {
     let mut by_kind = BTreeMap::new();
@@ -198,7 +198,7 @@
 
 /// One entry for each lacking machine: the controller that lacks it. The order is round-robin, so that every
 /// controller gets some machines if the cloud has too few.
-fn nodes_round_robin(shortages: &[Shortage]) -> Vec<Node> {
+fn nodes_round_robin(shortages: &[Shortage]) -> Vec<ControllerName> {
     let counts = shortages.iter().map(|shortage| shortage.count);
     let turns = 0..counts.max().unwrap_or(0);
     let in_turn = turns.flat_map(|turn| {
--- a/src/core/shard/mod.rs
+++ b/src/core/shard/mod.rs
@@ -44,7 +44,7 @@
 use crate::core::shard::owned_team::OwnedTeam;
 use crate::core::shard::progress_records::{UnrecordedJobs, write_rate_per_controller};
 use crate::core::store::replica::StoreReplica;
-use crate::ids::{JobId, MachineId, Node, Team};
+use crate::ids::{ControllerName, JobId, MachineId, Team};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -112,7 +112,7 @@
     /// Images cached on machines, as reported by siblings.
     pub(crate) image_hints: ImageHints,
     /// Siblings that have asked for observations of the owned machines.
-    pub(crate) listeners: BTreeSet<Node>,
+    pub(crate) listeners: BTreeSet<ControllerName>,
     /// Whether siblings need an update before the next regular exchange.
     pub(crate) sync_soon: bool,
     /// When the last heartbeat of any worker arrived.
@@ -125,7 +125,7 @@
     /// Creates an empty shard for the process `incarnation`; `image_hints` are the images cached on machines,
     /// as reported by siblings.
     pub fn new(config: &Rc<Config>, incarnation: u64, image_hints: ImageHints, now: Time) -> Self {
-        let rate = write_rate_per_controller(config, config.controllers());
+        let rate = write_rate_per_controller(config, config.controller_count());
         Self {
             config: config.clone(),
             incarnation,
--- a/src/core/shard/tracking.rs
+++ b/src/core/shard/tracking.rs
@@ -22,7 +22,7 @@
 use crate::core::shard::owned_jobs::describe_stored_attempt;
 use crate::core::store::replica::StoreReplica;
 use crate::ids::{JobId, MachineId, TaskId};
-use crate::wire::{Command, Exit, Heartbeat, HeartbeatResponse, ReportedTask, TaskState};
+use crate::wire::{Command, ExitReason, Heartbeat, HeartbeatResponse, ReportedTask, TaskState};
 use std::collections::BTreeSet;
 
 /// Number of heartbeats without an attempt, although earlier responses carried its start, after which the
@@ -222,7 +222,7 @@
         now: Time,
     ) {
         let phase = match reported.state {
-            TaskState::Exited => Phase::Exited(reported.exit.unwrap_or(Exit::Other)),
+            TaskState::Exited => Phase::Exited(reported.exit.unwrap_or(ExitReason::Other)),
             state => Phase::Seen(state),
         };
         let key = (task, reported.attempt);
