--- a/src/core/controller/deferred_heartbeats.rs
+++ b/src/core/controller/deferred_heartbeats.rs
@@ -195,11 +195,11 @@
         let serves = |node: &&ControllerName| self.can_serve(node);
         let after = self
             .peers
-            .heard(now)
+            .reachable_siblings(now)
             .filter(serves)
             .find(|node| **node > self.config.controller);
         let next = after
-            .or_else(|| self.peers.heard(now).find(serves))
+            .or_else(|| self.peers.reachable_siblings(now).find(serves))
             .cloned();
         match next {
             Some(node) => self.redirect(request, Some(node)),
