--- a/src/core/controller/heartbeat_routing.rs
+++ b/src/core/controller/heartbeat_routing.rs
@@ -1,10 +1,11 @@
-//! Which controller answers a worker's heartbeat.
+//! Routes a worker's heartbeat to the controller that answers it.
 //!
-//! A worker sends its heartbeats to one controller at a time; one that does not own its machine redirects it
-//! to the owner. A worker that has shown the owner's present fencing token was there already and has left
-//! again, so it cannot reach the owner: then its heartbeat is relayed, once, so that its lease does not
-//! expire meanwhile. While a token is new, the worker may have received it in a direct message
-//! ([`crate::core::controller::acquired_machines`]) and not have been at the owner yet.
+//! A worker sends its heartbeats to one controller at a time. A controller that does not own the worker's
+//! machine redirects the worker to the owner. If the worker shows the owner's present fencing token, it has
+//! been at the owner and left again, so it cannot reach the owner. Its heartbeats are then relayed, so that
+//! its lease does not expire. A relayed heartbeat is never relayed again. While a token is new, the worker
+//! may have received it in a direct message ([`crate::core::controller::acquired_machines`]) and may not
+//! have tried the owner yet.
 
 mod relays;
 
@@ -16,29 +17,31 @@
 use crate::core::effects::{Answer, Body, RequestId};
 use crate::core::messages::mesh::{MeshMessage, MeshReply};
 use crate::core::records::shard_map::ShardOwner;
-use crate::ids::Node;
-use crate::wire::{Heartbeat, HeartbeatResponse, redirect_to};
+use crate::ids::ControllerName;
+use crate::wire::{Heartbeat, HeartbeatResponse, redirect_answer};
 use failure_detector::Stage;
-use relays::Route;
+use relays::RelayDecision;
 
-/// HTTP status that sends a worker to another controller.
+/// HTTP status of an answer that redirects a worker to another controller.
 const MISDIRECTED: u16 = 421;
 
 impl Core {
-    /// Answers a worker's heartbeat, or sends the worker to its machine's owner.
-    pub(crate) fn heartbeat(&mut self, request: RequestId, heartbeat: Heartbeat) {
+    /// Answers the heartbeat if this controller owns the worker's machine, and routes it to the owner
+    /// otherwise.
+    pub(crate) fn receive_heartbeat(&mut self, request: RequestId, heartbeat: Heartbeat) {
         if let Some(answer) = self.handle_heartbeat(&heartbeat) {
             self.peers.note_worker_contact(self.outbox.now);
             return self.outbox.answer(request, answer);
         }
-        let owners = &self.store.owners().machines;
+        let owners = &self.store.shard_map().machines;
         match owners.get(&heartbeat.machine).cloned() {
             Some(owner) => self.route_to_owner(request, heartbeat, owner),
             None => self.route_unassigned(request, &heartbeat),
         }
     }
 
-    /// A machine without an owner: the leader assigns it.
+    /// Routes the heartbeat of a machine that has no owner. The leader notes the machine, so that it can
+    /// assign it. Any other controller redirects the worker to the leader.
     fn route_unassigned(&mut self, request: RequestId, heartbeat: &Heartbeat) {
         let holds_lease = self.ownership.holds_lease(self.outbox.now);
         if let Some(leader) = self.leader.as_mut().filter(|_| holds_lease) {
@@ -48,29 +51,31 @@
         self.redirect_to_sibling(request, leader);
     }
 
-    /// A machine whose owner did not answer here: its heartbeat is relayed or deferred, or its worker is
-    /// sent on.
+    /// Routes a heartbeat that this controller cannot answer itself: relays or defers it, claims the
+    /// machine, or redirects the worker.
     fn route_to_owner(&mut self, request: RequestId, heartbeat: Heartbeat, owner: ShardOwner) {
-        if self.has_left(&heartbeat, &owner) && !self.must_try_owner(&heartbeat, &owner) {
-            match self.relays.begin(&heartbeat.machine, self.outbox.now) {
-                Route::Relay => return self.relay_heartbeat(request, owner, heartbeat),
-                Route::Elsewhere => return self.send_elsewhere(request, &owner.node),
-                Route::Owner => {}
+        if self.has_left_owner(&heartbeat, &owner) && !self.must_try_owner(&heartbeat, &owner) {
+            match self.relays.begin_relay(&heartbeat.machine, self.outbox.now) {
+                RelayDecision::Relay => return self.relay_heartbeat(request, owner, heartbeat),
+                RelayDecision::TryNextController => {
+                    return self.send_to_next_controller(request, &owner.node);
+                }
+                RelayDecision::TryOwner => {}
             }
         }
-        if self.may_claim(&heartbeat, &owner) {
-            return self.claim(request, heartbeat, &owner);
+        if self.should_claim(&heartbeat, &owner) {
+            return self.claim_machine(request, heartbeat, &owner);
         }
-        if self.awaits_hand_over(&heartbeat, &owner) {
-            return self.defer_or_redirect(request, heartbeat, &owner, DeferralReason::HandOver);
+        if self.awaits_failover(&heartbeat, &owner) {
+            return self.defer_or_redirect(request, heartbeat, &owner, DeferralReason::Failover);
         }
-        if self.is_overtaken(&heartbeat, &owner) {
-            return self.defer_or_redirect(request, heartbeat, &owner, DeferralReason::Change);
+        if self.shard_map_may_be_stale(&heartbeat, &owner) {
+            return self.defer_or_redirect(request, heartbeat, &owner, DeferralReason::MapChange);
         }
         self.redirect_to_sibling(request, Some(owner.node));
     }
 
-    /// Whether a worker that knows its owner's token is to try that owner before its heartbeats are relayed.
+    /// Whether a worker that knows its owner's token must try the owner before its heartbeats are relayed.
     fn must_try_owner(&mut self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
         let now = self.outbox.now;
         self.acts_on_failures()
@@ -79,19 +84,20 @@
                 .must_try_owner(&heartbeat.machine, owner.token, now)
     }
 
-    /// Whether a worker has been at its machine's owner, which this controller can reach, and is here now.
-    fn has_left(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
-        // A relayed machine may not have received its owner's new token yet.
+    /// Whether a worker has already been at its machine's owner and left it, and this controller can reach
+    /// that owner.
+    fn has_left_owner(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
+        // The worker of a relayed machine may not have received the owner's new token yet.
         let knows_owner =
             heartbeat.token == owner.token || self.relays.contains(&heartbeat.machine);
-        owner.node != self.config.node
+        owner.node != self.config.controller
             && knows_owner
-            && self.peers.hears(&owner.node, self.outbox.now)
+            && self.peers.is_reachable(&owner.node, self.outbox.now)
     }
 
-    /// Whether a machine's owner answers no worker, so that this one is not to be sent there. Of an owner
-    /// that is only suspected here this is certain if the worker comes from it.
-    fn awaits_hand_over(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
+    /// Whether a worker must not be sent to its machine's owner, because the owner answers no worker. If the
+    /// owner is only suspected, a worker that comes from it proves that.
+    fn awaits_failover(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
         if !self.acts_on_failures() {
             return false;
         }
@@ -101,16 +107,18 @@
             || (is_suspected && comes_from_owner)
     }
 
-    /// Whether the shard map that is known here is older than what the worker has seen, or may be because
-    /// only siblings reach the store. It would send workers to owners that have lost their machines.
-    fn is_overtaken(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
+    /// Whether this controller's copy of the shard map is older than the worker's token, or may be out of
+    /// date because only siblings can read the store. A stale map names owners that have lost their
+    /// machines.
+    fn shard_map_may_be_stale(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
         let is_cut_off =
             !self.reads_store() && self.peers.sibling_reading_store(self.outbox.now).is_some();
         self.acts_on_failures() && (heartbeat.token > owner.token || is_cut_off)
     }
 
-    /// Defers a heartbeat until the shard map has changed. Without the store the map does not change:
-    /// then the worker is redirected at once.
+    /// Defers a heartbeat until the shard map has changed. Redirects the worker at once if too many
+    /// heartbeats are deferred, or if this controller cannot read the store and so would not see the
+    /// change.
     fn defer_or_redirect(
         &mut self,
         request: RequestId,
@@ -118,13 +126,14 @@
         owner: &ShardOwner,
         reason: DeferralReason,
     ) {
-        if self.deferred_heartbeats.are_full() || !self.reads_store() {
+        if self.deferred_heartbeats.is_full() || !self.reads_store() {
             return self.redirect_to_reachable(request);
         }
         self.defer_heartbeat(request, heartbeat, owner, reason);
     }
 
-    /// The owner's answer, if this controller owns the machine and holds its ownership lease.
+    /// Passes a heartbeat to this controller's shard and returns the answer. None if the shard does not own
+    /// the machine, or if this controller does not hold its ownership lease.
     pub(super) fn handle_heartbeat(&mut self, heartbeat: &Heartbeat) -> Option<Answer> {
         let now = self.outbox.now;
         let holds_lease = self.ownership.holds_lease(now);
@@ -132,23 +141,24 @@
         shard.handle_heartbeat(&self.store, &self.catalog, heartbeat, now)
     }
 
-    /// Sends a worker to this controller, unless it is this one.
-    fn redirect_to_sibling(&mut self, request: RequestId, to: Option<Node>) {
-        self.redirect(request, to.filter(|node| *node != self.config.node));
+    /// Redirects a worker to sibling `to`, or to any other controller if `to` is None or this controller.
+    fn redirect_to_sibling(&mut self, request: RequestId, to: Option<ControllerName>) {
+        self.redirect(request, to.filter(|node| *node != self.config.controller));
     }
 
-    /// Sends a worker to this controller, or to any other if none is named.
-    pub(super) fn redirect(&mut self, request: RequestId, to: Option<Node>) {
+    /// Redirects a worker to controller `to`, or to any other if that is None.
+    pub(super) fn redirect(&mut self, request: RequestId, to: Option<ControllerName>) {
         if let Some(node) = &to {
             self.peers.note_redirect(node, self.outbox.now);
         }
-        let answer = Answer::value(MISDIRECTED, redirect_to(to.as_ref()));
+        let answer = Answer::value(MISDIRECTED, redirect_answer(to.as_ref()));
         self.outbox.answer(request, answer);
     }
 
-    /// Makes a worker try the next controller. If it were sent to an owner that it can't reach, it would
-    /// wait there in vain for 4 s of its lease, which then could expire before its machine had a new owner.
-    pub(crate) fn send_elsewhere(&mut self, request: RequestId, owner: &Node) {
+    /// Answers that this controller is unavailable, so that the worker tries the next one. A worker that is
+    /// redirected to an owner that it can't reach waits there for 4 s. Its lease could then expire before its
+    /// machine has a new owner.
+    pub(crate) fn send_to_next_controller(&mut self, request: RequestId, owner: &ControllerName) {
         self.peers.note_redirect(owner, self.outbox.now);
         self.outbox.answer(request, Answer::unavailable());
     }
@@ -159,7 +169,7 @@
         tracing::debug!(
             machine = %heartbeat.machine,
             owner = %node,
-            "heartbeat relayed: its worker does not reach the owner"
+            "heartbeat relayed: its worker cannot reach the machine's owner"
         );
         self.peers.note_redirect(&node, now);
         self.peers.detector_mut().worker_left(&node, now);
@@ -169,14 +179,14 @@
             owner,
             heartbeat: Box::new(heartbeat),
         };
-        self.outbox.mesh(pending, &node, message);
+        self.outbox.send_to_sibling(pending, &node, message);
     }
 
-    /// Answers a heartbeat that a sibling relays. It is never relayed again from here, and is no sign that
-    /// workers reach this controller.
-    pub(crate) fn relayed_heartbeat(&mut self, request: RequestId, heartbeat: &Heartbeat) {
+    /// Answers a heartbeat that a sibling has relayed. The heartbeat is not relayed further, and does not
+    /// count as evidence that workers can reach this controller.
+    pub(crate) fn answer_relayed_heartbeat(&mut self, request: RequestId, heartbeat: &Heartbeat) {
         if let Some(shard) = self.shard.as_mut() {
-            shard.note_relayed(&heartbeat.machine, self.outbox.now);
+            shard.record_relayed_heartbeat(&heartbeat.machine, self.outbox.now);
         }
         let response = match self.handle_heartbeat(heartbeat) {
             Some(Answer {
@@ -187,18 +197,19 @@
             _ => None,
         };
         let reply = MeshReply::HeartbeatResponse(response);
-        self.outbox.mesh_answer(request, reply);
+        self.outbox.answer_sibling(request, reply);
     }
 
-    /// The owner has answered a relayed heartbeat, or refused it or not answered (None).
-    pub(crate) fn heartbeat_relayed(
+    /// Ends the relay of a heartbeat. `response` is None if the owner refused the heartbeat or did not
+    /// answer.
+    pub(crate) fn finish_heartbeat_relay(
         &mut self,
         request: RequestId,
         owner: &ShardOwner,
         heartbeat: Heartbeat,
         response: Option<HeartbeatResponse>,
     ) {
-        self.relays.end();
+        self.relays.end_relay();
         match response {
             Some(response) => {
                 let answer = Answer {
@@ -208,11 +219,11 @@
                 };
                 self.outbox.answer(request, answer);
             }
-            // A controller that gives up its shard answers no heartbeats: the map is about to change.
+            // A controller that gives up its shard answers no heartbeats, and the shard map changes soon.
             None if self.acts_on_failures() => {
-                self.defer_or_redirect(request, heartbeat, owner, DeferralReason::Change);
+                self.defer_or_redirect(request, heartbeat, owner, DeferralReason::MapChange);
             }
-            None => self.send_elsewhere(request, &owner.node),
+            None => self.send_to_next_controller(request, &owner.node),
         }
     }
 }
--- a/src/core/controller/hello.rs
+++ b/src/core/controller/hello.rs
@@ -10,7 +10,7 @@
 use crate::core::model::process::ProcessId;
 use crate::core::model::time::Time;
 use crate::core::shard::Shard;
-use crate::ids::{Node, Version};
+use crate::ids::{ControllerName, Version};
 
 impl Core {
     /// Sends a hello to every sibling if the next ones are due, except to those that have not
@@ -21,10 +21,10 @@
             return;
         }
         let delay = self.outbox.jitter(self.peers.hello_interval());
-        let number = self.peers.begin_hellos(now + delay);
+        let number = self.peers.begin_hello_round(now + delay);
         self.refresh_machine_knowledge();
         let hello = self.hello_without_update(number);
-        let nodes: Vec<Node> = self.peers.nodes().cloned().collect();
+        let nodes: Vec<ControllerName> = self.peers.nodes().cloned().collect();
         for node in nodes {
             if !self.peers.begin_hello(&node) {
                 continue;
@@ -38,7 +38,7 @@
                 sent: now,
             };
             self.outbox
-                .mesh(pending, &node, MeshMessage::Hello(Box::new(hello)));
+                .send_to_sibling(pending, &node, MeshMessage::Hello(Box::new(hello)));
         }
     }
 
@@ -46,11 +46,12 @@
     fn refresh_machine_knowledge(&mut self) {
         let now = self.outbox.now;
         if let Some(shard) = &self.shard {
-            self.unresponsive.note(shard.unresponsive(now), now);
+            self.unresponsive
+                .note(shard.unresponsive_machines(now), now);
         }
-        if self.store.complete() {
-            self.unresponsive.prune(self.store.owners());
-            self.contacts.prune(self.store.owners());
+        if self.store.is_complete() {
+            self.unresponsive.prune(self.store.shard_map());
+            self.contacts.prune(self.store.shard_map());
         }
     }
 
@@ -61,10 +62,13 @@
         Hello {
             from: process.node,
             incarnation: process.incarnation,
-            number,
+            sequence_number: number,
             wants_extension: self.ownership.wants_extension(now),
-            wants_consent: self.ownership.wanted_consents(),
-            running: self.leased_shard().map(Shard::running).unwrap_or_default(),
+            wants_consent: self.ownership.pending_consent_requests(),
+            task_counts: self
+                .leased_shard()
+                .map(Shard::all_task_counts)
+                .unwrap_or_default(),
             unresponsive: self.unresponsive.all(now),
             update: None,
             final_states_after: self.wanted_final_states(),
@@ -81,18 +85,21 @@
 
     /// The version after which siblings are asked for final states, while syncs with the store fail.
     fn wanted_final_states(&self) -> Option<Version> {
-        let is_behind = self.outbox.now - self.store.current_as_of() > self.peers.recent();
-        (is_behind && self.store.complete()).then(|| self.store.final_states_known())
+        let is_behind = self.outbox.now - self.store.current_as_of() > self.peers.recent_window();
+        (is_behind && self.store.is_complete()).then(|| self.store.final_states_known_up_to())
     }
 
     /// The state of this shard for a sibling's shard, while this process may act as its owner.
-    fn update_for(&mut self, node: &Node) -> Option<PeerUpdate> {
+    fn update_for(&mut self, node: &ControllerName) -> Option<PeerUpdate> {
         self.leased_shard()?;
         let scope = self.peers.take_image_scope(node);
         let shard = self.shard.as_ref()?;
         let (images, contacts) = match scope {
-            ImageScope::Known => (shard.known_images(), self.contacts.with(shard.contacts())),
-            ImageScope::Own => (shard.own_images(), shard.contacts()),
+            ImageScope::AllKnown => (
+                shard.images_on_all_machines(),
+                self.contacts.with(shard.machine_contacts()),
+            ),
+            ImageScope::OwnMachines => (shard.images_on_owned_machines(), shard.machine_contacts()),
             ImageScope::None => (ImageHints::default(), MachineContacts::default()),
         };
         let contacts = if self.acts_on_failures() {
@@ -101,7 +108,7 @@
             MachineContacts::default()
         };
         let refused = self.leader.as_ref().map(Leader::unavailable_offers);
-        Some(shard.update_for(node, &self.store, refused, images, contacts))
+        Some(shard.peer_update_for(node, &self.store, refused, images, contacts))
     }
 
     /// A sibling sends a request.
@@ -113,10 +120,10 @@
             }
             MeshMessage::Poll(id) => self.relayed_request(request, UserRequest::Poll(id)),
             MeshMessage::Cancel(id) => self.relayed_request(request, UserRequest::Cancel(id)),
-            MeshMessage::Heartbeat(heartbeat) => self.relayed_heartbeat(request, &heartbeat),
+            MeshMessage::Heartbeat(heartbeat) => self.answer_relayed_heartbeat(request, &heartbeat),
             MeshMessage::Cancelled(_) => {
-                self.store.want_sync();
-                self.outbox.mesh_answer(request, MeshReply::Noted);
+                self.store.request_read();
+                self.outbox.answer_sibling(request, MeshReply::Acknowledged);
             }
         }
     }
@@ -129,22 +136,22 @@
             .detector_mut()
             .message_received(&sender.node, now);
         if !self.peers.includes(&sender.node) {
-            return self.outbox.mesh_answer(request, MeshReply::Noted);
+            return self.outbox.answer_sibling(request, MeshReply::Acknowledged);
         }
         if hello.bounded_staleness {
             self.peers.note_bounded_staleness(&sender);
         }
         // True whenever it was sent: a delay only makes the statement weaker.
         self.unresponsive.note(hello.unresponsive, now);
-        let is_newest = self
-            .peers
-            .hello_received(&sender, hello.number, hello.running);
+        let is_newest =
+            self.peers
+                .hello_received(&sender, hello.sequence_number, hello.task_counts);
         let grants_extension =
             hello.wants_extension && self.ownership.grant_extension(&sender, &self.store, now);
         let consents = hello
             .wants_consent
             .into_iter()
-            .filter(|process| self.ownership.consent(process, now))
+            .filter(|process| self.ownership.try_consent(process, now))
             .collect();
         if is_newest {
             if let Some(update) = hello.update {
@@ -159,7 +166,7 @@
             consents,
             ..self.hello_reply(&sender, hello.final_states_after)
         };
-        self.outbox.mesh_answer(request, MeshReply::Hello(reply));
+        self.outbox.answer_sibling(request, MeshReply::Hello(reply));
     }
 
     /// A reply to a hello that grants and consents to nothing. `final_states_after`: the version after
@@ -185,7 +192,7 @@
             leader.set_demand(&sender.node, update.demand.clone());
         }
         match self.shard.as_mut() {
-            Some(shard) => shard.take_update(
+            Some(shard) => shard.apply_peer_update(
                 &mut self.outbox,
                 &self.store,
                 &sender.node,
@@ -200,7 +207,7 @@
     /// knew before, but one that was never complete says nothing. A process whose key is gone gets
     /// none, since its ownership is to end.
     fn may_send_final_states(&self, to: &ProcessId) -> bool {
-        self.store.complete() && self.store.is_registered(&to.node, to.incarnation)
+        self.store.is_complete() && self.store.is_registered(&to.node, to.incarnation)
     }
 
     /// A request to a sibling was answered, or there will be no answer.
@@ -212,7 +219,7 @@
                     self.hello_answered(&node, sent, reply);
                 }
             }
-            Pending::Relay { request } => {
+            Pending::RelayedRequest { request } => {
                 self.outbox.answer(request, relayed_answer(reply));
             }
             Pending::RelayedHeartbeat {
@@ -224,14 +231,14 @@
                     Some(MeshReply::HeartbeatResponse(response)) => response,
                     _ => None,
                 };
-                self.heartbeat_relayed(request, &owner, *heartbeat, response);
+                self.finish_heartbeat_relay(request, &owner, *heartbeat, response);
             }
             _ => {}
         }
     }
 
     /// A sibling has answered the hello that was sent to it at `sent`.
-    fn hello_answered(&mut self, node: &Node, sent: Time, reply: HelloReply) {
+    fn hello_answered(&mut self, node: &ControllerName, sent: Time, reply: HelloReply) {
         let now = self.outbox.now;
         self.peers.hello_answered(node, sent, &reply, now);
         if let Some(report) = reply.detection {
@@ -240,7 +247,7 @@
         }
         if let Some(final_states) = reply.final_states {
             let is_complete = final_states.complete;
-            self.store.take_final_states(final_states);
+            self.store.apply_final_states(final_states);
             if is_complete {
                 self.ownership.record_sibling_current_as_of(node, sent);
             } else {
@@ -255,17 +262,17 @@
 
     /// Whether this controller's reads of the store work.
     pub(crate) fn reads_store(&self) -> bool {
-        let silence = self.store.state_silence(self.outbox.now);
-        self.store.complete() && silence < self.peers.recent()
+        let silence = self.store.seconds_since_store_reply(self.outbox.now);
+        self.store.is_complete() && silence < self.peers.recent_window()
     }
 
     /// Answers a health check: whether this controller can take requests, since it reads the store, or
     /// reaches a sibling that may. (In an outage for all controllers, to stay in rotation costs users
     /// less than to leave it and return.)
     pub(crate) fn health(&mut self, request: RequestId) {
-        let is_able = self.store.complete()
+        let is_able = self.store.is_complete()
             && self.catalog.known()
-            && (self.reads_store() || self.peers.heard_any(self.outbox.now));
+            && (self.reads_store() || self.peers.any_reachable(self.outbox.now));
         self.outbox
             .answer(request, Answer::empty(if is_able { 200 } else { 503 }));
     }
--- a/src/core/controller/inputs.rs
+++ b/src/core/controller/inputs.rs
@@ -13,17 +13,17 @@
             Input::User(request, what) => self.user_request(request, what),
             Input::Health(request) => self.health(request),
             Input::Status(request) => self.answer_status(request),
-            Input::Heartbeat(request, heartbeat) => self.heartbeat(request, heartbeat),
+            Input::Heartbeat(request, heartbeat) => self.receive_heartbeat(request, heartbeat),
             Input::Mesh(request, message) => self.mesh_message(request, message),
-            Input::State(call, reply) => {
-                if let Some(pending) = self.outbox.finish(call) {
+            Input::Store(call, reply) => {
+                if let Some(pending) = self.outbox.take_pending(call) {
                     self.store_reply(pending, reply);
                 }
             }
             Input::Cloud(call, reply) => self.cloud_reply(call, reply),
             Input::Worker(call, reply) => self.worker_reply(call, reply),
             Input::MeshReply(call, reply) => {
-                if let Some(pending) = self.outbox.finish(call) {
+                if let Some(pending) = self.outbox.take_pending(call) {
                     self.mesh_reply(pending, reply);
                 }
             }
@@ -31,11 +31,11 @@
     }
 
     fn cloud_reply(&mut self, call: CallId, reply: CloudReply) {
-        match self.outbox.finish(call) {
+        match self.outbox.take_pending(call) {
             Some(Pending::Cloud(None)) => self.catalog_reply(reply),
             Some(Pending::Cloud(Some(operation))) => {
                 if let Some(leader) = self.leader.as_mut() {
-                    leader.cloud_reply(&mut self.outbox, operation, reply);
+                    leader.handle_cloud_reply(&mut self.outbox, operation, reply);
                 }
             }
             _ => {}
@@ -43,12 +43,12 @@
     }
 
     fn worker_reply(&mut self, call: CallId, reply: WorkerReply) {
-        match (self.outbox.finish(call), self.shard.as_mut()) {
+        match (self.outbox.take_pending(call), self.shard.as_mut()) {
             (Some(Pending::DirectCommands { machine }), Some(shard)) => {
-                shard.commands_answered(&self.store, &machine, call, reply, self.outbox.now);
+                shard.handle_command_reply(&self.store, &machine, call, reply, self.outbox.now);
             }
             (Some(Pending::Inspection { machine }), Some(_)) => {
-                self.inspection_answered(&machine, reply);
+                self.handle_inspection_reply(&machine, reply);
             }
             _ => {}
         }
@@ -56,34 +56,34 @@
 
     /// Handles the reply of the store to one call.
     pub(crate) fn store_reply(&mut self, pending: Pending, reply: StoreReply) {
-        self.outbox.pace(pending.is_change(), &reply);
+        self.outbox.update_pacing(pending.is_write(), &reply);
         self.note_store_contact(&reply);
         match pending {
-            Pending::Sync { sent } => self.store_read(sent, reply),
+            Pending::StoreRead { sent } => self.store_read(sent, reply),
             Pending::UserWrite(write) => self.user_write_answered(write, reply),
-            Pending::OwnershipLease(call) => self.ownership_reply(call, reply),
-            Pending::Records(writes) => {
+            Pending::OwnershipLease(call) => self.handle_ownership_reply(call, reply),
+            Pending::JobRecords(writes) => {
                 if let Some(shard) = self.shard.as_mut() {
-                    shard.records_written(&mut self.outbox, &mut self.store, writes, reply);
+                    shard.handle_records_reply(&mut self.outbox, &mut self.store, writes, reply);
                 }
             }
-            Pending::Map(write) => {
+            Pending::ShardMap(write) => {
                 if let Some(leader) = self.leader.as_mut() {
-                    leader.map_written(&mut self.outbox, &mut self.store, &write, &reply);
+                    leader.handle_map_reply(&mut self.outbox, &mut self.store, &write, &reply);
                 }
             }
             Pending::Grant(write) => {
                 if let Some(shard) = self.shard.as_mut() {
-                    shard.grant_written(&mut self.outbox, &mut self.store, write, reply);
+                    shard.handle_grant_reply(&mut self.outbox, &mut self.store, write, reply);
                 }
             }
-            Pending::Types(write) => self.machine_types_written(&write, &reply),
+            Pending::MachineTypes(write) => self.machine_types_written(&write, &reply),
             Pending::DirectCommands { .. }
             | Pending::Inspection { .. }
             | Pending::Hello { .. }
-            | Pending::Relay { .. }
+            | Pending::RelayedRequest { .. }
             | Pending::RelayedHeartbeat { .. }
-            | Pending::Notice
+            | Pending::Notification
             | Pending::Cloud(_) => {}
         }
     }
@@ -91,12 +91,12 @@
     /// What a reply of the store, or its absence, says of this controller's contact with it.
     fn note_store_contact(&mut self, reply: &StoreReply) {
         match reply {
-            StoreReply::Refused => self.detection.store_refused(),
+            StoreReply::Refused => self.detection.record_store_refusal(),
             StoreReply::Busy => {}
-            StoreReply::Unknown => self.detection.store_not_refused(),
+            StoreReply::Unknown => self.detection.reset_store_refusals(),
             _ => {
-                self.detection.store_not_refused();
-                self.store.state_answered(self.outbox.now);
+                self.detection.reset_store_refusals();
+                self.store.record_store_reply(self.outbox.now);
             }
         }
     }
@@ -106,7 +106,10 @@
     fn store_read(&mut self, sent: Time, reply: StoreReply) {
         self.synced(sent, reply);
         let incarnation = self.ownership.incarnation();
-        if self.store.is_registered(&self.config.node, incarnation) {
+        if self
+            .store
+            .is_registered(&self.config.controller, incarnation)
+        {
             self.ownership
                 .record_current_as_of(self.store.current_as_of());
         }
--- a/src/core/controller/ownership/tests.rs
+++ b/src/core/controller/ownership/tests.rs
@@ -3,15 +3,16 @@
 use crate::core::leader::Leader;
 use crate::core::test_support::config;
 
-/// A leader that runs out of fencing tokens writes its key again, with the key's revision as a
-/// precondition. Before, a fleet that had run for weeks under one leader made no changes any more.
+/// Fencing tokens are derived from the revision of the leader's key, so a leader that has few left
+/// must write the key again. Without that, a fleet that had one leader for weeks could no longer change its
+/// shard map.
 #[test]
-fn a_leader_out_of_fencing_tokens_claims_its_key_again() {
+fn leader_low_on_fencing_tokens_rewrites_its_key() {
     let mut core = Core::new(config(), 1);
-    core.outbox.begin(1.0, 0);
+    core.outbox.begin_step(1.0, 0);
     core.ownership.hold_unrenewed(5);
     let record = ProcessRecord {
-        node: core.config.node.clone(),
+        node: core.config.controller.clone(),
         incarnation: core.ownership.incarnation(),
         lease: 5,
         keeps_grants: false,
@@ -24,17 +25,20 @@
         .apply_write(&put(LEADER_KEY, &record, Some(5)), 8);
     core.leader = Some(Leader::new(&core.config, 8, &core.store, 1.0));
     core.write_keys(5);
-    assert!(core.outbox.take_effects().is_empty(), "tokens remain");
+    assert!(
+        core.outbox.take_effects().is_empty(),
+        "enough tokens remain"
+    );
     while let Some(leader) = core
         .leader
         .as_mut()
-        .filter(|leader| !leader.tokens_exhausted())
+        .filter(|leader| !leader.tokens_running_low())
     {
-        assert!(leader.take_token().is_some());
+        assert!(leader.consume_token().is_some());
     }
     core.write_keys(5);
     let effects = core.outbox.take_effects();
-    let [Effect::State(_, StoreCall::Commit(claim))] = &effects[..] else {
+    let [Effect::Store(_, StoreCall::Commit(claim))] = &effects[..] else {
         panic!("{effects:?}")
     };
     assert_eq!(claim.preconditions, [precondition(LEADER_KEY, 8)]);
--- a/src/core/controller/status.rs
+++ b/src/core/controller/status.rs
@@ -7,7 +7,7 @@
 use crate::core::records::versioned::StoredLedger;
 use crate::core::scheduling::usage::{Basis, are_on};
 use crate::core::shard::grants::TeamGrant;
-use crate::ids::{FencingToken, Node};
+use crate::ids::{ControllerName, FencingToken};
 use crate::status::{
     BasisStatus, Capacity, GrantStatus, HandOverStatus, HandOverWait, OpinionStatus,
     OwnedTeamStatus, RecordState, SiblingStatus, StageStatus, Status, TeamStatus,
@@ -41,7 +41,7 @@
         let now = self.outbox.now;
         let teams = self.config.deployment.teams.iter();
         Status {
-            controller: self.config.node.to_string(),
+            controller: self.config.controller.to_string(),
             incarnation: self.ownership.incarnation(),
             leads: self.leads(now),
             entitled: self.ownership.holds_lease(now),
@@ -59,7 +59,7 @@
     fn sibling_statuses(&self) -> Vec<SiblingStatus> {
         let now = self.outbox.now;
         let detector = self.peers.detector();
-        let status = |(node, evidence): (Node, Evidence)| {
+        let status = |(node, evidence): (ControllerName, Evidence)| {
             let opinions = detector.received_opinions(&node, now).into_iter();
             let opinions = opinions.map(|opinion| OpinionStatus {
                 observer: opinion.observer.to_string(),
@@ -85,7 +85,7 @@
 
     /// Processes that own teams or machines although they have failed or their keys have expired.
     fn hand_over_statuses(&self) -> Vec<HandOverStatus> {
-        let owners = self.store.owners();
+        let owners = self.store.shard_map();
         let mut owned: BTreeMap<ProcessId, Owned> = BTreeMap::new();
         for owner in owners.teams.values() {
             owned.entry(owner.process()).or_default().teams += 1;
@@ -115,7 +115,7 @@
         if self.leader.is_none() {
             return Some(HandOverWait::Leader);
         }
-        let consents = self.ownership.consents_to(process);
+        let consents = self.ownership.consent_progress(process);
         let (given, needed) = (consents.given, consents.needed);
         Some(HandOverWait::Consents { given, needed })
     }
@@ -125,7 +125,7 @@
         let since = self.store.grants_kept_since(&team_limits.name);
         let stored = self.store.ledger(&team_limits.name);
         let ledger = stored.and_then(|stored| stored.ledger.as_ref());
-        let owner = self.store.owners().teams.get(&team_limits.name);
+        let owner = self.store.shard_map().teams.get(&team_limits.name);
         let grants = ledger.map_or(&[][..], |ledger| ledger.grants());
         let grants = grants.iter().map(|grant| GrantStatus {
             controller: grant.holder.node.clone(),
--- a/src/core/membership/ownership.rs
+++ b/src/core/membership/ownership.rs
@@ -31,9 +31,9 @@
 
 use crate::config::{Config, Workers};
 use crate::core::model::process::ProcessId;
-use crate::core::model::time::{CLOCK_DRIFT, Time};
+use crate::core::model::time::{MAX_CLOCK_DRIFT, Time};
 use crate::core::store::replica::StoreReplica;
-use crate::ids::{Node, Version};
+use crate::ids::{ControllerName, Version};
 use consents::FailoverConsents;
 use extensions::LeaseExtensions;
 use std::collections::BTreeMap;
@@ -92,7 +92,7 @@
 
 /// This process's ownership lease, and its part in the extensions and failovers of other processes.
 pub struct OwnershipLease {
-    node: Node,
+    node: ControllerName,
     /// Changes whenever the process steps down, as if it had restarted.
     incarnation: u64,
     /// Controllers that are a majority of all.
@@ -106,7 +106,7 @@
     /// Every final state that was confirmed to any user before then is known here.
     current_as_of: Time,
     /// For each sibling that has sent all final states it knows: when the request for them was sent.
-    siblings_current_as_of: BTreeMap<Node, Time>,
+    siblings_current_as_of: BTreeMap<ControllerName, Time>,
     sibling_count: usize,
     lease: LeaseState,
     /// When the last successful renewal was sent.
@@ -127,7 +127,7 @@
 /// the deployment's figures leave no time: an idle machine is better than a late cancellation.
 fn staleness_bound(workers: &Workers) -> Time {
     let tasks_end =
-        workers.lease_s * (1.0 + CLOCK_DRIFT) + workers.report_s * HEARTBEAT_TRAVEL_INTERVALS;
+        workers.lease_s * (1.0 + MAX_CLOCK_DRIFT) + workers.report_s * HEARTBEAT_TRAVEL_INTERVALS;
     (workers.cancel_s * STALENESS_PER_CANCEL_TIME)
         .min((workers.cancel_s - tasks_end) * STALENESS_PER_REMAINING_TIME)
         .max(0.0)
@@ -141,9 +141,9 @@
         let ttl = (workers.lease_s * TTL_WORKER_LEASES).clamp(shortest, longest);
         let margin = ttl * MARGIN_TTLS;
         Self {
-            node: config.node.clone(),
+            node: config.controller.clone(),
             incarnation,
-            majority: config.controllers() / 2 + 1,
+            majority: config.controller_count() / 2 + 1,
             ttl,
             margin,
             staleness_bound: staleness_bound(workers),
@@ -204,11 +204,11 @@
 
     /// Until when the lease is certain to be valid in the store.
     fn valid_in_store_until(&self) -> Time {
-        self.renewed_at + self.ttl * (1.0 - CLOCK_DRIFT) - self.margin
+        self.renewed_at + self.ttl * (1.0 - MAX_CLOCK_DRIFT) - self.margin
     }
 
     /// The version of the leader's key, if this process holds that key as far as it knows.
-    pub fn leads(&self, store: &StoreReplica) -> Option<Version> {
+    pub fn leader_key_version(&self, store: &StoreReplica) -> Option<Version> {
         let leader = store.leader()?;
         let is_own =
             leader.record.node == self.node && leader.record.incarnation == self.incarnation;
@@ -221,7 +221,7 @@
     }
 
     /// A sibling has sent all final states that it knew when it answered a request sent at `asked`.
-    pub fn record_sibling_current_as_of(&mut self, node: &Node, asked: Time) {
+    pub fn record_sibling_current_as_of(&mut self, node: &ControllerName, asked: Time) {
         self.siblings_current_as_of.insert(node.clone(), asked);
         if self.siblings_current_as_of.len() == self.sibling_count
             && let Some(earliest) = self
@@ -321,7 +321,7 @@
 
     /// Notes that the lease of an earlier process of this controller is being ended. Returns whether
     /// it was not the last one for which this was noted.
-    pub fn note_predecessor_ended(&mut self, lease: u64) -> bool {
+    pub fn record_predecessor_ended(&mut self, lease: u64) -> bool {
         self.ended_predecessor.replace(lease) != Some(lease)
     }
 
--- a/src/core/membership/ownership/extensions.rs
+++ b/src/core/membership/ownership/extensions.rs
@@ -3,9 +3,9 @@
 
 use crate::core::membership::ownership::OwnershipLease;
 use crate::core::model::process::ProcessId;
-use crate::core::model::time::{CLOCK_DRIFT, Time};
+use crate::core::model::time::{MAX_CLOCK_DRIFT, Time};
 use crate::core::store::replica::StoreReplica;
-use crate::ids::Node;
+use crate::ids::ControllerName;
 use std::collections::BTreeMap;
 
 /// Duration of an extension, as a part of a worker's lease.
@@ -24,9 +24,9 @@
     /// Seconds by which an extension counts as expired before it is.
     margin: Time,
     /// Until when the extension from each sibling is valid.
-    pub(super) received_until: BTreeMap<Node, Time>,
+    pub(super) received_until: BTreeMap<ControllerName, Time>,
     /// Until when this controller's extension for each sibling is valid.
-    granted_until: BTreeMap<Node, Time>,
+    granted_until: BTreeMap<ControllerName, Time>,
 }
 
 impl LeaseExtensions {
@@ -46,7 +46,7 @@
     }
 
     /// Whether no extension that this controller granted to a sibling is still valid.
-    pub(super) fn none_granted_to(&self, node: &Node, now: Time) -> bool {
+    pub(super) fn none_granted_to(&self, node: &ControllerName, now: Time) -> bool {
         self.granted_until
             .get(node)
             .is_none_or(|until| *until < now)
@@ -94,13 +94,13 @@
         now: Time,
     ) -> bool {
         let is_registered = store.is_registered(&process.node, process.incarnation);
-        let store_is_silent = store.state_silence(now) > self.ttl * STORE_SILENCE_TTLS;
+        let store_is_silent = store.seconds_since_store_reply(now) > self.ttl * STORE_SILENCE_TTLS;
         let is_granted = is_registered
             && store_is_silent
             && !self.consents.includes(process)
             && self.extensions.predecessors_have_expired(now);
         if is_granted {
-            let until = now + self.extensions.duration * (1.0 + CLOCK_DRIFT);
+            let until = now + self.extensions.duration * (1.0 + MAX_CLOCK_DRIFT);
             self.extensions
                 .granted_until
                 .insert(process.node.clone(), until);
@@ -109,10 +109,10 @@
     }
 
     /// A sibling has granted an extension at the request sent at `sent`.
-    pub fn extension_received(&mut self, node: &Node, sent: Time, now: Time) {
+    pub fn extension_received(&mut self, node: &ControllerName, sent: Time, now: Time) {
         if self.wants_extension(now) {
             let extensions = &mut self.extensions;
-            let until = sent + extensions.duration * (1.0 - CLOCK_DRIFT) - extensions.margin;
+            let until = sent + extensions.duration * (1.0 - MAX_CLOCK_DRIFT) - extensions.margin;
             extensions.received_until.insert(node.clone(), until);
         }
     }
--- a/src/core/membership/process_pause/tests.rs
+++ b/src/core/membership/process_pause/tests.rs
@@ -16,11 +16,11 @@
 #[test]
 fn a_process_catches_up_until_others_were_heard_again() {
     let mut process_pause = process_pause();
-    assert_eq!(process_pause.step(10.0), None, "the first step");
-    assert_eq!(process_pause.step(10.5), None, "a busy moment");
+    assert_eq!(process_pause.record_step(10.0), None, "the first step");
+    assert_eq!(process_pause.record_step(10.5), None, "a busy moment");
     assert!(!process_pause.is_catching_up(10.4, 10.5));
-    assert_eq!(process_pause.step(17.5), Some(7.0));
-    assert_eq!(process_pause.step(17.6), None);
+    assert_eq!(process_pause.record_step(17.5), Some(7.0));
+    assert_eq!(process_pause.record_step(17.6), None);
     assert!(
         process_pause.is_catching_up(17.4, 30.0),
         "nothing was read since"
@@ -39,8 +39,8 @@
     let mut machine = Machine::named("m-1".into(), FencingToken(9), 0.0);
     machine.is_owned = true;
     shard.machines.insert("m-1".into(), machine);
-    outbox.begin(8.0, 8_000);
-    shard.heard = 8.0;
+    outbox.begin_step(8.0, 8_000);
+    shard.last_heartbeat = 8.0;
     store.set_current_as_of(8.0);
     let is_unresponsive = |shard: &Shard| shard.machines[&MachineId::from("m-1")].unresponsive;
     shard.catching_up = true;
@@ -64,12 +64,12 @@
     machine.address = "m-1".into();
     shard.machines.insert("m-1".into(), machine);
     let catalog = Catalog::with_types(types());
-    outbox.begin(100.0, 100_000);
+    outbox.begin_step(100.0, 100_000);
     shard.catching_up = true;
-    shard.plan_when_due(&outbox, &store, &catalog);
+    shard.plan_capacity_when_due(&outbox, &store, &catalog);
     assert!(shard.demand.surplus_machines.is_empty());
     shard.catching_up = false;
-    shard.plan_when_due(&outbox, &store, &catalog);
+    shard.plan_capacity_when_due(&outbox, &store, &catalog);
     assert_eq!(
         shard.demand.surplus_machines,
         vec![MachineId::from("m-1")],
@@ -97,7 +97,7 @@
     // No answer but one to the lease's creation, which arrives after the pause.
     let effects = core.step(now, 10_000, Vec::new());
     let listing = effects.into_iter().find_map(|effect| match effect {
-        Effect::State(call, StoreCall::List { .. }) => Some(call),
+        Effect::Store(call, StoreCall::List { .. }) => Some(call),
         _ => None,
     });
     let empty = serde_json::from_value(serde_json::json!({
@@ -105,14 +105,14 @@
     }));
     let reply = StoreReply::Listing(empty.unwrap());
     now += 0.05;
-    let listed = Input::State(listing.unwrap(), reply);
+    let listed = Input::Store(listing.unwrap(), reply);
     let effects = core.step(now, 10_050, vec![listed]);
     let create = effects.into_iter().find_map(|effect| match effect {
-        Effect::State(call, StoreCall::LeaseCreate { .. }) => Some(call),
+        Effect::Store(call, StoreCall::LeaseCreate { .. }) => Some(call),
         _ => None,
     });
     now += 7.0;
-    let lease = Input::State(create.unwrap(), StoreReply::Lease(7));
+    let lease = Input::Store(create.unwrap(), StoreReply::LeaseCreated(7));
     core.step(now, 17_050, vec![lease]);
     assert!(!core.ownership.holds_lease(now));
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -37,7 +37,7 @@
 use crate::core::scheduling::catalog::Catalog;
 use crate::core::shard::Shard;
 use crate::core::store::replica::StoreReplica;
-use crate::ids::{Node, Team, Version};
+use crate::ids::{ControllerName, Team, Version};
 use failure_detector::Stage;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -101,9 +101,9 @@
     /// Handles a batch of inputs, then does everything that is due. `now` is the steady clock in seconds, `wall_ms` the
     /// time of day in milliseconds.
     pub fn step(&mut self, now: Time, wall_ms: u64, batch: Vec<Input>) -> Vec<Effect> {
-        self.outbox.begin(now, wall_ms);
-        self.peers.detector_mut().step(now);
-        if let Some(paused) = self.process_pause.step(now) {
+        self.outbox.begin_step(now, wall_ms);
+        self.peers.detector_mut().begin_step(now);
+        if let Some(paused) = self.process_pause.record_step(now) {
             self.resumed(paused);
         }
         for input in batch {
@@ -119,7 +119,7 @@
     }
 
     /// The failure detector's judgement of a sibling.
-    pub fn stage_of(&self, sibling: &Node) -> Stage {
+    pub fn stage_of(&self, sibling: &ControllerName) -> Stage {
         self.peers.detector().stage(sibling)
     }
 
@@ -147,7 +147,7 @@
     fn resumed(&mut self, paused: Time) {
         tracing::info!(seconds = %format_args!("{paused:.1}"), "process was paused");
         self.peers.note_worker_contact(self.outbox.now);
-        self.store.want_sync();
+        self.store.request_read();
     }
 
     /// Everything that is due at this time. Knowledge comes first (the store, siblings), then the right to act on it,
@@ -159,9 +159,9 @@
             .is_catching_up(self.store.current_as_of(), now);
         self.sync_when_due();
         self.time_out_user_requests();
-        self.judge_siblings();
-        self.relays.follow(&self.store, now);
-        self.keep_ownership();
+        self.update_sibling_stages();
+        self.relays.track_tokens(&self.store, now);
+        self.maintain_ownership();
         self.catalog_when_due();
         self.take_roles();
         if self.ownership.holds_lease(now) {
@@ -185,7 +185,7 @@
             &self.catalog,
             &self.unresponsive,
         );
-        shard.plan_when_due(&self.outbox, &self.store, &self.catalog);
+        shard.plan_capacity_when_due(&self.outbox, &self.store, &self.catalog);
         if !shard.has_machines() {
             // There is no worker to hear from, so silence is no evidence of a failure.
             self.peers.note_worker_contact(now);
@@ -200,8 +200,8 @@
             return;
         };
         if let Some(shard) = self.shard.as_mut() {
-            leader.set_demand(&self.config.node, shard.demand.clone());
-            shard.refused = leader.unavailable_offers();
+            leader.set_demand(&self.config.controller, shard.demand.clone());
+            shard.refused_offers = leader.unavailable_offers();
         }
         leader.set_catching_up(catching_up);
         leader.advance(
@@ -221,13 +221,15 @@
     fn take_roles(&mut self) {
         let now = self.outbox.now;
         let incarnation = self.ownership.incarnation();
-        let is_registered = self.store.is_registered(&self.config.node, incarnation);
+        let is_registered = self
+            .store
+            .is_registered(&self.config.controller, incarnation);
         if self.shard.is_none() && is_registered && self.ownership.holds_lease(now) {
             let image_hints = std::mem::take(&mut self.image_hints);
             self.shard = Some(Shard::new(&self.config, incarnation, image_hints, now));
             self.peers.note_worker_contact(now);
         }
-        let term = self.ownership.leads(&self.store);
+        let term = self.ownership.leader_key_version(&self.store);
         if self.leader.as_ref().map(Leader::key_version) != term {
             // The map as of the revision of the leader's key has every change of earlier leaders.
             let readable_term = term.filter(|term| self.store.revision() >= *term);
--- a/src/core/shard/opportunistic/tests.rs
+++ b/src/core/shard/opportunistic/tests.rs
@@ -8,18 +8,19 @@
 use crate::core::scheduling::opportunistic::*;
 use crate::core::scheduling::packing::Plan;
 use crate::core::scheduling::packing::candidate::{PackingCandidate, TaskDemand};
-use crate::core::shard::owned_jobs::describe;
+use crate::core::shard::owned_jobs::describe_attempt;
 use crate::core::store::replica::StoreReplica;
 use crate::core::test_support::{config, record, service, shard, types};
-use crate::ids::{Attempt, FencingToken, TaskId, TypeName, Zone};
-use crate::wire::{JobSpec, Kind, Priority};
+use crate::ids::{Attempt, FencingToken, MachineTypeName, TaskId, Zone};
+use crate::wire::{JobKind, JobSpec, Priority};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// 100 tasks; eight fit on the cheap machine type and four on the expensive one.
+/// An array of 100 tasks. Eight tasks fit on a machine of the cheap type and four on one of the expensive
+/// type.
 fn opportunistic_array(estimate_s: f64) -> Rc<JobSpec> {
     let mut spec = (*service("idle-hours", "x", 1.0)).clone();
-    spec.kind = Kind::Array;
+    spec.kind = JobKind::Array;
     spec.priority = Priority::Low;
     spec.tasks = 100;
     (spec.cpus, spec.gpus, spec.memory_gb) = (8.0, 1.0, 16.0);
@@ -28,52 +29,55 @@
     Rc::new(spec)
 }
 
-fn spot(type_name: &str) -> MachineOffer {
-    MachineOffer::from((TypeName::from(type_name), Zone::from("a"), true))
+fn spot_offer(type_name: &str) -> MachineOffer {
+    MachineOffer::from((MachineTypeName::from(type_name), Zone::from("a"), true))
 }
 
-/// The demand of a shard without machines for an opportunistic job.
-fn demanded(
+/// The capacity demand for an opportunistic job in a shard without machines.
+fn demand_for(
     spec: &Rc<JobSpec>,
     starved: bool,
     unavailable: &BTreeSet<MachineOffer>,
 ) -> CapacityDemand {
     let (types, mut demand) = (types(), CapacityDemand::default());
     let mut plan = Plan::new(&types, unavailable, Vec::new(), 400);
-    let mut rentals = worthwhile_rentals(&types, machine_seconds(&types, spec, spec.tasks));
+    let mut rental_budget = worthwhile_rentals(&types, machine_seconds(&types, spec, spec.tasks));
     if starved {
-        rentals = rentals.max(1);
+        rental_budget = rental_budget.max(1);
     }
     let tasks = TaskDemand::expected(&types, spec.clone(), spec.tasks);
-    plan.place_opportunistic(tasks, starved, &mut rentals, &mut demand);
+    plan.place_opportunistic(tasks, starved, &mut rental_budget, &mut demand);
     demand
 }
 
-/// A job with a deadline, or of a class with an objective on starts, is not opportunistic.
+/// A job is not opportunistic if it has a deadline or if its class has an objective on start times.
 #[test]
 fn only_low_priority_jobs_without_deadline_or_objective_are_opportunistic() {
     let config = config();
     let spec = opportunistic_array(30.0);
     assert!(is_opportunistic(&config, &spec));
-    let with = |change: fn(&mut JobSpec)| {
+    let is_opportunistic_with = |change: fn(&mut JobSpec)| {
         let mut spec = (*spec).clone();
         change(&mut spec);
         is_opportunistic(&config, &spec)
     };
-    assert!(!with(|spec| spec.priority = Priority::Normal));
-    assert!(!with(|spec| spec.deadline_s = Some(600.0)));
+    assert!(!is_opportunistic_with(
+        |spec| spec.priority = Priority::Normal
+    ));
+    assert!(!is_opportunistic_with(|spec| spec.deadline_s = Some(600.0)));
     assert!(
-        !with(|spec| spec.class = "chat".into()),
+        !is_opportunistic_with(|spec| spec.class = "chat".into()),
         "its class has an objective on starts"
     );
 }
 
-/// An opportunistic array demanded 50 machines of every type and took all that the cloud had (inc-df01).
+/// Guards against an opportunistic array that demands 50 machines of every type and so rents all machines of
+/// the cloud (inc-df01).
 #[test]
 fn only_cost_effective_machines_are_rented_and_no_more_than_the_work_is_worth() {
-    let none = BTreeSet::new();
+    let none_unavailable = BTreeSet::new();
     // 100 tasks of 30 s, eight at a time: 375 machine seconds, 20 s for each rental.
-    let demand = demanded(&opportunistic_array(30.0), false, &none);
+    let demand = demand_for(&opportunistic_array(30.0), false, &none_unavailable);
     assert!(
         demand
             .machine_demands
@@ -86,27 +90,28 @@
         demand.queued, 0.0,
         "opportunistic tasks do not count as queued"
     );
-    // Seconds of work are over before a machine is up.
+    // One second per task is too little work to be worth a machine's boot time.
     assert_eq!(
-        demanded(&opportunistic_array(1.0), false, &none).machines_wanted(),
+        demand_for(&opportunistic_array(1.0), false, &none_unavailable).machines_wanted(),
         0
     );
-    let cheap: BTreeSet<MachineOffer> = ["a", "b"]
+    let cheap_spot_offers: BTreeSet<MachineOffer> = ["a", "b"]
         .iter()
-        .map(|zone| MachineOffer::from((TypeName::from("g8"), Zone::from(*zone), true)))
+        .map(|zone| MachineOffer::from((MachineTypeName::from("g8"), Zone::from(*zone), true)))
         .collect();
-    // The other type is nearly as cheap, but takes four at a time: the work is worth no 25 of them.
+    // The other type is nearly as cheap but runs only four tasks at a time. The work is not worth the 25
+    // machines that all tasks would need.
     assert_eq!(
-        demanded(&opportunistic_array(30.0), false, &cheap).machines_wanted(),
+        demand_for(&opportunistic_array(30.0), false, &cheap_spot_offers).machines_wanted(),
         18
     );
 }
 
-/// A job that has waited for long may rent one machine of any type, so that it is served at all.
+/// A starved job may rent one machine of any type, so that it runs even if no spot instance is available.
 #[test]
 fn a_starved_job_may_rent_one_machine_of_any_type() {
     let types = types();
-    let all: BTreeSet<MachineOffer> = types
+    let all_spot_offers: BTreeSet<MachineOffer> = types
         .iter()
         .flat_map(|machine_type| {
             machine_type
@@ -116,15 +121,15 @@
         })
         .collect();
     assert_eq!(
-        demanded(&opportunistic_array(1.0), false, &all).machines_wanted(),
+        demand_for(&opportunistic_array(1.0), false, &all_spot_offers).machines_wanted(),
         0
     );
-    let demand = demanded(&opportunistic_array(1.0), true, &all);
+    let demand = demand_for(&opportunistic_array(1.0), true, &all_spot_offers);
     assert_eq!(demand.machines_wanted(), 1);
     assert!(!demand.machine_demands[0].offer.spot);
 }
 
-/// Resources of opportunistic tasks are free for all other tasks, so nothing is rented beside them.
+/// Resources of opportunistic tasks count as free for all other tasks, so no machine is rented for these.
 #[test]
 fn other_tasks_are_planned_on_the_resources_of_opportunistic_tasks() {
     let (types, unavailable) = (types(), BTreeSet::new());
@@ -134,7 +139,7 @@
         opportunistic: full,
         ..PackingCandidate::empty(
             Some("m-1".into()),
-            MachineOffer::from((TypeName::from("g8"), Zone::from("a"), false)),
+            MachineOffer::from((MachineTypeName::from("g8"), Zone::from("a"), false)),
         )
     };
     let (mut plan, mut demand) = (
@@ -146,32 +151,32 @@
         &mut demand,
     );
     assert_eq!(demand.machines_wanted(), 0);
-    // Other opportunistic tasks do not fit there.
+    // Further opportunistic tasks may not use the same resources.
     plan.reserve_opportunistic();
     let tasks = TaskDemand::expected(&types, opportunistic_array(30.0), 1);
     plan.place_opportunistic(tasks, false, &mut 1, &mut demand);
     assert_eq!(demand.machines_wanted(), 1);
 }
 
-/// A spot instance is not worth renting if its price per task is more than half above the lowest.
+/// A spot instance is not worth renting if its price per task is more than 1.5 times the lowest.
 #[test]
 fn an_expensive_spot_instance_is_not_cost_effective() {
     let mut types = types();
     let spec = opportunistic_array(30.0);
-    assert!(is_cost_effective(&types, &spot("g4"), &spec));
+    assert!(is_cost_effective(&types, &spot_offer("g4"), &spec));
     types[0].spot_price *= 2.0;
-    assert!(!is_cost_effective(&types, &spot("g4"), &spec));
-    assert!(is_cost_effective(&types, &spot("g8"), &spec));
+    assert!(!is_cost_effective(&types, &spot_offer("g4"), &spec));
+    assert!(is_cost_effective(&types, &spot_offer("g8"), &spec));
     let MachineOffer {
         type_name, zone, ..
-    } = spot("g8");
+    } = spot_offer("g8");
     assert!(
         !is_cost_effective(&types, &MachineOffer::from((type_name, zone, false)), &spec),
         "only spot instances are"
     );
 }
 
-/// A shard with one machine of 64 CPUs, whose token is confirmed, on which one task of the array runs.
+/// A shard with one machine of 64 CPUs that has confirmed its token and runs one task of the array.
 fn shard_with_an_opportunistic_task(spot: bool) -> (Shard, Outbox, StoreReplica) {
     let (mut shard, outbox, store) = shard();
     let mut machine = Machine::named("m-1".into(), FencingToken(9), 0.0);
@@ -182,7 +187,7 @@
     let mut tracked = TrackedAttempt::new(0.0);
     let mut spec = (*opportunistic_array(30.0)).clone();
     (spec.checkpoint_interval_s, spec.checkpoint_write_s) = (5.0, 2.0);
-    describe(&mut tracked, &shard.config, &spec);
+    describe_attempt(&mut tracked, &shard.config, &spec);
     machine.attempts.insert(
         (TaskId::parse("req-000001/0").unwrap(), Attempt(1)),
         tracked,
@@ -191,35 +196,35 @@
     (shard, outbox, store)
 }
 
-/// Other machines than spot instances stayed up for as long as opportunistic tasks arrived.
+/// Guards against machines other than spot instances that are kept as long as opportunistic tasks arrive.
 #[test]
 fn a_machine_with_only_opportunistic_tasks_is_emptied_unless_it_is_a_spot_instance() {
     for spot in [false, true] {
         let (mut shard, mut outbox, store) = shard_with_an_opportunistic_task(spot);
         let catalog = Catalog::with_types(types());
-        let grace = |shard: &Shard| {
+        let stop_grace = |shard: &Shard| {
             let machine = &shard.machines[&MachineId::from("m-1")];
             machine.attempts.values().next().unwrap().stop
         };
-        outbox.begin(5.0, 5_000);
-        shard.plan_when_due(&outbox, &store, &catalog);
+        outbox.begin_step(5.0, 5_000);
+        shard.plan_capacity_when_due(&outbox, &store, &catalog);
         assert_eq!(
             shard.demand.opportunistic_only_machines,
             vec![MachineId::from("m-1")]
         );
-        assert_eq!(grace(&shard), None, "not idle for long");
-        outbox.begin(100.0, 100_000);
+        assert_eq!(stop_grace(&shard), None, "not idle for long");
+        outbox.begin_step(100.0, 100_000);
         shard
             .machines
             .get_mut(&MachineId::from("m-1"))
             .unwrap()
             .last_answered = 100.0;
-        shard.plan_when_due(&outbox, &store, &catalog);
-        assert_eq!(grace(&shard), if spot { None } else { Some(2.0) });
+        shard.plan_capacity_when_due(&outbox, &store, &catalog);
+        assert_eq!(stop_grace(&shard), if spot { None } else { Some(2.0) });
     }
 }
 
-/// The end of an opportunistic task does not restart the time for which a machine has been unused.
+/// The end of an opportunistic task does not reset the idle time of a machine.
 #[test]
 fn idle_time_includes_time_with_only_opportunistic_tasks() {
     let (mut shard, _, _) = shard_with_an_opportunistic_task(false);
@@ -229,14 +234,14 @@
     assert_eq!(machine.idle_since, 0.0);
     let other = (TaskId::parse("req-000002/0").unwrap(), Attempt(1));
     let mut tracked = TrackedAttempt::new(0.0);
-    describe(&mut tracked, &shard.config, &service("chat", "x", 1.0));
+    describe_attempt(&mut tracked, &shard.config, &service("chat", "x", 1.0));
     machine.attempts.insert(other.clone(), tracked);
     assert!(!machine.holds_only_opportunistic());
     machine.note_end(&other, 60.0);
     assert_eq!(machine.idle_since, 60.0);
 }
 
-/// Preempting a job that others depend on would make those late.
+/// Preempting a job that others depend on would delay the others.
 #[test]
 fn a_job_that_others_depend_on_is_not_opportunistic() {
     let config = config();
@@ -252,7 +257,7 @@
     assert!(!job.is_opportunistic(&config));
 }
 
-/// Beside an attempt whose resources are unknown nothing counts as free.
+/// A machine with an attempt of unknown size has no free resources.
 #[test]
 fn no_resources_are_free_beside_an_attempt_of_unknown_size() {
     let (mut shard, _, _) = shard_with_an_opportunistic_task(false);
--- a/src/core/shard/owned_jobs/running_counts.rs
+++ b/src/core/shard/owned_jobs/running_counts.rs
@@ -1,4 +1,4 @@
-//! Numbers of done and running tasks of each job, for display.
+//! Counts of done and running tasks of each job, for display.
 
 use crate::core::machines::machine::Phase;
 use crate::core::model::time::Time;
@@ -6,32 +6,33 @@
 use crate::ids::JobId;
 use crate::wire::TaskState;
 
-/// Counts in the time of a lease.
+/// How often tasks are counted within the duration of a worker lease.
 const COUNTS_PER_LEASE: f64 = 20.0;
 
 impl Shard {
-    /// Tasks done and running of a job.
-    pub fn counts(&self, id: &JobId) -> Option<(u32, u32)> {
-        self.running.get(id).copied()
+    /// The numbers of done and running tasks of a job; `None` if none of its tasks was running at the last
+    /// count.
+    pub fn task_counts(&self, id: &JobId) -> Option<(u32, u32)> {
+        self.task_counts.get(id).copied()
     }
 
-    /// Tasks done and running of all jobs that run.
-    pub fn running(&self) -> Vec<(JobId, u32, u32)> {
-        self.running
+    /// The numbers of done and running tasks of every job that had a running task at the last count.
+    pub fn all_task_counts(&self) -> Vec<(JobId, u32, u32)> {
+        self.task_counts
             .iter()
             .map(|(id, &(done, running))| (id.clone(), done, running))
             .collect()
     }
 
-    /// Counts running tasks when it is due, and notes which jobs have proven to run.
-    pub(in crate::core::shard) fn count_running(&mut self, now: Time) {
+    /// Counts running tasks if a count is due, and marks jobs with a long-running task as proven to run.
+    pub(in crate::core::shard) fn count_running_tasks(&mut self, now: Time) {
         let lease_s = self.config.deployment.workers.lease_s;
-        if now < self.running_at + lease_s / COUNTS_PER_LEASE {
+        if now < self.task_counts_at + lease_s / COUNTS_PER_LEASE {
             return;
         }
-        self.running_at = now;
-        self.running.clear();
-        // A task that has run for a lease proves that its job does not fail on every machine.
+        self.task_counts_at = now;
+        self.task_counts.clear();
+        // A task that has run for the duration of a lease proves that its job does not fail on every machine.
         let proof_s = lease_s;
         let machines = self.machines.values();
         for ((task, _), tracked) in machines.flat_map(|machine| &machine.attempts) {
@@ -49,7 +50,7 @@
             {
                 job.failures.prove();
             }
-            let (done, running) = self.running.entry(task.job.clone()).or_default();
+            let (done, running) = self.task_counts.entry(task.job.clone()).or_default();
             *done = job.done.len();
             *running += 1;
         }
--- a/src/core/shard/round.rs
+++ b/src/core/shard/round.rs
@@ -1,4 +1,4 @@
-//! A round of placement: which waiting tasks are started on which machines, and in what order.
+//! The placement round: starts waiting tasks on machines, in queue order.
 
 mod machine_choice;
 mod queue;
@@ -21,82 +21,88 @@
 use crate::wire::JobSpec;
 use std::rc::Rc;
 
-/// Starts issued in one round at most; the next round follows at once.
+/// Maximum number of task starts in one round; the next round follows at once.
 const MAX_STARTS_PER_ROUND: usize = 200;
 
-/// What a round of placement knows when it looks at a job.
+/// Conditions under which a round places one job.
 #[derive(Clone, Copy)]
 struct RoundContext {
-    /// Whether machines are about to send their first heartbeat.
-    expects_machines: bool,
+    /// See [`Shard::expects_first_heartbeats`].
+    expects_first_heartbeats: bool,
     /// See [`Shard::avoids_stranding_gpus`].
     avoids_stranding_gpus: bool,
     now: Time,
 }
 
-/// The tasks of a job that its team's limit allows to be started.
+/// The waiting tasks of a job that may be started within its team's limit.
 struct StartableTasks {
     spec: Rc<JobSpec>,
     team_limits: TeamLimits,
-    /// What each task needs.
+    /// Resources of each task.
     need: Resources,
-    /// Indices of the tasks.
+    /// Indices of the tasks within the job.
     tasks: Vec<u32>,
-    /// Whether all of them have to start, or none.
+    /// Whether the tasks must all start in the same round.
     is_gang: bool,
 }
 
-/// A task and the index of the snapshot of the machine chosen for it.
+/// A task and the machine chosen for it.
 struct Placement {
+    /// Index of the task within its job.
     task: u32,
+    /// Index of the machine's snapshot.
     snapshot: usize,
 }
 
 /// The machines chosen for the tasks of a job.
-struct Choice {
+struct SelectedMachines {
     /// Indices of snapshots, one for each placed task.
     snapshots: Vec<usize>,
-    /// Tasks for which no machine was found and others should be preempted.
+    /// Number of tasks that found no machine and may preempt others.
     unplaced: usize,
 }
 
 impl Shard {
-    /// Starts waiting tasks where resources are free, and adds them to `usage`.
+    /// Runs a placement round: starts waiting tasks on machines with enough free resources and adds them to
+    /// `usage`.
     pub(crate) fn schedule(&mut self, now: Time, usage: &mut Usage, catalog: &Catalog) {
-        let mut snapshots = self.snapshots(now);
+        let mut snapshots = self.snapshot_machines(now);
         self.reserve_for_cached_images(&mut snapshots, catalog, now);
-        let expects_machines = self.expects_machines(now);
+        let expects_first_heartbeats = self.expects_first_heartbeats(now);
         let mut starts = 0;
-        for id in self.queue(usage, now) {
+        for id in self.queued_jobs(usage, now) {
             let round = RoundContext {
-                expects_machines,
+                expects_first_heartbeats,
                 avoids_stranding_gpus: self.avoids_stranding_gpus(&id, catalog, now),
                 now,
             };
             starts += self.schedule_job(&id, &mut snapshots, usage, round);
             if starts >= MAX_STARTS_PER_ROUND {
-                self.changed = true;
+                self.changed_since_round = true;
                 return;
             }
         }
     }
 
-    /// Whether a job's tasks leave CPUs and memory to free GPUs: they need no GPUs and may run on machines
-    /// without any. Not if they have waited too long for such machines, nor if they are preempted
-    /// for any other work anyway.
+    /// Whether a job's tasks must leave free the CPUs and memory that tasks on the machine's free GPUs would
+    /// need. This holds for tasks that need no GPUs and can run on machines without GPUs. It does not hold
+    /// once the job has waited longer than `cancel_s` for a machine, nor for opportunistic jobs, because any
+    /// other work preempts these.
     pub(crate) fn avoids_stranding_gpus(&self, id: &JobId, catalog: &Catalog, now: Time) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
-        let patience = self.config.deployment.workers.cancel_s;
-        let has_waited_long = job.waits_since.is_some_and(|since| now - since > patience);
+        let max_wait_s = self.config.deployment.workers.cancel_s;
+        let has_waited_long = job
+            .waits_since
+            .is_some_and(|since| now - since > max_wait_s);
         !has_waited_long
             && !job.is_opportunistic(&self.config)
             && fits_without_gpus(catalog.types(), &job.spec)
     }
 
-    /// Starts tasks of one job, and preempts others for those that do not fit. Returns how many tasks were
-    /// started.
+    /// Starts tasks of one job and preempts other tasks for those that find no machine. Returns the number of
+    /// started tasks.
     fn schedule_job(
         &mut self,
         id: &JobId,
@@ -104,13 +110,13 @@
         usage: &mut Usage,
         round: RoundContext,
     ) -> usize {
-        let Some(startable) = self.startable_within_limit(id, usage, round.now) else {
+        let Some(startable) = self.startable_tasks_within_limit(id, usage, round.now) else {
             return 0;
         };
-        let Some(choice) = self.choose_for(id, &startable, snapshots, round) else {
+        let Some(selected) = self.choose_machines_for_job(id, &startable, snapshots, round) else {
             return 0;
         };
-        let Some(mut placements) = self.place_once(id, &startable, &choice) else {
+        let Some(mut placements) = self.pair_tasks_with_machines(id, &startable, &selected) else {
             return 0;
         };
         for placement in &placements {
@@ -118,28 +124,29 @@
                 snapshot.assign(&startable.need, &startable.spec.image);
             }
         }
-        // Tasks that wait only for a larger grant keep the resources found for them until then.
+        // Tasks that the grant does not cover yet stay assigned in the snapshots, so that their resources are
+        // not given to other jobs of this round.
         placements.truncate(usage.admit_under_grant(
             &startable.team_limits,
             &startable.need,
             placements.len(),
             startable.is_gang,
         ));
-        if !self.start_placed(id, &startable, &placements, snapshots, usage, round.now) {
+        if !self.start_placed_tasks(id, &startable, &placements, snapshots, usage, round.now) {
             return 0;
         }
-        if choice.unplaced > 0 {
-            self.make_room(id, choice.unplaced, snapshots, usage, round);
+        if selected.unplaced > 0 {
+            self.preempt_for_unplaced_tasks(id, selected.unplaced, snapshots, usage, round);
         }
         if let Some(job) = self.jobs.get_mut(id) {
-            job.waits_since = (choice.unplaced > 0).then(|| job.waits_since.unwrap_or(round.now));
+            job.waits_since = (selected.unplaced > 0).then(|| job.waits_since.unwrap_or(round.now));
         }
         placements.len()
     }
 
-    /// The waiting tasks of a job that may be started now within its team's limit; `None` if there are none,
-    /// or not all tasks of a gang.
-    fn startable_within_limit(
+    /// The waiting tasks of a job that may be started now within its team's limit. `None` if there are none
+    /// or if the job is a gang and not all its tasks may be started.
+    fn startable_tasks_within_limit(
         &self,
         id: &JobId,
         usage: &Usage,
@@ -149,7 +156,7 @@
         let team_limits = team_limits(&self.config, &job.spec)?.clone();
         let need = job.need();
         let is_gang = job.is_gang();
-        let mut tasks = self.startable(job, now);
+        let mut tasks = self.startable_tasks(job, now);
         if tasks.is_empty() || (is_gang && tasks.len() != job.spec.tasks as usize) {
             return None;
         }
@@ -167,16 +174,16 @@
         })
     }
 
-    /// Chooses machines for the tasks. Resources reserved for other images are used only if no others are
-    /// free, or if the job has been interrupted: it is missed now, while the tasks that the resources are
-    /// reserved for may never arrive.
-    fn choose_for(
+    /// Chooses machines for the tasks. Resources reserved for other images are used only if the other free
+    /// resources do not suffice or if the job was interrupted. An interrupted job is down now, whereas the
+    /// tasks for which resources are reserved may never arrive.
+    fn choose_machines_for_job(
         &self,
         id: &JobId,
         startable: &StartableTasks,
         snapshots: &[MachineSnapshot],
         round: RoundContext,
-    ) -> Option<Choice> {
+    ) -> Option<SelectedMachines> {
         let job = self.jobs.get(id)?;
         let wanted = startable.tasks.len();
         let request = PlacementRequest {
@@ -198,18 +205,18 @@
         } else {
             wanted - chosen.len()
         };
-        if round.expects_machines {
-            self.leave_to_expected_machines(job, &mut chosen, wanted, snapshots, round.now);
+        if round.expects_first_heartbeats {
+            self.exclude_machines_with_shared_fetch(job, &mut chosen, wanted, snapshots, round.now);
         }
-        Some(Choice {
+        Some(SelectedMachines {
             snapshots: chosen,
             unplaced,
         })
     }
 
-    /// Drops the machines on which the image would wait for another's fetch: machines that are about to
-    /// send their first heartbeat can start these tasks sooner.
-    fn leave_to_expected_machines(
+    /// Drops the machines on which the fetch of the job's image would share the fetch rate with other images,
+    /// because a machine that is about to send its first heartbeat can start these tasks sooner.
+    fn exclude_machines_with_shared_fetch(
         &self,
         job: &Job,
         chosen: &mut Vec<usize>,
@@ -220,55 +227,55 @@
         chosen.retain(|index| {
             snapshots
                 .get(*index)
-                .is_some_and(|snapshot| !self.fetch_is_shared(&snapshot.id, &job.spec, now))
+                .is_some_and(|snapshot| !self.would_share_fetch_rate(&snapshot.id, &job.spec, now))
         });
         if job.is_gang() && chosen.len() < wanted {
             chosen.clear();
         }
     }
 
-    /// Pairs the tasks with the chosen machines, without tasks that may be running already; `None` if
-    /// there are such tasks in a gang.
-    fn place_once(
+    /// Pairs the tasks with the chosen machines and leaves out tasks that may already be running. `None` if a
+    /// gang has such a task.
+    fn pair_tasks_with_machines(
         &mut self,
         id: &JobId,
         startable: &StartableTasks,
-        choice: &Choice,
+        selected: &SelectedMachines,
     ) -> Option<Vec<Placement>> {
         let mut placements: Vec<Placement> = startable
             .tasks
             .iter()
-            .zip(&choice.snapshots)
+            .zip(&selected.snapshots)
             .map(|(&task, &snapshot)| Placement { task, snapshot })
             .collect();
-        self.hold_back_second_attempts(id, &mut placements);
-        let is_partial_gang = startable.is_gang && placements.len() < choice.snapshots.len();
+        self.exclude_tasks_with_live_attempts(id, &mut placements);
+        let is_partial_gang = startable.is_gang && placements.len() < selected.snapshots.len();
         (!is_partial_gang).then_some(placements)
     }
 
-    /// The last safeguard against running a task twice: a task is not started while an attempt of it may
-    /// be on some machine. Such a task should not be waiting at all, so this is logged and counted.
-    fn hold_back_second_attempts(&mut self, id: &JobId, placements: &mut Vec<Placement>) {
+    /// Removes tasks of which another attempt may be on a machine, as a last check against running a task
+    /// twice. Such a task should not be in the waiting state, so each case is logged and counted.
+    fn exclude_tasks_with_live_attempts(&mut self, id: &JobId, placements: &mut Vec<Placement>) {
         if placements.is_empty() {
             return;
         }
-        let on_machines = self.tasks_on_machines(id);
+        let tasks_with_attempts = self.tasks_on_machines(id);
         let before = placements.len();
-        placements.retain(|placement| !on_machines.contains(&placement.task));
-        let held_back = before - placements.len();
-        if held_back > 0 {
+        placements.retain(|placement| !tasks_with_attempts.contains(&placement.task));
+        let excluded = before - placements.len();
+        if excluded > 0 {
             tracing::error!(
                 job = %id,
-                tasks = held_back,
-                "waiting tasks held back: attempts of them may be running"
+                tasks = excluded,
+                "waiting tasks not started: earlier attempts of them may still be running"
             );
-            self.starts_held_back += held_back as u64;
+            self.starts_held_back += excluded as u64;
         }
     }
 
-    /// Starts the placed tasks as one attempt, and adds them to `usage`; false if the team's fencing token has
-    /// no attempt numbers left.
-    fn start_placed(
+    /// Starts the placed tasks, all with the same attempt number, and adds them to `usage`. Returns false if
+    /// the team's fencing token has no attempt numbers left.
+    fn start_placed_tasks(
         &mut self,
         id: &JobId,
         startable: &StartableTasks,
@@ -281,20 +288,21 @@
             return true;
         }
         let team = &startable.team_limits.name;
-        let Some(attempt) = self.next_attempt(team) else {
+        let Some(attempt) = self.allocate_attempt_number(team) else {
             return false;
         };
         for placement in placements {
             usage.add(team, startable.need.cpus, startable.need.gpus);
             if let Some(snapshot) = snapshots.get(placement.snapshot) {
-                self.start(id, placement.task, &snapshot.id, attempt, now);
+                self.start_task(id, placement.task, &snapshot.id, attempt, now);
             }
         }
         true
     }
 
-    /// Preempts tasks for those of a job that found no machine, and reserves machines for a gang.
-    fn make_room(
+    /// Preempts other tasks for the tasks of a job that found no machine, and reserves machines if the job is
+    /// a gang.
+    fn preempt_for_unplaced_tasks(
         &mut self,
         id: &JobId,
         unplaced: usize,
@@ -310,7 +318,7 @@
         let preemptions =
             preemption::choose_preemptions(self, &unplaced_tasks, snapshots, usage, round.now);
         for preemption in preemptions {
-            self.stop(
+            self.stop_attempt(
                 &preemption.machine,
                 &preemption.task,
                 preemption.attempt,
--- a/src/core/shard/soon_ready/tests.rs
+++ b/src/core/shard/soon_ready/tests.rs
@@ -6,8 +6,8 @@
 use crate::core::records::keys::job_key;
 use crate::core::records::shard_map::ShardEntry;
 use crate::core::records::versioned::put;
-use crate::core::shard::owned_jobs::describe;
-use crate::core::test_support::{map, owner as process, shard, types};
+use crate::core::shard::owned_jobs::describe_attempt;
+use crate::core::test_support::{map, owner, shard, types};
 use crate::ids::{Attempt, TaskId, Version};
 use crate::wire::TaskState;
 
@@ -36,13 +36,13 @@
     fn new() -> Self {
         let (mut shard, mut outbox, mut store) = shard();
         let machines = vec!["m-1".into()];
-        let mine = ShardEntry {
-            owner: process("n0"),
+        let shard_entry = ShardEntry {
+            owner: owner("n0"),
             teams: vec!["red".into()],
             machines,
         };
-        map(&mut store, 1, vec![mine]);
-        shard.follow_map(&mut outbox, &store, &UnresponsiveMachines::default());
+        map(&mut store, 1, vec![shard_entry]);
+        shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
         Self {
             shard,
             outbox,
@@ -64,12 +64,12 @@
         }
     }
 
-    /// A task is running since `started_at`, or is fetching its image if that is None.
+    /// Marks a task as running since `started_at`, or as fetching its image if that is `None`.
     fn run(&mut self, id: u32, index: u32, started_at: Option<Time>) {
         let id = JobId::from(format!("req-{id:06}"));
         let job = self.shard.jobs.get_mut(&id).unwrap();
         let mut tracked = TrackedAttempt::new(0.0);
-        describe(&mut tracked, &self.shard.config, &job.spec);
+        describe_attempt(&mut tracked, &self.shard.config, &job.spec);
         tracked.phase = Phase::Seen(TaskState::Running);
         tracked.started_at = started_at;
         job.set(
@@ -88,7 +88,7 @@
     }
 
     fn soon_ready(&mut self, now: Time) -> SoonReadyJobs {
-        self.outbox.begin(now, 0);
+        self.outbox.begin_step(now, 0);
         let types: Vec<_> = types()
             .into_iter()
             .map(|machine_type| MachineType {
@@ -101,7 +101,8 @@
     }
 }
 
-/// Not earlier than one boot time before the expected end of all dependencies.
+/// Machines for a dependent job are planned at most one boot time before all its dependencies are expected to
+/// end.
 #[test]
 fn dependents_are_planned_one_boot_time_before_their_dependencies_end() {
     let mut fixture = Fixture::new();
@@ -138,7 +139,7 @@
     );
 }
 
-/// Nothing is planned for a job that will not run, or that depends on another shard's job.
+/// No machine is planned for a job that is cancelled with its dependency or depends on another shard's job.
 #[test]
 fn dependents_of_cancelled_or_foreign_jobs_are_not_planned() {
     let mut fixture = Fixture::new();
@@ -148,7 +149,7 @@
     fixture.run(1, 0, Some(0.0));
     fixture.run(2, 0, Some(0.0));
     assert_eq!(fixture.soon_ready(20.0).demands.len(), 1);
-    let elsewhere = fixture.shard.jobs.remove(&JobId::from("req-000002"));
+    let removed_job = fixture.shard.jobs.remove(&JobId::from("req-000002"));
     assert!(
         fixture.soon_ready(20.0).demands.is_empty(),
         "a dependency runs in another shard"
@@ -156,7 +157,7 @@
     fixture
         .shard
         .jobs
-        .insert("req-000002".into(), elsewhere.unwrap());
+        .insert("req-000002".into(), removed_job.unwrap());
     let (id, cancelled) = record(2, 1, &[]);
     fixture.accept((id, cancelled.cancelled(1)), 5);
     assert!(
--- a/src/core/shard/tracking/attempt_end.rs
+++ b/src/core/shard/tracking/attempt_end.rs
@@ -1,30 +1,31 @@
-//! The end of attempts: exits that machines report, and attempts that are no longer on their machines.
+//! Handles the end of attempts: exits reported by machines, and attempts that are no longer on their
+//! machines.
 
 use crate::core::jobs::job::Task;
 use crate::core::model::time::Time;
 use crate::core::shard::Shard;
 use crate::ids::{Attempt, MachineId, TaskId};
-use crate::wire::{Exit, Kind};
+use crate::wire::{ExitReason, JobKind};
 
-/// Failures of a task after which the time until its next attempt does not grow any more.
-const LONGEST_BACKOFF_FAILURES: u32 = 5;
+/// Number of failures of a task from which on its retry delay no longer grows.
+const MAX_BACKOFF_FAILURES: u32 = 5;
 
-/// Part of a heartbeat interval after which a start that a machine refused is tried again.
-const REFUSED_RETRY_HEARTBEATS: f64 = 0.5;
+/// Delay before a start that a machine refused is retried, in heartbeat intervals.
+const REFUSED_START_RETRY_HEARTBEATS: f64 = 0.5;
 
-/// Seconds until a task is tried again after this many failures: 1, doubled with each further one.
+/// Retry delay in seconds after this many failures: 1 s after the first, doubled with each further failure.
 fn backoff_s(failures: u32) -> Time {
-    2f64.powi(failures.min(LONGEST_BACKOFF_FAILURES) as i32 - 1)
+    2f64.powi(failures.min(MAX_BACKOFF_FAILURES) as i32 - 1)
 }
 
 impl Shard {
-    /// A machine has shown for the first time that an attempt has ended.
-    pub(in crate::core::shard) fn task_exited(
+    /// Handles the first report of an attempt's exit.
+    pub(in crate::core::shard) fn handle_task_exit(
         &mut self,
         machine_id: &MachineId,
         task: &TaskId,
         attempt: Attempt,
-        reason: Exit,
+        reason: ExitReason,
         now: Time,
     ) {
         let key = (task.clone(), attempt);
@@ -40,47 +41,57 @@
         };
         let is_placed_here =
             job.task(task.index) == Some(&Task::Placed(machine_id.clone(), attempt));
-        if reason == Exit::Done && job.spec.kind != Kind::Service {
-            // The worker may forget this exit only once it is recorded.
+        if reason == ExitReason::Done && job.spec.kind != JobKind::Service {
+            // The worker may forget this exit only after the store has recorded it.
             let zone = is_placed_here.then_some(&machine.zone);
             job.set(task.index, Task::Done, zone);
             job.failures.prove();
             if job.is_gang() {
-                self.gang_done(&task.job);
+                self.complete_gang(&task.job);
             }
-            return self.note_progress(&task.job, now);
+            return self.queue_for_recording(&task.job, now);
         }
         tracked.may_forget = true;
         if is_placed_here {
             self.delay_retry(machine_id, task, reason, now);
-            self.attempt_lost(machine_id, task, attempt);
+            self.handle_lost_attempt(machine_id, task, attempt);
         }
     }
 
-    /// Sets when a task may be tried again after an attempt that did not complete.
-    fn delay_retry(&mut self, machine_id: &MachineId, task: &TaskId, reason: Exit, now: Time) {
+    /// Sets the earliest time of the task's next attempt after one that did not complete.
+    fn delay_retry(
+        &mut self,
+        machine_id: &MachineId,
+        task: &TaskId,
+        reason: ExitReason,
+        now: Time,
+    ) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
         let retry = job.retries.entry(task.index).or_default();
         match reason {
-            Exit::Error | Exit::Other => {
+            ExitReason::Error | ExitReason::Other => {
                 retry.failures += 1;
                 retry.not_before = now + backoff_s(retry.failures);
-                self.note_failure(machine_id, task, now);
+                self.handle_task_failure(machine_id, task, now);
             }
-            Exit::NoRoom | Exit::Busy | Exit::UnknownJob => {
+            ExitReason::NoRoom | ExitReason::Busy | ExitReason::UnknownJob => {
                 let interval = self.config.deployment.workers.report_s;
-                retry.not_before = now + interval * REFUSED_RETRY_HEARTBEATS;
+                retry.not_before = now + interval * REFUSED_START_RETRY_HEARTBEATS;
             }
-            Exit::Stopped | Exit::PeersGone | Exit::GangIncomplete | Exit::Done => {}
+            ExitReason::Stopped
+            | ExitReason::PeersGone
+            | ExitReason::GangIncomplete
+            | ExitReason::Done => {}
         }
     }
 
-    /// The task that was placed in this attempt has lost it. It waits, or is where another attempt of it
-    /// may be: a surplus attempt is stopped, but until it has ended no other may start.
-    fn attempt_lost(&mut self, machine_id: &MachineId, task: &TaskId, attempt: Attempt) {
-        let other = self.other_attempt(task);
+    /// Updates the task that was placed in a lost attempt. The task waits, unless another attempt of it may
+    /// still be on a machine: it is then placed in that attempt, because no new one may start until a surplus
+    /// attempt has ended.
+    fn handle_lost_attempt(&mut self, machine_id: &MachineId, task: &TaskId, attempt: Attempt) {
+        let other = self.find_live_attempt(task);
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -93,10 +104,10 @@
             let zone = self.machines.get(&machine).map(|machine| &machine.zone);
             job.set(task.index, Task::Placed(machine, attempt), zone);
         }
-        self.gang_lost_one(&task.job, attempt);
+        self.stop_rest_of_gang(&task.job, attempt);
     }
 
-    /// Drops all attempts on a machine, in order ([`Self::drop_attempt`]).
+    /// Drops all attempts on a machine, ordered by task and attempt ([`Self::drop_attempt`]).
     pub(in crate::core::shard) fn drop_attempts(&mut self, machine_id: &MachineId, now: Time) {
         let Some(machine) = self.machines.get(machine_id) else {
             return;
@@ -107,8 +118,8 @@
         }
     }
 
-    /// An attempt is not on the machine, or not any more, and is no longer tracked; unless its start may
-    /// still arrive: then the machine needs a new token, which makes that start void.
+    /// Stops tracking an attempt that is not on its machine. If the attempt's start may still arrive, the
+    /// attempt stays tracked and the machine needs a new token, which voids that start.
     pub(in crate::core::shard) fn drop_attempt(
         &mut self,
         machine_id: &MachineId,
@@ -129,7 +140,7 @@
             return;
         }
         self.task_index.remove(&task.job, machine_id);
-        self.changed = true;
-        self.attempt_lost(machine_id, task, attempt);
+        self.changed_since_round = true;
+        self.handle_lost_attempt(machine_id, task, attempt);
     }
 }
--- a/src/core/test_support.rs
+++ b/src/core/test_support.rs
@@ -14,7 +14,7 @@
 use crate::core::shard::Shard;
 use crate::core::store::replica::StoreReplica;
 use crate::features::Features;
-use crate::ids::{FencingToken, Node, Version};
+use crate::ids::{ControllerName, FencingToken, Version};
 use crate::wire::{Entry, Heartbeat, JobSpec, JobStatus, Listing, MachineType, Write};
 use rand::SeedableRng;
 use std::rc::Rc;
@@ -167,7 +167,7 @@
     entries.push(entry(LEADER_KEY, &process("n0")));
     let effects = core.step(now - 0.1, 0, Vec::new());
     let listing = effects.into_iter().find_map(|effect| match effect {
-        Effect::State(call, StoreCall::List { .. }) => Some(call),
+        Effect::Store(call, StoreCall::List { .. }) => Some(call),
         _ => None,
     });
     let listed = StoreReply::Listing(Listing {
@@ -175,7 +175,7 @@
         more: false,
         revision: 20,
     });
-    core.step(now, 0, vec![Input::State(listing.unwrap(), listed)]);
+    core.step(now, 0, vec![Input::Store(listing.unwrap(), listed)]);
     core.ownership.hold(OWN_LEASE, now);
     core.take_roles();
     assert!(core.shard.is_some());
@@ -197,12 +197,13 @@
 pub fn answered_until(core: &mut Core, siblings: &[&str], from: Time, until: Time) {
     let mut now = from;
     while now <= until {
-        core.outbox.begin(now, 0);
-        core.peers.detector_mut().step(now);
+        core.outbox.begin_step(now, 0);
+        core.peers.detector_mut().begin_step(now);
         for sibling in siblings {
-            core.peers.answered(&Node::from(*sibling), 1, now);
+            core.peers
+                .record_answer(&ControllerName::from(*sibling), 1, now);
         }
-        core.judge_siblings();
+        core.update_sibling_stages();
         now += 0.1;
     }
 }
--- a/tests/world/calls.rs
+++ b/tests/world/calls.rs
@@ -7,7 +7,7 @@
     CallId, CloudCall, CloudReply, Effect, Input, RequestId, StoreCall, StoreReply,
 };
 use ochredrum::core::messages::mesh::MeshMessage;
-use ochredrum::ids::Node;
+use ochredrum::ids::ControllerName;
 use rand::Rng;
 
 /// How long a controller waits for the store and for its siblings.
@@ -62,7 +62,7 @@
                     self.answer_asker(node, asker, None, Some(reply));
                 }
             }
-            Effect::State(call, what) => {
+            Effect::Store(call, what) => {
                 let what = if previous {
                     previous_version::strip_write(what)
                 } else {
@@ -90,7 +90,7 @@
             let text = serde_json::to_string(transaction);
             self.work.store_bytes_written += text.map_or(0, |text| text.len());
         }
-        let lost = Input::State(call, StoreReply::Unknown);
+        let lost = Input::Store(call, StoreReply::Unknown);
         let commit = matches!(what, StoreCall::Commit(_));
         let late = commit && self.late_commit(&what);
         let event = |epoch| Event::State {
@@ -115,7 +115,7 @@
             timeout: SHORT_TIMEOUT_S,
             event: event(epoch),
             lost,
-            unsent: Input::State(call, StoreReply::Refused),
+            unsent: Input::Store(call, StoreReply::Refused),
         });
     }
 
@@ -136,7 +136,13 @@
         });
     }
 
-    fn call_sibling(&mut self, node: usize, call: CallId, to: &Node, message: MeshMessage) {
+    fn call_sibling(
+        &mut self,
+        node: usize,
+        call: CallId,
+        to: &ControllerName,
+        message: MeshMessage,
+    ) {
         let Some(to) = index(to) else { return };
         let mut body = Vec::new();
         ciborium::into_writer(&message, &mut body).ok();
@@ -220,6 +226,6 @@
     }
 }
 
-fn index(node: &Node) -> Option<usize> {
+fn index(node: &ControllerName) -> Option<usize> {
     node.as_str().strip_prefix('n')?.parse().ok()
 }
--- a/tests/world/store.rs
+++ b/tests/world/store.rs
@@ -69,14 +69,14 @@
                         ends: now + ttl,
                     },
                 );
-                StoreReply::Lease(self.next_lease)
+                StoreReply::LeaseCreated(self.next_lease)
             }
             StoreCall::LeaseRenew { lease } => match self.leases.get_mut(&lease) {
                 Some(lease) => {
                     lease.ends = now + lease.ttl;
                     StoreReply::Done
                 }
-                None => StoreReply::LeaseGone,
+                None => StoreReply::LeaseNotFound,
             },
             StoreCall::LeaseEnd { lease } => {
                 if let Some(lease) = self.leases.get_mut(&lease) {
@@ -84,7 +84,7 @@
                     self.expire(now + 1e-9);
                     return StoreReply::Done;
                 }
-                StoreReply::LeaseGone
+                StoreReply::LeaseNotFound
             }
         }
     }
@@ -115,7 +115,7 @@
     /// The changes of keys with a prefix after version `from`.
     fn changes(&self, prefix: &str, from: u64) -> Changes {
         let matches = |change: &&Change| {
-            let key = change.put.as_ref().or(change.deleted.as_ref());
+            let key = change.put_key.as_ref().or(change.deleted_key.as_ref());
             change.version > from && key.is_some_and(|key| key.starts_with(prefix))
         };
         // The log is ordered by version; a long one is not read from its beginning.
@@ -141,7 +141,7 @@
             _ => false,
         };
         if transaction.writes.iter().any(lease_is_gone) {
-            return StoreReply::LeaseGone;
+            return StoreReply::LeaseNotFound;
         }
         self.revision += 1;
         for write in transaction.writes {
@@ -169,7 +169,7 @@
     pub fn puts_of(&self, key: &str) -> usize {
         self.log
             .iter()
-            .filter(|change| change.put.as_deref() == Some(key))
+            .filter(|change| change.put_key.as_deref() == Some(key))
             .count()
     }
 
@@ -215,8 +215,8 @@
                     },
                 );
                 Change {
-                    put: Some(key),
-                    deleted: None,
+                    put_key: Some(key),
+                    deleted_key: None,
                     value,
                     version,
                 }
@@ -224,8 +224,8 @@
             Write::Delete { key } => {
                 self.keys.remove(&key);
                 Change {
-                    put: None,
-                    deleted: Some(key),
+                    put_key: None,
+                    deleted_key: Some(key),
                     value: Value::Null,
                     version,
                 }
