--- a/src/core/leader/cloud_requests.rs
+++ b/src/core/leader/cloud_requests.rs
@@ -212,12 +212,12 @@
         {
             return;
         }
-        let order = self.open_rentals.remove(0);
+        let request = self.open_rentals.remove(0);
         self.rental_in_flight = true;
-        let rental = order.rental.clone();
+        let rental = request.rental.clone();
         let operation = CloudOperation::Rent {
             token: self.key_version,
-            request: order,
+            request,
         };
         outbox.call_cloud(Some(operation), CloudCall::Rent(rental));
     }
@@ -256,13 +256,13 @@
         self.send_list_page(outbox, Vec::new());
     }
 
-    /// Requests the page of the list that follows the machines in `seen`.
-    fn send_list_page(&mut self, outbox: &mut Outbox, seen: Vec<ListedMachine>) {
+    /// Requests the page of the list that follows the machines in `listed`.
+    fn send_list_page(&mut self, outbox: &mut Outbox, listed: Vec<ListedMachine>) {
         self.list_in_flight = true;
-        let after = seen.last().map(|listed| listed.machine.to_string());
+        let after = listed.last().map(|last| last.machine.to_string());
         let operation = CloudOperation::List {
             token: self.key_version,
-            listed: seen,
+            listed,
         };
         outbox.call_cloud(Some(operation), CloudCall::List { after });
     }
@@ -289,12 +289,12 @@
             | CloudOperation::Rent { token, .. }
             | CloudOperation::Release { token, .. }
                 if token != self.key_version => {}
-            CloudOperation::List { listed: seen, .. } => {
-                self.handle_list_page(outbox, seen, reply, owners)
+            CloudOperation::List { listed, .. } => {
+                self.handle_list_page(outbox, listed, reply, owners)
             }
-            CloudOperation::Rent { request: order, .. } => {
+            CloudOperation::Rent { request, .. } => {
                 self.rental_in_flight = false;
-                self.handle_rental_reply(order, reply, now);
+                self.handle_rental_reply(request, reply, now);
             }
             CloudOperation::Release { machines, .. } => {
                 self.release_in_flight = false;
@@ -309,7 +309,7 @@
     fn handle_list_page(
         &mut self,
         outbox: &mut Outbox,
-        mut seen: Vec<ListedMachine>,
+        mut listed: Vec<ListedMachine>,
         reply: CloudReply,
         owners: &ShardMap,
     ) {
@@ -318,11 +318,11 @@
             return;
         };
         let more = page.more && !page.machines.is_empty();
-        seen.extend(page.machines);
-        if more && seen.len() < MAX_LISTED_MACHINES {
-            self.send_list_page(outbox, seen);
+        listed.extend(page.machines);
+        if more && listed.len() < MAX_LISTED_MACHINES {
+            self.send_list_page(outbox, listed);
         } else {
-            self.apply_list(seen, owners, outbox.now);
+            self.apply_list(listed, owners, outbox.now);
         }
     }
 
@@ -351,8 +351,8 @@
     }
 
     /// Handles the reply to a rental.
-    fn handle_rental_reply(&mut self, order: RentalRequest, reply: CloudReply, now: Time) {
-        let rental = &order.rental;
+    fn handle_rental_reply(&mut self, request: RentalRequest, reply: CloudReply, now: Time) {
+        let rental = &request.rental;
         let offer = MachineOffer {
             type_name: rental.type_name.clone(),
             zone: rental.zone.clone(),
@@ -374,7 +374,7 @@
                 if u32::try_from(rented).is_ok_and(|rented| rented < rental.count) {
                     self.unavailable.insert(offer.clone(), retry_at);
                 }
-                for (id, node) in names.machines.into_iter().zip(order.nodes) {
+                for (id, node) in names.machines.into_iter().zip(request.nodes) {
                     let pending = PendingMachine {
                         offer: offer.clone(),
                         rented: now,
@@ -389,7 +389,7 @@
             // The rental was not executed; the next plan requests what is still needed.
             CloudReply::Refused => {}
             // The outcome is unknown. A retry under the same name rents nothing twice.
-            _ => self.open_rentals.push(order),
+            _ => self.open_rentals.push(request),
         }
     }
 
