--- a/crates/failure-detector/src/detector.rs
+++ b/crates/failure-detector/src/detector.rs
@@ -1,4 +1,4 @@
-//! One observer, which judges all other controllers.
+//! The detector of one observer, which tracks the stage of every other controller.
 
 use crate::local_health::LocalHealth;
 use crate::opinion::{Opinion, ReceivedOpinion, StoredOpinion};
@@ -6,16 +6,16 @@
 use crate::{Incarnation, Seconds, Settings};
 use std::collections::BTreeMap;
 
-/// A change in the judgement of a controller.
+/// A controller's change from one stage to another, as one observer sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StageChange<C> {
-    /// The controller.
+    /// Controller whose stage changed.
     pub controller: C,
-    /// The previous judgement.
+    /// Stage before the change.
     pub from: Stage,
-    /// The new one.
+    /// Stage after the change.
     pub to: Stage,
-    /// What the new one is based on.
+    /// Evidence for the stage after the change.
     pub evidence: Evidence,
 }
 
@@ -28,7 +28,8 @@
 }
 
 impl<C: Ord + Clone> Detector<C> {
-    /// An observer of these controllers. Each counts as alive until it has been silent for long enough.
+    /// Creates the detector of an observer of these controllers. Each counts as alive until its silence
+    /// exceeds the threshold.
     pub fn new(others: impl IntoIterator<Item = C>, settings: Settings) -> Self {
         let peers = others
             .into_iter()
@@ -41,8 +42,8 @@
         }
     }
 
-    /// Records that a step of the observer begins; to be called before any evidence of that step. After a
-    /// pause of the observer itself, silence of others counts from this step.
+    /// Records that a step of the observer begins. Must be called before the evidence of that step is
+    /// added. After a pause of the observer, the silence of others counts from this step.
     pub fn begin_step(&mut self, now: Seconds) {
         self.health.record_step(&self.settings, now);
     }
@@ -60,22 +61,22 @@
         }
     }
 
-    /// Records that a message of a controller's own arrived. It shows only that messages from there arrive, so
-    /// it is information for operators and does not count as an answer.
+    /// Records the arrival of a message that a controller sent on its own initiative. It proves only that
+    /// messages arrive from there. It does not count as an answer and is reported to operators only.
     pub fn message_received(&mut self, controller: &C, now: Seconds) {
         if let Some(peer) = self.peers.get_mut(controller) {
             peer.message_received(now);
         }
     }
 
-    /// Records that a worker has left this controller and reached the observer.
+    /// Records that a worker of this controller has switched to the observer.
     pub fn worker_left(&mut self, controller: &C, now: Seconds) {
         if let Some(peer) = self.peers.get_mut(controller) {
             peer.worker_left(now);
         }
     }
 
-    /// Records the opinions of another observer.
+    /// Records the opinions that another observer sent. Opinions on unknown controllers are ignored.
     pub fn receive_opinions(&mut self, from: &C, opinions: Vec<Opinion<C>>, now: Seconds) {
         for opinion in opinions {
             let Some(peer) = self.peers.get_mut(&opinion.controller) else {
@@ -90,21 +91,21 @@
         }
     }
 
-    /// Sets whether a controller's key in the key-value store is gone.
+    /// Sets whether a controller's key is missing from the key-value store.
     pub fn set_key_gone(&mut self, controller: &C, gone: bool) {
         if let Some(peer) = self.peers.get_mut(controller) {
             peer.set_key_gone(gone);
         }
     }
 
-    /// Sets whether a controller owns nothing any more.
+    /// Sets whether a controller owns no team and no machine any more.
     pub fn set_owns_nothing(&mut self, controller: &C, owns_nothing: bool) {
         if let Some(peer) = self.peers.get_mut(controller) {
             peer.set_owns_nothing(owns_nothing);
         }
     }
 
-    /// Judges all controllers again. Each change is returned once.
+    /// Determines the stages of all controllers again. Returns each change once.
     pub fn update_stages(&mut self, now: Seconds) -> Vec<StageChange<C>> {
         let context = EvaluationContext::new(&self.settings, &self.health, now);
         let mut changes = Vec::new();
@@ -123,13 +124,13 @@
         changes
     }
 
-    /// The judgement of a controller. An unknown one counts as alive.
+    /// Returns the stage of a controller. An unknown controller counts as alive.
     pub fn stage(&self, controller: &C) -> Stage {
         self.peers.get(controller).map_or(Stage::Alive, Peer::stage)
     }
 
-    /// Whether a controller has answered recently. Unlike [`Self::stage`] this is false of one that has never
-    /// answered.
+    /// Returns whether a controller has answered within its threshold. It is false for a controller that
+    /// has never answered, which [`Self::stage`] may report as alive.
     pub fn is_reachable(&self, controller: &C, now: Seconds) -> bool {
         let context = EvaluationContext::new(&self.settings, &self.health, now);
         self.peers
@@ -137,7 +138,7 @@
             .is_some_and(|peer| peer.has_answered_recently(&context))
     }
 
-    /// How long the answers of a controller have been missing; 0 for an unknown one.
+    /// Returns how long the answers of a controller have been missing; 0 for an unknown controller.
     pub fn silence(&self, controller: &C, now: Seconds) -> Seconds {
         let context = EvaluationContext::new(&self.settings, &self.health, now);
         self.peers
@@ -145,25 +146,25 @@
             .map_or(0.0, |peer| peer.silence(&context))
     }
 
-    /// Whether any other controller has answered recently.
+    /// Returns whether any other controller has answered within its threshold.
     pub fn any_reachable(&self, now: Seconds) -> bool {
         self.peers
             .keys()
             .any(|controller| self.is_reachable(controller, now))
     }
 
-    /// The process of a controller that last answered.
+    /// Returns the incarnation of the process of a controller that answered last.
     pub fn incarnation(&self, controller: &C) -> Option<Incarnation> {
         self.peers.get(controller).and_then(Peer::incarnation)
     }
 
-    /// Whether the failure of a controller is confirmed.
+    /// Returns whether the failure of a controller is confirmed.
     pub fn has_failed(&self, controller: &C) -> bool {
         self.stage(controller) >= Stage::Confirmed
     }
 
-    /// The opinions to send to other observers. An observer that gets no answers from any other sends none:
-    /// the link to the observer itself may be what has failed.
+    /// Returns the opinions to send to other observers. An observer that receives no answers at all sends
+    /// none, since its own link may have failed.
     pub fn opinions_to_send(&self, now: Seconds) -> Vec<Opinion<C>> {
         if !self.settings.shares_opinions_when_isolated && !self.any_reachable(now) {
             return Vec::new();
@@ -178,7 +179,7 @@
         self.peers.iter().map(opinion).collect()
     }
 
-    /// The last opinion of each other observer on a controller.
+    /// Returns the last opinion of each other observer on a controller.
     pub fn received_opinions(&self, controller: &C, now: Seconds) -> Vec<ReceivedOpinion<C>> {
         let stored = self
             .peers
@@ -194,7 +195,7 @@
         stored.map(received).collect()
     }
 
-    /// What the judgement of each controller is based on.
+    /// Returns the evidence for the stage of each controller.
     pub fn evidence(&self, now: Seconds) -> BTreeMap<C, Evidence> {
         let context = EvaluationContext::new(&self.settings, &self.health, now);
         self.peers
--- a/crates/failure-detector/src/interval.rs
+++ b/crates/failure-detector/src/interval.rs
@@ -1,16 +1,16 @@
-//! An estimate of the usual interval between answers of a controller.
+//! Estimates the usual interval between two answers of a controller.
 
 use crate::Seconds;
 
-/// Weight of a new interval in the mean.
+/// Weight of a new interval in the moving mean.
 const MEAN_GAIN: f64 = 0.125;
-/// Weight of a new interval's deviation in the mean deviation.
+/// Weight of a new interval's deviation in the moving mean deviation.
 const DEVIATION_GAIN: f64 = 0.25;
-/// Mean deviations beyond the mean up to which an interval counts as usual.
+/// An interval counts as usual up to this many mean deviations above the mean.
 const USUAL_DEVIATIONS: f64 = 4.0;
 
-/// Mean and mean deviation of intervals, estimated as TCP estimates round-trip times. These two numbers
-/// serve the same purpose as the window of samples of a phi-accrual detector.
+/// Mean and mean deviation of intervals, estimated in the way TCP estimates round-trip times. They take the
+/// place of the window of samples that a phi-accrual detector keeps.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct IntervalEstimate {
     mean: Seconds,
@@ -34,7 +34,7 @@
         self.deviation += (error.abs() - self.deviation) * DEVIATION_GAIN;
     }
 
-    /// The longest interval that still counts as usual; 0 without samples.
+    /// Returns the longest interval that still counts as usual; 0 without samples.
     pub fn longest_usual(&self) -> Seconds {
         self.mean + self.deviation * USUAL_DEVIATIONS
     }
--- a/crates/failure-detector/src/lib.rs
+++ b/crates/failure-detector/src/lib.rs
@@ -1,12 +1,12 @@
 //! Staged failure detection among the controllers of a fleet.
 //!
-//! Every controller runs one [`Detector`], which judges every other controller: alive, suspected,
-//! confirmed failed, handed over. It does no I/O and reads no clock: evidence and the time are passed in,
-//! changes of stage are returned, and the same inputs give the same judgements. Its memory is bounded by
-//! the square of the number of controllers.
+//! Every controller runs one [`Detector`], which assigns a [`Stage`] to every other controller: alive,
+//! suspected, confirmed failed, or handed over. The detector does no I/O and reads no clock. The caller
+//! passes in evidence and the time, and receives changes of stage. The same inputs give the same stages.
+//! The memory of a detector is bounded by the square of the number of controllers.
 //!
-//! A stage is a hint about which controllers are worth asking. It never authorizes one controller to act in
-//! place of another: that right must come from elsewhere, such as an expired lease.
+//! A stage only indicates which controllers are likely to reply. It never authorizes one controller to act
+//! in place of another. That authorization must come from elsewhere, such as an expired lease.
 
 #![warn(missing_docs)]
 
@@ -27,13 +27,13 @@
 /// Seconds on the observer's monotonic clock.
 pub type Seconds = f64;
 
-/// Distinguishes a process of a controller from earlier and later ones at the same address. Incarnations
-/// have no order.
+/// Distinguishes a process of a controller from earlier and later processes at the same address.
+/// Incarnations have no order in time.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize,
 )]
 #[serde(transparent)]
 pub struct Incarnation(
-    /// The number that messages carry.
+    /// Number by which messages identify the process.
     pub u64,
 );
--- a/crates/failure-detector/src/local_health.rs
+++ b/crates/failure-detector/src/local_health.rs
@@ -1,11 +1,12 @@
-//! The observer's own health, as in Lifeguard: an observer that is slow itself would take others for silent.
+//! Tracks the observer's own health, as Lifeguard does. A slow observer would otherwise suspect controllers
+//! whose answers it has not processed yet.
 
 use crate::{Seconds, Settings};
 
-/// The part of the distance to the largest threshold factor that one slow step adds.
-const STEP_UP: f64 = 0.5;
+/// Fraction of the distance to the largest threshold factor that one slow step adds.
+const SLOW_STEP_GAIN: f64 = 0.5;
 
-/// How slow the observer is, and when it last paused.
+/// How slowly the observer runs, and since when silence counts.
 #[derive(Clone, Copy, Debug)]
 pub struct LocalHealth {
     last_step: Option<Seconds>,
@@ -15,7 +16,7 @@
 }
 
 impl LocalHealth {
-    /// The health of an observer that has taken no step yet.
+    /// Creates the health of an observer that has taken no step yet.
     pub fn new() -> Self {
         Self {
             last_step: None,
@@ -25,32 +26,32 @@
         }
     }
 
-    /// Records that a step of the observer begins.
+    /// Records that a step of the observer begins, and evaluates the time since the previous one.
     pub fn record_step(&mut self, settings: &Settings, now: Seconds) {
-        let Some(last) = self.last_step.replace(now) else {
+        let Some(previous) = self.last_step.replace(now) else {
             self.silence_counts_from = now;
             return;
         };
-        let pause = now - last;
-        if pause > settings.process_pause_s {
+        let elapsed = now - previous;
+        if elapsed > settings.process_pause_s {
             self.silence_counts_from = now;
         }
-        if pause > settings.slow_step_s {
+        if elapsed > settings.slow_step_s {
             self.threshold_factor +=
-                (settings.max_threshold_factor - self.threshold_factor) * STEP_UP;
+                (settings.max_threshold_factor - self.threshold_factor) * SLOW_STEP_GAIN;
             self.last_slow_step = now;
         } else if now - self.last_slow_step > settings.suspect_after_s {
             self.threshold_factor = 1.0;
         }
     }
 
-    /// The time from which silence of others counts: the observer's first step, or the one after its last
-    /// pause.
+    /// Returns the time from which the silence of others counts: the observer's first step, or the first
+    /// step after its last pause.
     pub fn silence_counts_from(&self) -> Seconds {
         self.silence_counts_from
     }
 
-    /// The factor by which the observer's thresholds are raised; 1 if it is not slow.
+    /// Returns the factor by which the observer's thresholds are raised; 1 if it is not slow.
     pub fn threshold_factor(&self) -> f64 {
         self.threshold_factor
     }
--- a/crates/failure-detector/src/opinion.rs
+++ b/crates/failure-detector/src/opinion.rs
@@ -1,45 +1,46 @@
-//! What observers tell one another about a third controller: the indirect probe.
+//! Opinions on a third controller, which observers exchange. They serve the same purpose as the indirect
+//! probes of SWIM.
 
 use crate::{Incarnation, Seconds};
 use serde::{Deserialize, Serialize};
 
-/// One observer's judgement of a controller, as it is sent to other observers.
+/// One observer's opinion on a controller, as it is sent to other observers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Opinion<C> {
-    /// The controller that is judged.
+    /// Controller that the opinion concerns.
     #[serde(rename = "c")]
     pub controller: C,
-    /// The process of it that last answered the observer.
+    /// Process of the controller that last answered the observer. None if none has.
     #[serde(rename = "i")]
     pub incarnation: Option<Incarnation>,
-    /// How long its answers had been missing when the opinion was sent.
+    /// How long the controller's answers had been missing when the opinion was sent.
     #[serde(rename = "s")]
     pub silence_s: Seconds,
-    /// Whether the observer suspects it.
+    /// Whether the observer suspects that the controller has failed.
     #[serde(rename = "x", default, skip_serializing_if = "std::ops::Not::not")]
     pub suspects: bool,
 }
 
-/// The last opinion on a controller that was received from one observer.
+/// The last opinion on a controller that was received from one observer, for display.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedOpinion<C> {
-    /// The observer that sent it.
+    /// Observer that sent the opinion.
     pub observer: C,
-    /// Whether the observer suspects the controller.
+    /// Whether the observer suspected that the controller had failed.
     pub suspects: bool,
     /// How long the controller's answers had been missing when the opinion was sent.
     pub silence_s: Seconds,
-    /// How long ago it was received.
+    /// How long ago the opinion was received.
     pub age_s: Seconds,
 }
 
-/// An opinion as a peer's record keeps it.
+/// An opinion on one controller as the detector stores it, keyed by the observer that sent it.
 #[derive(Clone, Copy, Debug)]
 pub struct StoredOpinion {
-    /// Whether the observer suspects the controller.
+    /// Whether the observer suspected that the controller had failed.
     pub suspects: bool,
     /// How long the controller's answers had been missing when the opinion was sent.
     pub silence_s: Seconds,
-    /// When it was received.
+    /// When the opinion was received.
     pub received_at: Seconds,
 }
--- a/crates/failure-detector/src/peer.rs
+++ b/crates/failure-detector/src/peer.rs
@@ -1,4 +1,4 @@
-//! What one observer knows of one other controller.
+//! The evidence that one observer has about one other controller, and the rules that determine its stage.
 
 use crate::interval::IntervalEstimate;
 use crate::local_health::LocalHealth;
@@ -9,50 +9,50 @@
 
 /// Factor by which each refuted suspicion raises the threshold.
 const REFUTATION_FACTOR: f64 = 1.5;
-/// Refuted suspicions beyond this many raise the threshold no further.
+/// Number of refuted suspicions beyond which further ones do not raise the threshold.
 const MAX_REFUTATIONS: u32 = 8;
 
-/// How far the failure of a controller is established.
+/// How far an observer has established the failure of a controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// It has answered recently.
+    /// The controller has answered recently.
     Alive,
-    /// This observer gets no answers from it.
+    /// This observer receives no answers from the controller.
     Suspected,
-    /// A quorum of observers gets no answers from it, or this observer gets none and its key in the store is
-    /// gone.
+    /// A quorum of observers receives no answers from the controller; or this observer receives none, and
+    /// the controller's key is missing from the store.
     Confirmed,
-    /// Confirmed, and it owns nothing any more.
+    /// The failure is confirmed, and the controller owns no team and no machine any more.
     HandedOver,
 }
 
-/// What the judgement of a controller is based on.
+/// The evidence for the stage of a controller.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Evidence {
-    /// The judgement.
+    /// Stage of the controller when it was last determined.
     pub stage: Stage,
-    /// The process that last answered.
+    /// Process of the controller that answered last. None if none has.
     pub incarnation: Option<Incarnation>,
-    /// How long its answers have been missing.
+    /// How long the controller's answers have been missing.
     pub silence_s: Seconds,
-    /// The silence after which this observer suspects it.
+    /// Silence after which this observer suspects the controller.
     pub threshold_s: Seconds,
-    /// How long ago a message of its own arrived, if one did.
+    /// How long ago a message arrived that the controller sent on its own initiative. None if none has.
     pub last_message_s: Option<Seconds>,
-    /// Observers that suspect it, this one included.
+    /// Number of observers that suspect the controller, this one included.
     pub votes: usize,
-    /// Whether its key in the key-value store is gone.
+    /// Whether the controller's key is missing from the key-value store.
     pub key_gone: bool,
-    /// Whether workers that left it recently reached the observer.
+    /// Whether workers of the controller have recently switched to the observer.
     pub workers_left: bool,
 }
 
-/// The circumstances in which an observer judges its peers.
+/// The observer's settings, its own health and the time, with which it determines the stages of its peers.
 #[derive(Debug)]
 pub struct EvaluationContext<'a> {
     settings: &'a Settings,
-    /// The factor by which the observer's own slowness raises thresholds.
+    /// Factor by which thresholds are raised because the observer is slow.
     threshold_factor: f64,
     /// Silence before this time does not count.
     silence_counts_from: Seconds,
@@ -60,7 +60,7 @@
 }
 
 impl<'a> EvaluationContext<'a> {
-    /// The circumstances at the time `now`.
+    /// Creates the context of an evaluation at the time `now`.
     pub fn new(settings: &'a Settings, health: &LocalHealth, now: Seconds) -> Self {
         Self {
             settings,
@@ -71,18 +71,18 @@
     }
 }
 
-/// One controller, as an observer knows it.
+/// The state that an observer keeps about one other controller.
 #[derive(Debug)]
 pub struct Peer<C> {
     incarnation: Option<Incarnation>,
-    /// When the heartbeat was sent that it last answered.
+    /// When the newest heartbeat that it has answered was sent.
     last_answered_sent: Seconds,
     /// When its last answer arrived.
     last_answer: Option<Seconds>,
-    /// When a message of its own last arrived.
+    /// When a message that it sent on its own initiative last arrived.
     last_message: Option<Seconds>,
     answer_interval: IntervalEstimate,
-    /// Suspicions of the present process that turned out to be wrong.
+    /// Number of suspicions of the present process that an answer refuted.
     refutations: u32,
     last_refutation: Seconds,
     key_gone: bool,
@@ -93,7 +93,7 @@
 }
 
 impl<C: Ord + Clone> Peer<C> {
-    /// A controller of which nothing is known yet.
+    /// Creates the state of a controller without any evidence.
     pub fn new() -> Self {
         Self {
             incarnation: None,
@@ -111,23 +111,23 @@
         }
     }
 
-    /// Records the answer to the heartbeat sent at `sent`. An answer to an earlier heartbeat than the last
-    /// answered one is ignored: it may be of an earlier process.
+    /// Records the answer to the heartbeat sent at `sent`. If a later heartbeat was already answered, this
+    /// answer is ignored, since it may come from an earlier process.
     pub fn heartbeat_answered(&mut self, incarnation: Incarnation, sent: Seconds, now: Seconds) {
         if sent < self.last_answered_sent {
             return;
         }
         self.last_answered_sent = sent;
         if self.incarnation == Some(incarnation) {
-            self.same_process_answered(now);
+            self.record_answer_of_same_process(now);
         } else {
-            self.new_process_answered();
+            self.reset_for_new_process();
         }
         self.incarnation = Some(incarnation);
         self.last_answer = Some(now);
     }
 
-    fn same_process_answered(&mut self, now: Seconds) {
+    fn record_answer_of_same_process(&mut self, now: Seconds) {
         if let Some(previous) = self.last_answer {
             self.answer_interval.add(now - previous);
         }
@@ -137,75 +137,75 @@
         }
     }
 
-    fn new_process_answered(&mut self) {
+    fn reset_for_new_process(&mut self) {
         self.answer_interval = IntervalEstimate::default();
         self.last_worker_left = None;
         self.refutations = 0;
     }
 
-    /// Records that a message of its own arrived.
+    /// Records the arrival of a message that the controller sent on its own initiative.
     pub fn message_received(&mut self, now: Seconds) {
         self.last_message = Some(now);
     }
 
-    /// Records that a worker left it.
+    /// Records that a worker of the controller has switched to the observer.
     pub fn worker_left(&mut self, now: Seconds) {
         self.last_worker_left = Some(now);
     }
 
-    /// Records an observer's opinion in place of its previous one.
+    /// Replaces the stored opinion of an observer.
     pub fn receive_opinion(&mut self, from: &C, opinion: StoredOpinion) {
         self.opinions.insert(from.clone(), opinion);
     }
 
-    /// Sets whether its key in the key-value store is gone.
+    /// Sets whether the controller's key is missing from the key-value store.
     pub fn set_key_gone(&mut self, gone: bool) {
         self.key_gone = gone;
     }
 
-    /// Sets whether it owns nothing any more.
+    /// Sets whether the controller owns no team and no machine any more.
     pub fn set_owns_nothing(&mut self, owns_nothing: bool) {
         self.owns_nothing = owns_nothing;
     }
 
-    /// The last opinion of each other observer.
+    /// Returns the last opinion of each other observer.
     pub fn opinions(&self) -> impl Iterator<Item = (&C, &StoredOpinion)> {
         self.opinions.iter()
     }
 
-    /// The process that last answered.
+    /// Returns the process that answered last.
     pub fn incarnation(&self) -> Option<Incarnation> {
         self.incarnation
     }
 
-    /// The last judgement.
+    /// Returns the stage as of the last update.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// How long its answers have been missing, as far as silence counts.
+    /// Returns how long its answers have been missing. Silence during a pause of the observer does not count.
     pub fn silence(&self, context: &EvaluationContext) -> Seconds {
         let counts_from = context.silence_counts_from;
         let last_answer = self.last_answer.unwrap_or(counts_from);
         context.now - last_answer.max(counts_from)
     }
 
-    /// Whether it answered within its threshold, even if the observer has paused since.
+    /// Returns whether it answered within its threshold. The time of a pause of the observer counts here.
     pub fn has_answered_recently(&self, context: &EvaluationContext) -> bool {
         let threshold = self.threshold(context);
         self.last_answer
             .is_some_and(|answer| context.now - answer < threshold)
     }
 
-    /// The silence after which it is suspected.
+    /// Returns the silence after which the controller is suspected.
     fn threshold(&self, context: &EvaluationContext) -> Seconds {
         let settings = context.settings;
-        let least = if self.has_lost_workers(context) {
+        let minimum = if self.has_lost_workers(context) {
             settings.suspect_corroborated_after_s
         } else {
             settings.suspect_after_s
         };
-        let usual = least.max(self.answer_interval.longest_usual());
+        let usual = minimum.max(self.answer_interval.longest_usual());
         let raised = usual * context.threshold_factor * self.refutation_factor(context);
         raised.min(settings.max_suspect_after_s)
     }
@@ -215,30 +215,31 @@
             .is_some_and(|left| context.now - left < context.settings.suspect_after_s)
     }
 
-    /// The factor by which refuted suspicions raise the threshold: a controller that was suspected wrongly is
-    /// suspected more slowly for a while.
+    /// Returns the factor by which refuted suspicions raise the threshold. A controller that was suspected
+    /// wrongly has a higher threshold until the refutations expire.
     fn refutation_factor(&self, context: &EvaluationContext) -> f64 {
         let settings = context.settings;
         if context.now - self.last_refutation > settings.refutation_ttl_s {
             return 1.0;
         }
-        // The cap makes the conversion lossless.
+        // The limit on refutations makes the conversion lossless.
         REFUTATION_FACTOR
             .powi(self.refutations.min(MAX_REFUTATIONS) as i32)
             .min(settings.max_threshold_factor)
     }
 
-    /// Observers that get no answers from any process of it; `own` says whether this one does not. Old
-    /// opinions do not count. Which process an observer heard last does not matter: it may have been cut off
-    /// while the controller restarted.
-    fn votes(&self, own: bool, context: &EvaluationContext) -> usize {
+    /// Returns the number of observers that receive no answers from any process of the controller.
+    /// `own_vote` states whether this observer is one of them. Expired opinions do not count. Votes count
+    /// whichever process answered the observer last, since the observer may have been disconnected while the
+    /// controller restarted.
+    fn votes(&self, own_vote: bool, context: &EvaluationContext) -> usize {
         let ttl = context.settings.opinion_ttl_s;
         let counts =
             |opinion: &&StoredOpinion| opinion.suspects && context.now - opinion.received_at < ttl;
-        usize::from(own) + self.opinions.values().filter(counts).count()
+        usize::from(own_vote) + self.opinions.values().filter(counts).count()
     }
 
-    /// Judges it again and returns the new judgement.
+    /// Determines the stage again and returns it.
     pub fn update_stage(&mut self, context: &EvaluationContext) -> Stage {
         self.stage = self.determine_stage(context);
         self.stage
@@ -257,7 +258,7 @@
         }
     }
 
-    /// What the judgement is based on.
+    /// Returns the evidence for the stage.
     pub fn evidence(&self, context: &EvaluationContext) -> Evidence {
         Evidence {
             stage: self.stage,
--- a/src/core/controller/deferred_heartbeats.rs
+++ b/src/core/controller/deferred_heartbeats.rs
@@ -169,7 +169,7 @@
     fn answer_deferred(&mut self, deferred: DeferredHeartbeat) {
         match self.handle_heartbeat(&deferred.heartbeat) {
             Some(answer) => {
-                self.peers.note_worker_contact(self.outbox.now);
+                self.peers.record_worker_contact(self.outbox.now);
                 self.outbox.answer(deferred.request, answer);
             }
             None if self.outbox.now >= deferred.until => self.give_up_deferred(&deferred),
--- a/src/core/controller/failure_detection.rs
+++ b/src/core/controller/failure_detection.rs
@@ -245,7 +245,7 @@
     /// Whether a sibling that could lead precedes this controller by name.
     fn has_preferred_successor(&self) -> bool {
         self.peers
-            .nodes()
+            .names()
             .filter(|node| **node < self.config.controller)
             .any(|node| self.can_serve(node))
     }
--- a/src/core/controller/heartbeat_routing.rs
+++ b/src/core/controller/heartbeat_routing.rs
@@ -30,7 +30,7 @@
     /// otherwise.
     pub(crate) fn receive_heartbeat(&mut self, request: RequestId, heartbeat: Heartbeat) {
         if let Some(answer) = self.handle_heartbeat(&heartbeat) {
-            self.peers.note_worker_contact(self.outbox.now);
+            self.peers.record_worker_contact(self.outbox.now);
             return self.outbox.answer(request, answer);
         }
         let owners = &self.store.shard_map().machines;
@@ -149,7 +149,7 @@
     /// Redirects a worker to controller `to`, or to any other if that is None.
     pub(super) fn redirect(&mut self, request: RequestId, to: Option<ControllerName>) {
         if let Some(node) = &to {
-            self.peers.note_redirect(node, self.outbox.now);
+            self.peers.record_redirect(node, self.outbox.now);
         }
         let answer = Answer::value(MISDIRECTED, redirect_answer(to.as_ref()));
         self.outbox.answer(request, answer);
@@ -159,7 +159,7 @@
     /// redirected to an owner that it can't reach waits there for 4 s. Its lease could then expire before its
     /// machine has a new owner.
     pub(crate) fn send_to_next_controller(&mut self, request: RequestId, owner: &ControllerName) {
-        self.peers.note_redirect(owner, self.outbox.now);
+        self.peers.record_redirect(owner, self.outbox.now);
         self.outbox.answer(request, Answer::unavailable());
     }
 
@@ -171,7 +171,7 @@
             owner = %node,
             "heartbeat relayed: its worker cannot reach the machine's owner"
         );
-        self.peers.note_redirect(&node, now);
+        self.peers.record_redirect(&node, now);
         self.peers.detector_mut().worker_left(&node, now);
         let message = MeshMessage::Heartbeat(Box::new(heartbeat.clone()));
         let pending = Pending::RelayedHeartbeat {
--- a/src/core/controller/hello.rs
+++ b/src/core/controller/hello.rs
@@ -24,7 +24,7 @@
         let number = self.peers.begin_hello_round(now + delay);
         self.refresh_machine_knowledge();
         let hello = self.hello_without_update(number);
-        let nodes: Vec<ControllerName> = self.peers.nodes().cloned().collect();
+        let nodes: Vec<ControllerName> = self.peers.names().cloned().collect();
         for node in nodes {
             if !self.peers.begin_hello(&node) {
                 continue;
@@ -139,7 +139,7 @@
             return self.outbox.answer_sibling(request, MeshReply::Acknowledged);
         }
         if hello.bounded_staleness {
-            self.peers.note_bounded_staleness(&sender);
+            self.peers.record_bounded_staleness(&sender);
         }
         // True whenever it was sent: a delay only makes the statement weaker.
         self.unresponsive.note(hello.unresponsive, now);
--- a/src/core/membership/failure_detection.rs
+++ b/src/core/membership/failure_detection.rs
@@ -1,74 +1,74 @@
-//! What this controller remembers for failure detection, of itself and of leases that are to be ended.
+//! State of failure detection that concerns this controller itself and abandoned leases.
 
 use crate::core::messages::detection::AbandonedLease;
 use crate::core::model::time::Time;
 
-/// The state of failure detection, apart from the detector of siblings itself, which is in
-/// [`Peers`](crate::core::membership::peers::Peers).
+/// The store's refusals, abandoned leases, and the schedule of self-checks. The detector of failed siblings
+/// is part of [`Peers`](crate::core::membership::peers::Peers).
 #[derive(Debug, Default)]
 pub struct FailureDetection {
-    /// Calls that the store refused since its last other reply.
+    /// Number of consecutive calls that the store refused.
     store_refusals: u32,
-    /// The lease that this controller's previous incarnation stepped down from, and when it did.
+    /// Lease that this controller's previous incarnation abandoned when it stepped down, and when that was.
     abandoned: Option<(AbandonedLease, Time)>,
-    /// The abandoned lease of a sibling that was ended last.
+    /// Abandoned lease of a sibling that this controller ended last.
     ended_lease: Option<u64>,
-    /// The change of the shard map up to which siblings were looked up in it.
-    shard_map_change: Option<u64>,
-    /// When this controller checks itself for a partial failure next.
+    /// Number of changes of the shard map when siblings were last looked up in it.
+    seen_shard_map_changes: Option<u64>,
+    /// When this controller next checks itself for a partial failure.
     next_self_check: Time,
 }
 
 impl FailureDetection {
-    /// The store refused a call.
+    /// Records that the store refused a call.
     pub fn record_store_refusal(&mut self) {
         self.store_refusals += 1;
     }
 
-    /// The store replied otherwise, or not at all, which is no refusal.
+    /// Records that the store replied otherwise or not at all, neither of which is a refusal.
     pub fn reset_store_refusals(&mut self) {
         self.store_refusals = 0;
     }
 
-    /// Calls that the store refused since its last other reply.
+    /// Returns the number of consecutive calls that the store refused.
     pub fn store_refusals(&self) -> u32 {
         self.store_refusals
     }
 
-    /// The previous incarnation has stepped down without ending its lease, which is reported to siblings.
+    /// Starts reporting to siblings that the previous incarnation stepped down without ending this lease.
     pub fn announce_abandoned_lease(&mut self, lease: AbandonedLease, now: Time) {
         self.abandoned = Some((lease, now));
     }
 
-    /// The abandoned lease that is reported to siblings, and since when.
+    /// Returns the abandoned lease that is reported to siblings, and since when it is reported.
     pub fn abandoned_lease(&self) -> Option<(&AbandonedLease, Time)> {
         self.abandoned
             .as_ref()
             .map(|(lease, since)| (lease, *since))
     }
 
-    /// Stops reporting the abandoned lease.
+    /// Stops reporting the abandoned lease to siblings.
     pub fn withdraw_abandoned_lease(&mut self) {
         self.abandoned = None;
     }
 
-    /// Whether this abandoned lease of a sibling was the last one that this controller ended.
+    /// Returns whether this abandoned lease of a sibling is the one that this controller ended last.
     pub fn has_ended_lease(&self, lease: u64) -> bool {
         self.ended_lease == Some(lease)
     }
 
-    /// This controller ends the abandoned lease of a sibling.
+    /// Records that this controller is ending this abandoned lease of a sibling.
     pub fn record_ended_lease(&mut self, lease: u64) {
         self.ended_lease = Some(lease);
     }
 
-    /// Whether the shard map has changed since the last call. `changes` counts its changes.
+    /// Returns whether the shard map has changed since the last call. `changes` is the number of its changes.
     pub fn take_shard_map_change(&mut self, changes: u64) -> bool {
-        self.shard_map_change.replace(changes) != Some(changes)
+        self.seen_shard_map_changes.replace(changes) != Some(changes)
     }
 
-    /// Whether this controller is to check itself for a partial failure now. If so, the next check is
-    /// due after `interval`.
+    /// Returns whether a check of this controller for a partial failure is due. If it is, schedules the next
+    /// one after `interval`.
     pub fn take_self_check(&mut self, interval: Time, now: Time) -> bool {
         let is_due = now >= self.next_self_check;
         if is_due {
--- a/src/core/membership/mod.rs
+++ b/src/core/membership/mod.rs
@@ -1,5 +1,5 @@
-//! Membership of the fleet: which controllers are alive, and for how long each may act as the owner
-//! of its shard.
+//! Membership of the fleet: tracks which controllers are alive and how long each may act as the owner of its
+//! shard.
 
 pub mod failure_detection;
 pub mod ownership;
--- a/src/core/membership/ownership.rs
+++ b/src/core/membership/ownership.rs
@@ -1,28 +1,28 @@
-//! The ownership lease: until when this process may act as the owner of its shard.
+//! The ownership lease, which limits how long this process may act as the owner of its shard.
 //!
 //! # Lease in the store
 //!
 //! The process's key in the store is attached to a lease. Ownership ends by the process's own clock,
-//! counted from the time at which the last successful renewal was sent, so it ends before the lease
-//! can expire in the store. The leader's key is attached to the same lease. Leadership only entitles
-//! a process to write the shard map, and such writes have the leader's key as a precondition.
+//! counted from the time at which the last successful renewal was sent. It therefore ends before the
+//! lease can expire in the store. The leader's key is attached to the same lease. Leadership only
+//! entitles a process to write the shard map, and such writes have the leader's key as a precondition.
 //!
 //! During an outage of the store a majority of the controllers may extend the lease (`extensions`).
 //! Before the shard of a process is failed over, a majority consents to that (`consents`).
 //!
 //! # Bounded staleness
 //!
-//! Whether the lease was renewed or extended, ownership ends before a cancellation that this process
-//! has not learnt of can be overdue. Every final state that was confirmed to a user before
-//! `current_as_of` is known here: from a sync with the store sent at that time, or because every
-//! sibling has answered a request sent at that time with all final states that it knows. (Final
-//! states that an earlier process of a sibling confirmed are part of what the present one has read
-//! since it started.)
+//! Ownership ends before a cancellation that this process does not know of can be overdue, whether the
+//! lease was renewed or extended. This process knows every final state that was confirmed to a user
+//! before `current_as_of`. Either a sync with the store that was sent at that time succeeded, or every
+//! sibling answered a request sent at that time with all final states that it knows. (The present
+//! process of a sibling has read the final states that an earlier process of it confirmed, since it
+//! reads the store when it starts.)
 //!
-//! A cancellation that is unknown here was therefore confirmed after `current_as_of`. Machines were
-//! last answered before `current_as_of + staleness_bound`, and their tasks end with the machines'
-//! leases, before `cancel_s` has passed: `staleness_bound + lease_s`, with clock drift and the travel
-//! time of a heartbeat, is at most `cancel_s`.
+//! A cancellation that is unknown here was therefore confirmed after `current_as_of`. The last answer
+//! to a machine was sent before `current_as_of + staleness_bound`. The machine's tasks end with its
+//! lease, before `cancel_s` has passed, since `staleness_bound + lease_s`, with clock drift and the
+//! travel time of a heartbeat, is at most `cancel_s`.
 
 mod consents;
 mod extensions;
@@ -38,93 +38,94 @@
 use extensions::LeaseExtensions;
 use std::collections::BTreeMap;
 
-/// Lifetime of the lease, as a part of a worker's lease: short enough that a failover is complete
+/// Lifetime of the lease as a fraction of a worker's lease. It is short enough that a failover is complete
 /// before the workers' leases expire.
 const TTL_WORKER_LEASES: f64 = 0.35;
 
-/// Least and greatest lifetime of the lease in seconds, whatever the worker's lease is.
+/// Minimum and maximum lifetime of the lease in seconds, whatever the worker's lease is.
 const TTL_BOUNDS: (Time, Time) = (0.1, 600.0);
 
-/// Part of the lease's lifetime by which ownership ends before the lease can expire in the store.
+/// Fraction of the lease's lifetime by which ownership ends before the lease can expire in the store.
 const MARGIN_TTLS: f64 = 0.1;
 
-/// Renewals in one lifetime of the lease.
+/// Number of renewals in one lifetime of the lease.
 const RENEWALS_PER_TTL: f64 = 3.0;
 
-/// Retries of a renewal that failed, in one lifetime of the lease.
+/// Number of retries of a failed renewal in one lifetime of the lease.
 const RENEWAL_RETRIES_PER_TTL: f64 = 12.0;
 
-/// Retries of a renewal that the store was too busy for, in one lifetime of the lease. All other
-/// calls are retried later than this, so that renewals are served first.
+/// Number of retries, in one lifetime of the lease, of a renewal for which the store was too busy. All
+/// other calls are retried less often, so that renewals are served first.
 const BUSY_RENEWAL_RETRIES_PER_TTL: f64 = 100.0;
 
-/// Part of the lease's lifetime after which other calls of the lease are made again.
+/// Fraction of the lease's lifetime after which the creation of a lease or the write of a key is retried.
 const RETRY_TTLS: f64 = 0.1;
 
-/// Part of `cancel_s` that the staleness bound takes at most.
+/// Maximum of the staleness bound as a fraction of `cancel_s`.
 const STALENESS_PER_CANCEL_TIME: f64 = 0.5;
 
-/// Part of the time between the end of the tasks and `cancel_s` that the staleness bound takes at most.
+/// Maximum of the staleness bound as a fraction of the time that `cancel_s` leaves after tasks have ended.
 const STALENESS_PER_REMAINING_TIME: f64 = 0.9;
 
-/// Intervals between heartbeats that a heartbeat travels at most.
+/// Maximum travel time of a heartbeat, in intervals between heartbeats.
 const HEARTBEAT_TRAVEL_INTERVALS: f64 = 0.5;
 
 /// The state of the lease in the store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum LeaseState {
-    /// There is none.
+    /// No lease exists and none has been requested.
     None,
-    /// Its creation has been requested.
+    /// The creation of a lease has been requested.
     Creating,
-    /// It was granted under this id. Whether it is still valid is decided by the clock.
+    /// The lease with this id was granted. The clock decides whether it is still valid.
     Held(u64),
 }
 
 /// The next call that keeps the lease alive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LeaseCall {
-    /// Create a lease.
+    /// Creates a lease.
     Create,
-    /// Renew the lease with this id.
+    /// Renews the lease with this id.
     Renew(u64),
 }
 
-/// This process's ownership lease, and its part in the extensions and failovers of other processes.
+/// This process's ownership lease, the extensions it grants to siblings and its consents to failovers.
 pub struct OwnershipLease {
-    node: ControllerName,
-    /// Changes whenever the process steps down, as if it had restarted.
+    controller: ControllerName,
+    /// Increases whenever the process steps down, as if the process had restarted.
     incarnation: u64,
-    /// Controllers that are a majority of all.
+    /// Number of controllers that form a majority.
     majority: usize,
     /// Lifetime of the lease in seconds.
     ttl: Time,
     /// Seconds by which ownership ends before the lease can expire in the store.
     margin: Time,
-    /// Seconds that ownership may last beyond `current_as_of`.
+    /// Seconds for which ownership may last beyond `current_as_of`.
     staleness_bound: Time,
-    /// Every final state that was confirmed to any user before then is known here.
+    /// Time before which every final state that was confirmed to any user is known here.
     current_as_of: Time,
-    /// For each sibling that has sent all final states it knows: when the request for them was sent.
+    /// When the last request was sent to each sibling that answered with all final states it knows.
     siblings_current_as_of: BTreeMap<ControllerName, Time>,
     sibling_count: usize,
     lease: LeaseState,
-    /// When the last successful renewal was sent.
+    /// When the last successful creation or renewal was sent.
     renewed_at: Time,
     next_renewal: Time,
     renewal_in_flight: bool,
-    /// No lease is created before this time.
+    /// Time before which no lease is created.
     next_creation: Time,
     key_write_in_flight: bool,
     next_key_write: Time,
     extensions: LeaseExtensions,
     consents: FailoverConsents,
-    /// The lease of an earlier process of this controller that was ended last.
-    ended_predecessor: Option<u64>,
+    /// Lease of an earlier process of this controller that this process ended last.
+    ended_predecessor_lease: Option<u64>,
 }
 
-/// Seconds that ownership may last beyond the time as of which all final states are known. Zero if
-/// the deployment's figures leave no time: an idle machine is better than a late cancellation.
+/// Returns the seconds for which ownership may last beyond the time as of which all final states are known.
+/// It is zero if the configured intervals leave no time, since an idle machine is better than a late
+/// cancellation.
 fn staleness_bound(workers: &Workers) -> Time {
     let tasks_end =
         workers.lease_s * (1.0 + MAX_CLOCK_DRIFT) + workers.report_s * HEARTBEAT_TRAVEL_INTERVALS;
@@ -134,14 +135,14 @@
 }
 
 impl OwnershipLease {
-    /// No lease yet, for the process with this incarnation.
+    /// Creates the state of a process with this incarnation, which has no lease yet.
     pub fn new(config: &Config, incarnation: u64) -> Self {
         let workers = &config.deployment.workers;
-        let (shortest, longest) = TTL_BOUNDS;
-        let ttl = (workers.lease_s * TTL_WORKER_LEASES).clamp(shortest, longest);
+        let (min_ttl, max_ttl) = TTL_BOUNDS;
+        let ttl = (workers.lease_s * TTL_WORKER_LEASES).clamp(min_ttl, max_ttl);
         let margin = ttl * MARGIN_TTLS;
         Self {
-            node: config.controller.clone(),
+            controller: config.controller.clone(),
             incarnation,
             majority: config.controller_count() / 2 + 1,
             ttl,
@@ -159,26 +160,26 @@
             next_key_write: 0.0,
             extensions: LeaseExtensions::new(workers.lease_s, margin),
             consents: FailoverConsents::default(),
-            ended_predecessor: None,
+            ended_predecessor_lease: None,
         }
     }
 
-    /// The incarnation of this process.
+    /// Returns the incarnation of this process, which changes when it steps down.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// This process.
+    /// Returns the identity of this process.
     pub fn process(&self) -> ProcessId {
-        ProcessId::new(self.node.clone(), self.incarnation)
+        ProcessId::new(self.controller.clone(), self.incarnation)
     }
 
-    /// Lifetime of the lease in seconds.
+    /// Returns the lifetime of the lease in seconds.
     pub fn ttl(&self) -> Time {
         self.ttl
     }
 
-    /// Lifetime of the lease in milliseconds.
+    /// Returns the lifetime of the lease in milliseconds.
     #[expect(
         clippy::cast_possible_truncation,
         reason = "the lifetime is between 0.1 s and 600 s"
@@ -187,14 +188,14 @@
         (self.ttl * 1000.0) as u64
     }
 
-    /// Whether this process may send commands to the machines that the shard map assigns to it.
+    /// Returns whether this process may send commands to the machines that the shard map assigns to it.
     pub fn holds_lease(&self, now: Time) -> bool {
         matches!(self.lease, LeaseState::Held(_))
             && now < self.current_as_of + self.staleness_bound
             && (now < self.valid_in_store_until() || now < self.extended_until())
     }
 
-    /// The id of the lease, if one was granted; it may have expired since.
+    /// Returns the id of the lease if one was granted. The lease may have expired since.
     pub fn lease_id(&self) -> Option<u64> {
         match self.lease {
             LeaseState::Held(lease) => Some(lease),
@@ -202,27 +203,28 @@
         }
     }
 
-    /// Until when the lease is certain to be valid in the store.
+    /// Returns the time until which the lease is certain to be valid in the store.
     fn valid_in_store_until(&self) -> Time {
         self.renewed_at + self.ttl * (1.0 - MAX_CLOCK_DRIFT) - self.margin
     }
 
-    /// The version of the leader's key, if this process holds that key as far as it knows.
+    /// Returns the version of the leader's key if this process holds that key, as far as it knows.
     pub fn leader_key_version(&self, store: &StoreReplica) -> Option<Version> {
         let leader = store.leader()?;
         let is_own =
-            leader.record.node == self.node && leader.record.incarnation == self.incarnation;
+            leader.record.node == self.controller && leader.record.incarnation == self.incarnation;
         (is_own && self.lease_id().is_some()).then_some(leader.version)
     }
 
-    /// Every final state that was confirmed to a user before `asked` is known here.
-    pub fn record_current_as_of(&mut self, asked: Time) {
-        self.current_as_of = self.current_as_of.max(asked);
+    /// Records that every final state that was confirmed to a user before `time` is known here.
+    pub fn record_current_as_of(&mut self, time: Time) {
+        self.current_as_of = self.current_as_of.max(time);
     }
 
-    /// A sibling has sent all final states that it knew when it answered a request sent at `asked`.
-    pub fn record_sibling_current_as_of(&mut self, node: &ControllerName, asked: Time) {
-        self.siblings_current_as_of.insert(node.clone(), asked);
+    /// Records that a sibling answered a request sent at `requested_at` with all final states that it knew.
+    pub fn record_sibling_current_as_of(&mut self, sibling: &ControllerName, requested_at: Time) {
+        self.siblings_current_as_of
+            .insert(sibling.clone(), requested_at);
         if self.siblings_current_as_of.len() == self.sibling_count
             && let Some(earliest) = self
                 .siblings_current_as_of
@@ -234,7 +236,7 @@
         }
     }
 
-    /// The call that is due to keep the lease alive, if any is.
+    /// Returns the call that is due to keep the lease alive, if any is due.
     pub fn due_call(&self, now: Time) -> Option<LeaseCall> {
         match self.lease {
             LeaseState::None => (now >= self.next_creation).then_some(LeaseCall::Create),
@@ -246,35 +248,35 @@
         }
     }
 
-    /// The creation of a lease has been requested.
+    /// Records that the creation of a lease was requested.
     pub fn creation_sent(&mut self) {
         self.lease = LeaseState::Creating;
     }
 
-    /// Whether the reply to the creation of a lease is expected.
+    /// Returns whether the creation of a lease was requested and not answered yet.
     pub fn awaits_creation(&self) -> bool {
         self.lease == LeaseState::Creating
     }
 
-    /// The store has created a lease at the request sent at `sent`.
+    /// Records that the store created a lease in reply to the request sent at `sent`.
     pub fn created(&mut self, lease: u64, sent: Time) {
         self.lease = LeaseState::Held(lease);
         self.renewed_at = sent;
         self.next_renewal = sent + self.ttl / RENEWALS_PER_TTL;
     }
 
-    /// The store has not created a lease, or not answered: another is requested from `retry_at` on.
+    /// Records that the creation of a lease failed or was not answered. The next one is due at `retry_at`.
     pub fn creation_failed(&mut self, retry_at: Time) {
         self.lease = LeaseState::None;
         self.next_creation = retry_at;
     }
 
-    /// A renewal has been requested.
+    /// Records that a renewal was requested.
     pub fn renewal_sent(&mut self) {
         self.renewal_in_flight = true;
     }
 
-    /// A renewal that was sent at `sent` succeeded. Extensions are not needed any more.
+    /// Records that the renewal sent at `sent` succeeded, and discards extensions, which it makes obsolete.
     pub fn renewed(&mut self, sent: Time, now: Time) {
         self.renewal_in_flight = false;
         self.renewed_at = self.renewed_at.max(sent);
@@ -282,50 +284,51 @@
         self.extensions.clear_received();
     }
 
-    /// A renewal failed: the next one is sent at `retry_at`.
+    /// Records that a renewal failed. The next one is due at `retry_at`.
     pub fn renewal_failed(&mut self, retry_at: Time) {
         self.renewal_in_flight = false;
         self.next_renewal = retry_at;
     }
 
-    /// Seconds until the next renewal, before jitter, after one that failed.
+    /// Returns the seconds, before jitter, until a failed renewal is retried.
     pub fn renewal_retry_delay(&self) -> Time {
         self.ttl / RENEWAL_RETRIES_PER_TTL
     }
 
-    /// The same after one that the store was too busy for.
+    /// Returns the seconds, before jitter, until a renewal is retried for which the store was too busy.
     pub fn busy_renewal_retry_delay(&self) -> Time {
         self.ttl / BUSY_RENEWAL_RETRIES_PER_TTL
     }
 
-    /// Seconds, before jitter, until the creation of a lease is requested again or the next key is written.
+    /// Returns the seconds, before jitter, until the creation of a lease or the write of a key is retried.
     pub fn retry_delay(&self) -> Time {
         self.ttl * RETRY_TTLS
     }
 
-    /// Whether the next of the keys that are attached to the lease may be written.
+    /// Returns whether a key that is attached to the lease may be written now.
     pub fn may_write_key(&self, now: Time) -> bool {
         !self.key_write_in_flight && now >= self.next_key_write
     }
 
-    /// A write of a key has been sent.
+    /// Records that the write of a key was sent. No other write starts before it has finished.
     pub fn key_write_sent(&mut self) {
         self.key_write_in_flight = true;
     }
 
-    /// A write of a key was answered, or its outcome is unknown: the next one is sent from `next` on.
+    /// Records that the write of a key was answered or its outcome is unknown. The next one may start at
+    /// `next`.
     pub fn key_write_finished(&mut self, next: Time) {
         self.key_write_in_flight = false;
         self.next_key_write = next;
     }
 
-    /// Notes that the lease of an earlier process of this controller is being ended. Returns whether
-    /// it was not the last one for which this was noted.
+    /// Records that this process is ending the lease of an earlier process of this controller. Returns
+    /// false if this lease is already the last one recorded.
     pub fn record_predecessor_ended(&mut self, lease: u64) -> bool {
-        self.ended_predecessor.replace(lease) != Some(lease)
+        self.ended_predecessor_lease.replace(lease) != Some(lease)
     }
 
-    /// Drops the lease and continues as a new incarnation, which requests no lease before
+    /// Discards the lease and continues as a new incarnation, which requests no lease before
     /// `next_creation`.
     pub fn step_down(&mut self, next_creation: Time) {
         self.lease = LeaseState::None;
@@ -337,7 +340,7 @@
         self.next_creation = next_creation;
     }
 
-    /// Holds a lease as if it had just been renewed.
+    /// Sets the state as if this lease had just been renewed.
     #[cfg(test)]
     pub fn hold(&mut self, lease: u64, now: Time) {
         self.lease = LeaseState::Held(lease);
@@ -345,7 +348,7 @@
         self.current_as_of = now;
     }
 
-    /// Holds a lease that has never been renewed.
+    /// Sets the state as if this lease had been granted but never renewed.
     #[cfg(test)]
     pub fn hold_unrenewed(&mut self, lease: u64) {
         self.lease = LeaseState::Held(lease);
--- a/src/core/membership/ownership/extensions.rs
+++ b/src/core/membership/ownership/extensions.rs
@@ -1,5 +1,6 @@
-//! Lease extensions: during an outage of the store a majority of the controllers may extend a
-//! process's ownership, each for a short time and only while it cannot read the store itself.
+//! Lease extensions. During an outage of the store, a majority of the controllers can extend a process's
+//! ownership. Each controller grants an extension for a short time, and only while the store does not
+//! answer it either.
 
 use crate::core::membership::ownership::OwnershipLease;
 use crate::core::model::process::ProcessId;
@@ -8,29 +9,29 @@
 use crate::ids::ControllerName;
 use std::collections::BTreeMap;
 
-/// Duration of an extension, as a part of a worker's lease.
+/// Duration of an extension as a fraction of a worker's lease.
 const DURATION_WORKER_LEASES: f64 = 0.2;
 
-/// Part of the lease's lifetime without a renewal after which extensions are requested.
+/// Fraction of the lease's lifetime after which extensions are requested if no renewal succeeds.
 const REQUEST_TTLS: f64 = 0.5;
 
-/// Part of the lease's lifetime without an answer of the store after which extensions are granted.
+/// Fraction of the lease's lifetime after which extensions are granted if the store does not answer.
 const STORE_SILENCE_TTLS: f64 = 0.3;
 
 /// The extensions that this controller has received and granted.
 pub(super) struct LeaseExtensions {
     /// Seconds for which one extension is valid.
     pub(super) duration: Time,
-    /// Seconds by which an extension counts as expired before it is.
+    /// Seconds by which a received extension counts as expired early.
     margin: Time,
-    /// Until when the extension from each sibling is valid.
+    /// When the extension that each sibling granted expires.
     pub(super) received_until: BTreeMap<ControllerName, Time>,
-    /// Until when this controller's extension for each sibling is valid.
+    /// When the extension that this controller granted to each sibling expires.
     granted_until: BTreeMap<ControllerName, Time>,
 }
 
 impl LeaseExtensions {
-    /// None yet.
+    /// Creates the state without any extension.
     pub(super) fn new(worker_lease: Time, margin: Time) -> Self {
         Self {
             duration: worker_lease * DURATION_WORKER_LEASES,
@@ -40,53 +41,53 @@
         }
     }
 
-    /// Forgets the extensions that siblings have granted.
+    /// Discards the extensions that siblings have granted.
     pub(super) fn clear_received(&mut self) {
         self.received_until.clear();
     }
 
-    /// Whether no extension that this controller granted to a sibling is still valid.
-    pub(super) fn none_granted_to(&self, node: &ControllerName, now: Time) -> bool {
+    /// Returns whether no extension that this controller granted to a sibling is still valid.
+    pub(super) fn has_none_granted_to(&self, sibling: &ControllerName, now: Time) -> bool {
         self.granted_until
-            .get(node)
+            .get(sibling)
             .is_none_or(|until| *until < now)
     }
 
-    /// Whether all extensions that an earlier process of this controller may have granted have
-    /// expired. `now` counts from the start of the process.
+    /// Returns whether all extensions that an earlier process of this controller may have granted have
+    /// expired. `now` counts from the start of this process.
     pub(super) fn predecessors_have_expired(&self, now: Time) -> bool {
         now > self.duration
     }
 }
 
 impl OwnershipLease {
-    /// Until when the extensions of a majority are valid, this controller's own vote included.
+    /// Returns the time until which a majority, this controller included, extends its ownership.
     pub(super) fn extended_until(&self) -> Time {
         if self.consents.includes(&self.process()) {
             return Time::NEG_INFINITY;
         }
         let mut expiries: Vec<Time> = self.extensions.received_until.values().copied().collect();
         expiries.sort_by(|left, right| right.total_cmp(left));
-        // One vote is this controller's own, and positions count from zero.
-        let last_of_majority = self.majority.checked_sub(2);
-        last_of_majority
+        // One vote of the majority is this controller's own, and positions start at zero.
+        let last_required = self.majority.checked_sub(2);
+        last_required
             .and_then(|position| expiries.get(position))
             .copied()
             .unwrap_or(Time::NEG_INFINITY)
     }
 
-    /// Whether siblings are to be asked for extensions.
+    /// Returns whether hellos to siblings must request extensions.
     pub fn wants_extension(&self, now: Time) -> bool {
-        // A restarted controller's own vote counts only after the duration of one extension. And a
-        // majority needs that vote, which the leader may have by now for the failover of this shard.
+        // A restarted controller's own vote counts only after the duration of one extension. The majority
+        // includes that vote, so none is requested once this controller has consented to its own failover.
         self.lease_id().is_some()
             && now - self.renewed_at > self.ttl * REQUEST_TTLS
             && self.extensions.predecessors_have_expired(now)
             && !self.consents.includes(&self.process())
     }
 
-    /// Answers a sibling's request for an extension. If it is granted, this controller consents to no
-    /// failover of that process until the extension has expired.
+    /// Grants an extension to a sibling's process, if possible, and returns whether it did. This controller
+    /// does not consent to the failover of that process until the extension has expired.
     pub fn grant_extension(
         &mut self,
         process: &ProcessId,
@@ -108,12 +109,12 @@
         is_granted
     }
 
-    /// A sibling has granted an extension at the request sent at `sent`.
-    pub fn extension_received(&mut self, node: &ControllerName, sent: Time, now: Time) {
+    /// Records that a sibling granted an extension in reply to the request sent at `sent`.
+    pub fn extension_received(&mut self, sibling: &ControllerName, sent: Time, now: Time) {
         if self.wants_extension(now) {
             let extensions = &mut self.extensions;
             let until = sent + extensions.duration * (1.0 - MAX_CLOCK_DRIFT) - extensions.margin;
-            extensions.received_until.insert(node.clone(), until);
+            extensions.received_until.insert(sibling.clone(), until);
         }
     }
 }
--- a/src/core/membership/ownership/tests.rs
+++ b/src/core/membership/ownership/tests.rs
@@ -11,11 +11,11 @@
     }
 }
 
-/// The sum of the module's argument, for the figures of several deployments: a cancellation that was
-/// not learnt of, the longest ownership after it, a machine's lease by a slow clock, and a heartbeat
-/// in transit.
+/// Checks the inequality of the module's documentation with the settings of several deployments. The
+/// longest ownership after an unknown cancellation, a machine's lease by a slow clock and the travel time
+/// of a heartbeat must add up to less than `cancel_s`.
 #[test]
-fn a_cancellation_unknown_to_the_owner_takes_effect_in_time() {
+fn cancellation_unknown_to_the_owner_takes_effect_in_time() {
     for (report_s, lease_s, cancel_s) in [
         (3.0, 14.0, 34.0),
         (1.0, 10.0, 40.0),
@@ -33,11 +33,11 @@
     assert_eq!(
         staleness_bound(&workers(3.0, 14.0, 10.0)),
         0.0,
-        "better idle than late"
+        "the tasks of an owner that stays idle end in time"
     );
 }
 
-/// The lease of n0, just renewed, in a fleet with siblings n1, n2 and so on.
+/// Returns the lease of n0, just renewed, in a fleet with the siblings n1, n2 and so on.
 fn renewed_lease(siblings: usize) -> OwnershipLease {
     let mut settings = crate::config::TEST_SETTINGS.to_owned();
     for sibling in 1..=siblings {
@@ -51,8 +51,8 @@
     ownership
 }
 
-/// Extensions of all controllers once prolonged ownership without limit: each of them may have
-/// confirmed a cancellation just before.
+/// Extensions by all controllers must not prolong ownership without limit, since each of those controllers
+/// may have confirmed a cancellation just before it granted its extension.
 #[test]
 fn extensions_do_not_outlast_the_staleness_bound() {
     let mut ownership = renewed_lease(2);
@@ -69,22 +69,22 @@
     assert!(holds_lease_extended(&mut ownership, bound - 1.5));
     assert!(
         !holds_lease_extended(&mut ownership, bound),
-        "nothing heard since"
+        "no sibling has sent its final states"
     );
     ownership.record_sibling_current_as_of(&n1, bound);
     assert!(
         !holds_lease_extended(&mut ownership, bound),
-        "one of them may have confirmed it"
+        "n2 may have confirmed a cancellation"
     );
     ownership.record_sibling_current_as_of(&n2, bound - 2.0);
     assert!(holds_lease_extended(&mut ownership, bound));
     assert!(!holds_lease_extended(&mut ownership, bound * 2.0 - 2.0));
 }
 
-/// With two of three controllers down no majority could consent, and the failover of their shards
-/// waited for them.
+/// If two of three controllers are down, no majority can consent. The failover of their shards must not
+/// wait until they return.
 #[test]
-fn without_a_majority_a_lease_expires_after_the_staleness_bound() {
+fn without_a_majority_ownership_ends_after_the_staleness_bound() {
     let mut ownership = renewed_lease(2);
     let mut settings = crate::config::TEST_SETTINGS.to_owned();
     settings += "[[siblings]]\nhost_name = \"n1\"\naddr = \"127.0.0.1:1\"\n";
@@ -96,14 +96,14 @@
     assert!(!ownership.confirm_ownership_ended(&process, &store, &peers, since));
     assert!(
         !ownership.confirm_ownership_ended(&process, &store, &peers, expired_at + 1.0),
-        "a version whose staleness may be unbounded"
+        "the process has not stated that its staleness is bounded"
     );
-    peers.note_bounded_staleness(&process);
+    peers.record_bounded_staleness(&process);
     assert!(!ownership.confirm_ownership_ended(&process, &store, &peers, expired_at - 0.01));
     assert!(ownership.confirm_ownership_ended(&process, &store, &peers, expired_at + 0.01));
     let other = ProcessId::new(ControllerName::from("n1"), 8);
     assert!(
         !ownership.confirm_ownership_ended(&other, &store, &peers, expired_at + 1.0),
-        "another process"
+        "another process has not stated it"
     );
 }
--- a/src/core/membership/peers.rs
+++ b/src/core/membership/peers.rs
@@ -1,6 +1,6 @@
-//! What this controller knows of its siblings from the hellos that controllers exchange: which of
-//! their processes answer, whether they can read the store, and how many tasks run in their shards
-//! (for display). Whether a sibling is alive is decided by the failure detector.
+//! Information about siblings from the hellos that controllers exchange: which of their processes answer,
+//! whether they can read the store, and how many tasks run in their shards (for display). The failure
+//! detector decides whether a sibling is alive.
 
 use crate::config::Config;
 use crate::core::messages::mesh::HelloReply;
@@ -10,49 +10,49 @@
 use failure_detector::{Detector, Incarnation, Settings};
 use std::collections::BTreeMap;
 
-/// Hellos between two that list the images on this controller's machines.
-const IMAGES_EVERY: u64 = 10;
+/// One in this many hellos lists the images on this controller's machines.
+const HELLOS_PER_IMAGE_LIST: u64 = 10;
 
-/// Hellos to each sibling in one lease of a worker.
+/// Number of hellos to each sibling during one lease of a worker.
 const HELLOS_PER_LEASE: f64 = 20.0;
 
-/// Intervals between hellos within which an event counts as recent.
+/// Number of intervals between hellos within which an event counts as recent.
 const RECENT_HELLOS: f64 = 4.0;
 
-/// Part of the interval between hellos after which one with urgent content is sent.
+/// Fraction of the interval between hellos after which a hello with urgent content is sent.
 const URGENT_HELLO_INTERVALS: f64 = 0.2;
 
-/// The process of a sibling that answered a hello.
+/// A sibling's answer to a hello, which shows which process of it was running.
 struct Answer {
     incarnation: u64,
     /// When the hello was sent.
     sent: Time,
 }
 
-/// Identifies a hello of one sibling.
+/// Process and sequence number of a hello from one sibling.
 #[derive(Default)]
 struct HelloNumber {
     incarnation: u64,
     number: u64,
 }
 
-/// One sibling.
+/// The state that this controller keeps about one sibling.
 struct Peer {
     last_answer: Option<Answer>,
     /// Whether it could read the store when it last answered.
     reads_store: bool,
     /// Whether it had recently redirected workers to this controller when it last answered.
     redirects_workers: bool,
-    /// A time at or after which the store answered it.
+    /// Latest time since which the store is known to have answered the sibling.
     store_contact: Time,
     hello_in_flight: bool,
     newest_hello: HelloNumber,
-    /// The incarnation that has stated that its staleness is bounded.
+    /// Incarnation that stated that its staleness is bounded. None if no process has.
     bounded_staleness: Option<u64>,
-    /// Its process is new to this controller and is to be sent all images and contacts that are known.
+    /// Whether its process is new to this controller and must be sent all known images and contacts.
     needs_all_images: bool,
-    /// Tasks done and running, of the jobs that run in its shard.
-    running: BTreeMap<JobId, (u32, u32)>,
+    /// Numbers of done and of running tasks of each job that runs in its shard.
+    task_counts: BTreeMap<JobId, (u32, u32)>,
     /// When this controller last redirected a worker to it.
     last_redirect: Time,
 }
@@ -68,38 +68,38 @@
             newest_hello: HelloNumber::default(),
             bounded_staleness: None,
             needs_all_images: true,
-            running: BTreeMap::new(),
+            task_counts: BTreeMap::new(),
             last_redirect: Time::NEG_INFINITY,
         }
     }
 }
 
-/// Which images a hello lists.
+/// The images and machine contacts that a hello lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ImageScope {
-    /// None.
+    /// No images and no contacts.
     None,
-    /// Those on the machines of the sender's shard.
+    /// Those of the machines in the sender's shard.
     OwnMachines,
-    /// All that the sender knows of.
+    /// All that the sender knows of, whichever shard the machines belong to.
     AllKnown,
 }
 
-/// The siblings of this controller.
+/// The siblings of this controller, their failure detector, and the schedule of hellos to them.
 pub struct Peers {
     peers: BTreeMap<ControllerName, Peer>,
     detector: Detector<ControllerName>,
     next_hello: Time,
     hello_interval: Time,
-    /// Seconds within which an event counts as recent.
+    /// Seconds for which an event counts as recent.
     recent_window: Time,
-    /// Number of the newest hello of this process.
+    /// Sequence number of the newest hello of this process.
     hello_number: u64,
     last_worker_contact: Time,
 }
 
 impl Peers {
-    /// None of the configured siblings has answered yet.
+    /// Creates the state in which none of the configured siblings has answered yet.
     pub fn new(config: &Config) -> Self {
         let hello_interval = config.deployment.workers.lease_s / HELLOS_PER_LEASE;
         let suspect_heartbeats = config.features.suspect_heartbeats();
@@ -116,7 +116,7 @@
         };
         Self {
             detector: Detector::new(siblings(), settings),
-            peers: siblings().map(|node| (node, Peer::new())).collect(),
+            peers: siblings().map(|sibling| (sibling, Peer::new())).collect(),
             next_hello: 0.0,
             hello_interval,
             recent_window: hello_interval * RECENT_HELLOS,
@@ -125,93 +125,94 @@
         }
     }
 
-    /// The failure detector, which judges the siblings.
+    /// Returns the failure detector, which tracks the stages of the siblings.
     pub fn detector(&self) -> &Detector<ControllerName> {
         &self.detector
     }
 
-    /// The failure detector, to add evidence.
+    /// Returns the failure detector for adding evidence.
     pub fn detector_mut(&mut self) -> &mut Detector<ControllerName> {
         &mut self.detector
     }
 
-    /// The names of all siblings.
-    pub fn nodes(&self) -> impl Iterator<Item = &ControllerName> {
+    /// Returns the names of all configured siblings.
+    pub fn names(&self) -> impl Iterator<Item = &ControllerName> {
         self.peers.keys()
     }
 
-    /// Whether this controller has a sibling of this name.
-    pub fn includes(&self, node: &ControllerName) -> bool {
-        self.peers.contains_key(node)
+    /// Returns whether a sibling of this name is configured.
+    pub fn includes(&self, sibling: &ControllerName) -> bool {
+        self.peers.contains_key(sibling)
     }
 
-    /// Seconds within which an event counts as recent_window: a few intervals between hellos.
+    /// Returns the seconds for which an event counts as recent, which are a few intervals between hellos.
     pub fn recent_window(&self) -> Time {
         self.recent_window
     }
 
-    // Hellos that this controller sends.
+    // Sending hellos.
 
-    /// Whether the siblings are to be sent the next hello.
+    /// Returns whether the next hello to the siblings is due.
     pub fn hello_is_due(&self, now: Time) -> bool {
         now >= self.next_hello
     }
 
-    /// Seconds between two hellos, before jitter.
+    /// Returns the seconds between two hellos, before jitter.
     pub fn hello_interval(&self) -> Time {
         self.hello_interval
     }
 
-    /// Begins a round of hellos; the next is due at `next`. Returns the number of these hellos.
+    /// Begins a round of hellos to all siblings. The next round is due at `next`. Returns the sequence number
+    /// of these hellos.
     pub fn begin_hello_round(&mut self, next: Time) -> u64 {
         self.next_hello = next;
         self.hello_number += 1;
         self.hello_number
     }
 
-    /// Content for siblings has arisen that should not wait for the next regular hello.
+    /// Moves the next round of hellos forward for content that should not wait for the regular one.
     pub fn send_hellos_soon(&mut self, now: Time) {
         let soon = now + self.hello_interval * URGENT_HELLO_INTERVALS;
         self.next_hello = self.next_hello.min(soon);
     }
 
-    /// A hello is about to be sent to a sibling. Returns false if the one before is still in flight:
-    /// then none is to be sent.
-    pub fn begin_hello(&mut self, node: &ControllerName) -> bool {
-        let peer = self.peers.get_mut(node);
+    /// Marks a hello to a sibling as in flight. Returns false if the previous one still is, in which case no
+    /// hello may be sent.
+    pub fn begin_hello(&mut self, sibling: &ControllerName) -> bool {
+        let peer = self.peers.get_mut(sibling);
         peer.is_some_and(|peer| !std::mem::replace(&mut peer.hello_in_flight, true))
     }
 
-    /// Which images the hello that is sent to a sibling now lists: all once to a new process, and
-    /// this shard's in every few hellos.
-    pub fn take_image_scope(&mut self, node: &ControllerName) -> ImageScope {
-        let peer = self.peers.get_mut(node);
+    /// Returns which images the hello that is sent to a sibling now must list. A new process is sent all of
+    /// them once. Every few hellos list those of this shard.
+    pub fn take_image_scope(&mut self, sibling: &ControllerName) -> ImageScope {
+        let peer = self.peers.get_mut(sibling);
         if peer.is_some_and(|peer| std::mem::take(&mut peer.needs_all_images)) {
             ImageScope::AllKnown
-        } else if self.hello_number.is_multiple_of(IMAGES_EVERY) {
+        } else if self.hello_number.is_multiple_of(HELLOS_PER_IMAGE_LIST) {
             ImageScope::OwnMachines
         } else {
             ImageScope::None
         }
     }
 
-    /// A hello was answered, or there will be no answer.
-    pub fn hello_finished(&mut self, node: &ControllerName) {
-        if let Some(peer) = self.peers.get_mut(node) {
+    /// Records that a hello was answered or failed, so that the next one may be sent.
+    pub fn hello_finished(&mut self, sibling: &ControllerName) {
+        if let Some(peer) = self.peers.get_mut(sibling) {
             peer.hello_in_flight = false;
         }
     }
 
-    /// A sibling answered the hello that was sent to it at `sent`.
+    /// Records a sibling's reply to the hello that was sent to it at `sent`.
     pub fn hello_answered(
         &mut self,
-        node: &ControllerName,
+        sibling: &ControllerName,
         sent: Time,
         reply: &HelloReply,
         now: Time,
     ) {
         let incarnation = reply.incarnation;
-        if let Some(peer) = self.peers.get_mut(node) {
+        if let Some(peer) = self.peers.get_mut(sibling) {
             peer.last_answer = Some(Answer { incarnation, sent });
             peer.reads_store = reply.reads_store;
             peer.redirects_workers = reply.redirects_workers;
@@ -220,19 +221,19 @@
             }
         }
         self.detector
-            .heartbeat_answered(node, Incarnation(incarnation), sent, now);
+            .heartbeat_answered(sibling, Incarnation(incarnation), sent, now);
     }
 
-    // Hellos that this controller receives.
+    // Receiving hellos.
 
-    /// A sibling's process has sent a hello with this number. Returns whether it is newer than all
-    /// that were received from this process before. If not, it was delayed in the network and its
-    /// content is ignored.
+    /// Records a hello with this sequence number from a sibling's process. Returns whether the hello is newer
+    /// than all others from this process. If it is not, it was delayed in the network, and its content is
+    /// ignored.
     pub fn hello_received(
         &mut self,
         from: &ProcessId,
         number: u64,
-        running: Vec<(JobId, u32, u32)>,
+        task_counts: Vec<(JobId, u32, u32)>,
     ) -> bool {
         let Some(peer) = self.peers.get_mut(&from.node) else {
             return false;
@@ -246,119 +247,121 @@
             incarnation: from.incarnation,
             number,
         };
-        peer.running = running
+        peer.task_counts = task_counts
             .into_iter()
             .map(|(job, done, running)| (job, (done, running)))
             .collect();
         true
     }
 
-    /// A sibling's process has stated that its ownership ends a bounded time after its key is gone.
-    pub fn note_bounded_staleness(&mut self, process: &ProcessId) {
+    /// Records that a sibling's process stated that its ownership ends a bounded time after its key is
+    /// deleted.
+    pub fn record_bounded_staleness(&mut self, process: &ProcessId) {
         if let Some(peer) = self.peers.get_mut(&process.node) {
             peer.bounded_staleness = Some(process.incarnation);
         }
     }
 
-    /// Whether this process is known to lose its ownership a bounded time after its key is gone.
+    /// Returns whether this process stated that its ownership ends a bounded time after its key is deleted.
     pub fn has_bounded_staleness(&self, process: &ProcessId) -> bool {
         self.peers
             .get(&process.node)
             .is_some_and(|peer| peer.bounded_staleness == Some(process.incarnation))
     }
 
-    // What the siblings are like.
+    // State of the siblings.
 
-    /// Which process of `node` answered a hello that was sent after `since`. Only replies count: a
-    /// hello from an earlier process may be delayed in the network and arrive after a later one's.
-    pub fn incarnation_of(&self, node: &ControllerName, since: Time) -> Option<u64> {
-        let answer = self.peers.get(node)?.last_answer.as_ref()?;
+    /// Returns the incarnation of a sibling that answered a hello sent after `since`. Only replies count,
+    /// since a hello of an earlier process may be delayed and arrive after one of a later process.
+    pub fn incarnation_of(&self, sibling: &ControllerName, since: Time) -> Option<u64> {
+        let answer = self.peers.get(sibling)?.last_answer.as_ref()?;
         (answer.sent > since).then_some(answer.incarnation)
     }
 
-    /// Whether any sibling has answered recently.
+    /// Returns whether any sibling has answered recently.
     pub fn any_reachable(&self, now: Time) -> bool {
         self.detector.any_reachable(now)
     }
 
-    /// Whether a sibling has answered recently.
-    pub fn is_reachable(&self, node: &ControllerName, now: Time) -> bool {
-        self.detector.is_reachable(node, now)
+    /// Returns whether a sibling has answered recently.
+    pub fn is_reachable(&self, sibling: &ControllerName, now: Time) -> bool {
+        self.detector.is_reachable(sibling, now)
     }
 
-    /// Siblings that have answered recently.
+    /// Returns the siblings that have answered recently.
     pub fn reachable_siblings(&self, now: Time) -> impl Iterator<Item = &ControllerName> {
-        self.reachable_peers(now).map(|(node, _)| node)
+        self.reachable_peers(now).map(|(sibling, _)| sibling)
     }
 
     fn reachable_peers(&self, now: Time) -> impl Iterator<Item = (&ControllerName, &Peer)> {
         self.peers
             .iter()
-            .filter(move |(node, _)| self.is_reachable(node, now))
+            .filter(move |(sibling, _)| self.is_reachable(sibling, now))
     }
 
-    /// Number of siblings that have answered recently and that the store answered after `since`.
+    /// Counts the siblings that have answered recently and that the store answered after `since`.
     pub fn count_with_store_contact(&self, since: Time, now: Time) -> usize {
         self.reachable_peers(now)
             .filter(|(_, peer)| peer.store_contact > since)
             .count()
     }
 
-    /// Whether a sibling has answered recently that it can read the store.
-    pub fn reads_store(&self, node: &ControllerName, now: Time) -> bool {
-        self.is_reachable(node, now) && self.peers.get(node).is_some_and(|peer| peer.reads_store)
+    /// Returns whether a sibling has recently answered that it can read the store.
+    pub fn reads_store(&self, sibling: &ControllerName, now: Time) -> bool {
+        self.is_reachable(sibling, now)
+            && self.peers.get(sibling).is_some_and(|peer| peer.reads_store)
     }
 
-    /// The first sibling by name that can read the store, and so answer users' requests.
+    /// Returns the first sibling in order of name that can read the store and so can answer users' requests.
     pub fn sibling_reading_store(&self, now: Time) -> Option<&ControllerName> {
-        self.nodes().find(|node| self.reads_store(node, now))
+        self.names().find(|sibling| self.reads_store(sibling, now))
     }
 
-    /// Tasks done and running of a job that runs in a sibling's shard.
+    /// Returns the numbers of done and of running tasks of a job that runs in a sibling's shard.
     pub fn task_counts(&self, job: &JobId) -> Option<(u32, u32)> {
         self.peers
             .values()
-            .find_map(|peer| peer.running.get(job).copied())
+            .find_map(|peer| peer.task_counts.get(job).copied())
     }
 
     // Contact with workers.
 
-    /// A worker's heartbeat was answered here.
-    pub fn note_worker_contact(&mut self, now: Time) {
+    /// Records that this controller answered a worker's heartbeat.
+    pub fn record_worker_contact(&mut self, now: Time) {
         self.last_worker_contact = now;
     }
 
-    /// When a worker's heartbeat was last answered here.
+    /// Returns when this controller last answered a worker's heartbeat.
     pub fn last_worker_contact(&self) -> Time {
         self.last_worker_contact
     }
 
-    /// A worker is redirected to a sibling.
-    pub fn note_redirect(&mut self, to: &ControllerName, now: Time) {
+    /// Records that this controller redirects a worker to a sibling.
+    pub fn record_redirect(&mut self, to: &ControllerName, now: Time) {
         if let Some(peer) = self.peers.get_mut(to) {
             peer.last_redirect = now;
         }
     }
 
-    /// Whether workers were recently redirected to a sibling.
-    pub fn redirects_to(&self, node: &ControllerName, now: Time) -> bool {
-        let peer = self.peers.get(node);
+    /// Returns whether this controller recently redirected workers to a sibling.
+    pub fn redirects_to(&self, sibling: &ControllerName, now: Time) -> bool {
+        let peer = self.peers.get(sibling);
         peer.is_some_and(|peer| now - peer.last_redirect < self.recent_window)
     }
 
-    /// Whether a sibling that has answered recently redirects workers to this controller, so that
-    /// workers reach that sibling.
+    /// Returns whether a reachable sibling redirects workers to this controller, which shows that workers
+    /// reach that sibling.
     pub fn sibling_redirects_workers(&self, now: Time) -> bool {
         self.reachable_peers(now)
             .any(|(_, peer)| peer.redirects_workers)
     }
 
-    /// Has a sibling's process that reads the store answer a hello.
+    /// Records an answer to a hello from a sibling's process that reads the store.
     #[cfg(test)]
-    pub fn record_answer(&mut self, node: &ControllerName, incarnation: u64, now: Time) {
+    pub fn record_answer(&mut self, sibling: &ControllerName, incarnation: u64, now: Time) {
         self.detector
-            .heartbeat_answered(node, Incarnation(incarnation), now, now);
-        if let Some(peer) = self.peers.get_mut(node) {
+            .heartbeat_answered(sibling, Incarnation(incarnation), now, now);
+        if let Some(peer) = self.peers.get_mut(sibling) {
             peer.reads_store = true;
             peer.store_contact = now;
         }
--- a/src/core/membership/process_pause/tests.rs
+++ b/src/core/membership/process_pause/tests.rs
@@ -11,19 +11,23 @@
     ProcessPause::new(&config())
 }
 
-/// A pause is reported once. The process catches up until it has read the store since, and workers
-/// have had the time to send heartbeats.
+/// A pause is reported once. The process has caught up when it has read the store and workers have had time
+/// to send heartbeats.
 #[test]
-fn a_process_catches_up_until_others_were_heard_again() {
+fn process_catches_up_until_it_read_the_store_and_workers_could_send_heartbeats() {
     let mut process_pause = process_pause();
     assert_eq!(process_pause.record_step(10.0), None, "the first step");
-    assert_eq!(process_pause.record_step(10.5), None, "a busy moment");
+    assert_eq!(
+        process_pause.record_step(10.5),
+        None,
+        "a slow step is not a pause"
+    );
     assert!(!process_pause.is_catching_up(10.4, 10.5));
     assert_eq!(process_pause.record_step(17.5), Some(7.0));
     assert_eq!(process_pause.record_step(17.6), None);
     assert!(
         process_pause.is_catching_up(17.4, 30.0),
-        "nothing was read since"
+        "the store was not read since"
     );
     assert!(
         process_pause.is_catching_up(17.6, 18.0),
@@ -32,7 +36,8 @@
     assert!(!process_pause.is_catching_up(17.6, 19.1));
 }
 
-/// The first heartbeat that arrives after a pause does not make all other machines unresponsive.
+/// The first heartbeat that arrives after a pause must not cause all other machines to be declared
+/// unresponsive.
 #[test]
 fn machines_are_not_unresponsive_because_their_owner_was_paused() {
     let (mut shard, mut outbox, mut store) = shard();
@@ -48,10 +53,13 @@
     assert!(!is_unresponsive(&shard));
     shard.catching_up = false;
     shard.declare_unresponsive(&store, 8.0);
-    assert!(is_unresponsive(&shard), "else it would be");
+    assert!(
+        is_unresponsive(&shard),
+        "without catching up it is unresponsive"
+    );
 }
 
-/// Machines that were idle before a pause are not returned before the owner knows what has happened since.
+/// Machines that were idle before a pause must not be returned before the owner has read what has changed.
 #[test]
 fn capacity_is_not_planned_while_catching_up_after_a_pause() {
     let (mut shard, mut outbox, store) = shard();
@@ -73,30 +81,31 @@
     assert_eq!(
         shard.demand.surplus_machines,
         vec![MachineId::from("m-1")],
-        "else it would be"
+        "without catching up it is surplus"
     );
 }
 
-/// That no worker was heard while the process was paused does not mean that they reach siblings only.
+/// The absence of heartbeats during a pause must not be taken as evidence that workers reach siblings only.
 #[test]
 fn a_pause_does_not_count_as_silence_of_workers() {
     let mut core = Core::new(config(), 1);
     core.step(1.0, 1_000, Vec::new());
-    core.peers.note_worker_contact(1.0);
+    core.peers.record_worker_contact(1.0);
     core.step(8.0, 8_000, Vec::new());
     assert_eq!(core.peers.last_worker_contact(), 8.0);
     core.step(8.1, 8_100, Vec::new());
     assert_eq!(core.peers.last_worker_contact(), 8.0, "reported once");
 }
 
-/// Ownership ends by the clock: a lease whose reply was delayed by a pause counts from when it was requested.
+/// Ownership ends by the clock. A lease whose reply was delayed by a pause counts from the time of the
+/// request.
 #[test]
-fn a_reply_delayed_by_a_pause_extends_no_lease() {
+fn reply_delayed_by_a_pause_does_not_prolong_ownership() {
     let mut core = Core::new(config(), 1);
     let mut now = 10.0;
-    // No answer but one to the lease's creation, which arrives after the pause.
+    // Only the listing of the store and the creation of the lease are answered, the latter after the pause.
     let effects = core.step(now, 10_000, Vec::new());
-    let listing = effects.into_iter().find_map(|effect| match effect {
+    let list_call = effects.into_iter().find_map(|effect| match effect {
         Effect::Store(call, StoreCall::List { .. }) => Some(call),
         _ => None,
     });
@@ -105,14 +114,14 @@
     }));
     let reply = StoreReply::Listing(empty.unwrap());
     now += 0.05;
-    let listed = Input::Store(listing.unwrap(), reply);
+    let listed = Input::Store(list_call.unwrap(), reply);
     let effects = core.step(now, 10_050, vec![listed]);
-    let create = effects.into_iter().find_map(|effect| match effect {
+    let create_call = effects.into_iter().find_map(|effect| match effect {
         Effect::Store(call, StoreCall::LeaseCreate { .. }) => Some(call),
         _ => None,
     });
     now += 7.0;
-    let lease = Input::Store(create.unwrap(), StoreReply::LeaseCreated(7));
+    let lease = Input::Store(create_call.unwrap(), StoreReply::LeaseCreated(7));
     core.step(now, 17_050, vec![lease]);
     assert!(!core.ownership.holds_lease(now));
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -146,7 +146,7 @@
     /// The process was paused while its clock went on ([`ProcessPause`]).
     fn resumed(&mut self, paused: Time) {
         tracing::info!(seconds = %format_args!("{paused:.1}"), "process was paused");
-        self.peers.note_worker_contact(self.outbox.now);
+        self.peers.record_worker_contact(self.outbox.now);
         self.store.request_read();
     }
 
@@ -188,7 +188,7 @@
         shard.plan_capacity_when_due(&self.outbox, &self.store, &self.catalog);
         if !shard.has_machines() {
             // There is no worker to hear from, so silence is no evidence of a failure.
-            self.peers.note_worker_contact(now);
+            self.peers.record_worker_contact(now);
         }
         if shard.take_sync_soon() {
             self.peers.send_hellos_soon(now);
@@ -212,7 +212,7 @@
             &self.catalog,
             &self.unresponsive,
         );
-        if self.ownership.take_unsent_request() && self.acts_on_failures() {
+        if self.ownership.take_unsent_consent_request() && self.acts_on_failures() {
             self.peers.send_hellos_soon(self.outbox.now);
         }
     }
@@ -227,7 +227,7 @@
         if self.shard.is_none() && is_registered && self.ownership.holds_lease(now) {
             let image_hints = std::mem::take(&mut self.image_hints);
             self.shard = Some(Shard::new(&self.config, incarnation, image_hints, now));
-            self.peers.note_worker_contact(now);
+            self.peers.record_worker_contact(now);
         }
         let term = self.ownership.leader_key_version(&self.store);
         if self.leader.as_ref().map(Leader::key_version) != term {
