--- a/src/core/model/resources.rs
+++ b/src/core/model/resources.rs
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Whether `need` fits into this amount, within [`EPSILON`].
+    /// Whether `need` fits into this amount, within a small tolerance.
     pub fn holds(&self, need: &Resources) -> bool {
         need.cpus <= self.cpus + EPSILON
             && need.gpus <= self.gpus + EPSILON
--- a/src/core/store/replica.rs
+++ b/src/core/store/replica.rs
@@ -190,7 +190,7 @@
 
     /// Takes the jobs whose records changed. A job whose record is newer than the last read stays until a
     /// read has reached that version: the shard map may have changed before this process wrote the record,
-    /// and then both the former and the new owner of the team would start the job.
+    /// and then both the former and the new owner of the team could start the job.
     pub fn take_changed_jobs(&mut self) -> BTreeSet<JobId> {
         let (jobs, revision) = (&self.jobs, self.revision);
         // A finished job is never started, so it does not wait.
--- a/src/core/store/replica/apply.rs
+++ b/src/core/store/replica/apply.rs
@@ -63,7 +63,7 @@
             return;
         }
         let Ok(record) = JobRecord::deserialize(value) else {
-            tracing::error!(key, "stored job record cannot be decoded");
+            tracing::error!(key, "cannot decode stored job record, ignoring it");
             return;
         };
         self.put_job(id, record, version);
@@ -104,7 +104,13 @@
         }
         // Logged once for each stored value. The team is then handled like a team without a grant record.
         let ledger = TeamLedger::decode(value)
-            .inspect_err(|error| tracing::error!(%team, %error, "stored grant record is invalid"))
+            .inspect_err(|error| {
+                tracing::error!(
+                    %team,
+                    %error,
+                    "cannot decode stored grant record, applying the rules for teams without one"
+                );
+            })
             .ok();
         self.ledgers.insert(team, StoredLedger { version, ledger });
     }
