--- a/src/core/effects/pending.rs
+++ b/src/core/effects/pending.rs
@@ -3,7 +3,7 @@
 use crate::core::effects::{RequestId, UserRequest};
 use crate::core::model::time::Time;
 use crate::core::records::shard_map::ShardOwner;
-use crate::ids::{FencingToken, JobId, MachineId, Node, Team, Version};
+use crate::ids::{ControllerName, FencingToken, JobId, MachineId, Team, Version};
 use crate::wire::{Heartbeat, ListedMachine, Rental, Write};
 
 /// The purpose of a pending call, with the data that its reply is handled with.
@@ -39,7 +39,7 @@
     /// A hello message to a sibling.
     Hello {
         /// The receiver of the hello.
-        node: Node,
+        node: ControllerName,
         /// When the hello was sent.
         sent: Time,
     },
@@ -181,7 +181,7 @@
     /// The request as it is sent to the cloud.
     pub(crate) rental: Rental,
     /// The controller that receives each machine, in the order of the rented machines.
-    pub(crate) nodes: Vec<Node>,
+    pub(crate) nodes: Vec<ControllerName>,
 }
 
 /// The receiver of the answer to a user's request.
--- a/src/core/membership/peers.rs
+++ b/src/core/membership/peers.rs
@@ -6,7 +6,7 @@
 use crate::core::messages::mesh::HelloReply;
 use crate::core::model::process::ProcessId;
 use crate::core::model::time::Time;
-use crate::ids::{JobId, Node};
+use crate::ids::{ControllerName, JobId};
 use failure_detector::{Detector, Incarnation, Settings};
 use std::collections::BTreeMap;
 
@@ -80,19 +80,19 @@
     /// None.
     None,
     /// Those on the machines of the sender's shard.
-    Own,
+    OwnMachines,
     /// All that the sender knows of.
-    Known,
+    AllKnown,
 }
 
 /// The siblings of this controller.
 pub struct Peers {
-    peers: BTreeMap<Node, Peer>,
-    detector: Detector<Node>,
+    peers: BTreeMap<ControllerName, Peer>,
+    detector: Detector<ControllerName>,
     next_hello: Time,
     hello_interval: Time,
     /// Seconds within which an event counts as recent.
-    recent: Time,
+    recent_window: Time,
     /// Number of the newest hello of this process.
     hello_number: u64,
     last_worker_contact: Time,
@@ -103,42 +103,51 @@
     pub fn new(config: &Config) -> Self {
         let hello_interval = config.deployment.workers.lease_s / HELLOS_PER_LEASE;
         let suspect_heartbeats = config.features.suspect_heartbeats();
-        let settings = Settings::new(hello_interval, suspect_heartbeats, config.controllers());
-        let siblings = || config.siblings.iter().map(|sibling| sibling.node.clone());
+        let settings = Settings::new(
+            hello_interval,
+            suspect_heartbeats,
+            config.controller_count(),
+        );
+        let siblings = || {
+            config
+                .siblings
+                .iter()
+                .map(|sibling| sibling.controller.clone())
+        };
         Self {
             detector: Detector::new(siblings(), settings),
             peers: siblings().map(|node| (node, Peer::new())).collect(),
             next_hello: 0.0,
             hello_interval,
-            recent: hello_interval * RECENT_HELLOS,
+            recent_window: hello_interval * RECENT_HELLOS,
             hello_number: 0,
             last_worker_contact: Time::NEG_INFINITY,
         }
     }
 
     /// The failure detector, which judges the siblings.
-    pub fn detector(&self) -> &Detector<Node> {
+    pub fn detector(&self) -> &Detector<ControllerName> {
         &self.detector
     }
 
     /// The failure detector, to add evidence.
-    pub fn detector_mut(&mut self) -> &mut Detector<Node> {
+    pub fn detector_mut(&mut self) -> &mut Detector<ControllerName> {
         &mut self.detector
     }
 
     /// The names of all siblings.
-    pub fn nodes(&self) -> impl Iterator<Item = &Node> {
+    pub fn nodes(&self) -> impl Iterator<Item = &ControllerName> {
         self.peers.keys()
     }
 
     /// Whether this controller has a sibling of this name.
-    pub fn includes(&self, node: &Node) -> bool {
+    pub fn includes(&self, node: &ControllerName) -> bool {
         self.peers.contains_key(node)
     }
 
-    /// Seconds within which an event counts as recent: a few intervals between hellos.
-    pub fn recent(&self) -> Time {
-        self.recent
+    /// Seconds within which an event counts as recent_window: a few intervals between hellos.
+    pub fn recent_window(&self) -> Time {
+        self.recent_window
     }
 
     // Hellos that this controller sends.
@@ -154,7 +163,7 @@
     }
 
     /// Begins a round of hellos; the next is due at `next`. Returns the number of these hellos.
-    pub fn begin_hellos(&mut self, next: Time) -> u64 {
+    pub fn begin_hello_round(&mut self, next: Time) -> u64 {
         self.next_hello = next;
         self.hello_number += 1;
         self.hello_number
@@ -168,33 +177,39 @@
 
     /// A hello is about to be sent to a sibling. Returns false if the one before is still in flight:
     /// then none is to be sent.
-    pub fn begin_hello(&mut self, node: &Node) -> bool {
+    pub fn begin_hello(&mut self, node: &ControllerName) -> bool {
         let peer = self.peers.get_mut(node);
         peer.is_some_and(|peer| !std::mem::replace(&mut peer.hello_in_flight, true))
     }
 
     /// Which images the hello that is sent to a sibling now lists: all once to a new process, and
     /// this shard's in every few hellos.
-    pub fn take_image_scope(&mut self, node: &Node) -> ImageScope {
+    pub fn take_image_scope(&mut self, node: &ControllerName) -> ImageScope {
         let peer = self.peers.get_mut(node);
         if peer.is_some_and(|peer| std::mem::take(&mut peer.needs_all_images)) {
-            ImageScope::Known
+            ImageScope::AllKnown
         } else if self.hello_number.is_multiple_of(IMAGES_EVERY) {
-            ImageScope::Own
+            ImageScope::OwnMachines
         } else {
             ImageScope::None
         }
     }
 
     /// A hello was answered, or there will be no answer.
-    pub fn hello_finished(&mut self, node: &Node) {
+    pub fn hello_finished(&mut self, node: &ControllerName) {
         if let Some(peer) = self.peers.get_mut(node) {
             peer.hello_in_flight = false;
         }
     }
 
     /// A sibling answered the hello that was sent to it at `sent`.
-    pub fn hello_answered(&mut self, node: &Node, sent: Time, reply: &HelloReply, now: Time) {
+    pub fn hello_answered(
+        &mut self,
+        node: &ControllerName,
+        sent: Time,
+        reply: &HelloReply,
+        now: Time,
+    ) {
         let incarnation = reply.incarnation;
         if let Some(peer) = self.peers.get_mut(node) {
             peer.last_answer = Some(Answer { incarnation, sent });
@@ -256,51 +271,51 @@
 
     /// Which process of `node` answered a hello that was sent after `since`. Only replies count: a
     /// hello from an earlier process may be delayed in the network and arrive after a later one's.
-    pub fn incarnation_of(&self, node: &Node, since: Time) -> Option<u64> {
+    pub fn incarnation_of(&self, node: &ControllerName, since: Time) -> Option<u64> {
         let answer = self.peers.get(node)?.last_answer.as_ref()?;
         (answer.sent > since).then_some(answer.incarnation)
     }
 
     /// Whether any sibling has answered recently.
-    pub fn heard_any(&self, now: Time) -> bool {
-        self.detector.hears_any(now)
+    pub fn any_reachable(&self, now: Time) -> bool {
+        self.detector.any_reachable(now)
     }
 
     /// Whether a sibling has answered recently.
-    pub fn hears(&self, node: &Node, now: Time) -> bool {
-        self.detector.hears(node, now)
+    pub fn is_reachable(&self, node: &ControllerName, now: Time) -> bool {
+        self.detector.is_reachable(node, now)
     }
 
     /// Siblings that have answered recently.
-    pub fn heard(&self, now: Time) -> impl Iterator<Item = &Node> {
-        self.heard_peers(now).map(|(node, _)| node)
+    pub fn reachable_siblings(&self, now: Time) -> impl Iterator<Item = &ControllerName> {
+        self.reachable_peers(now).map(|(node, _)| node)
     }
 
-    fn heard_peers(&self, now: Time) -> impl Iterator<Item = (&Node, &Peer)> {
+    fn reachable_peers(&self, now: Time) -> impl Iterator<Item = (&ControllerName, &Peer)> {
         self.peers
             .iter()
-            .filter(move |(node, _)| self.hears(node, now))
+            .filter(move |(node, _)| self.is_reachable(node, now))
     }
 
     /// Number of siblings that have answered recently and that the store answered after `since`.
     pub fn count_with_store_contact(&self, since: Time, now: Time) -> usize {
-        self.heard_peers(now)
+        self.reachable_peers(now)
             .filter(|(_, peer)| peer.store_contact > since)
             .count()
     }
 
     /// Whether a sibling has answered recently that it can read the store.
-    pub fn reads_store(&self, node: &Node, now: Time) -> bool {
-        self.hears(node, now) && self.peers.get(node).is_some_and(|peer| peer.reads_store)
+    pub fn reads_store(&self, node: &ControllerName, now: Time) -> bool {
+        self.is_reachable(node, now) && self.peers.get(node).is_some_and(|peer| peer.reads_store)
     }
 
     /// The first sibling by name that can read the store, and so answer users' requests.
-    pub fn sibling_reading_store(&self, now: Time) -> Option<&Node> {
+    pub fn sibling_reading_store(&self, now: Time) -> Option<&ControllerName> {
         self.nodes().find(|node| self.reads_store(node, now))
     }
 
     /// Tasks done and running of a job that runs in a sibling's shard.
-    pub fn running(&self, job: &JobId) -> Option<(u32, u32)> {
+    pub fn task_counts(&self, job: &JobId) -> Option<(u32, u32)> {
         self.peers
             .values()
             .find_map(|peer| peer.running.get(job).copied())
@@ -319,28 +334,28 @@
     }
 
     /// A worker is redirected to a sibling.
-    pub fn note_redirect(&mut self, to: &Node, now: Time) {
+    pub fn note_redirect(&mut self, to: &ControllerName, now: Time) {
         if let Some(peer) = self.peers.get_mut(to) {
             peer.last_redirect = now;
         }
     }
 
     /// Whether workers were recently redirected to a sibling.
-    pub fn redirects_to(&self, node: &Node, now: Time) -> bool {
+    pub fn redirects_to(&self, node: &ControllerName, now: Time) -> bool {
         let peer = self.peers.get(node);
-        peer.is_some_and(|peer| now - peer.last_redirect < self.recent)
+        peer.is_some_and(|peer| now - peer.last_redirect < self.recent_window)
     }
 
     /// Whether a sibling that has answered recently redirects workers to this controller, so that
     /// workers reach that sibling.
-    pub fn redirected_from_sibling(&self, now: Time) -> bool {
-        self.heard_peers(now)
+    pub fn sibling_redirects_workers(&self, now: Time) -> bool {
+        self.reachable_peers(now)
             .any(|(_, peer)| peer.redirects_workers)
     }
 
     /// Has a sibling's process that reads the store answer a hello.
     #[cfg(test)]
-    pub fn answered(&mut self, node: &Node, incarnation: u64, now: Time) {
+    pub fn record_answer(&mut self, node: &ControllerName, incarnation: u64, now: Time) {
         self.detector
             .heartbeat_answered(node, Incarnation(incarnation), now, now);
         if let Some(peer) = self.peers.get_mut(node) {
--- a/src/core/messages/detection.rs
+++ b/src/core/messages/detection.rs
@@ -1,7 +1,7 @@
 //! Reports that controllers exchange to detect failed controllers.
 
 use crate::core::model::time::Time;
-use crate::ids::Node;
+use crate::ids::ControllerName;
 use failure_detector::Opinion;
 use serde::{Deserialize, Serialize};
 
@@ -11,7 +11,7 @@
 pub struct DetectionReport {
     /// The process's opinion of each sibling.
     #[serde(rename = "o")]
-    pub opinions: Vec<Opinion<Node>>,
+    pub opinions: Vec<Opinion<ControllerName>>,
     /// Seconds since the store last replied to the process.
     #[serde(rename = "s")]
     pub store_silence: Time,
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -37,7 +37,7 @@
 use crate::core::scheduling::catalog::Catalog;
 use crate::core::shard::Shard;
 use crate::core::store::replica::StoreReplica;
-use crate::ids::{Node, Team, Version};
+use crate::ids::{ControllerName, Team, Version};
 use failure_detector::Stage;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -102,8 +102,8 @@
     /// time of day in milliseconds.
     pub fn step(&mut self, now: Time, wall_ms: u64, batch: Vec<Input>) -> Vec<Effect> {
         self.outbox.begin_step(now, wall_ms);
-        self.peers.detector_mut().step(now);
-        if let Some(paused) = self.process_pause.step(now) {
+        self.peers.detector_mut().begin_step(now);
+        if let Some(paused) = self.process_pause.record_step(now) {
             self.resumed(paused);
         }
         for input in batch {
@@ -119,7 +119,7 @@
     }
 
     /// The failure detector's judgement of a sibling.
-    pub fn stage_of(&self, sibling: &Node) -> Stage {
+    pub fn stage_of(&self, sibling: &ControllerName) -> Stage {
         self.peers.detector().stage(sibling)
     }
 
@@ -200,7 +200,7 @@
             return;
         };
         if let Some(shard) = self.shard.as_mut() {
-            leader.set_demand(&self.config.node, shard.demand.clone());
+            leader.set_demand(&self.config.controller, shard.demand.clone());
             shard.refused_offers = leader.unavailable_offers();
         }
         leader.set_catching_up(catching_up);
@@ -221,13 +221,15 @@
     fn take_roles(&mut self) {
         let now = self.outbox.now;
         let incarnation = self.ownership.incarnation();
-        let is_registered = self.store.is_registered(&self.config.node, incarnation);
+        let is_registered = self
+            .store
+            .is_registered(&self.config.controller, incarnation);
         if self.shard.is_none() && is_registered && self.ownership.holds_lease(now) {
             let image_hints = std::mem::take(&mut self.image_hints);
             self.shard = Some(Shard::new(&self.config, incarnation, image_hints, now));
             self.peers.note_worker_contact(now);
         }
-        let term = self.ownership.leads(&self.store);
+        let term = self.ownership.leader_key_version(&self.store);
         if self.leader.as_ref().map(Leader::key_version) != term {
             // The map as of the revision of the leader's key has every change of earlier leaders.
             let readable_term = term.filter(|term| self.store.revision() >= *term);
--- a/src/core/test_support.rs
+++ b/src/core/test_support.rs
@@ -14,7 +14,7 @@
 use crate::core::shard::Shard;
 use crate::core::store::replica::StoreReplica;
 use crate::features::Features;
-use crate::ids::{FencingToken, Node, Version};
+use crate::ids::{ControllerName, FencingToken, Version};
 use crate::wire::{Entry, Heartbeat, JobSpec, JobStatus, Listing, MachineType, Write};
 use rand::SeedableRng;
 use std::rc::Rc;
@@ -198,9 +198,10 @@
     let mut now = from;
     while now <= until {
         core.outbox.begin_step(now, 0);
-        core.peers.detector_mut().step(now);
+        core.peers.detector_mut().begin_step(now);
         for sibling in siblings {
-            core.peers.answered(&Node::from(*sibling), 1, now);
+            core.peers
+                .record_answer(&ControllerName::from(*sibling), 1, now);
         }
         core.update_sibling_stages();
         now += 0.1;
