--- a/src/core/controller/inputs.rs
+++ b/src/core/controller/inputs.rs
@@ -91,11 +91,11 @@
     /// What a reply of the store, or its absence, says of this controller's contact with it.
     fn note_store_contact(&mut self, reply: &StoreReply) {
         match reply {
-            StoreReply::Refused => self.detection.store_refused(),
+            StoreReply::Refused => self.detection.record_store_refusal(),
             StoreReply::Busy => {}
-            StoreReply::Unknown => self.detection.store_not_refused(),
+            StoreReply::Unknown => self.detection.reset_store_refusals(),
             _ => {
-                self.detection.store_not_refused();
+                self.detection.reset_store_refusals();
                 self.store.record_store_reply(self.outbox.now);
             }
         }
@@ -106,7 +106,10 @@
     fn store_read(&mut self, sent: Time, reply: StoreReply) {
         self.synced(sent, reply);
         let incarnation = self.ownership.incarnation();
-        if self.store.is_registered(&self.config.node, incarnation) {
+        if self
+            .store
+            .is_registered(&self.config.controller, incarnation)
+        {
             self.ownership
                 .record_current_as_of(self.store.current_as_of());
         }
--- a/src/core/controller/ownership.rs
+++ b/src/core/controller/ownership.rs
@@ -88,15 +88,18 @@
     /// Ends the leases of earlier processes of this controller. Those processes have ended, so the keys
     /// that are attached to their leases need not remain until the leases expire.
     fn end_predecessor_leases(&mut self) {
-        let keys = [self.store.node(&self.config.node), self.store.leader()];
+        let keys = [
+            self.store.node(&self.config.controller),
+            self.store.leader(),
+        ];
         let leases: BTreeSet<u64> = keys
             .into_iter()
             .flatten()
-            .filter(|stored| stored.record.node == self.config.node)
+            .filter(|stored| stored.record.node == self.config.controller)
             .map(|stored| stored.record.lease)
             .collect();
         for lease in leases {
-            if self.ownership.note_predecessor_ended(lease) {
+            if self.ownership.record_predecessor_ended(lease) {
                 self.end_lease(lease);
             }
         }
@@ -117,7 +120,7 @@
             return;
         }
         self.ownership
-            .publish_consents_if_leader_unheard(&self.store, &self.peers, now);
+            .publish_consents_if_leader_unreachable(&self.store, &self.peers, now);
         let record = self.process_record(lease);
         let Some(KeyWrite { key, version, call }) = self.next_key_write(&record) else {
             return;
@@ -170,13 +173,13 @@
         if self.store.leader().is_none() && self.ownership.holds_lease(self.outbox.now) {
             return Some(0);
         }
-        let exhausted = self
+        let leader_low_on_tokens = self
             .leader
             .as_ref()
             .filter(|leader| leader.tokens_running_low());
-        if let Some(exhausted) = exhausted {
+        if let Some(leader) = leader_low_on_tokens {
             // The write gives the key a new revision, and so new fencing tokens. This process stays leader.
-            return Some(exhausted.key_version());
+            return Some(leader.key_version());
         }
         let version = self.failed_leader_key_version()?;
         tracing::info!("taking over leadership: the leader has failed");
--- a/src/core/leader/cloud_requests.rs
+++ b/src/core/leader/cloud_requests.rs
@@ -13,8 +13,8 @@
 use crate::core::model::token_bucket::TokenBucket;
 use crate::core::records::shard_map::ShardMap;
 use crate::core::scheduling::catalog::Catalog;
-use crate::ids::{MachineId, Node, Version};
-use crate::wire::{ListedMachine, MachineNames, MachineState, Rental};
+use crate::ids::{ControllerName, MachineId, Version};
+use crate::wire::{ListedMachine, MachineIds, MachineState, Rental};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
@@ -131,7 +131,11 @@
     }
 
     /// Records the first heartbeat of a machine; returns the controller for which it was rented, if known.
-    pub(super) fn record_arrival(&mut self, id: &MachineId, offer: &MachineOffer) -> Option<Node> {
+    pub(super) fn record_arrival(
+        &mut self,
+        id: &MachineId,
+        offer: &MachineOffer,
+    ) -> Option<ControllerName> {
         self.offers.insert(id.clone(), offer.clone());
         self.pending.remove(id).and_then(|pending| pending.node)
     }
@@ -181,7 +185,7 @@
 
     /// Queues the rental of one machine of this kind for each entry of `nodes`, in as few requests as
     /// possible.
-    pub(super) fn queue_rentals(&mut self, offer: &MachineOffer, nodes: &[Node]) {
+    pub(super) fn queue_rentals(&mut self, offer: &MachineOffer, nodes: &[ControllerName]) {
         for nodes in nodes.chunks(MAX_MACHINES_PER_RENTAL) {
             self.rental_count += 1;
             let rental = Rental {
@@ -240,10 +244,7 @@
             token: self.key_version,
             machines: machines.clone(),
         };
-        outbox.call_cloud(
-            Some(operation),
-            CloudCall::Release(MachineNames { machines }),
-        );
+        outbox.call_cloud(Some(operation), CloudCall::Release(MachineIds { machines }));
     }
 
     fn send_list(&mut self, outbox: &mut Outbox) {
--- a/src/core/leader/failover.rs
+++ b/src/core/leader/failover.rs
@@ -11,7 +11,7 @@
 use crate::core::records::shard_map::ShardOwner;
 use crate::core::records::versioned::precondition;
 use crate::core::store::replica::StoreReplica;
-use crate::ids::{FencingToken, MachineId, Node, Team};
+use crate::ids::{ControllerName, FencingToken, MachineId, Team};
 use crate::wire::Precondition;
 use failure_detector::Stage;
 use std::collections::BTreeSet;
@@ -43,7 +43,7 @@
         ownership.retain_consent_requests(&failed);
         let mut preconditions = Vec::new();
         for process in failed {
-            if !ownership.lease_expired(&process, store, peers, now) {
+            if !ownership.confirm_ownership_ended(&process, store, peers, now) {
                 continue;
             }
             let restarted = live.process_of(&process.node);
@@ -86,8 +86,9 @@
     /// are preferred if the features enable actions on detected failures.
     fn process_with_fewest_teams(&self, live: &LiveProcesses, peers: &Peers) -> Option<ProcessId> {
         let acts_on_failures = self.config.features.acts_on_failures();
-        let is_suspected =
-            |node: &Node| acts_on_failures && peers.detector().stage(node) != Stage::Alive;
+        let is_suspected = |node: &ControllerName| {
+            acts_on_failures && peers.detector().stage(node) != Stage::Alive
+        };
         let node = live
             .nodes()
             .min_by_key(|node| (is_suspected(node), self.team_count(node)))?;
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -37,7 +37,7 @@
 use crate::core::model::time::Time;
 use crate::core::scheduling::catalog::Catalog;
 use crate::core::store::replica::StoreReplica;
-use crate::ids::{FencingToken, MachineId, Node, Version};
+use crate::ids::{ControllerName, FencingToken, MachineId, Version};
 use crate::wire::Heartbeat;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -55,7 +55,7 @@
     /// each.
     turn_tokens: BTreeMap<ProcessId, FencingToken>,
     /// The latest report of each controller on the machines that its shard lacks or can spare.
-    demands: BTreeMap<Node, CapacityDemand>,
+    demands: BTreeMap<ControllerName, CapacityDemand>,
     /// Machines that have sent a heartbeat and are not in the shard map yet.
     unassigned_machines: BTreeMap<MachineId, MachineOffer>,
     /// Live processes that respect the grants of team limits; empty unless every live process does.
@@ -122,7 +122,7 @@
     }
 
     /// Replaces the report on the machines that a controller's shard lacks or can spare.
-    pub fn set_demand(&mut self, node: &Node, demand: CapacityDemand) {
+    pub fn set_demand(&mut self, node: &ControllerName, demand: CapacityDemand) {
         self.demands.insert(node.clone(), demand);
     }
 
@@ -181,7 +181,7 @@
     /// Whether the shard map may change. A fresh deployment waits until all its controllers are registered,
     /// so that the shards start equal, but at most for one ownership lease.
     fn may_assign(&self, live: &LiveProcesses, ownership: &OwnershipLease, now: Time) -> bool {
-        live.count() >= self.config.controllers()
+        live.count() >= self.config.controller_count()
             || !self.editor.owners().teams.is_empty()
             || now > self.leading_since + ownership.ttl()
     }
--- a/src/core/leader/pending_machines.rs
+++ b/src/core/leader/pending_machines.rs
@@ -3,7 +3,7 @@
 use crate::core::messages::capacity_demand::MachineOffer;
 use crate::core::model::time::Time;
 use crate::core::scheduling::catalog::Catalog;
-use crate::ids::{MachineId, Node};
+use crate::ids::{ControllerName, MachineId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Multiple of its boot time after which a machine without a heartbeat is returned.
@@ -26,7 +26,7 @@
     /// When it was rented; derived from its age if it is known only from the cloud's list.
     pub(super) rented: Time,
     /// The controller for which it was rented; None if it is known only from the cloud's list.
-    pub(super) node: Option<Node>,
+    pub(super) node: Option<ControllerName>,
 }
 
 /// All rented machines that have not sent a heartbeat yet.
--- a/src/core/leader/spare_machines.rs
+++ b/src/core/leader/spare_machines.rs
@@ -2,7 +2,7 @@
 //! of each transfer does not grow with the fleet.
 
 use crate::core::messages::capacity_demand::{MachineDemand, MachineOffer};
-use crate::ids::{MachineId, Node};
+use crate::ids::{ControllerName, MachineId};
 use std::collections::{BTreeMap, VecDeque};
 
 /// A machine that can be spared, and the controller that owns it.
@@ -11,7 +11,7 @@
     /// Its name in the shard map.
     pub(super) id: MachineId,
     /// The controller to whose shard it belongs at present.
-    pub(super) owner: Node,
+    pub(super) owner: ControllerName,
 }
 
 /// The machines that shards can spare, in the order in which they are taken.
@@ -32,7 +32,7 @@
     pub(super) fn take_for(
         &mut self,
         demand: &MachineDemand,
-        except: &Node,
+        except: &ControllerName,
     ) -> Option<SpareMachine> {
         let cheapest = std::slice::from_ref(&demand.offer);
         let idle = self.idle.take(cheapest, except);
@@ -59,14 +59,14 @@
 /// them.
 #[derive(Debug, Default)]
 pub(super) struct SpareMachines {
-    by_kind: BTreeMap<MachineOffer, BTreeMap<Node, VecDeque<ListedMachine>>>,
+    by_kind: BTreeMap<MachineOffer, BTreeMap<ControllerName, VecDeque<ListedMachine>>>,
 }
 
 impl SpareMachines {
     /// Adds the machines that a shard can spare, with their kinds.
     pub(super) fn add(
         &mut self,
-        node: &Node,
+        node: &ControllerName,
         listed: impl IntoIterator<Item = (MachineId, MachineOffer)>,
     ) {
         for (position, (id, offer)) in listed.into_iter().enumerate() {
@@ -78,7 +78,11 @@
 
     /// Takes a machine of any of these kinds from the first controller, by name, that has one and is not
     /// `except`. Of that controller's machines of these kinds, the one that it lists first is taken.
-    pub(super) fn take(&mut self, kinds: &[MachineOffer], except: &Node) -> Option<SpareMachine> {
+    pub(super) fn take(
+        &mut self,
+        kinds: &[MachineOffer],
+        except: &ControllerName,
+    ) -> Option<SpareMachine> {
         let first_of = |kind: &MachineOffer| {
             let shards = self.by_kind.get(kind)?.iter();
             let mut others = shards.filter(|(node, _)| *node != except);
