--- a/src/core/controller/catalog.rs
+++ b/src/core/controller/catalog.rs
@@ -9,16 +9,16 @@
 use crate::wire::{MachineTypes, Transaction};
 
 /// Time between two requests for the machine types, in lags of the cloud's list.
-const REFRESH_LAGS: f64 = 6.0;
+const REFRESH_INTERVAL_LAGS: f64 = 6.0;
 
 /// Pause after a failed request, as the time that so many requests take at the cloud's rate limit.
-const RETRY_REQUESTS: f64 = 1.5;
+const RETRY_PAUSE_REQUESTS: f64 = 1.5;
 
 impl Core {
     /// Asks the cloud for the machine types, which every controller needs, and as the leader also stores them:
     /// so controllers that start while the cloud is unavailable can accept jobs and place tasks. The leader, who
     /// rents machines, asks repeatedly; other controllers until they know them.
-    pub(crate) fn catalog_when_due(&mut self) {
+    pub(crate) fn refresh_catalog_when_due(&mut self) {
         let catalog = &mut self.catalog;
         if let (false, Some(stored)) = (catalog.known(), self.store.machine_types()) {
             catalog.types.clone_from(&stored.record.types);
@@ -29,7 +29,7 @@
             && self.outbox.may_write()
         {
             catalog.next_store = self.outbox.now + self.config.deployment.cloud.list_lag_s.max(1.0);
-            self.store_types();
+            self.write_machine_types();
         }
         let catalog = &mut self.catalog;
         if !catalog.asking
@@ -42,7 +42,7 @@
     }
 
     /// Stores the machine types, if they differ from what is stored and are not too large.
-    fn store_types(&mut self) {
+    fn write_machine_types(&mut self) {
         let Some(leader) = &self.leader else { return };
         let record = MachineTypes {
             types: self.catalog.types.clone(),
@@ -70,7 +70,7 @@
     }
 
     /// Takes in the cloud's reply to a request for the machine types.
-    pub(crate) fn catalog_reply(&mut self, reply: CloudReply) {
+    pub(crate) fn handle_catalog_reply(&mut self, reply: CloudReply) {
         let now = self.outbox.now;
         let cloud = &self.config.deployment.cloud;
         let lag_s: Time = cloud.list_lag_s.max(1.0);
@@ -81,9 +81,9 @@
                     self.catalog.next_store = self.catalog.next_store.min(now);
                 }
                 self.catalog.types = types.types;
-                self.catalog.next = now + lag_s * REFRESH_LAGS;
+                self.catalog.next = now + lag_s * REFRESH_INTERVAL_LAGS;
             }
-            _ => self.catalog.next = now + self.outbox.jitter(RETRY_REQUESTS / cloud.rps),
+            _ => self.catalog.next = now + self.outbox.jitter(RETRY_PAUSE_REQUESTS / cloud.rps),
         }
     }
 }
--- a/src/core/controller/deferred_heartbeats/tests.rs
+++ b/src/core/controller/deferred_heartbeats/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::core::effects::Effect;
 use crate::core::records::shard_map::ShardEntry;
-use crate::core::test_support::{answered_until, heartbeat, map, owner, running_core};
+use crate::core::test_support::{apply_shard_map, heartbeat, owner, record_answers, running_core};
 use crate::ids::FencingToken;
 
 const START: Time = 100.0;
@@ -18,10 +18,10 @@
 /// have passed since then, during which n2 still answers.
 fn core_whose_sibling_fails(after: Time) -> Core {
     let mut core = running_core(2, START);
-    map(&mut core.store, 30, vec![shard_with_machine(owner("n0"))]);
-    answered_until(&mut core, &["n0", "n2"], START, START + 1.0);
+    apply_shard_map(&mut core.store, 30, vec![shard_with_machine(owner("n0"))]);
+    record_answers(&mut core, &["n0", "n2"], START, START + 1.0);
     if after > 0.0 {
-        answered_until(&mut core, &["n2"], START + 1.0, START + 1.0 + after);
+        record_answers(&mut core, &["n2"], START + 1.0, START + 1.0 + after);
     }
     core.store.record_store_reply(core.outbox.now);
     core.outbox.take_effects();
@@ -56,7 +56,7 @@
 fn assert_deferred_until_next_owner(mut core: Core) {
     core.answer_deferred_heartbeats();
     assert_eq!(answers(&mut core), []);
-    map(
+    apply_shard_map(
         &mut core.store,
         32,
         vec![shard_with_machine(ShardOwner {
@@ -100,7 +100,7 @@
     );
     worker_sends_heartbeat(&mut core, FencingToken(9));
     let (now, report_s) = (core.outbox.now, core.config.deployment.workers.report_s);
-    answered_until(&mut core, &["n2"], now, now + report_s);
+    record_answers(&mut core, &["n2"], now, now + report_s);
     core.answer_deferred_heartbeats();
     assert_eq!(answers(&mut core), [(421, Some("n2".into()))]);
 }
@@ -127,7 +127,7 @@
     );
     core.answer_deferred_heartbeats();
     assert_eq!(answers(&mut core), []);
-    map(
+    apply_shard_map(
         &mut core.store,
         32,
         vec![shard_with_machine(ShardOwner {
@@ -158,7 +158,7 @@
 fn controller_that_cannot_read_the_store_redirects_workers_to_one_that_can() {
     let mut core = core_whose_sibling_fails(0.0);
     let now = core.outbox.now;
-    answered_until(&mut core, &["n0", "n2"], now, now + 5.0);
+    record_answers(&mut core, &["n0", "n2"], now, now + 5.0);
     worker_sends_heartbeat(&mut core, FencingToken(3));
     assert_eq!(answers(&mut core), [(421, Some("n2".into()))]);
 }
--- a/src/core/controller/failure_detection/tests.rs
+++ b/src/core/controller/failure_detection/tests.rs
@@ -4,7 +4,7 @@
 use crate::core::model::time::Time;
 use crate::core::records::keys::LEADER_KEY;
 use crate::core::records::versioned::precondition;
-use crate::core::test_support::{OWN_LEASE, answered_until, running_core};
+use crate::core::test_support::{OWN_LEASE, record_answers, running_core};
 use crate::wire::Transaction;
 use failure_detector::{Incarnation, Opinion};
 
@@ -45,8 +45,8 @@
 /// The leader n0 has been silent for 2.5 s. The other siblings answer.
 fn core_without_its_leader() -> Core {
     let mut core = running_core(4, START);
-    answered_until(&mut core, &["n0", "n2", "n3", "n4"], START, START + 1.0);
-    answered_until(&mut core, &["n2", "n3", "n4"], START + 1.0, START + 3.5);
+    record_answers(&mut core, &["n0", "n2", "n3", "n4"], START, START + 1.0);
+    record_answers(&mut core, &["n2", "n3", "n4"], START + 1.0, START + 3.5);
     core.ownership.hold(OWN_LEASE, core.outbox.now);
     core.store.record_store_reply(core.outbox.now);
     core
@@ -108,17 +108,17 @@
     let mut core = running_core(4, START);
     let incarnation = core.ownership.incarnation();
     let others = ["n0", "n2", "n3", "n4"];
-    answered_until(&mut core, &others, START, START + 1.0);
+    record_answers(&mut core, &others, START, START + 1.0);
     for _ in 0..3 {
         let pending = Pending::OwnershipLease(OwnershipCall::End);
-        core.store_reply(pending, StoreReply::Refused);
+        core.handle_store_reply(pending, StoreReply::Refused);
     }
     core.step_down_on_partial_failure(OWN_LEASE);
     assert!(
         core.shard.is_some(),
         "one second without the store is too short"
     );
-    answered_until(&mut core, &others, START + 1.0, START + 2.0);
+    record_answers(&mut core, &others, START + 1.0, START + 2.0);
     core.step_down_on_partial_failure(OWN_LEASE);
     assert!(core.shard.is_none() && core.ownership.incarnation() != incarnation);
     let reported = core
--- a/src/core/controller/heartbeat_routing/tests.rs
+++ b/src/core/controller/heartbeat_routing/tests.rs
@@ -39,7 +39,7 @@
             teams: Vec::new(),
             machines,
         };
-        crate::core::test_support::map(&mut core.store, version, vec![shard]);
+        crate::core::test_support::apply_shard_map(&mut core.store, version, vec![shard]);
         core.relays.track_tokens(&core.store, 10.0);
     };
     map(&mut core, 1, 3);
--- a/src/core/controller/hello.rs
+++ b/src/core/controller/hello.rs
@@ -15,14 +15,14 @@
 impl Core {
     /// Sends a hello to every sibling if the next ones are due, except to those that have not
     /// answered the last one.
-    pub(crate) fn hello_when_due(&mut self) {
+    pub(crate) fn send_hellos_when_due(&mut self) {
         let now = self.outbox.now;
         if !self.peers.hello_is_due(now) {
             return;
         }
         let delay = self.outbox.jitter(self.peers.hello_interval());
         let number = self.peers.begin_hello_round(now + delay);
-        self.refresh_machine_knowledge();
+        self.update_machine_information();
         let hello = self.hello_without_update(number);
         let nodes: Vec<ControllerName> = self.peers.names().cloned().collect();
         for node in nodes {
@@ -30,7 +30,7 @@
                 continue;
             }
             let hello = Hello {
-                update: self.update_for(&node),
+                update: self.peer_update_for(&node),
                 ..hello.clone()
             };
             let pending = Pending::Hello {
@@ -43,7 +43,7 @@
     }
 
     /// Updates what hellos contain about machines beyond this shard's own state.
-    fn refresh_machine_knowledge(&mut self) {
+    fn update_machine_information(&mut self) {
         let now = self.outbox.now;
         if let Some(shard) = &self.shard {
             self.unresponsive
@@ -71,7 +71,7 @@
                 .unwrap_or_default(),
             unresponsive: self.unresponsive.all(now),
             update: None,
-            final_states_after: self.wanted_final_states(),
+            final_states_after: self.wanted_final_states_after(),
             bounded_staleness: true,
             detection: self.detection_report(),
         }
@@ -84,13 +84,13 @@
     }
 
     /// The version after which siblings are asked for final states, while syncs with the store fail.
-    fn wanted_final_states(&self) -> Option<Version> {
+    fn wanted_final_states_after(&self) -> Option<Version> {
         let is_behind = self.outbox.now - self.store.current_as_of() > self.peers.recent_window();
         (is_behind && self.store.is_complete()).then(|| self.store.final_states_known_up_to())
     }
 
     /// The state of this shard for a sibling's shard, while this process may act as its owner.
-    fn update_for(&mut self, node: &ControllerName) -> Option<PeerUpdate> {
+    fn peer_update_for(&mut self, node: &ControllerName) -> Option<PeerUpdate> {
         self.leased_shard()?;
         let scope = self.peers.take_image_scope(node);
         let shard = self.shard.as_ref()?;
@@ -112,14 +112,16 @@
     }
 
     /// A sibling sends a request.
-    pub(crate) fn mesh_message(&mut self, request: RequestId, message: MeshMessage) {
+    pub(crate) fn handle_mesh_message(&mut self, request: RequestId, message: MeshMessage) {
         match message {
-            MeshMessage::Hello(hello) => self.hello(request, *hello),
+            MeshMessage::Hello(hello) => self.handle_hello(request, *hello),
             MeshMessage::Submit(id, spec) | MeshMessage::SubmitDependent(id, spec) => {
-                self.relayed_request(request, UserRequest::Submit(id, spec));
+                self.handle_relayed_request(request, UserRequest::Submit(id, spec));
+            }
+            MeshMessage::Poll(id) => self.handle_relayed_request(request, UserRequest::Poll(id)),
+            MeshMessage::Cancel(id) => {
+                self.handle_relayed_request(request, UserRequest::Cancel(id))
             }
-            MeshMessage::Poll(id) => self.relayed_request(request, UserRequest::Poll(id)),
-            MeshMessage::Cancel(id) => self.relayed_request(request, UserRequest::Cancel(id)),
             MeshMessage::Heartbeat(heartbeat) => self.answer_relayed_heartbeat(request, &heartbeat),
             MeshMessage::Cancelled(_) => {
                 self.store.request_read();
@@ -129,7 +131,7 @@
     }
 
     /// Applies a sibling's hello and replies to it.
-    fn hello(&mut self, request: RequestId, hello: Hello) {
+    fn handle_hello(&mut self, request: RequestId, hello: Hello) {
         let now = self.outbox.now;
         let sender = ProcessId::new(hello.from, hello.incarnation);
         self.peers
@@ -164,14 +166,14 @@
         let reply = HelloReply {
             grants_extension,
             consents,
-            ..self.hello_reply(&sender, hello.final_states_after)
+            ..self.build_hello_reply(&sender, hello.final_states_after)
         };
         self.outbox.answer_sibling(request, MeshReply::Hello(reply));
     }
 
     /// A reply to a hello that grants and consents to nothing. `final_states_after`: the version after
     /// which the sender asked for final states.
-    fn hello_reply(&self, to: &ProcessId, final_states_after: Option<Version>) -> HelloReply {
+    fn build_hello_reply(&self, to: &ProcessId, final_states_after: Option<Version>) -> HelloReply {
         HelloReply {
             incarnation: self.ownership.incarnation(),
             grants_extension: false,
@@ -211,16 +213,16 @@
     }
 
     /// A request to a sibling was answered, or there will be no answer.
-    pub(crate) fn mesh_reply(&mut self, pending: Pending, reply: Option<MeshReply>) {
+    pub(crate) fn handle_mesh_reply(&mut self, pending: Pending, reply: Option<MeshReply>) {
         match pending {
             Pending::Hello { node, sent } => {
                 self.peers.hello_finished(&node);
                 if let Some(MeshReply::Hello(reply)) = reply {
-                    self.hello_answered(&node, sent, reply);
+                    self.handle_hello_reply(&node, sent, reply);
                 }
             }
             Pending::RelayedRequest { request } => {
-                self.outbox.answer(request, relayed_answer(reply));
+                self.outbox.answer(request, from_mesh_reply(reply));
             }
             Pending::RelayedHeartbeat {
                 request,
@@ -238,7 +240,7 @@
     }
 
     /// A sibling has answered the hello that was sent to it at `sent`.
-    fn hello_answered(&mut self, node: &ControllerName, sent: Time, reply: HelloReply) {
+    fn handle_hello_reply(&mut self, node: &ControllerName, sent: Time, reply: HelloReply) {
         let now = self.outbox.now;
         self.peers.hello_answered(node, sent, &reply, now);
         if let Some(report) = reply.detection {
@@ -269,7 +271,7 @@
     /// Answers a health check: whether this controller can take requests, since it reads the store, or
     /// reaches a sibling that may. (In an outage for all controllers, to stay in rotation costs users
     /// less than to leave it and return.)
-    pub(crate) fn health(&mut self, request: RequestId) {
+    pub(crate) fn answer_health_check(&mut self, request: RequestId) {
         let is_able = self.store.is_complete()
             && self.catalog.known()
             && (self.reads_store() || self.peers.any_reachable(self.outbox.now));
@@ -279,7 +281,7 @@
 }
 
 /// The answer to a user's request that was relayed to a sibling.
-fn relayed_answer(reply: Option<MeshReply>) -> Answer {
+fn from_mesh_reply(reply: Option<MeshReply>) -> Answer {
     match reply {
         Some(MeshReply::Answer {
             status,
--- a/src/core/controller/inputs.rs
+++ b/src/core/controller/inputs.rs
@@ -8,31 +8,31 @@
 
 impl Core {
     /// Handles one input. Replies to calls that are no longer pending are ignored.
-    pub(crate) fn input(&mut self, input: Input) {
+    pub(crate) fn handle_input(&mut self, input: Input) {
         match input {
-            Input::User(request, what) => self.user_request(request, what),
-            Input::Health(request) => self.health(request),
+            Input::User(request, what) => self.handle_user_request(request, what),
+            Input::Health(request) => self.answer_health_check(request),
             Input::Status(request) => self.answer_status(request),
             Input::Heartbeat(request, heartbeat) => self.receive_heartbeat(request, heartbeat),
-            Input::Mesh(request, message) => self.mesh_message(request, message),
+            Input::Mesh(request, message) => self.handle_mesh_message(request, message),
             Input::Store(call, reply) => {
                 if let Some(pending) = self.outbox.take_pending(call) {
-                    self.store_reply(pending, reply);
+                    self.handle_store_reply(pending, reply);
                 }
             }
-            Input::Cloud(call, reply) => self.cloud_reply(call, reply),
-            Input::Worker(call, reply) => self.worker_reply(call, reply),
+            Input::Cloud(call, reply) => self.handle_cloud_reply(call, reply),
+            Input::Worker(call, reply) => self.handle_worker_reply(call, reply),
             Input::MeshReply(call, reply) => {
                 if let Some(pending) = self.outbox.take_pending(call) {
-                    self.mesh_reply(pending, reply);
+                    self.handle_mesh_reply(pending, reply);
                 }
             }
         }
     }
 
-    fn cloud_reply(&mut self, call: CallId, reply: CloudReply) {
+    fn handle_cloud_reply(&mut self, call: CallId, reply: CloudReply) {
         match self.outbox.take_pending(call) {
-            Some(Pending::Cloud(None)) => self.catalog_reply(reply),
+            Some(Pending::Cloud(None)) => self.handle_catalog_reply(reply),
             Some(Pending::Cloud(Some(operation))) => {
                 if let Some(leader) = self.leader.as_mut() {
                     leader.handle_cloud_reply(&mut self.outbox, operation, reply);
@@ -42,7 +42,7 @@
         }
     }
 
-    fn worker_reply(&mut self, call: CallId, reply: WorkerReply) {
+    fn handle_worker_reply(&mut self, call: CallId, reply: WorkerReply) {
         match (self.outbox.take_pending(call), self.shard.as_mut()) {
             (Some(Pending::DirectCommands { machine }), Some(shard)) => {
                 shard.handle_command_reply(&self.store, &machine, call, reply, self.outbox.now);
@@ -55,12 +55,12 @@
     }
 
     /// Handles the reply of the store to one call.
-    pub(crate) fn store_reply(&mut self, pending: Pending, reply: StoreReply) {
+    pub(crate) fn handle_store_reply(&mut self, pending: Pending, reply: StoreReply) {
         self.outbox.update_pacing(pending.is_write(), &reply);
-        self.note_store_contact(&reply);
+        self.record_store_contact(&reply);
         match pending {
-            Pending::StoreRead { sent } => self.store_read(sent, reply),
-            Pending::UserWrite(write) => self.user_write_answered(write, reply),
+            Pending::StoreRead { sent } => self.handle_store_read(sent, reply),
+            Pending::UserWrite(write) => self.handle_user_write_reply(write, reply),
             Pending::OwnershipLease(call) => self.handle_ownership_reply(call, reply),
             Pending::JobRecords(writes) => {
                 if let Some(shard) = self.shard.as_mut() {
@@ -77,7 +77,7 @@
                     shard.handle_grant_reply(&mut self.outbox, &mut self.store, write, reply);
                 }
             }
-            Pending::MachineTypes(write) => self.machine_types_written(&write, &reply),
+            Pending::MachineTypes(write) => self.handle_machine_types_reply(&write, &reply),
             Pending::DirectCommands { .. }
             | Pending::Inspection { .. }
             | Pending::Hello { .. }
@@ -89,7 +89,7 @@
     }
 
     /// What a reply of the store, or its absence, says of this controller's contact with it.
-    fn note_store_contact(&mut self, reply: &StoreReply) {
+    fn record_store_contact(&mut self, reply: &StoreReply) {
         match reply {
             StoreReply::Refused => self.detection.record_store_refusal(),
             StoreReply::Busy => {}
@@ -103,8 +103,8 @@
 
     /// A read of the store that was sent at `sent` is over. It extends the ownership lease's bound on staleness only while
     /// the store shows this process's key: a process whose key is gone must not act for longer.
-    fn store_read(&mut self, sent: Time, reply: StoreReply) {
-        self.synced(sent, reply);
+    fn handle_store_read(&mut self, sent: Time, reply: StoreReply) {
+        self.handle_read_reply(sent, reply);
         let incarnation = self.ownership.incarnation();
         if self
             .store
@@ -115,7 +115,7 @@
         }
     }
 
-    fn machine_types_written(&mut self, write: &Write, reply: &StoreReply) {
+    fn handle_machine_types_reply(&mut self, write: &Write, reply: &StoreReply) {
         match reply {
             StoreReply::Committed(version) => self.store.apply_write(write, *version),
             StoreReply::Rejected => self.catalog.not_storable(),
--- a/src/core/controller/status.rs
+++ b/src/core/controller/status.rs
@@ -69,7 +69,7 @@
             });
             SiblingStatus {
                 controller: node.to_string(),
-                stage: stage(evidence.stage),
+                stage: stage_status(evidence.stage),
                 incarnation: evidence.incarnation.map(|incarnation| incarnation.0),
                 silence_s: evidence.silence_s,
                 threshold_s: evidence.threshold_s,
@@ -162,7 +162,7 @@
         let usage = shard.usage(&self.store, self.outbox.wall_ms);
         let (own, inherited) = usage.own_and_inherited(&team_limits.name);
         Some(OwnedTeamStatus {
-            basis: basis(team.grant.as_ref()),
+            basis: basis_status(team.grant.as_ref()),
             used: capacity(&own.plus(&inherited)),
             inherited: capacity(&inherited),
             unknown_machines: team.unreconciled.len(),
@@ -171,7 +171,7 @@
 }
 
 /// The stage as operators see it.
-fn stage(stage: Stage) -> StageStatus {
+fn stage_status(stage: Stage) -> StageStatus {
     match stage {
         Stage::Alive => StageStatus::Alive,
         Stage::Suspected => StageStatus::Suspected,
@@ -199,7 +199,7 @@
 }
 
 /// What the owner's decisions on the team's limits are based on.
-fn basis(grant: Option<&TeamGrant>) -> BasisStatus {
+fn basis_status(grant: Option<&TeamGrant>) -> BasisStatus {
     match grant.map(TeamGrant::basis) {
         None | Some(Basis::Counting { beginning: None }) => BasisStatus::Counting,
         Some(Basis::Counting { beginning: Some(_) }) => BasisStatus::Beginning,
--- a/src/core/controller/store_sync.rs
+++ b/src/core/controller/store_sync.rs
@@ -7,7 +7,7 @@
 
 impl Core {
     /// Sends the next read of the store if one is due.
-    pub(crate) fn sync_when_due(&mut self) {
+    pub(crate) fn read_store_when_due(&mut self) {
         if !self.outbox.may_read() {
             return;
         }
@@ -19,7 +19,7 @@
     }
 
     /// Applies the reply to a read that was sent at `sent`, and answers the user requests that waited for it.
-    pub(crate) fn synced(&mut self, sent: Time, reply: StoreReply) {
+    pub(crate) fn handle_read_reply(&mut self, sent: Time, reply: StoreReply) {
         let now = self.outbox.now;
         let store = &mut self.store;
         match reply {
--- a/src/core/controller/user_requests.rs
+++ b/src/core/controller/user_requests.rs
@@ -18,32 +18,32 @@
 use std::rc::Rc;
 
 /// Users wait 2 s for the answer to a poll; this leaves time to pass the request on to a sibling.
-const POLL_WAIT: Time = 0.9;
+const MAX_POLL_WAIT: Time = 0.9;
 
 /// Users wait 5 s for the answer to a submission or cancellation.
-const WRITE_WAIT: Time = 1.5;
+const MAX_WRITE_WAIT: Time = 1.5;
 
 /// The store is asked all the time and replies within a few hundred ms: after this silence, in seconds, this
 /// controller is cut off from it.
-const SILENCE: Time = POLL_WAIT / 3.0;
+const MAX_STORE_SILENCE: Time = MAX_POLL_WAIT / 3.0;
 
 /// For how long a write that the store refused for its rate is tried again.
-const BUSY_WAIT: Time = 0.6;
+const BUSY_RETRY_WINDOW: Time = 0.6;
 
 /// The pause before such a write is tried again.
-const RETRY_PAUSE: Time = BUSY_WAIT / 6.0;
+const BUSY_RETRY_PAUSE: Time = BUSY_RETRY_WINDOW / 6.0;
 
 /// Requests that a controller keeps waiting at most, per MB of its memory limit.
-const WAITING_PER_MB: f64 = 20.0;
+const MAX_WAITING_PER_MB: f64 = 20.0;
 
 /// Problem of a submission that fits no machine type, or exceeds its team's limit.
-const NEVER_FITS: &str = "can never run";
+const PROBLEM_NEVER_FITS: &str = "can never run";
 
 /// Problem of a submission with a dependency that does not exist.
-const UNKNOWN_DEPENDENCY: &str = "awaits: a job that was never accepted";
+const PROBLEM_UNKNOWN_DEPENDENCY: &str = "awaits: a job that was never accepted";
 
 /// Problem of a submission whose record exceeds the store's limit on values.
-const RECORD_TOO_LARGE: &str = "awaits or breeds: too many";
+const PROBLEM_RECORD_TOO_LARGE: &str = "awaits or breeds: too many";
 
 /// The requests of users that wait for the store.
 #[derive(Default)]
@@ -52,23 +52,23 @@
 }
 
 impl UserRequests {
-    fn wait(&mut self, request: WaitingRequest) {
+    fn enqueue(&mut self, request: WaitingRequest) {
         self.waiting.push(request);
     }
 }
 
 impl Core {
     /// Handles a request of a user.
-    pub(crate) fn user_request(&mut self, request: RequestId, operation: UserRequest) {
-        self.receive(ReplyTo::User(request), operation);
+    pub(crate) fn handle_user_request(&mut self, request: RequestId, operation: UserRequest) {
+        self.receive_request(ReplyTo::User(request), operation);
     }
 
     /// Handles a request that a sibling passed on.
-    pub(crate) fn relayed_request(&mut self, request: RequestId, operation: UserRequest) {
-        self.receive(ReplyTo::Sibling(request), operation);
+    pub(crate) fn handle_relayed_request(&mut self, request: RequestId, operation: UserRequest) {
+        self.receive_request(ReplyTo::Sibling(request), operation);
     }
 
-    fn receive(&mut self, reply_to: ReplyTo, operation: UserRequest) {
+    fn receive_request(&mut self, reply_to: ReplyTo, operation: UserRequest) {
         let now = self.outbox.now;
         let request = WaitingRequest {
             reply_to,
@@ -78,38 +78,38 @@
             not_before: now,
             create_sent: false,
         };
-        let limit = self.config.deployment.limits.mem_mb * WAITING_PER_MB;
+        let limit = self.config.deployment.limits.mem_mb * MAX_WAITING_PER_MB;
         if !self.store.is_complete() || self.user_requests.waiting.len() as f64 > limit {
-            return self.give_up(request);
+            return self.forward_or_reject(request);
         }
-        let silent = self.store.seconds_since_store_reply(now) > SILENCE;
+        let silent = self.store.seconds_since_store_reply(now) > MAX_STORE_SILENCE;
         if silent
             && matches!(reply_to, ReplyTo::User(_))
             && self.peers.sibling_reading_store(now).is_some()
         {
             // Only this controller is cut off from the store: a sibling answers at once what would be late here.
-            return self.pass_on(request);
+            return self.forward_to_sibling(request);
         }
-        self.consider(request);
+        self.start_request(request);
     }
 
     /// Creates the job of a submission that is unknown here; every other request is a read first.
-    fn consider(&mut self, request: WaitingRequest) {
+    fn start_request(&mut self, request: WaitingRequest) {
         match &request.operation {
-            UserRequest::Submit(id, _) if self.store.job(id).is_none() => self.create(request),
-            _ => self.resolve(request),
+            UserRequest::Submit(id, _) if self.store.job(id).is_none() => self.create_job(request),
+            _ => self.answer_or_wait(request),
         }
     }
 
-    fn create(&mut self, mut request: WaitingRequest) {
+    fn create_job(&mut self, mut request: WaitingRequest) {
         let UserRequest::Submit(id, spec) = &request.operation else {
             return;
         };
-        let record = submitted(spec, self.outbox.wall_ms);
+        let record = new_job_record(spec, self.outbox.wall_ms);
         let key = job_key(id);
         let write = put(&key, &record, None);
         let Some(never_fits) = self.catalog.can_never_run(&self.config, spec) else {
-            return self.give_up(request);
+            return self.forward_or_reject(request);
         };
         let problem = self.submission_problem(spec, never_fits, &write);
         // Only a read since the request shows that no controller has accepted this job or one of its
@@ -118,7 +118,7 @@
         let behind = age > self.config.deployment.workers.report_s && !spec.dependencies.is_empty();
         if (problem.is_some() || behind) && self.store.current_as_of() < request.read_after {
             self.store.request_read();
-            return self.user_requests.wait(request);
+            return self.user_requests.enqueue(request);
         }
         if let Some(problem) = problem {
             let answer = Answer::value(422, serde_json::json!({"error": problem}));
@@ -134,7 +134,7 @@
             false => write,
         };
         request.create_sent = true;
-        self.commit(request, key, 0, write);
+        self.commit_or_wait(request, key, 0, write);
     }
 
     /// Why a submission is refused, if it is. `write`: the write of its record.
@@ -147,21 +147,27 @@
         let is_unknown = |dependency| self.store.job(dependency).is_none();
         let value_limit = self.config.deployment.state.value_kb * 1024.0;
         if never_fits {
-            Some(NEVER_FITS)
+            Some(PROBLEM_NEVER_FITS)
         } else if spec.dependencies.iter().any(is_unknown) {
-            Some(UNKNOWN_DEPENDENCY)
+            Some(PROBLEM_UNKNOWN_DEPENDENCY)
         } else if write.value_bytes() as f64 > value_limit {
-            Some(RECORD_TOO_LARGE)
+            Some(PROBLEM_RECORD_TOO_LARGE)
         } else {
             None
         }
     }
 
     /// Commits a write if `key` still has this version, or postpones the request if writes are held back.
-    fn commit(&mut self, mut request: WaitingRequest, key: String, version: Version, write: Write) {
+    fn commit_or_wait(
+        &mut self,
+        mut request: WaitingRequest,
+        key: String,
+        version: Version,
+        write: Write,
+    ) {
         if !self.outbox.may_write() {
             request.not_before = self.outbox.writes_resume_at();
-            return self.user_requests.wait(request);
+            return self.user_requests.enqueue(request);
         }
         let transaction = Transaction {
             preconditions: vec![precondition(&key, version)],
@@ -173,25 +179,25 @@
     }
 
     /// Handles the store's reply to a write that a request needed.
-    pub(crate) fn user_write_answered(&mut self, call: UserWrite, reply: StoreReply) {
+    pub(crate) fn handle_user_write_reply(&mut self, call: UserWrite, reply: StoreReply) {
         let now = self.outbox.now;
         let UserWrite { mut request, write } = call;
         match reply {
-            StoreReply::Committed(version) => self.user_write_committed(request, &write, version),
-            StoreReply::Busy if now < request.received + BUSY_WAIT => {
-                request.not_before = now + self.outbox.jitter(RETRY_PAUSE);
-                self.user_requests.wait(request);
+            StoreReply::Committed(version) => self.handle_committed_write(request, &write, version),
+            StoreReply::Busy if now < request.received + BUSY_RETRY_WINDOW => {
+                request.not_before = now + self.outbox.jitter(BUSY_RETRY_PAUSE);
+                self.user_requests.enqueue(request);
             }
             // The record has changed, or was possibly written: its stored state decides.
             StoreReply::Conflict | StoreReply::Unknown => {
                 request.read_after = now;
-                self.resolve(request);
+                self.answer_or_wait(request);
             }
-            _ => self.give_up(request),
+            _ => self.forward_or_reject(request),
         }
     }
 
-    fn user_write_committed(&mut self, request: WaitingRequest, write: &Write, version: Version) {
+    fn handle_committed_write(&mut self, request: WaitingRequest, write: &Write, version: Version) {
         let previous = self.store.job(request.operation.job());
         let team = previous
             .and_then(|job| job.record.spec.as_ref())
@@ -211,12 +217,12 @@
                 self.reply(request.reply_to, answer);
             }
             // Its cancellation through a dependency is recorded now.
-            UserRequest::Submit(..) | UserRequest::Poll(_) => self.resolve(request),
+            UserRequest::Submit(..) | UserRequest::Poll(_) => self.answer_or_wait(request),
         }
     }
 
     /// Answers a request if the replica is current enough for it; otherwise the request waits for a read.
-    fn resolve(&mut self, mut request: WaitingRequest) {
+    fn answer_or_wait(&mut self, mut request: WaitingRequest) {
         let id = request.operation.job().clone();
         let known = self.store.job(&id).cloned();
         let ended = known.as_ref().is_some_and(|job| job.record.is_final());
@@ -226,18 +232,18 @@
         }
         if !ended && self.store.current_as_of() < request.read_after {
             self.store.request_read();
-            return self.user_requests.wait(request);
+            return self.user_requests.enqueue(request);
         }
         match (&request.operation, known) {
             // Whether an earlier create was executed or not, a repeat of it decides.
             (UserRequest::Submit(..), None) if request.create_sent => {
-                request.not_before = self.outbox.now + self.outbox.jitter(RETRY_PAUSE);
-                self.user_requests.wait(request);
+                request.not_before = self.outbox.now + self.outbox.jitter(BUSY_RETRY_PAUSE);
+                self.user_requests.enqueue(request);
             }
-            (UserRequest::Submit(..), None) => self.create(request),
+            (UserRequest::Submit(..), None) => self.create_job(request),
             (_, None) => self.reply(request.reply_to, Answer::empty(404)),
             (UserRequest::Poll(_), Some(job)) => {
-                let (status, done, running) = self.displayed(&id, &job.record);
+                let (status, done, running) = self.displayed_progress(&id, &job.record);
                 let answer = Answer::value(200, progress_answer(&id, status, done, running));
                 self.reply(request.reply_to, answer);
             }
@@ -245,7 +251,7 @@
                 self.record_cancellation(request, &job);
             }
             (UserRequest::Submit(..) | UserRequest::Cancel(_), Some(job)) => {
-                let (status, ..) = self.displayed(&id, &job.record);
+                let (status, ..) = self.displayed_progress(&id, &job.record);
                 let answer = Answer::value(200, status_answer(&id, status));
                 self.reply(request.reply_to, answer);
             }
@@ -263,12 +269,12 @@
             false => job.record.cancelled(wall_ms),
         };
         let write = put(&key, &record, None);
-        self.commit(request, key, job.version, write);
+        self.commit_or_wait(request, key, job.version, write);
     }
 
     /// A job's status, and its numbers of done and of running tasks, as shown to users. Only final states are
     /// promises.
-    fn displayed(&self, id: &JobId, record: &JobRecord) -> (JobStatus, u32, u32) {
+    fn displayed_progress(&self, id: &JobId, record: &JobRecord) -> (JobStatus, u32, u32) {
         match record.status {
             JobStatus::Done => return (JobStatus::Done, record.tasks, 0),
             JobStatus::Cancelled => return (JobStatus::Cancelled, 0, 0),
@@ -302,15 +308,15 @@
 
     /// Handles a request that this controller cannot answer: if it is cut off from the store, a sibling may
     /// answer; otherwise the user is told at once when to retry.
-    fn give_up(&mut self, request: WaitingRequest) {
+    fn forward_or_reject(&mut self, request: WaitingRequest) {
         if self.reads_store() {
             return self.reply(request.reply_to, Answer::unavailable());
         }
-        self.pass_on(request);
+        self.forward_to_sibling(request);
     }
 
     /// Passes a user's request on to a sibling that reaches the store, if there is one.
-    fn pass_on(&mut self, waiting: WaitingRequest) {
+    fn forward_to_sibling(&mut self, waiting: WaitingRequest) {
         let sibling = self.peers.sibling_reading_store(self.outbox.now).cloned();
         let (ReplyTo::User(request), Some(node)) = (waiting.reply_to, sibling) else {
             return self.reply(waiting.reply_to, Answer::unavailable());
@@ -330,9 +336,7 @@
     fn reply(&mut self, reply_to: ReplyTo, answer: Answer) {
         match reply_to {
             ReplyTo::User(request) => self.outbox.answer(request, answer),
-            ReplyTo::Sibling(request) => {
-                self.outbox.answer_sibling(request, relayed_answer(answer))
-            }
+            ReplyTo::Sibling(request) => self.outbox.answer_sibling(request, to_mesh_reply(answer)),
         }
     }
 
@@ -345,30 +349,31 @@
             .partition(|request| request.read_after <= current && request.not_before <= now);
         self.user_requests.waiting = waiting;
         for request in ready {
-            self.resume(request);
+            self.resume_request(request);
         }
     }
 
-    fn resume(&mut self, mut request: WaitingRequest) {
+    fn resume_request(&mut self, mut request: WaitingRequest) {
         request.create_sent = false;
-        self.consider(request);
+        self.start_request(request);
     }
 
     /// Gives up the requests that have waited too long, and resumes those whose postponed write may be sent.
     pub(crate) fn time_out_user_requests(&mut self) {
         let now = self.outbox.now;
-        let cut_off = !self.reads_store() && self.store.seconds_since_store_reply(now) > POLL_WAIT;
+        let cut_off =
+            !self.reads_store() && self.store.seconds_since_store_reply(now) > MAX_POLL_WAIT;
         let mut index = 0;
         // Requests that wait again are appended, and are visited as well.
         while let Some(request) = self.user_requests.waiting.get(index) {
-            let late = now > request.received + longest_wait(&request.operation) || cut_off;
+            let late = now > request.received + max_wait(&request.operation) || cut_off;
             let postponed = request.not_before > request.received && request.not_before <= now;
             if late {
                 let request = self.user_requests.waiting.swap_remove(index);
-                self.give_up(request);
+                self.forward_or_reject(request);
             } else if postponed && self.store.current_as_of() >= request.read_after {
                 let request = self.user_requests.waiting.swap_remove(index);
-                self.resume(request);
+                self.resume_request(request);
             } else {
                 index += 1;
             }
@@ -380,7 +385,7 @@
 }
 
 /// The first record of a submitted job.
-fn submitted(spec: &JobSpec, wall_ms: u64) -> JobRecord {
+fn new_job_record(spec: &JobSpec, wall_ms: u64) -> JobRecord {
     JobRecord {
         status: JobStatus::Pending,
         accepted_ms: wall_ms,
@@ -393,7 +398,7 @@
 }
 
 /// An answer as a sibling passes it on; only bodies for users are.
-fn relayed_answer(answer: Answer) -> MeshReply {
+fn to_mesh_reply(answer: Answer) -> MeshReply {
     let body = match answer.body {
         Body::Value(body) => Some(body),
         Body::Empty | Body::HeartbeatResponse(_) | Body::Status(_) => None,
@@ -406,9 +411,9 @@
 }
 
 /// For how long a request waits in this controller, in seconds.
-fn longest_wait(operation: &UserRequest) -> Time {
+fn max_wait(operation: &UserRequest) -> Time {
     match operation {
-        UserRequest::Poll(_) => POLL_WAIT,
-        UserRequest::Submit(..) | UserRequest::Cancel(_) => WRITE_WAIT,
+        UserRequest::Poll(_) => MAX_POLL_WAIT,
+        UserRequest::Submit(..) | UserRequest::Cancel(_) => MAX_WRITE_WAIT,
     }
 }
--- a/src/core/leader/pending_machines/tests.rs
+++ b/src/core/leader/pending_machines/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::core::test_support::types;
+use crate::core::test_support::machine_types;
 
 /// Pending machines `m-0`, `m-1`, …, rented at these times; their type boots in 10 s.
 fn rented_at(moments: &[Time]) -> PendingMachines {
@@ -20,7 +20,7 @@
 /// times later.
 #[test]
 fn a_machine_is_replaced_once_it_is_late() {
-    let catalog = Catalog::with_types(types());
+    let catalog = Catalog::with_types(machine_types());
     let machines = rented_at(&[0.0, 10.0]);
     assert!(machines.replaced(&catalog, 15.0).is_empty());
     assert_eq!(
@@ -33,7 +33,7 @@
 /// Guards against renting twice the machines that are needed while all machines boot slowly.
 #[test]
 fn only_a_fraction_of_many_late_machines_is_replaced() {
-    let catalog = Catalog::with_types(types());
+    let catalog = Catalog::with_types(machine_types());
     let machines = rented_at(&[0.0; 40]);
     assert_eq!(machines.replaced(&catalog, 17.0).len(), 10);
 }
--- a/src/core/membership/process_pause/tests.rs
+++ b/src/core/membership/process_pause/tests.rs
@@ -4,7 +4,7 @@
 use crate::core::machines::machine::Machine;
 use crate::core::scheduling::catalog::Catalog;
 use crate::core::shard::Shard;
-use crate::core::test_support::{config, shard, types};
+use crate::core::test_support::{config, machine_types, shard};
 use crate::ids::{FencingToken, MachineId};
 
 fn process_pause() -> ProcessPause {
@@ -71,7 +71,7 @@
     ) = (true, true, 100.0);
     machine.address = "m-1".into();
     shard.machines.insert("m-1".into(), machine);
-    let catalog = Catalog::with_types(types());
+    let catalog = Catalog::with_types(machine_types());
     outbox.begin_step(100.0, 100_000);
     shard.catching_up = true;
     shard.plan_capacity_when_due(&outbox, &store, &catalog);
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -104,10 +104,10 @@
         self.outbox.begin_step(now, wall_ms);
         self.peers.detector_mut().begin_step(now);
         if let Some(paused) = self.process_pause.record_step(now) {
-            self.resumed(paused);
+            self.handle_pause(paused);
         }
         for input in batch {
-            self.input(input);
+            self.handle_input(input);
         }
         self.advance();
         self.outbox.take_effects()
@@ -119,13 +119,13 @@
     }
 
     /// The failure detector's judgement of a sibling.
-    pub fn stage_of(&self, sibling: &ControllerName) -> Stage {
+    pub fn sibling_stage(&self, sibling: &ControllerName) -> Stage {
         self.peers.detector().stage(sibling)
     }
 
     /// The teams whose tasks this controller can start: its ownership lease is valid, it owns machines, and the teams are
     /// reconciled.
-    pub fn teams(&self, now: Time) -> Vec<Team> {
+    pub fn reconciled_teams(&self, now: Time) -> Vec<Team> {
         let shard = self.shard.as_ref().filter(|shard| shard.has_machines());
         let shard = shard.filter(|_| self.ownership.holds_lease(now));
         shard.map(Shard::reconciled_teams).unwrap_or_default()
@@ -133,7 +133,7 @@
 
     /// Attempts and jobs examined so far because something happened to them, and rounds of placement: what the work of
     /// the shard is in proportion to.
-    pub fn work(&self) -> (u64, u64) {
+    pub fn work_counts(&self) -> (u64, u64) {
         self.shard.as_ref().map(Shard::work).unwrap_or_default()
     }
 
@@ -144,7 +144,7 @@
     }
 
     /// The process was paused while its clock went on ([`ProcessPause`]).
-    fn resumed(&mut self, paused: Time) {
+    fn handle_pause(&mut self, paused: Time) {
         tracing::info!(seconds = %format_args!("{paused:.1}"), "process was paused");
         self.peers.record_worker_contact(self.outbox.now);
         self.store.request_read();
@@ -157,20 +157,20 @@
         let catching_up = self
             .process_pause
             .is_catching_up(self.store.current_as_of(), now);
-        self.sync_when_due();
+        self.read_store_when_due();
         self.time_out_user_requests();
         self.update_sibling_stages();
         self.relays.track_tokens(&self.store, now);
         self.maintain_ownership();
-        self.catalog_when_due();
-        self.take_roles();
+        self.refresh_catalog_when_due();
+        self.update_roles();
         if self.ownership.holds_lease(now) {
             self.advance_shard(catching_up);
             self.advance_leader(catching_up);
             self.inspect_acquired_machines();
         }
         self.answer_deferred_heartbeats();
-        self.hello_when_due();
+        self.send_hellos_when_due();
     }
 
     fn advance_shard(&mut self, catching_up: bool) {
@@ -218,7 +218,7 @@
     }
 
     /// The shard begins once this process is registered. Leading begins and ends with the leader's key.
-    fn take_roles(&mut self) {
+    fn update_roles(&mut self) {
         let now = self.outbox.now;
         let incarnation = self.ownership.incarnation();
         let is_registered = self
--- a/src/core/scheduling/catalog/tests.rs
+++ b/src/core/scheduling/catalog/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
-use crate::core::test_support::{config, service, types};
+use crate::core::test_support::{config, machine_types, service};
 
 /// Two types that have nothing in common: one without GPUs, one with little memory.
 fn disjoint_types() -> Vec<MachineType> {
-    let g8 = types().remove(1);
+    let g8 = machine_types().remove(1);
     let without_gpus = MachineType {
         name: "c16".into(),
         cpus: 16.0,
@@ -74,7 +74,7 @@
     service_spec.gpus = 0.0;
     assert!(fits_without_gpus(&disjoint_types(), &service_spec));
     assert!(
-        !fits_without_gpus(&types(), &service_spec),
+        !fits_without_gpus(&machine_types(), &service_spec),
         "all types have GPUs"
     );
     service_spec.cpus = 32.0;
--- a/src/core/scheduling/forecast/tests.rs
+++ b/src/core/scheduling/forecast/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::core::test_support::{service, types};
+use crate::core::test_support::{machine_types, service};
 
 /// Resources are worth reserving only for images that cannot be fetched in time.
 #[test]
@@ -10,7 +10,7 @@
     forecast.arrived(&service("chat", "large", 60.0), 1.0);
     forecast.arrived(&service("chat", "small", 20.0), 50.0);
     forecast.arrived(&service("other", "huge", 90.0), 50.0);
-    let images = forecast.images_to_keep_cached(&config, &types(), 55.0);
+    let images = forecast.images_to_keep_cached(&config, &machine_types(), 55.0);
     assert_eq!(
         images.keys().map(Image::as_str).collect::<Vec<_>>(),
         ["large"]
--- a/src/core/scheduling/packing/tests.rs
+++ b/src/core/scheduling/packing/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::core::scheduling::catalog::total_resources;
-use crate::core::test_support::{service, types};
+use crate::core::test_support::{machine_types, service};
 use crate::ids::MachineTypeName;
 use std::rc::Rc;
 
@@ -8,7 +8,7 @@
 /// provide are passed over.
 #[test]
 fn the_offer_with_the_lowest_price_per_task_is_demanded() {
-    let (types, job) = (types(), service("chat", "x", 1.0));
+    let (types, job) = (machine_types(), service("chat", "x", 1.0));
     let need = Resources::of(&job);
     let zones = BTreeMap::from([(Zone::from("a"), 3)]);
     let best = |unavailable: &BTreeSet<MachineOffer>| {
@@ -30,7 +30,7 @@
 /// other machine would be demanded.
 #[test]
 fn tasks_are_not_planned_on_machines_that_the_job_avoids() {
-    let (types, unavailable) = (types(), BTreeSet::new());
+    let (types, unavailable) = (machine_types(), BTreeSet::new());
     let offer = || MachineOffer::from((MachineTypeName::from("g8"), Zone::from("a"), false));
     let candidate = || PackingCandidate {
         free: total_resources(&types[1]),
@@ -55,7 +55,7 @@
 /// A job may demand thousands of machines at once, but no more than the configured maximum.
 #[test]
 fn a_wide_job_demands_thousands_of_machines_up_to_the_maximum() {
-    let (types, unavailable) = (types(), BTreeSet::new());
+    let (types, unavailable) = (machine_types(), BTreeSet::new());
     let demanded = |tasks: u32| {
         let mut plan = Plan::new(&types, &unavailable, Vec::new(), 4000);
         let mut demand = CapacityDemand::default();
@@ -75,7 +75,7 @@
 /// would wait beside free resources that it cannot use and demand no other machine.
 #[test]
 fn opportunistic_tasks_are_planned_within_their_zones() {
-    let (types, unavailable) = (types(), BTreeSet::new());
+    let (types, unavailable) = (machine_types(), BTreeSet::new());
     let offer = || MachineOffer::from((MachineTypeName::from("g8"), Zone::from("a"), true));
     let candidates = vec![PackingCandidate {
         free: total_resources(&types[1]),
@@ -100,7 +100,7 @@
 /// them away from a shard whose tasks waited for GPUs.
 #[test]
 fn tasks_without_gpus_do_not_demand_gpu_machines() {
-    let mut types = types();
+    let mut types = machine_types();
     let without_gpus = MachineType {
         name: "c16".into(),
         gpus: 0.0,
--- a/src/core/shard/grants/tests.rs
+++ b/src/core/shard/grants/tests.rs
@@ -10,7 +10,7 @@
 use crate::core::records::keys::node_key;
 use crate::core::records::process_record::ProcessRecord;
 use crate::core::records::shard_map::{ShardEntry, ShardMapChunk, ShardOwner};
-use crate::core::test_support::{owner, record, share_with};
+use crate::core::test_support::{owner, record, shard_with_config};
 use crate::features::Features;
 use crate::ids::{Attempt, TaskId};
 use crate::wire::JobSpec;
@@ -55,7 +55,7 @@
         kept_since: Option<u64>,
         stored: Option<serde_json::Value>,
     ) -> Self {
-        let (shard, outbox, store) = share_with(config);
+        let (shard, outbox, store) = shard_with_config(config);
         let mut fixture = Self {
             shard,
             outbox,
--- a/src/core/shard/opportunistic/tests.rs
+++ b/src/core/shard/opportunistic/tests.rs
@@ -10,7 +10,7 @@
 use crate::core::scheduling::packing::candidate::{PackingCandidate, TaskDemand};
 use crate::core::shard::owned_jobs::describe_attempt;
 use crate::core::store::replica::StoreReplica;
-use crate::core::test_support::{config, record, service, shard, types};
+use crate::core::test_support::{config, machine_types, record, service, shard};
 use crate::ids::{Attempt, FencingToken, MachineTypeName, TaskId, Zone};
 use crate::wire::{JobKind, JobSpec, Priority};
 use std::collections::BTreeSet;
@@ -39,7 +39,7 @@
     starved: bool,
     unavailable: &BTreeSet<MachineOffer>,
 ) -> CapacityDemand {
-    let (types, mut demand) = (types(), CapacityDemand::default());
+    let (types, mut demand) = (machine_types(), CapacityDemand::default());
     let mut plan = Plan::new(&types, unavailable, Vec::new(), 400);
     let mut rental_budget = worthwhile_rentals(&types, machine_seconds(&types, spec, spec.tasks));
     if starved {
@@ -110,7 +110,7 @@
 /// A starved job may rent one machine of any type, so that it runs even if no spot instance is available.
 #[test]
 fn a_starved_job_may_rent_one_machine_of_any_type() {
-    let types = types();
+    let types = machine_types();
     let all_spot_offers: BTreeSet<MachineOffer> = types
         .iter()
         .flat_map(|machine_type| {
@@ -132,7 +132,7 @@
 /// Resources of opportunistic tasks count as free for all other tasks, so no machine is rented for these.
 #[test]
 fn other_tasks_are_planned_on_the_resources_of_opportunistic_tasks() {
-    let (types, unavailable) = (types(), BTreeSet::new());
+    let (types, unavailable) = (machine_types(), BTreeSet::new());
     let full = total_resources(&types[1]);
     let candidate = PackingCandidate {
         free: full,
@@ -161,7 +161,7 @@
 /// A spot instance is not worth renting if its price per task is more than 1.5 times the lowest.
 #[test]
 fn an_expensive_spot_instance_is_not_cost_effective() {
-    let mut types = types();
+    let mut types = machine_types();
     let spec = opportunistic_array(30.0);
     assert!(is_cost_effective(&types, &spot_offer("g4"), &spec));
     types[0].spot_price *= 2.0;
@@ -183,7 +183,7 @@
     (machine.is_owned, machine.token_confirmed, machine.spot) = (true, true, spot);
     machine.type_name = "g8".into();
     machine.address = "m-1".into();
-    machine.set_type(&types());
+    machine.set_type(&machine_types());
     let mut tracked = TrackedAttempt::new(0.0);
     let mut spec = (*opportunistic_array(30.0)).clone();
     (spec.checkpoint_interval_s, spec.checkpoint_write_s) = (5.0, 2.0);
@@ -201,7 +201,7 @@
 fn a_machine_with_only_opportunistic_tasks_is_emptied_unless_it_is_a_spot_instance() {
     for spot in [false, true] {
         let (mut shard, mut outbox, store) = shard_with_an_opportunistic_task(spot);
-        let catalog = Catalog::with_types(types());
+        let catalog = Catalog::with_types(machine_types());
         let stop_grace = |shard: &Shard| {
             let machine = &shard.machines[&MachineId::from("m-1")];
             machine.attempts.values().next().unwrap().stop
--- a/src/core/shard/progress_records/tests.rs
+++ b/src/core/shard/progress_records/tests.rs
@@ -3,7 +3,7 @@
 use crate::core::jobs::job::Task;
 use crate::core::machines::unresponsive::UnresponsiveMachines;
 use crate::core::records::shard_map::ShardEntry;
-use crate::core::test_support::{map, owner, record, shard};
+use crate::core::test_support::{apply_shard_map, owner, record, shard};
 use std::rc::Rc;
 
 /// Returns the pending record writes of a sent transaction together with the transaction.
@@ -27,7 +27,7 @@
         teams: vec!["red".into()],
         machines: vec![],
     };
-    map(&mut store, 5, vec![shard_entry]);
+    apply_shard_map(&mut store, 5, vec![shard_entry]);
     shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     let id = JobId::from("req-000001");
     store.apply_write(&put(&job_key(&id), &record(false), None), 9);
@@ -65,7 +65,7 @@
         teams: vec!["red".into()],
         machines: vec![],
     };
-    map(&mut store, 5, vec![shard_entry]);
+    apply_shard_map(&mut store, 5, vec![shard_entry]);
     shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     let id = |number: u32| JobId::from(format!("req-{number:06}"));
     for number in 0..11 {
--- a/src/core/shard/soon_ready/tests.rs
+++ b/src/core/shard/soon_ready/tests.rs
@@ -7,7 +7,7 @@
 use crate::core::records::shard_map::ShardEntry;
 use crate::core::records::versioned::put;
 use crate::core::shard::owned_jobs::describe_attempt;
-use crate::core::test_support::{map, owner, shard, types};
+use crate::core::test_support::{apply_shard_map, machine_types, owner, shard};
 use crate::ids::{Attempt, TaskId, Version};
 use crate::wire::TaskState;
 
@@ -41,7 +41,7 @@
             teams: vec!["red".into()],
             machines,
         };
-        map(&mut store, 1, vec![shard_entry]);
+        apply_shard_map(&mut store, 1, vec![shard_entry]);
         shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
         Self {
             shard,
@@ -89,7 +89,7 @@
 
     fn soon_ready(&mut self, now: Time) -> SoonReadyJobs {
         self.outbox.begin_step(now, 0);
-        let types: Vec<_> = types()
+        let types: Vec<_> = machine_types()
             .into_iter()
             .map(|machine_type| MachineType {
                 boot_s: BOOT_S,
--- a/src/core/shard/tests.rs
+++ b/src/core/shard/tests.rs
@@ -6,7 +6,7 @@
 use crate::core::records::shard_map::{ShardEntry, ShardOwner};
 use crate::core::records::versioned::put;
 use crate::core::shard::owned_jobs::describe_terminating_attempt;
-use crate::core::test_support::{map, owner, record, shard};
+use crate::core::test_support::{apply_shard_map, owner, record, shard};
 use crate::ids::{Attempt, FencingToken, TaskId, Version};
 
 /// The machine's owner may have changed without this process having read the new shard map. The new owner
@@ -19,7 +19,7 @@
         teams: vec![],
         machines: vec!["m-1".into()],
     };
-    map(&mut store, 5, vec![own_entry]);
+    apply_shard_map(&mut store, 5, vec![own_entry]);
     shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     store.set_current_as_of(9.0);
     shard.expire_machines(&store, 60.0);
@@ -55,7 +55,7 @@
         teams: vec![],
         machines: vec!["m-2".into()],
     };
-    map(
+    apply_shard_map(
         &mut store,
         5,
         vec![with_previous_token, without_previous_token],
@@ -73,7 +73,7 @@
 fn replicas_that_would_queue_for_an_image_fetch_wait_for_machines_about_to_report() {
     let (mut shard, mut outbox, mut store) = shard();
     let machines = vec!["m-1".into(), "m-2".into()];
-    map(
+    apply_shard_map(
         &mut store,
         5,
         vec![ShardEntry {
@@ -124,7 +124,7 @@
         teams: vec![],
         machines: vec!["m-1".into()],
     };
-    map(&mut store, 5, vec![own_entry]);
+    apply_shard_map(&mut store, 5, vec![own_entry]);
     shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     let heartbeat = |sequence| crate::wire::Heartbeat {
         machine: "m-1".into(),
@@ -178,7 +178,7 @@
         teams: vec![],
         machines: vec!["m-1".into()],
     };
-    map(&mut store, 6, vec![own_entry]);
+    apply_shard_map(&mut store, 6, vec![own_entry]);
     outbox.begin_step(1.0 + lease * 0.8, 0);
     shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     shard.declare_unresponsive(&current, 1.0 + lease * 0.8);
@@ -200,7 +200,7 @@
         teams: vec!["red".into()],
         machines: vec![],
     };
-    map(&mut store, 5, vec![own_entry, other]);
+    apply_shard_map(&mut store, 5, vec![own_entry, other]);
     shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     shard.listeners.insert("n1".into());
     let id = MachineId::from("m-1");
@@ -248,7 +248,7 @@
         teams: vec![],
         machines: vec!["m-1".into()],
     };
-    map(&mut store, 5, vec![own_entry, other]);
+    apply_shard_map(&mut store, 5, vec![own_entry, other]);
     shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     let id = MachineId::from("m-1");
     let mut machine = Machine::named(id.clone(), FencingToken(9), 0.0);
@@ -303,7 +303,7 @@
         teams: vec!["red".into()],
         machines: vec![],
     };
-    map(&mut store, 5, vec![entry_with_token(9), other.clone()]);
+    apply_shard_map(&mut store, 5, vec![entry_with_token(9), other.clone()]);
     shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     shard
         .teams
@@ -315,7 +315,7 @@
     store.apply_write(&put(&job_key(&id), &record(false), None), 7);
     shard.apply_job_record(&store, &id, &Rc::new(record(false)), 7, (1.0, 0));
     assert_eq!(shard.jobs[&id].unreconciled(), 0);
-    map(&mut store, 8, vec![entry_with_token(11), other]);
+    apply_shard_map(&mut store, 8, vec![entry_with_token(11), other]);
     store.apply_write(
         &put(&job_key(&"req-000002".into()), &record(false), None),
         9,
@@ -345,7 +345,7 @@
         teams: vec![],
         machines: vec!["m-1".into()],
     };
-    map(&mut store, 105, vec![own_entry, other]);
+    apply_shard_map(&mut store, 105, vec![own_entry, other]);
     shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     let ids = ["req-000001", "req-000002", "req-000003"].map(JobId::from);
     for (id, version, done) in [
@@ -391,7 +391,7 @@
         teams,
         machines: vec!["m-1".into()],
     };
-    map(&mut store, 60, vec![own_entry(vec!["red".into()])]);
+    apply_shard_map(&mut store, 60, vec![own_entry(vec!["red".into()])]);
     shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     outbox.begin_step(1.0, now_ms);
     let used = |shard: &Shard, store: &StoreReplica| shard.usage(store, now_ms).gpus(&"red".into());
@@ -511,7 +511,7 @@
         teams: vec!["red".into()],
         machines: ids.clone(),
     };
-    map(&mut store, 5, vec![own_entry]);
+    apply_shard_map(&mut store, 5, vec![own_entry]);
     shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     for (index, id) in (0..).zip(&ids) {
         let machine = shard.machines.get_mut(id).unwrap();
@@ -549,7 +549,7 @@
         teams: vec!["red".into()],
         machines: vec![],
     };
-    map(&mut store, 5, vec![own_entry]);
+    apply_shard_map(&mut store, 5, vec![own_entry]);
     shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     let mut waiting = JobRecord {
         accepted_ms: 10_000,
--- a/src/core/shard/tracking/tests.rs
+++ b/src/core/shard/tracking/tests.rs
@@ -7,7 +7,7 @@
 use crate::core::records::shard_map::{ShardEntry, ShardOwner};
 use crate::core::records::versioned::put;
 use crate::core::shard::commands::MAX_UNANSWERED_MESSAGES;
-use crate::core::test_support::{map, owner, record, shard};
+use crate::core::test_support::{apply_shard_map, owner, record, shard};
 use crate::ids::{Attempt, FencingToken};
 use std::rc::Rc;
 
@@ -56,7 +56,7 @@
             teams: vec!["red".into()],
             machines: vec!["m-2".into()],
         };
-        map(&mut self.store, version, vec![first, rest]);
+        apply_shard_map(&mut self.store, version, vec![first, rest]);
         let unresponsive = UnresponsiveMachines::default();
         self.shard
             .apply_map_changes(&mut self.outbox, &self.store, &unresponsive);
@@ -69,7 +69,7 @@
             teams: vec!["red".into()],
             machines: vec!["m-2".into()],
         };
-        map(&mut self.store, 8, vec![rest]);
+        apply_shard_map(&mut self.store, 8, vec![rest]);
         let unresponsive = UnresponsiveMachines::default();
         self.shard
             .apply_map_changes(&mut self.outbox, &self.store, &unresponsive);
--- a/src/core/test_support.rs
+++ b/src/core/test_support.rs
@@ -19,12 +19,12 @@
 use rand::SeedableRng;
 use std::rc::Rc;
 
-pub fn record(done: bool) -> JobRecord {
+pub fn record(first_done: bool) -> JobRecord {
     let spec = serde_json::json!({"c": "chat", "t": "red", "k": "standing", "p": "critical",
         "n": 2, "cpu": 1.0, "gpu": 1.0, "mem": 1.0, "img": "i", "igb": 1.0, "est": 0.0,
         "ck": 0.0, "sv": 0.0});
     let mut ranges = crate::core::model::ranges::TaskIndexRanges::default();
-    if done {
+    if first_done {
         ranges.insert(1);
     }
     let spec = Some(Rc::new(serde_json::from_value(spec).unwrap()));
@@ -44,10 +44,10 @@
 }
 
 pub fn shard() -> (Shard, Outbox, StoreReplica) {
-    share_with(config())
+    shard_with_config(config())
 }
 
-pub fn share_with(config: Config) -> (Shard, Outbox, StoreReplica) {
+pub fn shard_with_config(config: Config) -> (Shard, Outbox, StoreReplica) {
     let config = Rc::new(config);
     let rng = rand::rngs::StdRng::seed_from_u64(1);
     let outbox = Outbox::new(rng, &config);
@@ -58,7 +58,7 @@
     )
 }
 
-pub fn map(store: &mut StoreReplica, version: Version, shards: Vec<ShardEntry>) {
+pub fn apply_shard_map(store: &mut StoreReplica, version: Version, shards: Vec<ShardEntry>) {
     store.apply_write(
         &put(
             &format!("{MAP_PREFIX}m0000"),
@@ -91,7 +91,7 @@
     Rc::new(serde_json::from_value(job).unwrap())
 }
 
-pub fn types() -> Vec<MachineType> {
+pub fn machine_types() -> Vec<MachineType> {
     let of = |name: &str, gpus: f64, price: f64| MachineType {
         name: name.into(),
         cpus: 64.0,
@@ -127,7 +127,7 @@
 pub const OWN_LEASE: u64 = 5;
 
 /// What a sibling's process registers; its incarnation is 1, its lease 9.
-pub fn process(node: &str) -> ProcessRecord {
+pub fn process_record(node: &str) -> ProcessRecord {
     ProcessRecord {
         node: node.into(),
         incarnation: 1,
@@ -158,13 +158,13 @@
     let own = ProcessRecord {
         incarnation: core.ownership.incarnation(),
         lease: OWN_LEASE,
-        ..process("n1")
+        ..process_record("n1")
     };
-    let records = names.iter().map(|name| process(name)).chain([own]);
+    let records = names.iter().map(|name| process_record(name)).chain([own]);
     let mut entries: Vec<Entry> = records
         .map(|record| entry(&node_key(&record.node), &record))
         .collect();
-    entries.push(entry(LEADER_KEY, &process("n0")));
+    entries.push(entry(LEADER_KEY, &process_record("n0")));
     let effects = core.step(now - 0.1, 0, Vec::new());
     let listing = effects.into_iter().find_map(|effect| match effect {
         Effect::Store(call, StoreCall::List { .. }) => Some(call),
@@ -177,7 +177,7 @@
     });
     core.step(now, 0, vec![Input::Store(listing.unwrap(), listed)]);
     core.ownership.hold(OWN_LEASE, now);
-    core.take_roles();
+    core.update_roles();
     assert!(core.shard.is_some());
     core
 }
@@ -194,7 +194,7 @@
 }
 
 /// A sibling answers hellos that are sent every 0.4 s until `until`, as a process that reads the state service.
-pub fn answered_until(core: &mut Core, siblings: &[&str], from: Time, until: Time) {
+pub fn record_answers(core: &mut Core, siblings: &[&str], from: Time, until: Time) {
     let mut now = from;
     while now <= until {
         core.outbox.begin_step(now, 0);
--- a/tests/world/controllers.rs
+++ b/tests/world/controllers.rs
@@ -215,7 +215,7 @@
         let mut running = others.filter(|other| self.now >= self.nodes[*other].frozen_until);
         running.any(|other| {
             let core = self.nodes[other].core.as_ref();
-            core.is_some_and(|core| core.stage_of(&name) != Stage::Alive)
+            core.is_some_and(|core| core.sibling_stage(&name) != Stage::Alive)
         })
     }
 
@@ -224,7 +224,7 @@
         let others = (0..self.nodes.len()).filter(|other| *other != node);
         let mut cores = others.filter_map(|other| Some((other, self.nodes[other].core.as_ref()?)));
         cores.any(|(other, core)| {
-            core.teams(self.clock(other))
+            core.reconciled_teams(self.clock(other))
                 .iter()
                 .any(|settled| settled.as_str() == team)
         })
@@ -361,7 +361,7 @@
         for node in 0..self.nodes.len() {
             let clock = self.clock(node);
             if let Some(core) = self.nodes[node].core.as_ref() {
-                for team in core.teams(clock) {
+                for team in core.reconciled_teams(clock) {
                     *owners.entry(team.to_string()).or_default() += 1;
                 }
             }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -361,7 +361,7 @@
     pub fn core_work(&self) -> CoreWork {
         let cores = self.nodes.iter().filter_map(|node| node.core.as_ref());
         let mut sum = CoreWork::default();
-        for (visits, placement_rounds) in cores.map(Core::work) {
+        for (visits, placement_rounds) in cores.map(Core::work_counts) {
             sum.visits += visits;
             sum.placement_rounds += placement_rounds;
         }
