--- a/src/core/controller/catalog.rs
+++ b/src/core/controller/catalog.rs
@@ -20,23 +20,24 @@
     /// rents machines, asks repeatedly; other controllers until they know them.
     pub(crate) fn catalog_when_due(&mut self) {
         let catalog = &mut self.catalog;
-        if let (false, Some(stored)) = (catalog.known(), self.store.machine_types()) {
+        if let (false, Some(stored)) = (catalog.is_known(), self.store.machine_types()) {
             catalog.types.clone_from(&stored.record.types);
         }
         if self.leader.is_some()
-            && catalog.known()
-            && self.outbox.now >= catalog.next_store
+            && catalog.is_known()
+            && self.outbox.now >= catalog.next_store_write
             && self.outbox.may_write()
         {
-            catalog.next_store = self.outbox.now + self.config.deployment.cloud.list_lag_s.max(1.0);
+            catalog.next_store_write =
+                self.outbox.now + self.config.deployment.cloud.list_lag_s.max(1.0);
             self.store_types();
         }
         let catalog = &mut self.catalog;
-        if !catalog.asking
-            && self.outbox.now >= catalog.next
-            && (!catalog.known() || self.leader.is_some())
+        if !catalog.is_query_pending
+            && self.outbox.now >= catalog.next_query
+            && (!catalog.is_known() || self.leader.is_some())
         {
-            catalog.asking = true;
+            catalog.is_query_pending = true;
             self.outbox.call_cloud(None, CloudCall::Types);
         }
     }
@@ -74,16 +75,16 @@
         let now = self.outbox.now;
         let cloud = &self.config.deployment.cloud;
         let lag_s: Time = cloud.list_lag_s.max(1.0);
-        self.catalog.asking = false;
+        self.catalog.is_query_pending = false;
         match reply {
             CloudReply::Types(types) if !types.types.is_empty() => {
                 if self.catalog.types != types.types {
-                    self.catalog.next_store = self.catalog.next_store.min(now);
+                    self.catalog.next_store_write = self.catalog.next_store_write.min(now);
                 }
                 self.catalog.types = types.types;
-                self.catalog.next = now + lag_s * REFRESH_LAGS;
+                self.catalog.next_query = now + lag_s * REFRESH_LAGS;
             }
-            _ => self.catalog.next = now + self.outbox.jitter(RETRY_REQUESTS / cloud.rps),
+            _ => self.catalog.next_query = now + self.outbox.jitter(RETRY_REQUESTS / cloud.rps),
         }
     }
 }
--- a/src/core/controller/hello.rs
+++ b/src/core/controller/hello.rs
@@ -271,7 +271,7 @@
     /// less than to leave it and return.)
     pub(crate) fn health(&mut self, request: RequestId) {
         let is_able = self.store.is_complete()
-            && self.catalog.known()
+            && self.catalog.is_known()
             && (self.reads_store() || self.peers.any_reachable(self.outbox.now));
         self.outbox
             .answer(request, Answer::empty(if is_able { 200 } else { 503 }));
--- a/src/core/controller/inputs.rs
+++ b/src/core/controller/inputs.rs
@@ -118,7 +118,7 @@
     fn machine_types_written(&mut self, write: &Write, reply: &StoreReply) {
         match reply {
             StoreReply::Committed(version) => self.store.apply_write(write, *version),
-            StoreReply::Rejected => self.catalog.not_storable(),
+            StoreReply::Rejected => self.catalog.stop_store_writes(),
             _ => {}
         }
     }
--- a/src/core/controller/ownership.rs
+++ b/src/core/controller/ownership.rs
@@ -143,7 +143,7 @@
             node: process.node,
             incarnation: process.incarnation,
             lease,
-            keeps_grants: usage::are_on(&self.config),
+            keeps_grants: usage::grants_are_enabled(&self.config),
             consents: self.ownership.published_consents().to_vec(),
             claims: self.claims.records(),
         }
--- a/src/core/controller/status.rs
+++ b/src/core/controller/status.rs
@@ -5,7 +5,7 @@
 use crate::core::effects::{Answer, Body, RequestId};
 use crate::core::model::process::ProcessId;
 use crate::core::records::versioned::StoredLedger;
-use crate::core::scheduling::usage::{Basis, are_on};
+use crate::core::scheduling::usage::{QuotaBasis, grants_are_enabled};
 use crate::core::shard::grants::TeamGrant;
 use crate::ids::{ControllerName, FencingToken};
 use crate::status::{
@@ -45,7 +45,7 @@
             incarnation: self.ownership.incarnation(),
             leads: self.leads(now),
             entitled: self.ownership.holds_lease(now),
-            grants_on: are_on(&self.config),
+            grants_on: grants_are_enabled(&self.config),
             teams: teams
                 .map(|team_limits| self.team_status(team_limits))
                 .collect(),
@@ -201,9 +201,14 @@
 /// What the owner's decisions on the team's limits are based on.
 fn basis(grant: Option<&TeamGrant>) -> BasisStatus {
     match grant.map(TeamGrant::basis) {
-        None | Some(Basis::Counting { beginning: None }) => BasisStatus::Counting,
-        Some(Basis::Counting { beginning: Some(_) }) => BasisStatus::Beginning,
-        Some(Basis::Undecided) => BasisStatus::Undecided,
-        Some(Basis::Granted { .. }) => BasisStatus::Granted,
+        None
+        | Some(QuotaBasis::Counting {
+            unconfirmed_grant: None,
+        }) => BasisStatus::Counting,
+        Some(QuotaBasis::Counting {
+            unconfirmed_grant: Some(_),
+        }) => BasisStatus::Beginning,
+        Some(QuotaBasis::Undecided) => BasisStatus::Undecided,
+        Some(QuotaBasis::Granted { .. }) => BasisStatus::Granted,
     }
 }
--- a/src/core/leader/grants.rs
+++ b/src/core/leader/grants.rs
@@ -4,7 +4,7 @@
 use crate::core::leader::Leader;
 use crate::core::model::process::ProcessId;
 use crate::core::records::shard_map::ShardOwner;
-use crate::core::scheduling::usage::are_on;
+use crate::core::scheduling::usage::grants_are_enabled;
 use crate::core::store::replica::StoreReplica;
 use crate::ids::{FencingToken, Team};
 use std::collections::BTreeSet;
@@ -40,6 +40,6 @@
 
     /// Whether the owner and all other live processes respect grants.
     pub(crate) fn keeps_grants(&self, owner: &ShardOwner) -> bool {
-        are_on(&self.config) && self.grant_keepers.contains(&owner.process())
+        grants_are_enabled(&self.config) && self.grant_keepers.contains(&owner.process())
     }
 }
--- a/src/core/leader/scaling.rs
+++ b/src/core/leader/scaling.rs
@@ -34,7 +34,7 @@
         live: &LiveProcesses,
         now: Time,
     ) {
-        if now < self.next_scaling_plan || !catalog.known() || self.catching_up {
+        if now < self.next_scaling_plan || !catalog.is_known() || self.catching_up {
             return;
         }
         self.next_scaling_plan = now + PLAN_INTERVAL_S;
--- a/src/core/scheduling/catalog.rs
+++ b/src/core/scheduling/catalog.rs
@@ -4,7 +4,7 @@
 use crate::core::model::resources::Resources;
 use crate::core::model::time::Time;
 use crate::core::scheduling::constraints::{accepts_type, team_limits};
-use crate::core::scheduling::usage::{minimum_quota, within_limit};
+use crate::core::scheduling::usage::{is_within_limit, minimum_quota};
 use crate::ids::MachineTypeName;
 use crate::wire::{JobSpec, MachineType};
 
@@ -20,11 +20,11 @@
     /// The types; empty until they have been read.
     pub(crate) types: Vec<MachineType>,
     /// When the cloud is to be queried next.
-    pub(crate) next: Time,
+    pub(crate) next_query: Time,
     /// Whether a query to the cloud is pending.
-    pub(crate) asking: bool,
+    pub(crate) is_query_pending: bool,
     /// The types are not written to the state service before this time.
-    pub(crate) next_store: Time,
+    pub(crate) next_store_write: Time,
 }
 
 impl Catalog {
@@ -38,7 +38,7 @@
     }
 
     /// Whether the machine types have been read.
-    pub fn known(&self) -> bool {
+    pub fn is_known(&self) -> bool {
         !self.types.is_empty()
     }
 
@@ -48,9 +48,11 @@
     }
 
     /// The state service refused to store the types: the write is not repeated.
-    pub fn not_storable(&mut self) {
-        tracing::error!("store rejected the machine types");
-        self.next_store = Time::INFINITY;
+    pub fn stop_store_writes(&mut self) {
+        tracing::error!(
+            "store rejected the machine types: they are not written again until they change"
+        );
+        self.next_store_write = Time::INFINITY;
     }
 
     /// How long a machine of the type takes to boot, in seconds.
@@ -68,15 +70,15 @@
     /// Whether a submission can never run: no machine type can hold a task of it, or its team's limit
     /// is too low. `None` while the machine types are not known.
     pub fn can_never_run(&self, config: &Config, spec: &JobSpec) -> Option<bool> {
-        if !self.known() {
+        if !self.is_known() {
             return None;
         }
         let Some(team_limits) = team_limits(config, spec) else {
             return Some(true);
         };
         let quota = minimum_quota(spec);
-        let is_within_quota = within_limit(quota.cpus, team_limits.cpus_max)
-            && within_limit(quota.gpus, team_limits.gpus_max);
+        let is_within_quota = is_within_limit(quota.cpus, team_limits.cpus_max)
+            && is_within_limit(quota.gpus, team_limits.gpus_max);
         let fits_some_type = self.types.iter().any(|of_type| can_hold(of_type, spec));
         Some(!is_within_quota || !fits_some_type)
     }
--- a/src/core/scheduling/constraints.rs
+++ b/src/core/scheduling/constraints.rs
@@ -12,7 +12,12 @@
 pub(crate) const RUN_TIME_ESTIMATE_MARGIN: f64 = 2.0;
 
 /// Whether the job accepts machines of this type and zone, spot instances or not.
-pub fn allowed(spec: &JobSpec, type_name: &MachineTypeName, zone: &Zone, spot: bool) -> bool {
+pub fn accepts_machine(
+    spec: &JobSpec,
+    type_name: &MachineTypeName,
+    zone: &Zone,
+    spot: bool,
+) -> bool {
     (spec.spot || !spot)
         && accepts_type(spec, type_name)
         && spec.zone.as_ref().is_none_or(|only| only == zone)
--- a/src/core/scheduling/forecast.rs
+++ b/src/core/scheduling/forecast.rs
@@ -55,7 +55,7 @@
     }
 
     /// Records that a job was submitted at `at`, possibly to another controller and some time ago.
-    pub fn arrived(&mut self, spec: &Rc<JobSpec>, at: Time) {
+    pub fn record_arrival(&mut self, spec: &Rc<JobSpec>, at: Time) {
         if self.arrivals.len() >= self.capacity {
             self.arrivals.pop_front();
         }
@@ -65,7 +65,7 @@
     }
 
     /// Forgets a job that cannot run anywhere: it does not predict demand.
-    pub fn withdraw(&mut self, spec: &Rc<JobSpec>) {
+    pub fn remove_job(&mut self, spec: &Rc<JobSpec>) {
         self.arrivals
             .retain(|arrival| !Rc::ptr_eq(&arrival.spec, spec));
     }
@@ -77,7 +77,7 @@
         types: &[MachineType],
         now: Time,
     ) -> BTreeMap<Image, ImageDemand> {
-        let window = longest_boot(types) * HISTORY_BOOTS;
+        let window = longest_boot_s(types) * HISTORY_BOOTS;
         let mut images: BTreeMap<Image, ImageDemand> = BTreeMap::new();
         for Arrival { at, spec } in self.arrivals.iter().rev() {
             if !needs_cached_image(config, types, spec) {
@@ -98,7 +98,7 @@
 
     /// The jobs expected to arrive during one boot: of each class with a wait objective as many of the
     /// latest ones as arrived per boot time.
-    pub fn expected(&self, config: &Config, boot: Time, now: Time) -> Vec<Rc<JobSpec>> {
+    pub fn expected_jobs(&self, config: &Config, boot: Time, now: Time) -> Vec<Rc<JobSpec>> {
         let window = boot * HISTORY_BOOTS;
         let mut classes: BTreeMap<&str, Vec<&Rc<JobSpec>>> = BTreeMap::new();
         for Arrival { at, spec } in self.arrivals.iter().rev() {
@@ -126,7 +126,7 @@
 }
 
 /// The longest boot time of the machine types, in seconds.
-pub fn longest_boot(types: &[MachineType]) -> Time {
+pub fn longest_boot_s(types: &[MachineType]) -> Time {
     types
         .iter()
         .map(|of_type| of_type.boot_s)
--- a/src/core/scheduling/forecast/tests.rs
+++ b/src/core/scheduling/forecast/tests.rs
@@ -6,10 +6,10 @@
 fn images_to_keep_cached_are_those_whose_fetch_misses_the_start_objective() {
     let config = Config::parse(crate::config::TEST_SETTINGS).unwrap();
     let mut forecast = Forecast::new(&config);
-    forecast.arrived(&service("chat", "large", 60.0), 50.0);
-    forecast.arrived(&service("chat", "large", 60.0), 1.0);
-    forecast.arrived(&service("chat", "small", 20.0), 50.0);
-    forecast.arrived(&service("other", "huge", 90.0), 50.0);
+    forecast.record_arrival(&service("chat", "large", 60.0), 50.0);
+    forecast.record_arrival(&service("chat", "large", 60.0), 1.0);
+    forecast.record_arrival(&service("chat", "small", 20.0), 50.0);
+    forecast.record_arrival(&service("other", "huge", 90.0), 50.0);
     let images = forecast.images_to_keep_cached(&config, &types(), 55.0);
     assert_eq!(
         images.keys().map(Image::as_str).collect::<Vec<_>>(),
--- a/src/core/scheduling/opportunistic.rs
+++ b/src/core/scheduling/opportunistic.rs
@@ -9,7 +9,7 @@
 use crate::core::model::resources::Resources;
 use crate::core::model::time::Time;
 use crate::core::scheduling::catalog::{can_hold, tasks_per_machine};
-use crate::core::scheduling::forecast::longest_boot;
+use crate::core::scheduling::forecast::longest_boot_s;
 use crate::wire::{JobSpec, MachineType, Priority};
 
 /// A rental is cost-effective up to this many times the lowest price at which the task could run.
@@ -72,7 +72,7 @@
     reason = "a quotient of times that are not negative; the cast saturates"
 )]
 pub fn worthwhile_rentals(types: &[MachineType], machine_seconds: Time) -> u32 {
-    (machine_seconds / (longest_boot(types) * MIN_WORK_BOOTS)).floor() as u32
+    (machine_seconds / (longest_boot_s(types) * MIN_WORK_BOOTS)).floor() as u32
 }
 
 /// Whether the offer's price per task is within `PRICE_MARGIN` of the lowest one of any type that can
--- a/src/core/scheduling/packing.rs
+++ b/src/core/scheduling/packing.rs
@@ -8,7 +8,7 @@
 use crate::core::jobs::job::zone_allows;
 use crate::core::messages::capacity_demand::{CapacityDemand, MachineDemand, MachineOffer};
 use crate::core::model::resources::Resources;
-use crate::core::scheduling::constraints::allowed;
+use crate::core::scheduling::constraints::accepts_machine;
 use crate::core::scheduling::opportunistic::is_cost_effective;
 use crate::core::scheduling::packing::candidate::{PackingCandidate, TaskDemand};
 use crate::core::scheduling::packing::rental::RentalRequest;
@@ -138,7 +138,7 @@
     /// From now on resources of opportunistic tasks no longer count as free.
     pub fn reserve_opportunistic(&mut self) {
         for candidate in &mut self.candidates {
-            candidate.free = candidate.free.minus(&candidate.opportunistic);
+            candidate.free = candidate.free.minus(&candidate.opportunistic_resources);
         }
     }
 
@@ -257,7 +257,7 @@
             && machine
                 .as_ref()
                 .is_none_or(|machine| !self.avoided.contains(machine))
-            && allowed(self.spec, &offer.type_name, &offer.zone, offer.spot)
+            && accepts_machine(self.spec, &offer.type_name, &offer.zone, offer.spot)
     }
 
     /// The free resources that the task may use.
--- a/src/core/scheduling/packing/candidate.rs
+++ b/src/core/scheduling/packing/candidate.rs
@@ -66,7 +66,7 @@
     /// All resources of the machine.
     pub total: Resources,
     /// The part of `free` that opportunistic tasks use at present.
-    pub opportunistic: Resources,
+    pub opportunistic_resources: Resources,
     /// Whether tasks other than opportunistic ones are on it or planned there.
     pub is_in_use: bool,
     /// Whether it is being drained: it is used only if no other machine suffices.
@@ -87,7 +87,7 @@
             offer,
             free: Resources::default(),
             total: Resources::default(),
-            opportunistic: Resources::default(),
+            opportunistic_resources: Resources::default(),
             is_in_use: false,
             is_draining: false,
             has_planned_tasks: false,
--- a/src/core/scheduling/packing/rental.rs
+++ b/src/core/scheduling/packing/rental.rs
@@ -3,7 +3,7 @@
 use crate::core::messages::capacity_demand::MachineOffer;
 use crate::core::model::resources::Resources;
 use crate::core::scheduling::catalog::{price, tasks_per_machine, total_resources};
-use crate::core::scheduling::constraints::allowed;
+use crate::core::scheduling::constraints::accepts_machine;
 use crate::ids::Zone;
 use crate::wire::{JobSpec, MachineType};
 use std::collections::{BTreeMap, BTreeSet};
@@ -36,7 +36,7 @@
 
     /// The offer of a type in a zone, if the job accepts it.
     fn offer(&self, of_type: &MachineType, zone: &Zone, spot: bool) -> Option<MachineOffer> {
-        allowed(self.spec, &of_type.name, zone, spot).then(|| MachineOffer {
+        accepts_machine(self.spec, &of_type.name, zone, spot).then(|| MachineOffer {
             type_name: of_type.name.clone(),
             zone: zone.clone(),
             spot,
--- a/src/core/scheduling/usage.rs
+++ b/src/core/scheduling/usage.rs
@@ -221,8 +221,8 @@
         let used = self.total(&team_limits.name);
         largest_allowed(grantable, |count| {
             let more = QuotaUnits::of(need).times(count);
-            within_limit(used.cpus + more.cpus, team_limits.cpus_max)
-                && within_limit(used.gpus + more.gpus, team_limits.gpus_max)
+            is_within_limit(used.cpus + more.cpus, team_limits.cpus_max)
+                && is_within_limit(used.gpus + more.gpus, team_limits.gpus_max)
         })
     }
 
@@ -274,22 +274,22 @@
 
     /// Counts a team by its grants: previous owners' tasks use at most what was granted to them, and once
     /// nothing is granted to them any more, all running tasks are this process's.
-    pub(crate) fn count_by_grants(&mut self, team_limits: &TeamLimits, basis: Basis) {
+    pub(crate) fn apply_basis(&mut self, team_limits: &TeamLimits, basis: QuotaBasis) {
         let is_unknown = self.unknown_usage.contains(&team_limits.name);
         let used = self.teams.entry(team_limits.name.clone()).or_default();
         match basis {
-            Basis::Undecided => {
+            QuotaBasis::Undecided => {
                 self.unknown_grants.insert(team_limits.name.clone());
             }
-            Basis::Counting { beginning } => {
-                used.granted = beginning;
+            QuotaBasis::Counting { unconfirmed_grant } => {
+                used.granted = unconfirmed_grant;
                 used.own = used.total;
             }
-            Basis::Granted { own, outstanding } if outstanding.is_zero() => {
+            QuotaBasis::Granted { own, outstanding } if outstanding.is_zero() => {
                 used.granted = Some(own);
                 used.own = used.total;
             }
-            Basis::Granted { own, outstanding } => {
+            QuotaBasis::Granted { own, outstanding } => {
                 used.apply_grant(&limit_of(team_limits), own, &outstanding, is_unknown);
                 self.unknown_usage.remove(&team_limits.name);
             }
@@ -298,7 +298,7 @@
 
     /// Whether the team, with this much more, stays within its guaranteed quota. A team without a
     /// guarantee never does.
-    pub fn guaranteed(&self, team_limits: &TeamLimits, cpus: f64, gpus: f64) -> bool {
+    pub fn is_within_guarantee(&self, team_limits: &TeamLimits, cpus: f64, gpus: f64) -> bool {
         let used = self.total(&team_limits.name);
         let is_within = |used: f64, guarantee: f64| guarantee > 0.0 && used <= guarantee + EPSILON;
         let has_guarantee = team_limits.cpus > 0.0 || team_limits.gpus > 0.0;
@@ -314,12 +314,12 @@
 }
 
 /// Whether `used` is within a limit; a limit of 0 means none.
-pub fn within_limit(used: f64, limit: f64) -> bool {
+pub fn is_within_limit(used: f64, limit: f64) -> bool {
     limit == 0.0 || used <= limit + EPSILON
 }
 
 /// Whether grants of team limits are enabled in this configuration.
-pub fn are_on(config: &Config) -> bool {
+pub fn grants_are_enabled(config: &Config) -> bool {
     config
         .features
         .headroom(config.deployment.workers.lease_s)
@@ -333,13 +333,13 @@
 
 /// How the owner of a team accounts for the team's quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Basis {
+pub enum QuotaBasis {
     /// The owner has not yet read whether there is a record of grants: it starts nothing.
     Undecided,
     /// All tasks that any owner may have started count against the limit.
     Counting {
         /// While a record of grants is being created: the amount that running tasks must not exceed.
-        beginning: Option<Amount>,
+        unconfirmed_grant: Option<Amount>,
     },
     /// The owner's tasks count against its grant, those of other holders up to what they were granted.
     Granted {
--- a/src/core/shard/capacity_planning.rs
+++ b/src/core/shard/capacity_planning.rs
@@ -14,7 +14,7 @@
 use crate::core::model::time::Time;
 use crate::core::scheduling::catalog::Catalog;
 use crate::core::scheduling::constraints::team_limits;
-use crate::core::scheduling::forecast::longest_boot;
+use crate::core::scheduling::forecast::longest_boot_s;
 use crate::core::scheduling::opportunistic::{machine_seconds, worthwhile_rentals};
 use crate::core::scheduling::packing::Plan;
 use crate::core::scheduling::packing::candidate::{PackingCandidate, TaskDemand};
@@ -89,7 +89,7 @@
         catalog: &Catalog,
     ) {
         let now = outbox.now;
-        if now < self.next_plan || !catalog.known() || self.catching_up {
+        if now < self.next_plan || !catalog.is_known() || self.catching_up {
             return;
         }
         self.next_plan = now + self.config.deployment.workers.lease_s / PLANS_PER_LEASE;
@@ -231,8 +231,8 @@
                 work.ordinary.push(tasks);
             }
         }
-        let boot_s = longest_boot(types);
-        for spec in self.forecast.expected(&self.config, boot_s, now) {
+        let boot_s = longest_boot_s(types);
+        for spec in self.forecast.expected_jobs(&self.config, boot_s, now) {
             let count = spec.tasks;
             work.ordinary.push(TaskDemand::expected(types, spec, count));
         }
@@ -349,7 +349,7 @@
     PackingCandidate {
         free: machine.free_for_other_work(),
         total: machine.total,
-        opportunistic: machine.opportunistic_resources(),
+        opportunistic_resources: machine.opportunistic_resources(),
         is_in_use: !machine.holds_only_opportunistic() && !machine.draining,
         is_draining: machine.draining,
         ..PackingCandidate::empty(Some(machine.id.clone()), offer)
--- a/src/core/shard/consolidation.rs
+++ b/src/core/shard/consolidation.rs
@@ -9,7 +9,7 @@
 use crate::core::model::resources::Resources;
 use crate::core::model::time::Time;
 use crate::core::scheduling::catalog::Catalog;
-use crate::core::scheduling::constraints::allowed;
+use crate::core::scheduling::constraints::accepts_machine;
 use crate::core::scheduling::forecast::needs_cached_image;
 use crate::core::scheduling::packing::candidate::PackingCandidate;
 use crate::core::shard::Shard;
@@ -162,7 +162,7 @@
             .iter()
             .map(|candidate| Target {
                 candidate,
-                free: candidate.free.minus(&candidate.opportunistic),
+                free: candidate.free.minus(&candidate.opportunistic_resources),
             })
             .collect();
         let mut tasks_in_zone: BTreeMap<&JobId, BTreeMap<Zone, u32>> = BTreeMap::new();
@@ -209,7 +209,7 @@
                 && machine.usable(now)
                 && (candidate.has_planned_tasks || !machine.idle())
                 && machine.has_image(&job.spec.image)
-                && allowed(&job.spec, &machine.type_name, &machine.zone, machine.spot)
+                && accepts_machine(&job.spec, &machine.type_name, &machine.zone, machine.spot)
                 && zone_allows(&job.spec, &machine.zone, tasks_in_zone)
         };
         candidate
--- a/src/core/shard/grants.rs
+++ b/src/core/shard/grants.rs
@@ -14,7 +14,7 @@
 use crate::core::model::time::Time;
 use crate::core::records::keys::{quota_key, teams_key};
 use crate::core::records::versioned::{precondition, put};
-use crate::core::scheduling::usage::{Basis, Usage, limit_of};
+use crate::core::scheduling::usage::{QuotaBasis, Usage, limit_of};
 use crate::core::shard::Shard;
 use crate::core::store::replica::StoreReplica;
 use crate::ids::{FencingToken, Team, Version};
@@ -40,7 +40,7 @@
     seen_version: Option<Version>,
     /// Earliest time of the next write of the record.
     write_after: Time,
-    basis: Basis,
+    basis: QuotaBasis,
 }
 
 impl TeamGrant {
@@ -68,12 +68,12 @@
             is_record_disabled: !limit.is_limited(),
             seen_version: None,
             write_after: Time::NEG_INFINITY,
-            basis: Basis::Undecided,
+            basis: QuotaBasis::Undecided,
         })
     }
 
     /// How the owner accounts for the team's quota, as of the last read of the record.
-    pub fn basis(&self) -> Basis {
+    pub fn basis(&self) -> QuotaBasis {
         self.basis
     }
 
@@ -94,13 +94,13 @@
         // Other processes rely on a record for as long as it exists, so no task starts until it is deleted.
         let has_record_to_delete = self.is_record_disabled && version != 0;
         self.basis = if store.revision() < gained_at_revision || has_record_to_delete {
-            Basis::Undecided
+            QuotaBasis::Undecided
         } else if self.holder.ledger().is_some() {
             let (own, outstanding) = (self.holder.grant(), self.holder.outstanding());
-            Basis::Granted { own, outstanding }
+            QuotaBasis::Granted { own, outstanding }
         } else {
-            Basis::Counting {
-                beginning: self.holder.first_grant_in_doubt(),
+            QuotaBasis::Counting {
+                unconfirmed_grant: self.holder.first_grant_in_doubt(),
             }
         };
     }
@@ -108,7 +108,7 @@
     /// Proposes the next change of the record if one is needed and allowed at this time.
     fn propose_change(&mut self, now: Time, demand: &Demand) -> Option<Proposal> {
         let may_create_record = self.grants_kept_since.is_some() || self.holder.ledger().is_some();
-        let is_undecided = self.basis == Basis::Undecided;
+        let is_undecided = self.basis == QuotaBasis::Undecided;
         if is_undecided || self.is_record_disabled || !may_create_record || now < self.write_after {
             return None;
         }
@@ -207,8 +207,8 @@
             };
             let (used, _) = usage.own_and_inherited(name);
             let released = match grant.basis {
-                Basis::Granted { .. } => grant.holder.release(used),
-                Basis::Undecided | Basis::Counting { .. } => None,
+                QuotaBasis::Granted { .. } => grant.holder.release(used),
+                QuotaBasis::Undecided | QuotaBasis::Counting { .. } => None,
             };
             if let Some(released) = released.filter(|_| outbox.may_write()) {
                 self.write_record(outbox, store, name, &released, false);
--- a/src/core/shard/grants/tests.rs
+++ b/src/core/shard/grants/tests.rs
@@ -119,7 +119,7 @@
             .clear();
     }
 
-    fn basis(&self) -> Basis {
+    fn basis(&self) -> QuotaBasis {
         self.shard.teams[&Team::from(TEAM)]
             .grant
             .as_ref()
@@ -202,7 +202,7 @@
 #[test]
 fn a_new_owner_can_use_the_limit_less_grants_of_others() {
     let mut fixture = Fixture::new(9, Some(5), Some(record_of_other_holder(5, 10.0)));
-    assert_eq!(fixture.basis(), Basis::Undecided);
+    assert_eq!(fixture.basis(), QuotaBasis::Undecided);
     assert!(
         !fixture.allows(1.0),
         "the replica may not show an existing record yet"
@@ -236,7 +236,9 @@
     for (since, relied_on) in [(Some(5), true), (Some(6), false), (None, false)] {
         let mut fixture = Fixture::new(9, since, Some(record_of_other_holder(5, 10.0)));
         fixture.sync();
-        let counting = Basis::Counting { beginning: None };
+        let counting = QuotaBasis::Counting {
+            unconfirmed_grant: None,
+        };
         assert_eq!(fixture.basis() != counting, relied_on, "{since:?}");
     }
 }
@@ -251,7 +253,12 @@
     ] {
         let mut fixture = Fixture::new(9, Some(5), Some(damaged));
         fixture.sync();
-        assert_eq!(fixture.basis(), Basis::Counting { beginning: None });
+        assert_eq!(
+            fixture.basis(),
+            QuotaBasis::Counting {
+                unconfirmed_grant: None
+            }
+        );
         assert!(
             fixture.allows(16.0),
             "the limit applies as without a record"
@@ -278,8 +285,8 @@
     fixture.reply_to(call, StoreReply::Unknown);
     assert_eq!(
         fixture.basis(),
-        Basis::Counting {
-            beginning: Some(Amount::covering(0.0, 2.0))
+        QuotaBasis::Counting {
+            unconfirmed_grant: Some(Amount::covering(0.0, 2.0))
         }
     );
     assert!(fixture.allows(2.0) && !fixture.allows(3.0));
@@ -446,7 +453,12 @@
         "{transaction:?}"
     );
     fixture.reply_to(call, StoreReply::Committed(40));
-    assert_eq!(fixture.basis(), Basis::Counting { beginning: None });
+    assert_eq!(
+        fixture.basis(),
+        QuotaBasis::Counting {
+            unconfirmed_grant: None
+        }
+    );
     fixture.reconcile();
     assert!(
         fixture.write_grants().is_none(),
@@ -482,7 +494,7 @@
         fixture.sync();
         let (call, _) = fixture.write_grants().unwrap();
         fixture.reply_to(call, StoreReply::Committed(30));
-        let expected = Basis::Granted {
+        let expected = QuotaBasis::Granted {
             own: Amount::covering(0.0, granted),
             outstanding: Amount::covering(0.0, 10.0),
         };
--- a/src/core/shard/opportunistic/tests.rs
+++ b/src/core/shard/opportunistic/tests.rs
@@ -136,7 +136,7 @@
     let full = total_resources(&types[1]);
     let candidate = PackingCandidate {
         free: full,
-        opportunistic: full,
+        opportunistic_resources: full,
         ..PackingCandidate::empty(
             Some("m-1".into()),
             MachineOffer::from((MachineTypeName::from("g8"), Zone::from("a"), false)),
--- a/src/core/shard/owned_jobs.rs
+++ b/src/core/shard/owned_jobs.rs
@@ -97,7 +97,7 @@
         if job.unreconciled() > 0 {
             self.unreconciled_jobs.insert(id.clone());
         }
-        self.forecast.arrived(&job.spec, job.submitted);
+        self.forecast.record_arrival(&job.spec, job.submitted);
         self.jobs.insert(id.clone(), job);
         self.update_urgency(store, id, (now, wall_ms));
         self.changed_since_round = true;
--- a/src/core/shard/preemption.rs
+++ b/src/core/shard/preemption.rs
@@ -253,7 +253,7 @@
         .teams
         .iter()
         .filter(|other| other.name != *team)
-        .filter(|other| !usage.guaranteed(other, 0.0, 0.0))
+        .filter(|other| !usage.is_within_guarantee(other, 0.0, 0.0))
         .filter(|other| other.gpus > 0.0 || other.cpus > 0.0)
         .map(|other| &other.name)
         .collect()
--- a/src/core/shard/round/queue.rs
+++ b/src/core/shard/round/queue.rs
@@ -63,7 +63,7 @@
     pub(crate) fn is_within_guarantee(&self, job: &Job, usage: &Usage) -> bool {
         let need = job.need();
         team_limits(&self.config, &job.spec)
-            .is_some_and(|team_limits| usage.guaranteed(team_limits, need.cpus, need.gpus))
+            .is_some_and(|team_limits| usage.is_within_guarantee(team_limits, need.cpus, need.gpus))
     }
 
     /// Whether the job is placed after all others that have the same priority and are equally within or
--- a/src/core/shard/round/snapshot.rs
+++ b/src/core/shard/round/snapshot.rs
@@ -2,7 +2,7 @@
 
 use crate::core::model::resources::Resources;
 use crate::core::model::time::Time;
-use crate::core::scheduling::constraints::allowed;
+use crate::core::scheduling::constraints::accepts_machine;
 use crate::core::shard::Shard;
 use crate::ids::{Image, MachineId, MachineTypeName, Zone};
 use crate::wire::{JobSpec, Priority};
@@ -109,7 +109,7 @@
 
     /// Whether the job accepts the machine's type and zone, and a spot instance if the machine is one.
     pub(crate) fn is_allowed_for(&self, spec: &JobSpec) -> bool {
-        allowed(spec, &self.type_name, &self.zone, self.spot)
+        accepts_machine(spec, &self.type_name, &self.zone, self.spot)
     }
 }
 
--- a/src/core/shard/soon_ready.rs
+++ b/src/core/shard/soon_ready.rs
@@ -7,7 +7,7 @@
 use crate::core::model::resources::Resources;
 use crate::core::model::time::Time;
 use crate::core::scheduling::constraints::team_limits;
-use crate::core::scheduling::forecast::longest_boot;
+use crate::core::scheduling::forecast::longest_boot_s;
 use crate::core::scheduling::packing::candidate::TaskDemand;
 use crate::core::scheduling::usage::Usage;
 use crate::core::shard::Shard;
@@ -35,7 +35,7 @@
         types: &[MachineType],
         now: Time,
     ) -> SoonReadyJobs {
-        let ending_jobs = self.jobs_ending_by(now + longest_boot(types));
+        let ending_jobs = self.jobs_ending_by(now + longest_boot_s(types));
         let mut demands = Vec::new();
         for spec in self.jobs_ready_after(store, &ending_jobs) {
             let Some(team_limits) = team_limits(&self.config, &spec) else {
--- a/src/core/shard/tracking/cordon.rs
+++ b/src/core/shard/tracking/cordon.rs
@@ -37,7 +37,7 @@
                 job = %task.job,
                 "job fails on every machine: only probes of it are started until one runs"
             );
-            self.forecast.withdraw(&job.spec);
+            self.forecast.remove_job(&job.spec);
         }
         let failed_on = job.failures.machines().clone();
         self.cordon_if_faulty(machine_id, now);
--- a/src/core/shard/usage.rs
+++ b/src/core/shard/usage.rs
@@ -25,7 +25,7 @@
         for team_limits in &self.config.deployment.teams {
             let team = self.teams.get(&team_limits.name);
             if let Some(grant) = team.and_then(|team| team.grant.as_ref()) {
-                usage.count_by_grants(team_limits, grant.basis());
+                usage.apply_basis(team_limits, grant.basis());
             }
         }
         usage
