--- a/crates/failure-detector/tests/model.rs
+++ b/crates/failure-detector/tests/model.rs
@@ -1,14 +1,15 @@
-//! Simulations of three and five observers in a network with delays, retransmissions, pauses, restarts and
-//! cuts in one direction, drawn from seeds. *Completeness*: a controller that stops or pauses is confirmed
-//! failed within a stated time by every healthy observer. *Accuracy*: a controller that runs and is connected
-//! to enough others is never confirmed failed.
+//! Simulations of three and five observers in a network. Seeds determine delays, retransmissions, pauses,
+//! restarts and partitions in one direction. The simulations check two properties. *Completeness*: every
+//! healthy observer confirms the failure of a controller that stops or pauses within a fixed time.
+//! *Accuracy*: no observer confirms the failure of a controller that runs and is connected to enough others.
 //!
-//! A fault that these simulations found: an observer that was cut off while a controller restarted kept the
-//! process that it had heard last, counted no votes about the next one, and never confirmed its failure.
+//! They guard against a fault in which an observer never confirmed a failure. The observer had been
+//! disconnected while the controller restarted. It stored the previous process and counted no votes on the
+//! next one.
 //!
-//! The last tests show that each rule is needed: they disable the quorum, the rule that isolated observers
+//! The last tests show that each rule is necessary. They disable the quorum, the rule that isolated observers
 //! share no opinions, the observer's detection of its own pauses, and confirmation itself (with a quorum that
-//! can't be reached).
+//! cannot be reached).
 
 #![allow(
     clippy::cast_possible_truncation,
@@ -30,7 +31,7 @@
 const DURATION_S: f64 = 60.0;
 /// A failure is confirmed within this time: 15 heartbeats.
 const CONFIRMED_WITHIN_S: f64 = 7.5;
-/// Judgements depend on no more than this time before them.
+/// Stages do not depend on events that are older than this.
 const MEMORY_S: f64 = 9.0;
 
 enum Message {
@@ -45,7 +46,7 @@
 }
 
 struct Envelope {
-    at: f64,
+    delivery_at: f64,
     from: usize,
     to: usize,
     sent: f64,
@@ -66,15 +67,15 @@
     settings: Settings,
     nodes: Vec<Node>,
     messages: Vec<Envelope>,
-    /// Links from one node to another that pass nothing, and until when.
-    cuts: BTreeMap<(usize, usize), f64>,
-    loss: f64,
-    /// When two nodes were last not connected, or one of them did not run.
-    last_apart: Vec<Vec<f64>>,
-    /// Since when each node has not run, if it does not.
+    /// When each blocked link from one node to another delivers messages again.
+    blocked_until: BTreeMap<(usize, usize), f64>,
+    loss_probability: f64,
+    /// When each pair of nodes was last not connected, or one of them did not run.
+    last_disconnected: Vec<Vec<f64>>,
+    /// Since when each node has not run. None while it runs.
     not_running_since: Vec<Option<f64>>,
-    /// When each node last did not run.
-    last_paused: Vec<f64>,
+    /// When each node last did not run, because it was stopped or paused.
+    last_not_running: Vec<f64>,
     violations: BTreeSet<&'static str>,
 }
 
@@ -93,36 +94,36 @@
             settings,
             nodes: nodes.collect(),
             messages: Vec::new(),
-            cuts: BTreeMap::new(),
-            loss: 0.0,
-            last_apart: vec![vec![f64::NEG_INFINITY; count]; count],
+            blocked_until: BTreeMap::new(),
+            loss_probability: 0.0,
+            last_disconnected: vec![vec![f64::NEG_INFINITY; count]; count],
             not_running_since: vec![None; count],
-            last_paused: vec![f64::NEG_INFINITY; count],
+            last_not_running: vec![f64::NEG_INFINITY; count],
             violations: BTreeSet::new(),
         }
     }
 
-    fn runs(&self, node: usize) -> bool {
+    fn is_running(&self, node: usize) -> bool {
         self.now >= self.nodes[node].stopped_until && self.now >= self.nodes[node].paused_until
     }
 
-    fn passes(&self, from: usize, to: usize) -> bool {
-        self.cuts
+    fn link_delivers(&self, from: usize, to: usize) -> bool {
+        self.blocked_until
             .get(&(from, to))
             .is_none_or(|until| self.now >= *until)
     }
 
     fn send(&mut self, from: usize, to: usize, sent: f64, message: Message) {
-        if !self.passes(from, to) {
+        if !self.link_delivers(from, to) {
             return;
         }
         let mut delay = self.rng.random_range(0.001..0.02);
-        // A lost packet is retransmitted; an answer still arrives within the timeout.
-        if self.rng.random_bool(self.loss) {
+        // A lost packet is retransmitted, and an answer still arrives within the timeout.
+        if self.rng.random_bool(self.loss_probability) {
             delay += self.rng.random_range(0.2..0.37);
         }
         self.messages.push(Envelope {
-            at: self.now + delay,
+            delivery_at: self.now + delay,
             from,
             to,
             sent,
@@ -138,37 +139,37 @@
         match self.rng.random_range(0..7) {
             0 => self.restart(node, until),
             1 => self.nodes[node].paused_until = until,
-            2 => self.cut(node, other, until),
-            3 => (0..count).for_each(|from| self.cut(from, node, until)),
-            4 => (0..count).for_each(|to| self.cut(node, to, until)),
+            2 => self.block_link(node, other, until),
+            3 => (0..count).for_each(|from| self.block_link(from, node, until)),
+            4 => (0..count).for_each(|to| self.block_link(node, to, until)),
             5 => (0..count).for_each(|one| self.nodes[one].paused_until = until),
-            _ => self.loss = self.rng.random_range(0.0..0.3),
+            _ => self.loss_probability = self.rng.random_range(0.0..0.3),
         }
     }
 
-    fn cut(&mut self, from: usize, to: usize, until: f64) {
-        self.cuts.insert((from, to), until);
+    fn block_link(&mut self, from: usize, to: usize, until: f64) {
+        self.blocked_until.insert((from, to), until);
     }
 
-    fn restart(&mut self, node: usize, back: f64) {
+    fn restart(&mut self, node: usize, until: f64) {
         let others = (0..self.nodes.len()).filter(|other| *other != node);
         let incarnation = Incarnation(self.rng.random());
-        let fresh = Detector::new(others.collect::<Vec<_>>(), self.settings);
+        let detector = Detector::new(others.collect::<Vec<_>>(), self.settings);
         let next_heartbeat = BTreeMap::new();
         self.nodes[node] = Node {
-            detector: fresh,
+            detector,
             incarnation,
-            stopped_until: back,
+            stopped_until: until,
             paused_until: 0.0,
             next_heartbeat,
         };
         self.messages.retain(|envelope| envelope.to != node);
     }
 
-    fn deliver(&mut self) {
+    fn deliver_due_messages(&mut self) {
         let (due, later) = std::mem::take(&mut self.messages)
             .into_iter()
-            .partition(|envelope| envelope.at <= self.now && self.runs(envelope.to));
+            .partition(|envelope| envelope.delivery_at <= self.now && self.is_running(envelope.to));
         self.messages = later;
         let due: Vec<Envelope> = due;
         for Envelope {
@@ -210,7 +211,7 @@
         }
     }
 
-    fn heartbeats(&mut self, from: usize) {
+    fn send_due_heartbeats(&mut self, from: usize) {
         for to in (0..self.nodes.len()).filter(|to| *to != from) {
             let next = self.nodes[from].next_heartbeat.entry(to).or_insert(0.0);
             if self.now < *next {
@@ -222,43 +223,50 @@
         }
     }
 
-    /// Whether two nodes run and reach each other.
+    /// Returns whether two nodes run and the links between them deliver in both directions.
     fn are_connected(&self, one: usize, other: usize) -> bool {
-        let runs = self.runs(one) && self.runs(other);
-        runs && self.passes(one, other) && self.passes(other, one)
+        let both_run = self.is_running(one) && self.is_running(other);
+        both_run && self.link_delivers(one, other) && self.link_delivers(other, one)
     }
 
-    /// The number of nodes that have been connected to a node for long.
-    fn connected_for_long(&self, node: usize) -> usize {
+    /// Counts the other nodes that have been connected to a node for longer than `MEMORY_S`.
+    fn count_stable_connections(&self, node: usize) -> usize {
         let others = (0..self.nodes.len()).filter(|other| *other != node);
         others
-            .filter(|other| self.now - self.last_apart[node][*other] > MEMORY_S)
+            .filter(|other| self.now - self.last_disconnected[node][*other] > MEMORY_S)
             .count()
     }
 
-    /// Whether a node runs and the nodes not connected to it for long are no quorum.
+    /// Returns whether a node runs, and the nodes without a stable connection to it do not form a quorum.
     fn is_healthy(&self, node: usize) -> bool {
-        let enough = self.nodes.len() - (self.nodes.len() / 2 + 1);
-        self.runs(node) && self.connected_for_long(node) >= enough
+        let required = self.nodes.len() - (self.nodes.len() / 2 + 1);
+        self.is_running(node) && self.count_stable_connections(node) >= required
     }
 
-    fn check(&mut self, observer: usize, before: &[Stage]) {
-        for of in (0..self.nodes.len()).filter(|of| *of != observer) {
-            let stage = self.nodes[observer].detector.stage(&of);
-            let newly = stage >= Stage::Confirmed && before[of] < Stage::Confirmed;
-            if newly && self.is_healthy(of) {
+    /// Records the violations that an observer shows. `before` holds its stages before this step.
+    fn check_stages(&mut self, observer: usize, before: &[Stage]) {
+        for controller in (0..self.nodes.len()).filter(|controller| *controller != observer) {
+            let stage = self.nodes[observer].detector.stage(&controller);
+            let newly_confirmed =
+                stage >= Stage::Confirmed && before[controller] < Stage::Confirmed;
+            if newly_confirmed && self.is_healthy(controller) {
                 self.violations.insert("confirmed though it is healthy");
             }
-            let stopped =
-                self.not_running_since[of].filter(|since| self.now - since > CONFIRMED_WITHIN_S);
+            let overdue = self.not_running_since[controller]
+                .filter(|since| self.now - since > CONFIRMED_WITHIN_S);
             let quorum = self.nodes.len() / 2 + 1;
-            let has_quorum = self.connected_for_long(observer) + 1 >= quorum;
-            if stopped.is_some() && has_quorum && stage < Stage::Confirmed {
+            let has_quorum = self.count_stable_connections(observer) + 1 >= quorum;
+            if overdue.is_some() && has_quorum && stage < Stage::Confirmed {
                 self.violations.insert("not confirmed in time");
             }
-            let direct = self.passes(of, observer) && self.passes(observer, of);
-            let woke = self.now - self.last_paused[observer] < STEP_S * 1.5;
-            if stage >= Stage::Suspected && before[of] == Stage::Alive && woke && direct {
+            let links_deliver = self.link_delivers(controller, observer)
+                && self.link_delivers(observer, controller);
+            let has_just_resumed = self.now - self.last_not_running[observer] < STEP_S * 1.5;
+            if stage >= Stage::Suspected
+                && before[controller] == Stage::Alive
+                && has_just_resumed
+                && links_deliver
+            {
                 self.violations
                     .insert("suspected after the observer's own pause");
             }
@@ -271,29 +279,29 @@
         for node in 0..count {
             for other in (0..count).filter(|other| *other != node) {
                 if !self.are_connected(node, other) {
-                    self.last_apart[node][other] = self.now;
+                    self.last_disconnected[node][other] = self.now;
                 }
             }
             self.not_running_since[node] =
-                (!self.runs(node)).then(|| self.not_running_since[node].unwrap_or(self.now));
-            if !self.runs(node) {
-                self.last_paused[node] = self.now;
+                (!self.is_running(node)).then(|| self.not_running_since[node].unwrap_or(self.now));
+            if !self.is_running(node) {
+                self.last_not_running[node] = self.now;
             } else {
                 let now = self.now;
                 self.nodes[node].detector.begin_step(now);
             }
         }
-        self.deliver();
+        self.deliver_due_messages();
         for node in (0..count)
-            .filter(|node| self.runs(*node))
+            .filter(|node| self.is_running(*node))
             .collect::<Vec<_>>()
         {
             let before: Vec<Stage> = (0..count)
-                .map(|of| self.nodes[node].detector.stage(&of))
+                .map(|controller| self.nodes[node].detector.stage(&controller))
                 .collect();
             self.nodes[node].detector.update_stages(self.now);
-            self.heartbeats(node);
-            self.check(node, &before);
+            self.send_due_heartbeats(node);
+            self.check_stages(node, &before);
         }
     }
 
@@ -314,9 +322,9 @@
     Settings::new(HEARTBEAT_S, SUSPECT_HEARTBEATS, controllers)
 }
 
-/// The violations found by a number of schedules, and how often. The environment variable
+/// Runs a range of schedules and returns how many of them showed each violation. The environment variable
 /// `DETECTOR_SCHEDULES=from-to` selects other schedules.
-fn violations(change: impl Fn(&mut Settings)) -> BTreeMap<&'static str, usize> {
+fn count_violations(change: impl Fn(&mut Settings)) -> BTreeMap<&'static str, usize> {
     let schedules = std::env::var("DETECTOR_SCHEDULES").unwrap_or_else(|_| "1-300".into());
     let (from, to) = schedules.split_once('-').expect("from-to");
     let mut found = BTreeMap::new();
@@ -334,20 +342,21 @@
 
 #[test]
 fn failures_are_confirmed_in_time_and_healthy_controllers_never_are() {
-    assert_eq!(violations(|_| {}), BTreeMap::new());
+    assert_eq!(count_violations(|_| {}), BTreeMap::new());
 }
 
 #[test]
-fn without_a_quorum_one_broken_link_confirms_a_failure() {
+fn without_a_quorum_one_blocked_link_confirms_a_failure() {
     assert!(
-        violations(|settings| settings.quorum = 1).contains_key("confirmed though it is healthy")
+        count_violations(|settings| settings.quorum = 1)
+            .contains_key("confirmed though it is healthy")
     );
 }
 
-/// Two of five nodes receive nothing, and the link between two others is cut: 0 must not confirm the failure
-/// of 1, which 2 hears.
+/// Nodes 3 and 4 of five receive nothing, and the link between 0 and 1 is blocked. Node 0 must not confirm
+/// the failure of node 1, which node 2 can reach.
 #[test]
-fn isolated_observers_that_share_opinions_confirm_a_failure_wrongly() {
+fn opinions_of_isolated_observers_confirm_a_failure_wrongly() {
     let confirmed = |shares_opinions_when_isolated: bool| {
         let settings = Settings {
             shares_opinions_when_isolated,
@@ -355,10 +364,10 @@
         };
         let mut simulation = Simulation::new(1, 5, settings);
         for (from, to) in [(0, 1), (1, 0)] {
-            simulation.cut(from, to, DURATION_S);
+            simulation.block_link(from, to, DURATION_S);
         }
-        for deaf in [3, 4] {
-            (0..5).for_each(|from| simulation.cut(from, deaf, DURATION_S));
+        for isolated in [3, 4] {
+            (0..5).for_each(|from| simulation.block_link(from, isolated, DURATION_S));
         }
         while simulation.now < 10.0 {
             simulation.step();
@@ -370,8 +379,8 @@
 }
 
 #[test]
-fn an_observer_that_ignores_its_own_pause_suspects_others() {
-    let found = violations(|settings| settings.process_pause_s = f64::INFINITY);
+fn observer_that_ignores_its_own_pause_suspects_others() {
+    let found = count_violations(|settings| settings.process_pause_s = f64::INFINITY);
     assert!(
         found.contains_key("suspected after the observer's own pause"),
         "{found:?}"
@@ -379,6 +388,6 @@
 }
 
 #[test]
-fn a_quorum_that_cannot_be_reached_confirms_nothing_in_time() {
-    assert!(violations(|settings| settings.quorum = 6).contains_key("not confirmed in time"));
+fn unreachable_quorum_confirms_no_failure_in_time() {
+    assert!(count_violations(|settings| settings.quorum = 6).contains_key("not confirmed in time"));
 }
--- a/crates/failure-detector/tests/unit.rs
+++ b/crates/failure-detector/tests/unit.rs
@@ -1,4 +1,4 @@
-//! Single rules of the detector and of the detection of partial failures.
+//! Tests of single rules of the detector and of the detection of partial failures.
 
 #![allow(
     clippy::cast_possible_truncation,
@@ -22,13 +22,13 @@
     Settings::new(HEARTBEAT_S, SUSPECT_HEARTBEATS, controllers)
 }
 
-/// Steps the observer 20 times per second from `from` to `until`; the controllers in `answers` answer each
-/// time.
-fn advance(detector: &mut Detector<u8>, from: f64, until: f64, answers: &[u8]) {
+/// Steps the observer 20 times per second from `from` to `until`. The controllers in `answering` answer a
+/// heartbeat in each step.
+fn advance(detector: &mut Detector<u8>, from: f64, until: f64, answering: &[u8]) {
     let mut now = from;
     while now < until {
         detector.begin_step(now);
-        for controller in answers {
+        for controller in answering {
             detector.heartbeat_answered(controller, FIRST, now, now);
         }
         detector.update_stages(now);
@@ -46,9 +46,9 @@
 }
 
 #[test]
-fn suspicion_allows_for_one_lost_message() {
-    let hasty = Settings::new(HEARTBEAT_S, 0.5, 3);
-    assert_eq!(hasty.suspect_after_s, HEARTBEAT_S * MIN_SUSPECT_HEARTBEATS);
+fn settings_allow_for_one_lost_message_and_require_a_majority() {
+    let raised = Settings::new(HEARTBEAT_S, 0.5, 3);
+    assert_eq!(raised.suspect_after_s, HEARTBEAT_S * MIN_SUSPECT_HEARTBEATS);
     assert_eq!(
         (settings(3).quorum, settings(4).quorum, settings(5).quorum),
         (2, 3, 3)
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn silence_leads_to_suspicion_then_confirmation_by_a_quorum_then_hand_over() {
+fn silent_controller_is_suspected_then_confirmed_by_a_quorum_then_handed_over() {
     let mut detector = Detector::new([1, 2, 3, 4], settings(5));
     advance(&mut detector, 0.0, 5.0, &[1, 2, 3, 4]);
     advance(&mut detector, 5.0, 6.5, &[2, 3, 4]);
@@ -68,7 +68,7 @@
     assert_eq!(
         detector.stage(&1),
         Stage::Suspected,
-        "two of five are no quorum"
+        "two of five do not form a quorum"
     );
     detector.receive_opinions(&3, suspicion(1, SECOND), 7.2);
     let changes = detector.update_stages(7.2);
@@ -76,7 +76,10 @@
         (changes.len(), changes[0].to, changes[0].evidence.votes),
         (1, Stage::Confirmed, 3)
     );
-    assert!(detector.update_stages(7.2).is_empty(), "returned once");
+    assert!(
+        detector.update_stages(7.2).is_empty(),
+        "each change is returned once"
+    );
     assert!(detector.has_failed(&1) && !detector.has_failed(&2));
     detector.set_owns_nothing(&1, true);
     detector.update_stages(7.2);
@@ -87,7 +90,7 @@
 }
 
 #[test]
-fn old_opinions_do_not_count() {
+fn expired_opinions_do_not_count() {
     let mut detector = Detector::new([1, 2], settings(3));
     advance(&mut detector, 0.0, 5.0, &[1, 2]);
     detector.receive_opinions(&2, suspicion(1, FIRST), 5.0);
@@ -100,7 +103,7 @@
 }
 
 #[test]
-fn a_late_answer_of_an_earlier_process_is_ignored() {
+fn late_answer_of_an_earlier_process_is_ignored() {
     let mut detector = Detector::new([1, 2], settings(3));
     detector.begin_step(1.0);
     detector.heartbeat_answered(&1, SECOND, 1.0, 1.0);
@@ -109,7 +112,7 @@
 }
 
 #[test]
-fn an_observer_does_not_suspect_others_for_its_own_pause() {
+fn observer_does_not_suspect_others_after_its_own_pause() {
     let mut detector = Detector::new([1, 2], settings(3));
     advance(&mut detector, 0.0, 5.0, &[1, 2]);
     advance(&mut detector, 25.0, 26.0, &[]);
@@ -125,15 +128,15 @@
 }
 
 #[test]
-fn a_refuted_suspicion_delays_the_next_for_a_limited_time() {
+fn refuted_suspicion_raises_the_threshold_for_a_limited_time() {
     let mut detector = Detector::new([1, 2], settings(3));
     let suspected_after = |detector: &mut Detector<u8>, mut now: f64| {
-        let began = now;
+        let start = now;
         while detector.stage(&1) == Stage::Alive {
             advance(detector, now, now + 0.04, &[2]);
             now += 0.05;
         }
-        now - began
+        now - start
     };
     advance(&mut detector, 0.0, 5.0, &[1, 2]);
     let first = suspected_after(&mut detector, 5.0);
@@ -146,7 +149,7 @@
 }
 
 #[test]
-fn a_slow_observer_has_higher_thresholds() {
+fn slow_observer_has_higher_thresholds() {
     let mut detector = Detector::new([1, 2], settings(3));
     advance(&mut detector, 0.0, 5.0, &[1, 2]);
     let mut now = 5.0;
@@ -168,12 +171,12 @@
     assert_eq!(
         detector.stage(&1),
         Stage::Suspected,
-        "at most twelve heartbeats"
+        "the threshold is at most twelve heartbeats"
     );
 }
 
 #[test]
-fn workers_that_left_lower_the_threshold() {
+fn workers_that_switched_to_the_observer_lower_the_threshold() {
     let mut detector = Detector::new([1, 2], settings(3));
     advance(&mut detector, 0.0, 5.0, &[1, 2]);
     detector.worker_left(&1, 6.0);
@@ -182,7 +185,7 @@
 }
 
 #[test]
-fn an_isolated_observer_sends_no_opinions() {
+fn isolated_observer_sends_no_opinions() {
     let mut detector = Detector::new([1, 2], settings(3));
     advance(&mut detector, 0.0, 5.0, &[1, 2]);
     assert_eq!(detector.opinions_to_send(5.0).len(), 2);
@@ -203,7 +206,7 @@
 }
 
 #[test]
-fn a_cut_from_workers_requires_that_others_reach_them() {
+fn cut_from_workers_requires_that_others_reach_them() {
     let silent = ControllerContacts {
         worker_silence_s: 5.0,
         ..contact()
@@ -213,51 +216,58 @@
         None,
         "all machines may have failed"
     );
-    let few = ControllerContacts {
+    let few_elsewhere = ControllerContacts {
         machines_reaching_others: 4,
         ..silent
     };
-    assert_eq!(few.partial_failure(), None);
-    let most = ControllerContacts {
+    assert_eq!(few_elsewhere.partial_failure(), None);
+    let half_elsewhere = ControllerContacts {
         machines_reaching_others: 5,
         ..silent
     };
-    assert_eq!(most.partial_failure(), Some(PartialFailure::CutFromWorkers));
-    let just_now = ControllerContacts {
+    assert_eq!(
+        half_elsewhere.partial_failure(),
+        Some(PartialFailure::CutFromWorkers)
+    );
+    let recently_silent = ControllerContacts {
         worker_silence_s: 4.0,
-        ..most
+        ..half_elsewhere
     };
     assert_eq!(
-        just_now.partial_failure(),
+        recently_silent.partial_failure(),
         None,
         "workers send heartbeats about every 3 s"
     );
-    let some = ControllerContacts {
+    let one_redirected = ControllerContacts {
         others_redirect_workers: true,
         ..silent
     };
     assert_eq!(
-        some.partial_failure(),
+        one_redirected.partial_failure(),
         None,
-        "a worker may change controllers for reasons of its own"
+        "a worker may switch controllers for other reasons"
     );
-    let for_long = ControllerContacts {
+    let silent_for_long = ControllerContacts {
         worker_silence_s: 6.1,
-        ..some
+        ..one_redirected
     };
     assert_eq!(
-        for_long.partial_failure(),
+        silent_for_long.partial_failure(),
         Some(PartialFailure::CutFromWorkers)
     );
-    let without = ControllerContacts {
+    let without_machines = ControllerContacts {
         machines: 0,
-        ..most
+        ..half_elsewhere
     };
-    assert_eq!(without.partial_failure(), None, "it has no workers");
+    assert_eq!(
+        without_machines.partial_failure(),
+        None,
+        "it has no workers"
+    );
 }
 
 #[test]
-fn an_outage_of_the_store_is_no_partial_failure() {
+fn outage_of_the_store_for_all_is_not_a_partial_failure() {
     let refused = ControllerContacts {
         store_silence_s: 3.0,
         refusals: 3,
@@ -272,22 +282,22 @@
         others_served_by_store.partial_failure(),
         Some(PartialFailure::RefusedByStore)
     );
-    let half = ControllerContacts {
+    let half_served = ControllerContacts {
         others_served_by_store: 2,
         ..refused
     };
     assert_eq!(
-        half.partial_failure(),
+        half_served.partial_failure(),
         None,
         "the store may be failing for all"
     );
-    let slow = ControllerContacts {
+    let unanswered = ControllerContacts {
         refusals: 0,
         ..others_served_by_store
     };
     assert_eq!(
-        slow.partial_failure(),
+        unanswered.partial_failure(),
         None,
-        "a missing answer is no refusal"
+        "a missing answer is not a refusal"
     );
 }
--- a/src/core/membership/ownership/tests.rs
+++ b/src/core/membership/ownership/tests.rs
@@ -33,7 +33,7 @@
     assert_eq!(
         staleness_bound(&workers(3.0, 14.0, 10.0)),
         0.0,
-        "the tasks of an owner that stays idle end in time"
+        "an idle machine is better than a late cancellation"
     );
 }
 
