--- a/src/core/controller/acquired_machines/tests.rs
+++ b/src/core/controller/acquired_machines/tests.rs
@@ -21,7 +21,7 @@
     core.contacts
         .extend(MachineContacts::from_iter([(id.clone(), contact)]));
     let shard = core.shard.as_mut().unwrap();
-    let mut machine = Machine::named(id.clone(), TOKEN, answered);
+    let mut machine = Machine::new(id.clone(), TOKEN, answered);
     machine.is_owned = true;
     shard.machines.insert(id.clone(), machine);
     shard.uninspected_machines.insert(id);
--- a/src/core/controller/deferred_heartbeats.rs
+++ b/src/core/controller/deferred_heartbeats.rs
@@ -215,7 +215,7 @@
     match deferred.reason {
         DeferralReason::Claim => None,
         DeferralReason::Failover => Some(Disposition::Redirect(owner.node.clone())),
-        DeferralReason::MapChange if !owner.is(&before.node, before.incarnation) => {
+        DeferralReason::MapChange if !owner.is_process(&before.node, before.incarnation) => {
             Some(Disposition::Redirect(owner.node.clone()))
         }
         DeferralReason::MapChange => {
--- a/src/core/controller/hello.rs
+++ b/src/core/controller/hello.rs
@@ -47,7 +47,7 @@
         let now = self.outbox.now;
         if let Some(shard) = &self.shard {
             self.unresponsive
-                .note(shard.unresponsive_machines(now), now);
+                .record(shard.unresponsive_machines(now), now);
         }
         if self.store.is_complete() {
             self.unresponsive.prune(self.store.shard_map());
@@ -69,7 +69,7 @@
                 .leased_shard()
                 .map(Shard::all_task_counts)
                 .unwrap_or_default(),
-            unresponsive: self.unresponsive.all(now),
+            unresponsive: self.unresponsive.declarations(now),
             update: None,
             final_states_after: self.wanted_final_states(),
             bounded_staleness: true,
@@ -142,7 +142,7 @@
             self.peers.record_bounded_staleness(&sender);
         }
         // True whenever it was sent: a delay only makes the statement weaker.
-        self.unresponsive.note(hello.unresponsive, now);
+        self.unresponsive.record(hello.unresponsive, now);
         let is_newest =
             self.peers
                 .hello_received(&sender, hello.sequence_number, hello.task_counts);
--- a/src/core/controller/ownership.rs
+++ b/src/core/controller/ownership.rs
@@ -249,7 +249,7 @@
         if let Some(shard) = self.shard.take() {
             self.image_hints = shard.images_on_all_machines();
             self.unresponsive
-                .note(shard.unresponsive_machines(now), now);
+                .record(shard.unresponsive_machines(now), now);
         }
         self.leader = None;
     }
--- a/src/core/jobs/failures.rs
+++ b/src/core/jobs/failures.rs
@@ -31,7 +31,12 @@
 impl JobFailures {
     /// Records that a task failed on this machine. Returns whether this failure shows the job to be failing
     /// everywhere.
-    pub fn failed(&mut self, machine: &MachineId, longest_interval: Time, now: Time) -> bool {
+    pub fn record_failure(
+        &mut self,
+        machine: &MachineId,
+        longest_interval: Time,
+        now: Time,
+    ) -> bool {
         let failed_before = self.fails_everywhere();
         self.machines.insert(machine.clone());
         let fails = self.fails_everywhere();
@@ -45,7 +50,7 @@
     }
 
     /// Records that a task of the job has run for long, or to its end.
-    pub fn prove(&mut self) {
+    pub fn record_long_run(&mut self) {
         self.has_run = true;
     }
 
@@ -60,12 +65,12 @@
     }
 
     /// Machines that the job avoids; `None` if it has failed on so many that it may run on any.
-    pub fn avoided(&self) -> Option<&BTreeSet<MachineId>> {
+    pub fn avoided_machines(&self) -> Option<&BTreeSet<MachineId>> {
         Some(&self.machines).filter(|machines| machines.len() < MACHINES_OF_FAILING_JOB)
     }
 
     /// Whether the job has failed on exactly one machine.
-    pub fn on_one_machine_only(&self) -> bool {
+    pub fn failed_on_one_machine(&self) -> bool {
         self.machines.len() == 1
     }
 
--- a/src/core/jobs/failures/tests.rs
+++ b/src/core/jobs/failures/tests.rs
@@ -5,7 +5,7 @@
 fn failing(machines: &[&str]) -> JobFailures {
     let mut failures = JobFailures::default();
     for machine in machines {
-        failures.failed(&MachineId::from(*machine), LONGEST, 0.0);
+        failures.record_failure(&MachineId::from(*machine), LONGEST, 0.0);
     }
     failures
 }
@@ -15,8 +15,8 @@
 fn failures_on_one_machine_do_not_mark_the_job_as_failing() {
     let failures = failing(&["m-1", "m-1", "m-1", "m-1"]);
     assert!(!failures.fails_everywhere());
-    assert!(failures.on_one_machine_only());
-    assert_eq!(failures.avoided().map(BTreeSet::len), Some(1));
+    assert!(failures.failed_on_one_machine());
+    assert_eq!(failures.avoided_machines().map(BTreeSet::len), Some(1));
 }
 
 /// A job that fails on every machine must not be started whole again and again: without probes, all its tasks were
@@ -25,7 +25,7 @@
 fn probes_come_at_growing_intervals_up_to_the_longest() {
     let mut failures = failing(&["m-1", "m-2", "m-3"]);
     assert!(failures.fails_everywhere());
-    assert_eq!(failures.avoided(), None);
+    assert_eq!(failures.avoided_machines(), None);
     let mut now = 0.0;
     let mut intervals = Vec::new();
     for _ in 0..7 {
@@ -34,9 +34,9 @@
             now += 1.0;
         }
         intervals.push(now - from);
-        failures.failed(&"m-4".into(), LONGEST, now);
+        failures.record_failure(&"m-4".into(), LONGEST, now);
         // Started together with the task before.
-        failures.failed(&"m-5".into(), LONGEST, now);
+        failures.record_failure(&"m-5".into(), LONGEST, now);
     }
     assert_eq!(intervals, [2.0, 4.0, 8.0, 16.0, 32.0, 32.0, 32.0]);
 }
@@ -45,6 +45,6 @@
 #[test]
 fn a_job_with_a_running_task_is_not_failing_everywhere() {
     let mut failures = failing(&["m-1", "m-2", "m-3"]);
-    failures.prove();
+    failures.record_long_run();
     assert!(!failures.fails_everywhere());
 }
--- a/src/core/jobs/job.rs
+++ b/src/core/jobs/job.rs
@@ -43,9 +43,9 @@
     /// Its own priority, or the highest of the jobs that depend on it.
     pub priority: Priority,
     /// When it could first run: it was submitted, and all its dependencies were done.
-    pub submitted: Time,
+    pub runnable_since: Time,
     /// Unfinished jobs depend on it.
-    pub needed: bool,
+    pub has_dependents: bool,
     /// When it should be done, for its own deadline or for the jobs that depend on it.
     pub deadline: Option<Time>,
     tasks: Vec<Task>,
@@ -70,7 +70,7 @@
     /// The store refused a record of this many bytes: only smaller ones are written.
     pub refused_bytes: usize,
     /// Some of its tasks have run before, so waiting tasks are lost ones.
-    pub began: bool,
+    pub has_started: bool,
     /// Since when placement has found no machine for some of its tasks.
     pub waits_since: Option<Time>,
     /// Opportunistic work that has waited so long that it keeps a machine of its own until it ends.
@@ -78,13 +78,13 @@
 }
 
 impl Job {
-    /// A job of which nothing is known but its record. `submitted`: when it could first run. `reconciled`:
+    /// A job of which nothing is known but its record. `runnable_since`: when it could first run. `reconciled`:
     /// whether all machines have reported, so that no machine can hold any of its tasks.
     pub fn new(
         spec: Rc<JobSpec>,
         record: Rc<JobRecord>,
         version: Version,
-        submitted: Time,
+        runnable_since: Time,
         reconciled: bool,
     ) -> Self {
         let done = record.done.clone();
@@ -100,12 +100,12 @@
             .count();
         Self {
             priority: spec.priority,
-            needed: false,
+            has_dependents: false,
             deadline: None,
             spec,
             record,
             version,
-            submitted,
+            runnable_since,
             tasks,
             waiting,
             unreconciled: task_count(unreconciled),
@@ -118,7 +118,7 @@
             write_after: 0.0,
             write_alone: false,
             refused_bytes: usize::MAX,
-            began: false,
+            has_started: false,
             waits_since: None,
             starved: false,
         }
@@ -136,7 +136,7 @@
 
     /// Changes a task's state; a done task stays done. `zone`: the zone of the machine that it is placed on or
     /// removed from.
-    pub fn set(&mut self, index: u32, task: Task, zone: Option<&Zone>) {
+    pub fn set_task(&mut self, index: u32, task: Task, zone: Option<&Zone>) {
         let Some(state) = self.tasks.get_mut(index as usize) else {
             return;
         };
@@ -175,7 +175,7 @@
         }
         for index in 0..self.spec.tasks {
             if self.task(index) == Some(&Task::Unreconciled) {
-                self.set(index, Task::Waiting, None);
+                self.set_task(index, Task::Waiting, None);
             }
         }
     }
--- a/src/core/leader/claims.rs
+++ b/src/core/leader/claims.rs
@@ -3,7 +3,7 @@
 
 use crate::core::leader::Leader;
 use crate::core::leader::live_processes::LiveProcesses;
-use crate::core::machines::claims::CLAIM_LEASES;
+use crate::core::machines::claims::CLAIM_VALIDITY_LEASES;
 use crate::core::model::process::ProcessId;
 use crate::core::model::time::Time;
 use crate::core::store::replica::StoreReplica;
@@ -13,7 +13,7 @@
     /// fencing token has changed since, or if its owner has failed: failover reassigns the machines of failed
     /// owners.
     pub(super) fn serve_claims(&mut self, store: &StoreReplica, live: &LiveProcesses, now: Time) {
-        let claim_s = self.config.deployment.workers.lease_s * CLAIM_LEASES;
+        let claim_s = self.config.deployment.workers.lease_s * CLAIM_VALIDITY_LEASES;
         self.claimed.retain(|_, since| now - *since < claim_s);
         for (node, process) in store.nodes() {
             let claimant = ProcessId::new(node.clone(), process.record.incarnation);
--- a/src/core/leader/failover.rs
+++ b/src/core/leader/failover.rs
@@ -104,7 +104,7 @@
         live: &LiveProcesses,
     ) {
         let owners = self.editor.owners();
-        let of_failed = |owner: &ShardOwner| owner.is(&failed.node, failed.incarnation);
+        let of_failed = |owner: &ShardOwner| owner.is_process(&failed.node, failed.incarnation);
         let teams = owners.teams.iter().filter(|(_, owner)| of_failed(owner));
         let teams: Vec<Team> = teams.map(|(team, _)| team.clone()).collect();
         let machines = owners.machines.iter();
@@ -136,7 +136,9 @@
     live: &LiveProcesses,
 ) -> FailedOverMachine {
     // If the failed process had declared the machine unresponsive, no process answers it any more.
-    let previous_token = unresponsive.answered(id, owner.token).map(|_| owner.token);
+    let previous_token = unresponsive
+        .last_answered(id, owner.token)
+        .map(|_| owner.token);
     // Otherwise the owner before the failed process, if live, may still have to release the machine.
     let previous_owner = owner
         .previous_owner
--- a/src/core/leader/scaling.rs
+++ b/src/core/leader/scaling.rs
@@ -99,7 +99,8 @@
             };
             let machines = zones.entry(offer.zone.clone()).or_default();
             machines.total += 1;
-            machines.unresponsive += usize::from(unresponsive.answered(id, owner.token).is_some());
+            machines.unresponsive +=
+                usize::from(unresponsive.last_answered(id, owner.token).is_some());
         }
         zones
     }
--- a/src/core/machines/claims.rs
+++ b/src/core/machines/claims.rs
@@ -14,7 +14,7 @@
 
 /// Worker leases for which a claim is valid, and for which a claimed machine stays with the claimant, even if
 /// that controller has no team.
-pub(crate) const CLAIM_LEASES: f64 = 3.0;
+pub(crate) const CLAIM_VALIDITY_LEASES: f64 = 3.0;
 
 /// Fraction of the limit on a stored value that claims may take.
 const VALUE_FRACTION: f64 = 0.5;
@@ -45,7 +45,7 @@
         Self {
             claims: BTreeMap::new(),
             capacity: whole(bytes / CLAIM_BYTES),
-            valid_s: deployment.workers.lease_s * CLAIM_LEASES,
+            valid_s: deployment.workers.lease_s * CLAIM_VALIDITY_LEASES,
         }
     }
 
--- a/src/core/machines/machine.rs
+++ b/src/core/machines/machine.rs
@@ -85,7 +85,7 @@
 
 impl Machine {
     /// A machine of which only the shard map is known.
-    pub fn named(id: MachineId, token: FencingToken, now: Time) -> Self {
+    pub fn new(id: MachineId, token: FencingToken, now: Time) -> Self {
         Self {
             id,
             address: String::new(),
@@ -120,7 +120,7 @@
     }
 
     /// Takes the description of the machine from a heartbeat.
-    pub fn describe(&mut self, heartbeat: &Heartbeat, types: &[MachineType]) {
+    pub fn update_description(&mut self, heartbeat: &Heartbeat, types: &[MachineType]) {
         if self.address != heartbeat.address {
             self.address.clone_from(&heartbeat.address);
         }
@@ -178,7 +178,7 @@
             // Its former owner may have answered it until now.
             self.last_answered = now;
             self.known_empty = false;
-            self.heartbeat_order.owner_changed();
+            self.heartbeat_order.unconfirm_epoch();
         }
         self.is_owned = is_owned;
         self.token = token;
@@ -191,7 +191,7 @@
     }
 
     /// Its former owner no longer answers it, but may have done so until now.
-    pub fn previous_owner_released(&mut self, now: Time) {
+    pub fn record_previous_owner_release(&mut self, now: Time) {
         self.previous_owner = None;
         self.last_answered = self.last_answered.max(now);
     }
--- a/src/core/machines/machine/capacity.rs
+++ b/src/core/machines/machine/capacity.rs
@@ -74,7 +74,7 @@
 
     /// An attempt has ended or is dropped. If it was the last one that is not opportunistic, the
     /// machine is idle from now on.
-    pub fn note_end(&mut self, key: &AttemptKey, now: Time) {
+    pub fn update_idle_since(&mut self, key: &AttemptKey, now: Time) {
         if self
             .attempts
             .get(key)
--- a/src/core/machines/machine/heartbeat_order.rs
+++ b/src/core/machines/machine/heartbeat_order.rs
@@ -59,7 +59,7 @@
     /// The machine comes from another owner. Its epoch is known only once it has shown the new token:
     /// what was known when it was here before, or from the copy of an old heartbeat, may be older than
     /// the tasks that its former owner reported.
-    pub(super) fn owner_changed(&mut self) {
+    pub(super) fn unconfirm_epoch(&mut self) {
         self.epoch_is_confirmed = false;
     }
 
--- a/src/core/machines/machine/tests.rs
+++ b/src/core/machines/machine/tests.rs
@@ -8,7 +8,7 @@
 /// Copies of heartbeats arrive seconds to minutes late; they must prove nothing.
 #[test]
 fn duplicate_and_superseded_heartbeats_are_recognised() {
-    let mut machine = Machine::named("m-1".into(), FencingToken(1), 0.0);
+    let mut machine = Machine::new("m-1".into(), FencingToken(1), 0.0);
     assert_eq!(
         machine.accept_heartbeat(&heartbeat(1, 5), HeartbeatOrigin::Periodic),
         Freshness::New { new_epoch: false }
@@ -44,7 +44,7 @@
 /// came here with the machine, so the later epoch must not end them.
 #[test]
 fn an_agent_epoch_known_from_before_the_change_of_owner_ends_nothing() {
-    let mut machine = Machine::named("m-1".into(), FencingToken(1), 0.0);
+    let mut machine = Machine::new("m-1".into(), FencingToken(1), 0.0);
     machine.is_owned = true;
     assert_eq!(
         machine.accept_heartbeat(&heartbeat(1, 5), HeartbeatOrigin::Periodic),
@@ -77,7 +77,7 @@
 
 #[test]
 fn the_least_recently_used_image_is_evicted() {
-    let mut machine = Machine::named("m-1".into(), FencingToken(1), 0.0);
+    let mut machine = Machine::new("m-1".into(), FencingToken(1), 0.0);
     machine.image_cache.capacity_gb = 100.0;
     machine.fetch_rate = 2.0;
     for image in ["a", "b", "a", "c"] {
--- a/src/core/machines/starts_in_flight.rs
+++ b/src/core/machines/starts_in_flight.rs
@@ -85,7 +85,7 @@
 
 impl StartsInFlight {
     /// Records a direct message with these starts that is sent now.
-    pub fn sent(
+    pub fn record_direct_message(
         &mut self,
         machine: &MachineId,
         call: CallId,
@@ -107,7 +107,7 @@
 
     /// A direct message was executed or refused, or was never sent: it will not arrive, or not again.
     /// Returns the starts it carried.
-    pub fn outcome_known(&mut self, machine: &MachineId, call: CallId) -> BTreeSet<AttemptKey> {
+    pub fn record_outcome(&mut self, machine: &MachineId, call: CallId) -> BTreeSet<AttemptKey> {
         let Some(in_flight) = self.machines.get_mut(machine) else {
             return BTreeSet::new();
         };
@@ -124,7 +124,7 @@
 
     /// A direct message was not answered in time: it was executed, or was not, or will be later.
     /// Returns how many messages to the machine may now arrive late.
-    pub fn given_up(&mut self, machine: &MachineId, call: CallId) -> usize {
+    pub fn record_timeout(&mut self, machine: &MachineId, call: CallId) -> usize {
         let Some(in_flight) = self.machines.get_mut(machine) else {
             return 0;
         };
@@ -136,7 +136,7 @@
     }
 
     /// Records that a heartbeat of this agent epoch is answered with these starts.
-    pub fn answered(
+    pub fn record_heartbeat_response(
         &mut self,
         machine: &MachineId,
         agent_epoch: u64,
@@ -154,7 +154,7 @@
 
     /// A newer heartbeat of the machine was received: the response to the one before was executed, or
     /// never will be.
-    pub fn reported(&mut self, machine: &MachineId) {
+    pub fn clear_heartbeat_response(&mut self, machine: &MachineId) {
         if let Some(in_flight) = self.machines.get_mut(machine) {
             in_flight.response = None;
             self.prune(machine);
@@ -162,7 +162,7 @@
     }
 
     /// The machine has shown this token and agent epoch: what was sent under earlier ones is void.
-    pub fn shown(&mut self, machine: &MachineId, token: FencingToken, agent_epoch: u64) {
+    pub fn discard_outdated(&mut self, machine: &MachineId, token: FencingToken, agent_epoch: u64) {
         let Some(in_flight) = self.machines.get_mut(machine) else {
             return;
         };
@@ -176,12 +176,12 @@
     }
 
     /// Drops the starts to machines that no longer exist.
-    pub fn retain(&mut self, exists: impl Fn(&MachineId) -> bool) {
+    pub fn retain_machines(&mut self, exists: impl Fn(&MachineId) -> bool) {
         self.machines.retain(|machine, _| exists(machine));
     }
 
     /// The agent epoch in which everything was sent is over: nothing of it will be executed.
-    pub fn void(&mut self, machine: &MachineId) {
+    pub fn discard_all(&mut self, machine: &MachineId) {
         self.machines.remove(machine);
     }
 
--- a/src/core/machines/starts_in_flight/tests.rs
+++ b/src/core/machines/starts_in_flight/tests.rs
@@ -26,20 +26,20 @@
 fn the_outcome_of_one_message_proves_nothing_of_another() {
     let (mut in_flight, id) = (StartsInFlight::default(), MachineId::from("m-1"));
     let sent_under = fence(5, 1);
-    in_flight.sent(&id, CallId(1), sent_under, starts(&[1]));
-    in_flight.sent(&id, CallId(2), sent_under, starts(&[1, 2]));
-    in_flight.sent(&id, CallId(3), sent_under, starts(&[]));
-    assert_eq!(in_flight.outcome_known(&id, CallId(2)), starts(&[1, 2]));
+    in_flight.record_direct_message(&id, CallId(1), sent_under, starts(&[1]));
+    in_flight.record_direct_message(&id, CallId(2), sent_under, starts(&[1, 2]));
+    in_flight.record_direct_message(&id, CallId(3), sent_under, starts(&[]));
+    assert_eq!(in_flight.record_outcome(&id, CallId(2)), starts(&[1, 2]));
     assert!(in_flight.may_arrive(&id, &attempt(1)) && in_flight.awaits_answer(&id, &attempt(1)));
     assert!(!in_flight.may_arrive(&id, &attempt(2)));
-    assert_eq!(in_flight.given_up(&id, CallId(1)), 1);
+    assert_eq!(in_flight.record_timeout(&id, CallId(1)), 1);
     assert!(in_flight.may_arrive(&id, &attempt(1)) && !in_flight.awaits_answer(&id, &attempt(1)));
     assert!(!in_flight.may_arrive(&"m-2".into(), &attempt(1)));
     assert!(
-        in_flight.outcome_known(&id, CallId(9)).is_empty(),
+        in_flight.record_outcome(&id, CallId(9)).is_empty(),
         "unknown, or its outcome was known before"
     );
-    in_flight.outcome_known(&id, CallId(1));
+    in_flight.record_outcome(&id, CallId(1));
     assert!(
         in_flight.machines.is_empty(),
         "nothing is kept of messages whose outcomes are known"
@@ -50,19 +50,19 @@
 #[test]
 fn a_higher_token_or_later_agent_epoch_makes_earlier_messages_void() {
     let (mut in_flight, id) = (StartsInFlight::default(), MachineId::from("m-1"));
-    in_flight.sent(&id, CallId(1), fence(5, 1), starts(&[1]));
-    in_flight.sent(&id, CallId(2), fence(7, 1), starts(&[2]));
-    in_flight.sent(&id, CallId(3), fence(7, 2), starts(&[3]));
-    in_flight.shown(&id, FencingToken(5), 1);
+    in_flight.record_direct_message(&id, CallId(1), fence(5, 1), starts(&[1]));
+    in_flight.record_direct_message(&id, CallId(2), fence(7, 1), starts(&[2]));
+    in_flight.record_direct_message(&id, CallId(3), fence(7, 2), starts(&[3]));
+    in_flight.discard_outdated(&id, FencingToken(5), 1);
     assert!(
         in_flight.may_arrive(&id, &attempt(1)),
         "an older message of the worker proves nothing"
     );
-    in_flight.shown(&id, FencingToken(7), 1);
+    in_flight.discard_outdated(&id, FencingToken(7), 1);
     assert!(!in_flight.may_arrive(&id, &attempt(1)) && in_flight.may_arrive(&id, &attempt(2)));
-    in_flight.shown(&id, FencingToken(6), 2);
+    in_flight.discard_outdated(&id, FencingToken(6), 2);
     assert!(!in_flight.may_arrive(&id, &attempt(2)) && in_flight.may_arrive(&id, &attempt(3)));
-    in_flight.void(&id);
+    in_flight.discard_all(&id);
     assert!(!in_flight.may_arrive(&id, &attempt(3)));
 }
 
@@ -71,12 +71,12 @@
 #[test]
 fn the_response_to_a_heartbeat_may_arrive_until_the_next_heartbeat() {
     let (mut in_flight, id) = (StartsInFlight::default(), MachineId::from("m-1"));
-    in_flight.answered(&id, 1, starts(&[1]));
-    in_flight.shown(&id, FencingToken(9), 1);
+    in_flight.record_heartbeat_response(&id, 1, starts(&[1]));
+    in_flight.discard_outdated(&id, FencingToken(9), 1);
     assert!(in_flight.may_arrive(&id, &attempt(1)) && !in_flight.awaits_answer(&id, &attempt(1)));
-    in_flight.reported(&id);
+    in_flight.clear_heartbeat_response(&id);
     assert!(!in_flight.may_arrive(&id, &attempt(1)));
-    in_flight.answered(&id, 1, starts(&[2]));
-    in_flight.shown(&id, FencingToken(9), 2);
+    in_flight.record_heartbeat_response(&id, 1, starts(&[2]));
+    in_flight.discard_outdated(&id, FencingToken(9), 2);
     assert!(!in_flight.may_arrive(&id, &attempt(2)) && in_flight.machines.is_empty());
 }
--- a/src/core/machines/unresponsive.rs
+++ b/src/core/machines/unresponsive.rs
@@ -27,7 +27,11 @@
 impl UnresponsiveMachines {
     /// Records declarations, this process's own or received ones. Messages take time, so of several
     /// declarations under one token the one with the earliest last answer is nearest to the truth.
-    pub fn note(&mut self, declarations: impl IntoIterator<Item = UnresponsiveMachine>, now: Time) {
+    pub fn record(
+        &mut self,
+        declarations: impl IntoIterator<Item = UnresponsiveMachine>,
+        now: Time,
+    ) {
         for UnresponsiveMachine {
             machine,
             token,
@@ -61,7 +65,7 @@
     }
 
     /// All declarations, with ages as of now.
-    pub fn all(&self, now: Time) -> Vec<UnresponsiveMachine> {
+    pub fn declarations(&self, now: Time) -> Vec<UnresponsiveMachine> {
         let declarations = self.0.iter();
         declarations
             .map(|(id, declaration)| UnresponsiveMachine {
@@ -73,7 +77,7 @@
     }
 
     /// When the machine was last answered under this token, if it is no longer answered under it.
-    pub fn answered(&self, machine: &MachineId, token: FencingToken) -> Option<Time> {
+    pub fn last_answered(&self, machine: &MachineId, token: FencingToken) -> Option<Time> {
         self.0
             .get(machine)
             .filter(|declaration| declaration.token == token)
--- a/src/core/machines/unresponsive/tests.rs
+++ b/src/core/machines/unresponsive/tests.rs
@@ -11,21 +11,21 @@
     };
     let mut unresponsive = UnresponsiveMachines::default();
     let id = MachineId::from("m-1");
-    unresponsive.note(declared(5, 8.0), 20.0);
-    let last_answered = unresponsive.answered(&id, FencingToken(5)).unwrap();
+    unresponsive.record(declared(5, 8.0), 20.0);
+    let last_answered = unresponsive.last_answered(&id, FencingToken(5)).unwrap();
     assert!(
         (12.0..12.1).contains(&last_answered),
         "clocks differ: later rather than earlier"
     );
-    assert_eq!(unresponsive.answered(&id, FencingToken(4)), None);
-    unresponsive.note(declared(4, 30.0), 21.0);
-    unresponsive.note(declared(5, 2.0), 21.0);
+    assert_eq!(unresponsive.last_answered(&id, FencingToken(4)), None);
+    unresponsive.record(declared(4, 30.0), 21.0);
+    unresponsive.record(declared(5, 2.0), 21.0);
     assert_eq!(
-        unresponsive.answered(&id, FencingToken(5)),
+        unresponsive.last_answered(&id, FencingToken(5)),
         Some(last_answered),
         "lower tokens and later answers change nothing"
     );
-    unresponsive.note(declared(6, 8.0), 40.0);
-    assert_eq!(unresponsive.answered(&id, FencingToken(5)), None);
-    assert!(unresponsive.answered(&id, FencingToken(6)).is_some());
+    unresponsive.record(declared(6, 8.0), 40.0);
+    assert_eq!(unresponsive.last_answered(&id, FencingToken(5)), None);
+    assert!(unresponsive.last_answered(&id, FencingToken(6)).is_some());
 }
--- a/src/core/membership/process_pause/tests.rs
+++ b/src/core/membership/process_pause/tests.rs
@@ -41,7 +41,7 @@
 #[test]
 fn machines_are_not_unresponsive_because_their_owner_was_paused() {
     let (mut shard, mut outbox, mut store) = shard();
-    let mut machine = Machine::named("m-1".into(), FencingToken(9), 0.0);
+    let mut machine = Machine::new("m-1".into(), FencingToken(9), 0.0);
     machine.is_owned = true;
     shard.machines.insert("m-1".into(), machine);
     outbox.begin_step(8.0, 8_000);
@@ -63,7 +63,7 @@
 #[test]
 fn capacity_is_not_planned_while_catching_up_after_a_pause() {
     let (mut shard, mut outbox, store) = shard();
-    let mut machine = Machine::named("m-1".into(), FencingToken(9), 0.0);
+    let mut machine = Machine::new("m-1".into(), FencingToken(9), 0.0);
     (
         machine.is_owned,
         machine.token_confirmed,
--- a/src/core/records/shard_map.rs
+++ b/src/core/records/shard_map.rs
@@ -59,7 +59,7 @@
     }
 
     /// Whether this process of this controller is the owner.
-    pub fn is(&self, node: &ControllerName, incarnation: u64) -> bool {
+    pub fn is_process(&self, node: &ControllerName, incarnation: u64) -> bool {
         self.node == *node && self.incarnation == incarnation
     }
 }
--- a/src/core/scheduling/constraints.rs
+++ b/src/core/scheduling/constraints.rs
@@ -42,19 +42,19 @@
     let wait_objective = config.wait_objective(&spec.class);
     let finish_objective = config
         .finish_objective(&spec.class)
-        .map(|objective_s| job.submitted + objective_s);
+        .map(|objective_s| job.runnable_since + objective_s);
     let finish_deadline = [finish_objective, job.deadline]
         .into_iter()
         .flatten()
         .min_by(Time::total_cmp);
     let start_to_finish = finish_deadline.map(|at| at - spec.estimate_s * estimate_margin);
-    let start_objective = wait_objective.map(|objective_s| job.submitted + objective_s);
+    let start_objective = wait_objective.map(|objective_s| job.runnable_since + objective_s);
     [start_objective, start_to_finish]
         .into_iter()
         .flatten()
         .min_by(Time::total_cmp)
         // Without an objective, a job should start within one cancellation time of its submission.
-        .unwrap_or(job.submitted + config.deployment.workers.cancel_s)
+        .unwrap_or(job.runnable_since + config.deployment.workers.cancel_s)
 }
 
 /// The limits of the job's team; `None` if the team is not configured.
--- a/src/core/scheduling/opportunistic.rs
+++ b/src/core/scheduling/opportunistic.rs
@@ -29,7 +29,7 @@
 impl Job {
     /// Whether the job is opportunistic and no other job depends on it.
     pub fn is_opportunistic(&self, config: &Config) -> bool {
-        !self.needed && is_opportunistic(config, &self.spec)
+        !self.has_dependents && is_opportunistic(config, &self.spec)
     }
 }
 
--- a/src/core/scheduling/packing/candidate.rs
+++ b/src/core/scheduling/packing/candidate.rs
@@ -47,7 +47,7 @@
             spec: job.spec.clone(),
             count,
             tasks_in_zone: job.zones.clone(),
-            avoided: job.failures.avoided().cloned().unwrap_or_default(),
+            avoided: job.failures.avoided_machines().cloned().unwrap_or_default(),
             urgency: Some(job.priority),
             avoids_stranding_gpus,
         }
--- a/src/core/shard/acquired_machines.rs
+++ b/src/core/shard/acquired_machines.rs
@@ -43,7 +43,7 @@
             return;
         }
         if machine.total == Resources::default() {
-            machine.describe(heartbeat, catalog.types());
+            machine.update_description(heartbeat, catalog.types());
         }
         // The worker may have begun a new agent epoch just now, after its previous lease had expired. Its
         // current lease then ends later than the former owner's last answer implies.
--- a/src/core/shard/capacity_planning.rs
+++ b/src/core/shard/capacity_planning.rs
@@ -72,8 +72,8 @@
 /// Time for which a job has waited with none of its tasks on a machine, in seconds. Jobs that have begun are
 /// included, because their remaining tasks must not wait forever if they are too few to be worth a machine.
 fn unserved_time(job: &Job, now: Time) -> Time {
-    if !job.began {
-        return now - job.submitted;
+    if !job.has_started {
+        return now - job.runnable_since;
     }
     job.waits_since
         .filter(|_| job.placed() == 0)
--- a/src/core/shard/commands.rs
+++ b/src/core/shard/commands.rs
@@ -45,7 +45,7 @@
         tracked.priority = job.priority;
         tracked.opportunistic = job.is_opportunistic(&self.config);
         let placed = Task::Placed(machine_id.clone(), attempt);
-        job.set(index, placed, Some(&machine.zone));
+        job.set_task(index, placed, Some(&machine.zone));
         let task = TaskId {
             job: job_id.clone(),
             index,
@@ -55,7 +55,7 @@
             %task,
             class = %spec.class,
             machine = %machine_id,
-            waited_s = %format_args!("{:.1}", now - job.submitted),
+            waited_s = %format_args!("{:.1}", now - job.runnable_since),
             image = %spec.image,
             ready_in_s = %format_args!("{:.1}", machine.ready_in(&spec.image, spec.image_gb, now)),
             "start issued"
@@ -151,7 +151,8 @@
             commands,
         };
         let call = outbox.send_commands(machine_id, &machine.address, message);
-        self.starts_in_flight.sent(machine_id, call, fence, starts);
+        self.starts_in_flight
+            .record_direct_message(machine_id, call, fence, starts);
     }
 
     /// Handles the outcome of a direct message: an answer, a failure to send, or no answer in time.
@@ -165,15 +166,15 @@
     ) {
         match reply {
             WorkerReply::Executed(heartbeat) | WorkerReply::Fenced(heartbeat) => {
-                self.starts_in_flight.outcome_known(machine_id, call);
+                self.starts_in_flight.record_outcome(machine_id, call);
                 self.apply_command_reply(store, machine_id, &heartbeat, now);
             }
             WorkerReply::NotSent => {
-                let unsent = self.starts_in_flight.outcome_known(machine_id, call);
+                let unsent = self.starts_in_flight.record_outcome(machine_id, call);
                 self.drop_unsent_starts(machine_id, unsent, now);
             }
             WorkerReply::Unknown => {
-                let given_up = self.starts_in_flight.given_up(machine_id, call);
+                let given_up = self.starts_in_flight.record_timeout(machine_id, call);
                 let machine = self.machines.get_mut(machine_id);
                 if let Some(machine) = machine.filter(|machine| machine.is_owned) {
                     machine.unreachable = true;
--- a/src/core/shard/lease_expiry.rs
+++ b/src/core/shard/lease_expiry.rs
@@ -86,7 +86,7 @@
             "machine lease expired: its attempts have ended"
         );
         machine.end_epoch();
-        self.starts_in_flight.void(machine_id);
+        self.starts_in_flight.discard_all(machine_id);
         self.sync_soon = true;
         self.drop_attempts(machine_id, now);
     }
--- a/src/core/shard/map_changes.rs
+++ b/src/core/shard/map_changes.rs
@@ -58,7 +58,8 @@
     /// Returns the teams that the map assigns to this process, with their fencing tokens.
     fn assigned_teams(&self, store: &StoreReplica) -> BTreeMap<Team, FencingToken> {
         let teams = store.shard_map().teams.iter();
-        let ours = teams.filter(|(_, owner)| owner.is(&self.config.controller, self.incarnation));
+        let ours =
+            teams.filter(|(_, owner)| owner.is_process(&self.config.controller, self.incarnation));
         ours.map(|(team, owner)| (team.clone(), owner.token))
             .collect()
     }
@@ -93,8 +94,8 @@
             let previous = owner.previous_token;
             let assignment = MachineAssignment {
                 owner,
-                is_owned_here: owner.is(&self.config.controller, self.incarnation),
-                last_answered: previous.and_then(|token| unresponsive.answered(id, token)),
+                is_owned_here: owner.is_process(&self.config.controller, self.incarnation),
+                last_answered: previous.and_then(|token| unresponsive.last_answered(id, token)),
                 revision: store.map_revision(),
             };
             if self.machines.contains_key(id) {
@@ -138,7 +139,7 @@
     /// the previous owner: it has ended and no longer answers the machine.
     fn add_machine(&mut self, id: &MachineId, assignment: &MachineAssignment, now: Time) {
         let last_answered = assignment.last_answered.unwrap_or(now);
-        let mut machine = Machine::named(id.clone(), assignment.owner.token, last_answered);
+        let mut machine = Machine::new(id.clone(), assignment.owner.token, last_answered);
         machine.is_owned = true;
         let previous_owner = assignment.owner.previous_owner.clone();
         machine.previous_owner =
@@ -152,7 +153,7 @@
     /// the cloud has deleted it.
     fn remove_deleted_machines(&mut self, map: &ShardMap, now: Time) {
         self.starts_in_flight
-            .retain(|id| map.machines.contains_key(id));
+            .retain_machines(|id| map.machines.contains_key(id));
         let is_deleted = |id: &&MachineId| !map.machines.contains_key(*id);
         let deleted: Vec<MachineId> = self.machines.keys().filter(is_deleted).cloned().collect();
         for id in deleted {
--- a/src/core/shard/mod.rs
+++ b/src/core/shard/mod.rs
@@ -214,7 +214,7 @@
                 registered.is_some_and(|key| key.record.incarnation != process.incarnation)
             };
             if machine.previous_owner.as_ref().is_some_and(has_ended) {
-                machine.previous_owner_released(now);
+                machine.record_previous_owner_release(now);
             }
         }
         self.declare_unresponsive(store, now);
--- a/src/core/shard/opportunistic/tests.rs
+++ b/src/core/shard/opportunistic/tests.rs
@@ -179,7 +179,7 @@
 /// A shard with one machine of 64 CPUs that has confirmed its token and runs one task of the array.
 fn shard_with_an_opportunistic_task(spot: bool) -> (Shard, Outbox, StoreReplica) {
     let (mut shard, outbox, store) = shard();
-    let mut machine = Machine::named("m-1".into(), FencingToken(9), 0.0);
+    let mut machine = Machine::new("m-1".into(), FencingToken(9), 0.0);
     (machine.is_owned, machine.token_confirmed, machine.spot) = (true, true, spot);
     machine.type_name = "g8".into();
     machine.address = "m-1".into();
@@ -230,14 +230,14 @@
     let (mut shard, _, _) = shard_with_an_opportunistic_task(false);
     let machine = shard.machines.get_mut(&MachineId::from("m-1")).unwrap();
     let opportunistic = (TaskId::parse("req-000001/0").unwrap(), Attempt(1));
-    machine.note_end(&opportunistic, 50.0);
+    machine.update_idle_since(&opportunistic, 50.0);
     assert_eq!(machine.idle_since, 0.0);
     let other = (TaskId::parse("req-000002/0").unwrap(), Attempt(1));
     let mut tracked = TrackedAttempt::new(0.0);
     describe_attempt(&mut tracked, &shard.config, &service("chat", "x", 1.0));
     machine.attempts.insert(other.clone(), tracked);
     assert!(!machine.holds_only_opportunistic());
-    machine.note_end(&other, 60.0);
+    machine.update_idle_since(&other, 60.0);
     assert_eq!(machine.idle_since, 60.0);
 }
 
@@ -253,7 +253,7 @@
         true,
     );
     assert!(job.is_opportunistic(&config));
-    job.needed = true;
+    job.has_dependents = true;
     assert!(!job.is_opportunistic(&config));
 }
 
--- a/src/core/shard/owned_jobs.rs
+++ b/src/core/shard/owned_jobs.rs
@@ -79,7 +79,7 @@
         let mut job = Job::new(spec.clone(), record.clone(), version, now - age, reconciled);
         if job.is_gang() && !job.done.is_empty() {
             // The tasks of a gang complete together, so one recorded task means that all are done.
-            (0..spec.tasks).for_each(|index| job.set(index, Task::Done, None));
+            (0..spec.tasks).for_each(|index| job.set_task(index, Task::Done, None));
         }
         Some(job)
     }
@@ -97,7 +97,7 @@
         if job.unreconciled() > 0 {
             self.unreconciled_jobs.insert(id.clone());
         }
-        self.forecast.record_arrival(&job.spec, job.submitted);
+        self.forecast.record_arrival(&job.spec, job.runnable_since);
         self.jobs.insert(id.clone(), job);
         self.update_urgency(store, id, (now, wall_ms));
         self.changed_since_round = true;
@@ -133,7 +133,7 @@
             .flatten()
             .min_by(Time::total_cmp);
         let Some(urgency) = inherited else { return };
-        let is_newly_needed = !std::mem::replace(&mut job.needed, true);
+        let is_newly_needed = !std::mem::replace(&mut job.has_dependents, true);
         let is_more_urgent = urgency.priority > job.priority;
         if !is_newly_needed && !is_more_urgent {
             return;
--- a/src/core/shard/owned_jobs/attempts.rs
+++ b/src/core/shard/owned_jobs/attempts.rs
@@ -53,8 +53,8 @@
                 ));
             } else if matches!(job.task(index), Some(Task::Waiting | Task::Unreconciled)) {
                 let placed = Task::Placed(location.machine_id.clone(), location.attempt);
-                job.set(index, placed, Some(location.zone));
-                job.began |= tracked.started_at.is_some();
+                job.set_task(index, placed, Some(location.zone));
+                job.has_started |= tracked.started_at.is_some();
             }
         });
         exits
--- a/src/core/shard/owned_jobs/gangs.rs
+++ b/src/core/shard/owned_jobs/gangs.rs
@@ -17,7 +17,7 @@
                 _ => None,
             }
             .map(|machine| &machine.zone);
-            job.set(index, Task::Done, zone);
+            job.set_task(index, Task::Done, zone);
         }
     }
 
--- a/src/core/shard/owned_jobs/running_counts.rs
+++ b/src/core/shard/owned_jobs/running_counts.rs
@@ -48,7 +48,7 @@
                     .started_at
                     .is_some_and(|began| now - began >= proof_s)
             {
-                job.failures.prove();
+                job.failures.record_long_run();
             }
             let (done, running) = self.task_counts.entry(task.job.clone()).or_default();
             *done = job.done.len();
--- a/src/core/shard/progress_records/tests.rs
+++ b/src/core/shard/progress_records/tests.rs
@@ -34,7 +34,7 @@
     shard.apply_job_record(&store, &id, &Rc::new(record(false)), 9, (0.0, 0));
     let finish_task = |shard: &mut Shard, index| {
         let job = shard.jobs.get_mut(&id).unwrap();
-        job.set(index, Task::Done, None);
+        job.set_task(index, Task::Done, None);
         shard.queue_for_recording(&id, 0.0);
     };
     let record_at = |shard: &mut Shard, outbox: &mut Outbox, now: Time| {
@@ -72,8 +72,8 @@
         store.apply_write(&put(&job_key(&id(number)), &record(false), None), 9);
         shard.apply_job_record(&store, &id(number), &Rc::new(record(false)), 9, (0.0, 0));
         let job = shard.jobs.get_mut(&id(number)).unwrap();
-        job.set(0, Task::Done, None);
-        job.set(1, Task::Done, None);
+        job.set_task(0, Task::Done, None);
+        job.set_task(1, Task::Done, None);
         shard.queue_for_recording(&id(number), 1.0);
     }
     let send_records_at = |shard: &mut Shard, outbox: &mut Outbox, now| {
--- a/src/core/shard/round.rs
+++ b/src/core/shard/round.rs
@@ -189,7 +189,7 @@
         let request = PlacementRequest {
             tasks: wanted,
             is_gang: startable.is_gang,
-            respects_image_reservations: !job.began,
+            respects_image_reservations: !job.has_started,
             avoids_stranding_gpus: round.avoids_stranding_gpus,
         };
         let mut chosen = self.choose_machines(job, request, snapshots, round.now);
--- a/src/core/shard/round/machine_choice.rs
+++ b/src/core/shard/round/machine_choice.rs
@@ -137,7 +137,7 @@
 
     /// Seconds until the job has to start; 0 for a job that has begun, because it is interrupted now.
     fn time_to_start_deadline(&self, job: &Job, now: Time) -> Time {
-        if job.began {
+        if job.has_started {
             return 0.0;
         }
         start_deadline_with_margin(&self.config, job, RUN_TIME_ESTIMATE_MARGIN) - now
@@ -242,7 +242,7 @@
 /// The policy for starts that miss their deadline. The first replicas of a service usually all miss it
 /// together, so the machine that fetches the image for one replica should have room for the others.
 fn late_start_policy(job: &Job) -> LateStartPolicy {
-    if job.spec.kind == JobKind::Service && !job.began {
+    if job.spec.kind == JobKind::Service && !job.has_started {
         LateStartPolicy::WorstFit
     } else {
         LateStartPolicy::BestFit
@@ -261,6 +261,6 @@
 
 fn is_avoided(job: &Job, machine: &MachineId) -> bool {
     job.failures
-        .avoided()
+        .avoided_machines()
         .is_some_and(|avoided| avoided.contains(machine))
 }
--- a/src/core/shard/round/queue.rs
+++ b/src/core/shard/round/queue.rs
@@ -55,7 +55,7 @@
             is_deferred: self.is_deferred(job),
             // Jobs whose deadlines have passed get equal deadlines, so that the oldest comes first.
             start_deadline: start_deadline(&self.config, job).max(now),
-            submitted: job.submitted,
+            submitted: job.runnable_since,
         }
     }
 
@@ -70,7 +70,7 @@
     /// beyond their guarantee. This holds for opportunistic jobs that have begun, and for jobs that fail on
     /// every machine.
     fn is_deferred(&self, job: &Job) -> bool {
-        let is_begun_opportunistic = job.began && job.is_opportunistic(&self.config);
+        let is_begun_opportunistic = job.has_started && job.is_opportunistic(&self.config);
         is_begun_opportunistic || job.failures.fails_everywhere()
     }
 
--- a/src/core/shard/sibling_updates.rs
+++ b/src/core/shard/sibling_updates.rs
@@ -170,7 +170,7 @@
         for (id, token) in update.reconciled {
             // An observation by a previous owner or under an earlier token is outdated.
             let is_current =
-                |owner: &ShardOwner| owner.is(from, incarnation) && owner.token == token;
+                |owner: &ShardOwner| owner.is_process(from, incarnation) && owner.token == token;
             if store.shard_map().machines.get(&id).is_some_and(is_current) {
                 let observation = observations.remove(&id);
                 self.apply_observation(outbox, store, &id, token, &coverage, observation);
@@ -184,7 +184,7 @@
         for machine in self.machines.values_mut() {
             let is_previous_owner = machine.previous_owner.as_ref() == Some(sender);
             if is_previous_owner && revision >= machine.owned_since_revision {
-                machine.previous_owner_released(now);
+                machine.record_previous_owner_release(now);
             }
         }
     }
@@ -207,12 +207,12 @@
         let machine = self
             .machines
             .entry(id.clone())
-            .or_insert_with(|| Machine::named(id.clone(), token, now));
+            .or_insert_with(|| Machine::new(id.clone(), token, now));
         if machine.is_owned {
             return;
         }
         // The machine has confirmed its owner's token, or its agent epoch has ended.
-        self.starts_in_flight.shown(id, token, 0);
+        self.starts_in_flight.discard_outdated(id, token, 0);
         let shown = match observation {
             Some(observation) => self.apply_observed_tasks(outbox, store, id, observation),
             None => BTreeSet::new(),
--- a/src/core/shard/soon_ready/tests.rs
+++ b/src/core/shard/soon_ready/tests.rs
@@ -72,7 +72,7 @@
         describe_attempt(&mut tracked, &self.shard.config, &job.spec);
         tracked.phase = Phase::Seen(TaskState::Running);
         tracked.started_at = started_at;
-        job.set(
+        job.set_task(
             index,
             crate::core::jobs::job::Task::Placed("m-1".into(), Attempt(1)),
             None,
--- a/src/core/shard/tests.rs
+++ b/src/core/shard/tests.rs
@@ -40,7 +40,7 @@
         token: FencingToken(8),
         age: 6.0,
     };
-    unresponsive.note([declared("m-1"), declared("m-2")], 20.0);
+    unresponsive.record([declared("m-1"), declared("m-2")], 20.0);
     let successor = ShardOwner {
         previous_token: Some(FencingToken(8)),
         ..owner("n0")
@@ -251,7 +251,7 @@
     map(&mut store, 5, vec![own_entry, other]);
     shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     let id = MachineId::from("m-1");
-    let mut machine = Machine::named(id.clone(), FencingToken(9), 0.0);
+    let mut machine = Machine::new(id.clone(), FencingToken(9), 0.0);
     let mut tracked = TrackedAttempt::new(0.0);
     tracked.team = Some("red".into());
     let task = TaskId {
@@ -571,7 +571,10 @@
     done(&mut store, "req-000002", 40_000);
     shard.apply_job_record(&store, &id, &Rc::new(waiting), 9, (now, wall_ms));
     let job = &shard.jobs[&id];
-    assert_eq!(job.submitted, 95.0, "the last dependency was done 5 s ago");
+    assert_eq!(
+        job.runnable_since, 95.0,
+        "the last dependency was done 5 s ago"
+    );
     assert_eq!(
         job.deadline,
         Some(140.0),
--- a/src/core/shard/tracking.rs
+++ b/src/core/shard/tracking.rs
@@ -47,7 +47,7 @@
             .get_mut(&heartbeat.machine)
             .filter(|machine| machine.is_owned)?;
         if machine.total == Resources::default() || machine.address != heartbeat.address {
-            machine.describe(heartbeat, catalog.types());
+            machine.update_description(heartbeat, catalog.types());
         }
         if heartbeat.token > machine.token {
             // The machine has a newer owner or token that this process has not read from the shard map yet.
@@ -57,7 +57,8 @@
         if freshness == Freshness::Duplicate {
             return Some(Answer::unavailable());
         }
-        self.starts_in_flight.reported(&heartbeat.machine);
+        self.starts_in_flight
+            .clear_heartbeat_response(&heartbeat.machine);
         if let Freshness::New { new_epoch } = freshness {
             let origin = HeartbeatOrigin::Periodic;
             self.apply_heartbeat(store, heartbeat, new_epoch, origin, now);
@@ -89,8 +90,11 @@
         let commands = if machine.token_confirmed {
             let channel = CommandChannel::HeartbeatResponse;
             let batch = machine.commands(&self.starts_in_flight, channel);
-            self.starts_in_flight
-                .answered(&machine.id, heartbeat.agent_epoch, batch.starts);
+            self.starts_in_flight.record_heartbeat_response(
+                &machine.id,
+                heartbeat.agent_epoch,
+                batch.starts,
+            );
             batch.commands
         } else {
             stops_for_finished_jobs(heartbeat, store)
@@ -117,7 +121,7 @@
     ) {
         let machine_id = &heartbeat.machine;
         self.starts_in_flight
-            .shown(machine_id, heartbeat.token, heartbeat.agent_epoch);
+            .discard_outdated(machine_id, heartbeat.token, heartbeat.agent_epoch);
         if new_epoch {
             self.drop_attempts_of_earlier_epoch(machine_id, now);
         }
@@ -312,8 +316,8 @@
         let here = Task::Placed(machine_id.clone(), *attempt);
         match job.task(task.index) {
             Some(Task::Unreconciled | Task::Waiting) if !tracked.exited() => {
-                job.set(task.index, here, Some(&machine.zone));
-                job.began = true;
+                job.set_task(task.index, here, Some(&machine.zone));
+                job.has_started = true;
             }
             Some(intended) if *intended != here && tracked.request_immediate_stop() => {
                 tracing::info!(
@@ -326,7 +330,7 @@
             }
             _ => {}
         }
-        job.began |= tracked.started_at.is_some();
+        job.has_started |= tracked.started_at.is_some();
     }
 }
 
--- a/src/core/shard/tracking/attempt_end.rs
+++ b/src/core/shard/tracking/attempt_end.rs
@@ -32,7 +32,7 @@
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
-        machine.note_end(&key, now);
+        machine.update_idle_since(&key, now);
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -44,8 +44,8 @@
         if reason == ExitReason::Done && job.spec.kind != JobKind::Service {
             // The worker may forget this exit only after the store has recorded it.
             let zone = is_placed_here.then_some(&machine.zone);
-            job.set(task.index, Task::Done, zone);
-            job.failures.prove();
+            job.set_task(task.index, Task::Done, zone);
+            job.failures.record_long_run();
             if job.is_gang() {
                 self.complete_gang(&task.job);
             }
@@ -99,10 +99,10 @@
             return;
         }
         let zone = self.machines.get(machine_id).map(|machine| &machine.zone);
-        job.set(task.index, Task::Waiting, zone);
+        job.set_task(task.index, Task::Waiting, zone);
         if let Some((machine, attempt)) = other {
             let zone = self.machines.get(&machine).map(|machine| &machine.zone);
-            job.set(task.index, Task::Placed(machine, attempt), zone);
+            job.set_task(task.index, Task::Placed(machine, attempt), zone);
         }
         self.stop_rest_of_gang(&task.job, attempt);
     }
@@ -135,7 +135,7 @@
             machine.needs_new_token = true;
             return;
         }
-        machine.note_end(&key, now);
+        machine.update_idle_since(&key, now);
         if machine.attempts.remove(&key).is_none() {
             return;
         }
--- a/src/core/shard/tracking/cordon.rs
+++ b/src/core/shard/tracking/cordon.rs
@@ -23,7 +23,9 @@
             return;
         };
         let longest_interval = self.config.deployment.workers.cancel_s;
-        let fails_everywhere = job.failures.failed(machine_id, longest_interval, now);
+        let fails_everywhere = job
+            .failures
+            .record_failure(machine_id, longest_interval, now);
         machine.failed_jobs.insert(task.job.clone());
         let failures = job.retries.get(&task.index).map(|retry| retry.failures);
         tracing::info!(
@@ -70,7 +72,7 @@
         let fails_here_only = |job: &&JobId| {
             self.jobs
                 .get(*job)
-                .is_some_and(|job| job.failures.on_one_machine_only())
+                .is_some_and(|job| job.failures.failed_on_one_machine())
         };
         self.machines.get(machine_id).is_some_and(|machine| {
             let failed = machine.failed_jobs.iter();
--- a/src/core/shard/tracking/tests.rs
+++ b/src/core/shard/tracking/tests.rs
@@ -515,7 +515,7 @@
     let mut fixture = Fixture::new();
     fixture.start(0);
     let job = fixture.shard.jobs.get_mut(&JOB.into()).unwrap();
-    job.set(0, Task::Waiting, None);
+    job.set_task(0, Task::Waiting, None);
     assert_eq!(
         fixture.starts_in_placement_round(),
         1,
