--- a/src/core/controller/hello.rs
+++ b/src/core/controller/hello.rs
@@ -47,7 +47,7 @@
         let now = self.outbox.now;
         if let Some(shard) = &self.shard {
             self.unresponsive
-                .note(shard.unresponsive_machines(now), now);
+                .record(shard.unresponsive_machines(now), now);
         }
         if self.store.is_complete() {
             self.unresponsive.prune(self.store.shard_map());
@@ -69,7 +69,7 @@
                 .leased_shard()
                 .map(Shard::all_task_counts)
                 .unwrap_or_default(),
-            unresponsive: self.unresponsive.all(now),
+            unresponsive: self.unresponsive.declarations(now),
             update: None,
             final_states_after: self.wanted_final_states_after(),
             bounded_staleness: true,
@@ -144,7 +144,7 @@
             self.peers.record_bounded_staleness(&sender);
         }
         // True whenever it was sent: a delay only makes the statement weaker.
-        self.unresponsive.note(hello.unresponsive, now);
+        self.unresponsive.record(hello.unresponsive, now);
         let is_newest =
             self.peers
                 .hello_received(&sender, hello.sequence_number, hello.task_counts);
@@ -273,7 +273,7 @@
     /// less than to leave it and return.)
     pub(crate) fn answer_health_check(&mut self, request: RequestId) {
         let is_able = self.store.is_complete()
-            && self.catalog.known()
+            && self.catalog.is_known()
             && (self.reads_store() || self.peers.any_reachable(self.outbox.now));
         self.outbox
             .answer(request, Answer::empty(if is_able { 200 } else { 503 }));
--- a/src/core/controller/ownership.rs
+++ b/src/core/controller/ownership.rs
@@ -143,7 +143,7 @@
             node: process.node,
             incarnation: process.incarnation,
             lease,
-            keeps_grants: usage::are_on(&self.config),
+            keeps_grants: usage::grants_are_enabled(&self.config),
             consents: self.ownership.published_consents().to_vec(),
             claims: self.claims.records(),
         }
@@ -249,7 +249,7 @@
         if let Some(shard) = self.shard.take() {
             self.image_hints = shard.images_on_all_machines();
             self.unresponsive
-                .note(shard.unresponsive_machines(now), now);
+                .record(shard.unresponsive_machines(now), now);
         }
         self.leader = None;
     }
