--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -74,7 +74,7 @@
     /// The attempt waits for the other members of its gang.
     #[serde(rename = "waiting")]
     Waiting,
-    /// The task's process runs.
+    /// The task runs on the machine.
     #[serde(rename = "running")]
     Running,
     /// The attempt was stopped and writes its checkpoint.
