--- a/src/core/controller/deferred_heartbeats.rs
+++ b/src/core/controller/deferred_heartbeats.rs
@@ -169,7 +169,7 @@
     fn answer_deferred(&mut self, deferred: DeferredHeartbeat) {
         match self.handle_heartbeat(&deferred.heartbeat) {
             Some(answer) => {
-                self.peers.note_worker_contact(self.outbox.now);
+                self.peers.record_worker_contact(self.outbox.now);
                 self.outbox.answer(deferred.request, answer);
             }
             None if self.outbox.now >= deferred.until => self.give_up_deferred(&deferred),
@@ -215,7 +215,7 @@
     match deferred.reason {
         DeferralReason::Claim => None,
         DeferralReason::Failover => Some(Disposition::Redirect(owner.node.clone())),
-        DeferralReason::MapChange if !owner.is(&before.node, before.incarnation) => {
+        DeferralReason::MapChange if !owner.is_process(&before.node, before.incarnation) => {
             Some(Disposition::Redirect(owner.node.clone()))
         }
         DeferralReason::MapChange => {
--- a/src/core/controller/hello.rs
+++ b/src/core/controller/hello.rs
@@ -24,7 +24,7 @@
         let number = self.peers.begin_hello_round(now + delay);
         self.refresh_machine_knowledge();
         let hello = self.hello_without_update(number);
-        let nodes: Vec<ControllerName> = self.peers.nodes().cloned().collect();
+        let nodes: Vec<ControllerName> = self.peers.names().cloned().collect();
         for node in nodes {
             if !self.peers.begin_hello(&node) {
                 continue;
@@ -47,7 +47,7 @@
         let now = self.outbox.now;
         if let Some(shard) = &self.shard {
             self.unresponsive
-                .note(shard.unresponsive_machines(now), now);
+                .record(shard.unresponsive_machines(now), now);
         }
         if self.store.is_complete() {
             self.unresponsive.prune(self.store.shard_map());
@@ -69,7 +69,7 @@
                 .leased_shard()
                 .map(Shard::all_task_counts)
                 .unwrap_or_default(),
-            unresponsive: self.unresponsive.all(now),
+            unresponsive: self.unresponsive.declarations(now),
             update: None,
             final_states_after: self.wanted_final_states(),
             bounded_staleness: true,
@@ -97,7 +97,7 @@
         let (images, contacts) = match scope {
             ImageScope::AllKnown => (
                 shard.images_on_all_machines(),
-                self.contacts.with(shard.machine_contacts()),
+                self.contacts.extended_with(shard.machine_contacts()),
             ),
             ImageScope::OwnMachines => (shard.images_on_owned_machines(), shard.machine_contacts()),
             ImageScope::None => (ImageHints::default(), MachineContacts::default()),
@@ -139,10 +139,10 @@
             return self.outbox.answer_sibling(request, MeshReply::Acknowledged);
         }
         if hello.bounded_staleness {
-            self.peers.note_bounded_staleness(&sender);
+            self.peers.record_bounded_staleness(&sender);
         }
         // True whenever it was sent: a delay only makes the statement weaker.
-        self.unresponsive.note(hello.unresponsive, now);
+        self.unresponsive.record(hello.unresponsive, now);
         let is_newest =
             self.peers
                 .hello_received(&sender, hello.sequence_number, hello.task_counts);
@@ -271,7 +271,7 @@
     /// less than to leave it and return.)
     pub(crate) fn health(&mut self, request: RequestId) {
         let is_able = self.store.is_complete()
-            && self.catalog.known()
+            && self.catalog.is_known()
             && (self.reads_store() || self.peers.any_reachable(self.outbox.now));
         self.outbox
             .answer(request, Answer::empty(if is_able { 200 } else { 503 }));
--- a/src/core/leader/scaling.rs
+++ b/src/core/leader/scaling.rs
@@ -34,7 +34,7 @@
         live: &LiveProcesses,
         now: Time,
     ) {
-        if now < self.next_scaling_plan || !catalog.known() || self.catching_up {
+        if now < self.next_scaling_plan || !catalog.is_known() || self.catching_up {
             return;
         }
         self.next_scaling_plan = now + PLAN_INTERVAL_S;
@@ -99,7 +99,8 @@
             };
             let machines = zones.entry(offer.zone.clone()).or_default();
             machines.total += 1;
-            machines.unresponsive += usize::from(unresponsive.answered(id, owner.token).is_some());
+            machines.unresponsive +=
+                usize::from(unresponsive.last_answered(id, owner.token).is_some());
         }
         zones
     }
--- a/src/core/shard/tracking/cordon.rs
+++ b/src/core/shard/tracking/cordon.rs
@@ -23,7 +23,9 @@
             return;
         };
         let longest_interval = self.config.deployment.workers.cancel_s;
-        let fails_everywhere = job.failures.failed(machine_id, longest_interval, now);
+        let fails_everywhere = job
+            .failures
+            .record_failure(machine_id, longest_interval, now);
         machine.failed_jobs.insert(task.job.clone());
         let failures = job.retries.get(&task.index).map(|retry| retry.failures);
         tracing::info!(
@@ -37,7 +39,7 @@
                 job = %task.job,
                 "job fails on every machine: only probes of it are started until one runs"
             );
-            self.forecast.withdraw(&job.spec);
+            self.forecast.remove_job(&job.spec);
         }
         let failed_on = job.failures.machines().clone();
         self.cordon_if_faulty(machine_id, now);
@@ -70,7 +72,7 @@
         let fails_here_only = |job: &&JobId| {
             self.jobs
                 .get(*job)
-                .is_some_and(|job| job.failures.on_one_machine_only())
+                .is_some_and(|job| job.failures.failed_on_one_machine())
         };
         self.machines.get(machine_id).is_some_and(|machine| {
             let failed = machine.failed_jobs.iter();
