--- a/crates/quota-ledger/src/amount.rs
+++ b/crates/quota-ledger/src/amount.rs
@@ -50,7 +50,7 @@
     }
 
     /// CPUs and GPUs as decimal numbers.
-    pub fn units(&self) -> (f64, f64) {
+    pub fn cpus_and_gpus(&self) -> (f64, f64) {
         let units = |thousandths: u64| thousandths as f64 / THOUSANDTHS;
         (units(self.cpu_thousandths), units(self.gpu_thousandths))
     }
@@ -72,7 +72,7 @@
     }
 
     /// The difference; 0 where `other` has more.
-    pub fn less(&self, other: &Self) -> Self {
+    pub fn minus(&self, other: &Self) -> Self {
         self.combined(other, u64::saturating_sub)
     }
 
@@ -145,7 +145,7 @@
     }
 
     /// The part of an amount that is limited and so needs a grant.
-    pub fn limited(&self, amount: &Amount) -> Amount {
+    pub fn limited_part(&self, amount: &Amount) -> Amount {
         Amount {
             cpu_thousandths: self.cpu_thousandths.map_or(0, |_| amount.cpu_thousandths),
             gpu_thousandths: self.gpu_thousandths.map_or(0, |_| amount.gpu_thousandths),
--- a/crates/quota-ledger/src/headroom.rs
+++ b/crates/quota-ledger/src/headroom.rs
@@ -4,13 +4,13 @@
 use crate::amount::{Amount, Limit};
 
 /// Fraction of the headroom below which a holder asks for more.
-const LOW_WATER: f64 = 0.5;
+const LOW_WATERMARK: f64 = 0.5;
 /// Multiple of the headroom above which a holder returns some.
-const HIGH_WATER: f64 = 2.0;
+const HIGH_WATERMARK: f64 = 2.0;
 
 /// The rule by which grants grow and shrink.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Headroom {
+pub struct HeadroomPolicy {
     /// Fraction of the limit that a holder holds beyond what it uses.
     pub limit_fraction: f64,
     /// Seconds for which a surplus must last before it is returned.
@@ -19,7 +19,7 @@
 
 /// What a grant should become.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Target {
+pub enum GrantTarget {
     /// No change.
     Keep,
     /// Starts wait or soon will: grow at once to this amount.
@@ -30,44 +30,44 @@
     ShrinkNow(Amount),
 }
 
-impl Headroom {
+impl HeadroomPolicy {
     /// The part of the limit that a holder holds beyond what it uses.
-    pub(crate) fn amount(&self, limit: &Limit) -> Amount {
+    pub(crate) fn headroom_amount(&self, limit: &Limit) -> Amount {
         limit.amount().scaled(self.limit_fraction)
     }
 
     /// What a grant should become. `needed` is what runs under it or waits to be started under it;
     /// `others_lack` says whether other holders lack something.
-    pub fn target(
+    pub fn grant_target(
         &self,
         limit: &Limit,
         grant: &Amount,
         needed: &Amount,
         others_lack: bool,
-    ) -> Target {
+    ) -> GrantTarget {
         if others_lack {
             return Self::target_without_headroom(grant, needed);
         }
-        let headroom = self.amount(limit);
+        let headroom = self.headroom_amount(limit);
         let needed_with = |multiple: f64| {
             let with_headroom = needed.plus(&headroom.scaled(multiple));
             limit.amount().min(&with_headroom).max(needed)
         };
-        if !grant.covers(&needed_with(LOW_WATER)) {
-            Target::Grow(needed_with(1.0).max(grant))
-        } else if !needed.plus(&headroom.scaled(HIGH_WATER)).covers(grant) {
-            Target::ShrinkLater(needed_with(1.0).min(grant))
+        if !grant.covers(&needed_with(LOW_WATERMARK)) {
+            GrantTarget::Grow(needed_with(1.0).max(grant))
+        } else if !needed.plus(&headroom.scaled(HIGH_WATERMARK)).covers(grant) {
+            GrantTarget::ShrinkLater(needed_with(1.0).min(grant))
         } else {
-            Target::Keep
+            GrantTarget::Keep
         }
     }
 
     /// While others lack something, exactly what is needed.
-    fn target_without_headroom(grant: &Amount, needed: &Amount) -> Target {
+    fn target_without_headroom(grant: &Amount, needed: &Amount) -> GrantTarget {
         match (grant.covers(needed), needed.covers(grant)) {
-            (true, true) => Target::Keep,
-            (true, false) => Target::ShrinkNow(*needed),
-            (false, _) => Target::Grow(needed.max(grant)),
+            (true, true) => GrantTarget::Keep,
+            (true, false) => GrantTarget::ShrinkNow(*needed),
+            (false, _) => GrantTarget::Grow(needed.max(grant)),
         }
     }
 }
--- a/crates/quota-ledger/src/holder.rs
+++ b/crates/quota-ledger/src/holder.rs
@@ -6,17 +6,17 @@
 //! with more.
 
 use crate::amount::{Amount, Limit};
-use crate::headroom::{Headroom, Target};
+use crate::headroom::{GrantTarget, HeadroomPolicy};
 use crate::record::{HolderId, TeamLedger};
 
 /// Former holders that provably can't start anything under their grants any more.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum Ended {
+pub enum EndedHolders {
     /// None is known.
     #[default]
     None,
     /// The listed ones.
-    Holders(Vec<HolderId>),
+    Listed(Vec<HolderId>),
     /// All holders except the one that asks.
     AllOthers,
 }
@@ -30,9 +30,9 @@
     /// What waits in addition and could be started at once if it were granted.
     pub waiting: Amount,
     /// The part of `waiting` that is to be started first.
-    pub next: Amount,
+    pub first_waiting: Amount,
     /// Holders whose grants are to be transferred to this one.
-    pub ended: Ended,
+    pub ended_holders: EndedHolders,
     /// What may still run of the tasks that those started.
     pub inherited: Amount,
 }
@@ -48,7 +48,7 @@
 
 /// The outcome of writing a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum WriteOutcome {
     /// It was written; the record now has this version.
     Committed(u64),
     /// It was not written and never will be.
@@ -70,7 +70,7 @@
 pub struct Holder {
     id: HolderId,
     limit: Limit,
-    headroom: Headroom,
+    headroom: HeadroomPolicy,
     /// Version of the record as it is known; 0 if there is none.
     version: u64,
     ledger: Option<TeamLedger>,
@@ -83,7 +83,7 @@
 
 impl Holder {
     /// A holder that has not read the record yet.
-    pub fn new(id: HolderId, limit: Limit, headroom: Headroom) -> Self {
+    pub fn new(id: HolderId, limit: Limit, headroom: HeadroomPolicy) -> Self {
         Self {
             id,
             limit,
@@ -103,7 +103,7 @@
 
     /// Records the stored record and its version, or `None` and 0 if there is none. Versions older than the
     /// known one are ignored.
-    pub fn observe(&mut self, version: u64, ledger: Option<TeamLedger>) {
+    pub fn observe_record(&mut self, version: u64, ledger: Option<TeamLedger>) {
         if version != 0 && version <= self.version {
             return;
         }
@@ -120,7 +120,7 @@
     }
 
     /// The most that may be running under this holder's grant.
-    pub fn grant(&self) -> Amount {
+    pub fn usable_grant(&self) -> Amount {
         let stored = self
             .ledger
             .as_ref()
@@ -140,10 +140,10 @@
     }
 
     /// The most that may be running of what other holders started.
-    pub fn outstanding(&self) -> Amount {
+    pub fn granted_to_others(&self) -> Amount {
         self.ledger
             .as_ref()
-            .map(|ledger| ledger.outstanding(&self.id))
+            .map(|ledger| ledger.granted_to_others(&self.id))
             .unwrap_or_default()
     }
 
@@ -163,24 +163,24 @@
     }
 
     /// Records the outcome of the write in flight.
-    pub fn record_outcome(&mut self, outcome: Outcome) {
+    pub fn record_outcome(&mut self, outcome: WriteOutcome) {
         let Some(proposal) = self.writing.take() else {
             return;
         };
         match outcome {
-            Outcome::Committed(version) => self.observe(version, Some(proposal.ledger)),
+            WriteOutcome::Committed(version) => self.observe_record(version, Some(proposal.ledger)),
             // Also a write that was not executed keeps counting as in doubt: an earlier one that expects the
             // same version may be, and both share one amount.
-            Outcome::NotExecuted | Outcome::Unknown => {}
+            WriteOutcome::NotExecuted | WriteOutcome::Unknown => {}
         }
     }
 
     /// The last change, with which the holder gives the team to another controller: only `still_used`, what
     /// may still run, stays granted. `None` if nothing changes.
-    pub fn release(&self, still_used: Amount) -> Option<Proposal> {
+    pub fn propose_release(&self, still_used: Amount) -> Option<Proposal> {
         let ledger = self.ledger.as_ref()?;
-        let still_used = self.limit.limited(&still_used);
-        let next = ledger.release(&self.id, still_used).ok()?;
+        let still_used = self.limit.limited_part(&still_used);
+        let next = ledger.release_grant(&self.id, still_used).ok()?;
         (next != *ledger).then_some(Proposal {
             expected_version: self.version,
             ledger: next,
@@ -216,18 +216,18 @@
         }
         let needed = self.needed(&ledger, demand);
         if ledger.grant(&self.id).is_none() {
-            let wanted = needed.plus(&self.headroom.amount(&self.limit));
-            return Some(self.resized(&ledger.join(&self.id), wanted, needed));
+            let wanted = needed.plus(&self.headroom.headroom_amount(&self.limit));
+            return Some(self.resized(&ledger.add_holder(&self.id), wanted, needed));
         }
-        let wanted = self.target(now, &ledger, needed)?;
+        let wanted = self.grant_target(now, &ledger, needed)?;
         let next = self.resized(&ledger, wanted, needed);
         (next != ledger).then_some(next)
     }
 
     /// A new record. Only a holder that knows everything that runs may create it.
     fn first_ledger(&self, demand: &Demand) -> Option<TeamLedger> {
-        let knows_all = demand.ended == Ended::AllOthers;
-        knows_all.then(|| TeamLedger::begin(&self.id, self.first_amount(demand)))
+        let knows_all = demand.ended_holders == EndedHolders::AllOthers;
+        knows_all.then(|| TeamLedger::create(&self.id, self.first_amount(demand)))
     }
 
     /// What this holder may ask for, given what others lack.
@@ -237,27 +237,32 @@
         } else if ledger.wanted_by_others(&self.id).is_zero() {
             demand.waiting
         } else {
-            demand.next
+            demand.first_waiting
         };
-        self.limit.limited(&demand.used.plus(&waiting))
+        self.limit.limited_part(&demand.used.plus(&waiting))
     }
 
     /// The record after the grants of ended holders were transferred to this one; `None` if there are none.
     fn absorbed(&self, ledger: &TeamLedger, demand: &Demand) -> Option<TeamLedger> {
-        let inherited = self.limit.limited(&demand.inherited);
-        match &demand.ended {
-            Ended::None => None,
-            Ended::Holders(former) => {
+        let inherited = self.limit.limited_part(&demand.inherited);
+        match &demand.ended_holders {
+            EndedHolders::None => None,
+            EndedHolders::Listed(former) => {
                 let have_grants = former.iter().any(|former| ledger.grant(former).is_some());
                 let absorb = || {
-                    let joined = ledger.join(&self.id);
-                    joined.absorb(&self.id, former, inherited).ok()
+                    let joined = ledger.add_holder(&self.id);
+                    joined.take_over_grants(&self.id, former, inherited).ok()
                 };
                 have_grants.then(absorb)?
             }
-            Ended::AllOthers => {
-                let have_grants = !ledger.outstanding(&self.id).is_zero();
-                let absorb = || ledger.join(&self.id).absorb_all(&self.id, inherited).ok();
+            EndedHolders::AllOthers => {
+                let have_grants = !ledger.granted_to_others(&self.id).is_zero();
+                let absorb = || {
+                    ledger
+                        .add_holder(&self.id)
+                        .take_over_all_grants(&self.id, inherited)
+                        .ok()
+                };
                 have_grants.then(absorb)?
             }
         }
@@ -265,24 +270,26 @@
 
     /// The grant in a new record: everything that runs, and room for more within the limit.
     fn first_amount(&self, demand: &Demand) -> Amount {
-        let running = self.limit.limited(&demand.used.plus(&demand.inherited));
-        let waiting = self.limit.limited(&demand.waiting);
-        let headroom = self.headroom.amount(&self.limit);
+        let running = self
+            .limit
+            .limited_part(&demand.used.plus(&demand.inherited));
+        let waiting = self.limit.limited_part(&demand.waiting);
+        let headroom = self.headroom.headroom_amount(&self.limit);
         let wanted = running.plus(&waiting).plus(&headroom);
         running.max(&self.limit.amount().min(&wanted))
     }
 
     /// What the grant should become; `None` if nothing is to be written now.
-    fn target(&mut self, now: f64, ledger: &TeamLedger, needed: Amount) -> Option<Amount> {
+    fn grant_target(&mut self, now: f64, ledger: &TeamLedger, needed: Amount) -> Option<Amount> {
         let grant = ledger.grant(&self.id)?;
         let others_lack = !ledger.wanted_by_others(&self.id).is_zero();
         let target = self
             .headroom
-            .target(&self.limit, &grant.amount, &needed, others_lack);
-        let Target::ShrinkLater(smaller) = target else {
+            .grant_target(&self.limit, &grant.amount, &needed, others_lack);
+        let GrantTarget::ShrinkLater(smaller) = target else {
             self.surplus_since = None;
             return match target {
-                Target::Grow(amount) | Target::ShrinkNow(amount) => Some(amount),
+                GrantTarget::Grow(amount) | GrantTarget::ShrinkNow(amount) => Some(amount),
                 // Writing the same amount again withdraws a recall that has been met.
                 _ => (!grant.wanted.is_zero()).then_some(grant.amount),
             };
@@ -303,7 +310,7 @@
         let recalled = grant.map_or(Amount::ZERO, |grant| grant.wanted);
         // A limit that was lowered does not reduce what is held already.
         let amount = wanted.min(&ledger.available(&self.id, &self.limit).max(&held));
-        let lacking = needed.less(&amount);
+        let lacking = needed.minus(&amount);
         // While something is lacking the recall never shrinks, so that it need not be written again.
         let lacking = if lacking.is_zero() {
             lacking
@@ -311,8 +318,8 @@
             lacking.max(&recalled)
         };
         ledger
-            .resize(&self.id, amount, &self.limit)
-            .and_then(|resized| resized.recall(&self.id, lacking))
+            .resize_grant(&self.id, amount, &self.limit)
+            .and_then(|resized| resized.set_recall(&self.id, lacking))
             .unwrap_or_else(|_| ledger.clone())
     }
 }
--- a/crates/quota-ledger/src/lib.rs
+++ b/crates/quota-ledger/src/lib.rs
@@ -20,6 +20,6 @@
 pub mod record;
 
 pub use amount::{Amount, Limit};
-pub use headroom::Headroom;
-pub use holder::{Demand, Ended, Holder, Outcome, Proposal};
+pub use headroom::HeadroomPolicy;
+pub use holder::{Demand, EndedHolders, Holder, Proposal, WriteOutcome};
 pub use record::{ChangeError, Grant, HolderId, RecordError, TeamLedger};
--- a/crates/quota-ledger/src/record.rs
+++ b/crates/quota-ledger/src/record.rs
@@ -66,7 +66,7 @@
     /// The term of the holder that created the record. It counted everything that had been started before.
     #[serde(rename = "b")]
     #[garde(skip)]
-    began: u64,
+    creator_term: u64,
     /// The grants, ordered by holder and so by term.
     #[serde(rename = "g")]
     #[garde(length(max = MAX_GRANTS), custom(each_holder_once), dive)]
@@ -121,7 +121,7 @@
     }
 
     /// Creates a record. Its holder asserts that `amount` covers all tasks of the team that may run.
-    pub fn begin(holder: &HolderId, amount: Amount) -> Self {
+    pub fn create(holder: &HolderId, amount: Amount) -> Self {
         let grant = Grant {
             holder: holder.clone(),
             amount,
@@ -129,15 +129,15 @@
         };
         Self {
             format: FORMAT,
-            began: holder.term,
+            creator_term: holder.term,
             grants: vec![grant],
             folded: Amount::ZERO,
         }
     }
 
     /// The term of the holder that created the record.
-    pub fn began(&self) -> u64 {
-        self.began
+    pub fn creator_term(&self) -> u64 {
+        self.creator_term
     }
 
     /// The grants, oldest holder first.
@@ -157,7 +157,7 @@
 
     /// The sum of all grants of others, which covers every task of the team that may run and was not started by
     /// `holder`.
-    pub fn outstanding(&self, holder: &HolderId) -> Amount {
+    pub fn granted_to_others(&self, holder: &HolderId) -> Amount {
         let others = self.grants.iter().filter(|grant| grant.holder != *holder);
         others.fold(self.folded, |sum, grant| sum.plus(&grant.amount))
     }
@@ -186,11 +186,11 @@
 
     /// The most that `holder` may be granted: the limit less the grants of others.
     pub fn available(&self, holder: &HolderId, limit: &Limit) -> Amount {
-        limit.amount().less(&self.outstanding(holder))
+        limit.amount().minus(&self.granted_to_others(holder))
     }
 
     /// Adds a holder with an empty grant.
-    pub fn join(&self, holder: &HolderId) -> Self {
+    pub fn add_holder(&self, holder: &HolderId) -> Self {
         let mut next = self.clone();
         if self.grant(holder).is_none() {
             next.grants.push(Grant {
@@ -206,7 +206,7 @@
     }
 
     /// Changes a holder's grant to `amount`. A grant may always shrink; it grows only within the limit.
-    pub fn resize(
+    pub fn resize_grant(
         &self,
         holder: &HolderId,
         amount: Amount,
@@ -214,14 +214,14 @@
     ) -> Result<Self, ChangeError> {
         let held = self.grant(holder).ok_or(ChangeError::NotAHolder)?.amount;
         let most = held.max(&self.available(holder, limit));
-        if !most.covers(&limit.limited(&amount)) {
+        if !most.covers(&limit.limited_part(&amount)) {
             return Err(ChangeError::LimitReached);
         }
         Ok(self.with(holder, |grant| grant.amount = amount))
     }
 
     /// Records that a holder lacks `wanted` because others hold it.
-    pub fn recall(&self, holder: &HolderId, wanted: Amount) -> Result<Self, ChangeError> {
+    pub fn set_recall(&self, holder: &HolderId, wanted: Amount) -> Result<Self, ChangeError> {
         self.grant(holder).ok_or(ChangeError::NotAHolder)?;
         Ok(self.with(holder, |grant| grant.wanted = wanted))
     }
@@ -230,7 +230,7 @@
     /// grant grows by `inherited`, and at most by what they had. The caller has evidence that nothing can be
     /// started under the former grants any more, and that at most `inherited` still runs of what was. The limit
     /// is not checked, since the sum of all grants does not grow.
-    pub fn absorb(
+    pub fn take_over_grants(
         &self,
         holder: &HolderId,
         former: &[HolderId],
@@ -239,16 +239,22 @@
         let mut next = self.clone();
         next.grants
             .retain(|grant| !former.contains(&grant.holder) || grant.holder == *holder);
-        let ended = self.outstanding(holder).less(&next.outstanding(holder));
+        let ended = self
+            .granted_to_others(holder)
+            .minus(&next.granted_to_others(holder));
         next.inherit(holder, inherited.min(&ended))
     }
 
-    /// As [`Self::absorb`] for all other holders, including those that are no longer listed.
-    pub fn absorb_all(&self, holder: &HolderId, inherited: Amount) -> Result<Self, ChangeError> {
+    /// As [`Self::take_over_grants`] for all other holders, including those that are no longer listed.
+    pub fn take_over_all_grants(
+        &self,
+        holder: &HolderId,
+        inherited: Amount,
+    ) -> Result<Self, ChangeError> {
         let mut next = self.clone();
         next.grants.retain(|grant| grant.holder == *holder);
         next.folded = Amount::ZERO;
-        next.inherit(holder, inherited.min(&self.outstanding(holder)))
+        next.inherit(holder, inherited.min(&self.granted_to_others(holder)))
     }
 
     fn inherit(&self, holder: &HolderId, inherited: Amount) -> Result<Self, ChangeError> {
@@ -258,7 +264,11 @@
 
     /// Reduces the grant of a holder that starts nothing any more to what may still run of its tasks. An empty
     /// grant is removed.
-    pub fn release(&self, holder: &HolderId, still_used: Amount) -> Result<Self, ChangeError> {
+    pub fn release_grant(
+        &self,
+        holder: &HolderId,
+        still_used: Amount,
+    ) -> Result<Self, ChangeError> {
         self.grant(holder).ok_or(ChangeError::NotAHolder)?;
         let mut next = self.with(holder, |grant| {
             grant.amount = grant.amount.min(&still_used);
--- a/crates/quota-ledger/tests/model/mod.rs
+++ b/crates/quota-ledger/tests/model/mod.rs
@@ -2,7 +2,8 @@
 //! controllers, the store and the links to workers. After each event it checks the sum of what runs.
 
 use quota_ledger::{
-    Amount, Demand, Ended, Headroom, Holder, HolderId, Limit, Outcome, Proposal, TeamLedger,
+    Amount, Demand, EndedHolders, HeadroomPolicy, Holder, HolderId, Limit, Proposal, TeamLedger,
+    WriteOutcome,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -87,7 +88,7 @@
     Answer {
         node: usize,
         term: u64,
-        outcome: Outcome,
+        outcome: WriteOutcome,
     },
     Start {
         node: usize,
@@ -145,7 +146,7 @@
     Holder::new(
         id,
         limit,
-        Headroom {
+        HeadroomPolicy {
             limit_fraction: 0.125,
             surplus_delay_s: 5.0,
         },
@@ -199,7 +200,7 @@
             limit,
             next_term: CONTROLLERS as u64 + 1,
             next_task: 0,
-            store: (1, Some(TeamLedger::begin(&first, Amount::ZERO))),
+            store: (1, Some(TeamLedger::create(&first, Amount::ZERO))),
             outages,
             controllers: controllers.collect(),
             machines: machines.collect(),
@@ -484,7 +485,7 @@
         let machines: BTreeMap<usize, u64> = machines.collect();
         let (version, ledger) = self.store.clone();
         let controller = &mut self.controllers[node];
-        controller.holder.observe(version, ledger);
+        controller.holder.observe_record(version, ledger);
         let term = controller.term;
         controller.machines = machines.clone();
         controller.had_machines |= !machines.is_empty();
@@ -568,7 +569,7 @@
         if machines.is_empty() {
             return;
         }
-        let mut grant = controller.holder.grant();
+        let mut grant = controller.holder.usable_grant();
         if self.removed == Removed::Confirmation {
             grant = grant.max(&controller.unconfirmed);
         }
@@ -657,14 +658,14 @@
         let waiting = startable.iter().map(|task| task.gpus).sum();
         let next = startable.first().map_or(0.0, |task| task.gpus);
         let demand = Demand {
-            next: Amount::covering(0.0, next),
+            first_waiting: Amount::covering(0.0, next),
             used,
             waiting: Amount::covering(0.0, waiting),
             inherited: Amount::covering(0.0, controller.found.values().sum()),
-            ended: if ended.is_empty() {
-                Ended::None
+            ended_holders: if ended.is_empty() {
+                EndedHolders::None
             } else {
-                Ended::Holders(ended)
+                EndedHolders::Listed(ended)
             },
         };
         let Some(proposal) = controller.holder.propose(now, &demand) else {
@@ -699,19 +700,19 @@
                 Action::Answer {
                     node,
                     term,
-                    outcome: Outcome::Unknown,
+                    outcome: WriteOutcome::Unknown,
                 },
             );
         }
     }
 
-    fn write(&mut self, proposal: Proposal) -> Outcome {
+    fn write(&mut self, proposal: Proposal) -> WriteOutcome {
         let unconditional = self.removed == Removed::CompareAndSwap;
         if self.in_outage() || (proposal.expected_version != self.store.0 && !unconditional) {
-            return Outcome::NotExecuted;
+            return WriteOutcome::NotExecuted;
         }
         self.writes += 1;
         self.store = (self.store.0 + 1, Some(proposal.ledger));
-        Outcome::Committed(self.store.0)
+        WriteOutcome::Committed(self.store.0)
     }
 }
--- a/crates/quota-ledger/tests/record.rs
+++ b/crates/quota-ledger/tests/record.rs
@@ -11,8 +11,8 @@
 
 use quota_ledger::record::MAX_GRANTS;
 use quota_ledger::{
-    Amount, ChangeError, Demand, Ended, Headroom, Holder, HolderId, Limit, Outcome, RecordError,
-    TeamLedger,
+    Amount, ChangeError, Demand, EndedHolders, HeadroomPolicy, Holder, HolderId, Limit,
+    RecordError, TeamLedger, WriteOutcome,
 };
 use serde_json::json;
 
@@ -36,7 +36,7 @@
     Holder::new(
         id(term),
         limit(),
-        Headroom {
+        HeadroomPolicy {
             limit_fraction: 0.125,
             surplus_delay_s: 5.0,
         },
@@ -47,61 +47,63 @@
     Demand {
         used: gpus(used),
         waiting: gpus(waiting),
-        next: gpus(waiting),
+        first_waiting: gpus(waiting),
         ..Demand::default()
     }
 }
 
 #[test]
 fn grants_grow_only_within_the_limit_and_may_always_shrink() {
-    let ledger = TeamLedger::begin(&id(1), gpus(10.0)).join(&id(2));
+    let ledger = TeamLedger::create(&id(1), gpus(10.0)).add_holder(&id(2));
     assert_eq!(
-        ledger.resize(&id(2), gpus(6.5), &limit()),
+        ledger.resize_grant(&id(2), gpus(6.5), &limit()),
         Err(ChangeError::LimitReached)
     );
-    let ledger = ledger.resize(&id(2), gpus(6.0), &limit()).unwrap();
+    let ledger = ledger.resize_grant(&id(2), gpus(6.0), &limit()).unwrap();
     assert_eq!(
-        ledger.resize(&id(3), gpus(1.0), &limit()),
+        ledger.resize_grant(&id(3), gpus(1.0), &limit()),
         Err(ChangeError::NotAHolder)
     );
     // After the limit was lowered grants may stay as they are, but not grow.
     let lowered = Limit::new(0.0, 8.0);
-    assert!(ledger.resize(&id(1), gpus(9.0), &lowered).is_ok());
+    assert!(ledger.resize_grant(&id(1), gpus(9.0), &lowered).is_ok());
     assert_eq!(
-        ledger.resize(&id(2), gpus(7.0), &lowered),
+        ledger.resize_grant(&id(2), gpus(7.0), &lowered),
         Err(ChangeError::LimitReached)
     );
 }
 
 #[test]
 fn a_transfer_is_at_most_what_was_granted() {
-    let ledger = TeamLedger::begin(&id(1), gpus(5.0))
-        .join(&id(2))
-        .join(&id(3));
-    let ledger = ledger.resize(&id(2), gpus(4.0), &limit()).unwrap();
-    let absorbed = ledger.absorb(&id(3), &[id(1)], gpus(9.0)).unwrap();
+    let ledger = TeamLedger::create(&id(1), gpus(5.0))
+        .add_holder(&id(2))
+        .add_holder(&id(3));
+    let ledger = ledger.resize_grant(&id(2), gpus(4.0), &limit()).unwrap();
+    let absorbed = ledger
+        .take_over_grants(&id(3), &[id(1)], gpus(9.0))
+        .unwrap();
     assert_eq!(absorbed.grant(&id(3)).unwrap().amount, gpus(5.0));
-    assert_eq!(absorbed.outstanding(&id(3)), gpus(4.0));
-    let all = ledger.absorb_all(&id(3), gpus(6.0)).unwrap();
+    assert_eq!(absorbed.granted_to_others(&id(3)), gpus(4.0));
+    let all = ledger.take_over_all_grants(&id(3), gpus(6.0)).unwrap();
     assert_eq!(
         (all.grants().len(), all.grant(&id(3)).unwrap().amount),
         (1, gpus(6.0))
     );
     assert_eq!(
-        ledger.absorb_all(&id(4), gpus(1.0)),
+        ledger.take_over_all_grants(&id(4), gpus(1.0)),
         Err(ChangeError::NotAHolder)
     );
 }
 
 #[test]
 fn the_record_keeps_its_size_and_sum_over_many_changes_of_the_owner() {
-    let mut ledger = TeamLedger::begin(&id(1), gpus(1.0));
+    let mut ledger = TeamLedger::create(&id(1), gpus(1.0));
     for term in 2..200 {
-        let before = ledger.outstanding(&id(term));
-        ledger = ledger.join(&id(term));
-        assert_eq!(ledger.outstanding(&id(term)), before);
+        let before = ledger.granted_to_others(&id(term));
+        ledger = ledger.add_holder(&id(term));
+        assert_eq!(ledger.granted_to_others(&id(term)), before);
         let _ = ledger
-            .resize(&id(term), gpus(0.1), &limit())
+            .resize_grant(&id(term), gpus(0.1), &limit())
             .map(|next| ledger = next);
     }
     assert_eq!(ledger.grants().len(), MAX_GRANTS);
@@ -109,7 +111,7 @@
     assert!(stored.to_string().len() < 1024, "{stored}");
     assert_eq!(TeamLedger::decode(&stored).unwrap(), ledger);
     assert_eq!(
-        ledger.release(&id(2), gpus(0.0)),
+        ledger.release_grant(&id(2), gpus(0.0)),
         Err(ChangeError::NotAHolder),
         "folded"
     );
@@ -146,45 +148,52 @@
 #[test]
 fn a_holder_counts_growth_once_confirmed_and_shrinking_at_once() {
     let mut holder = holder(1);
-    holder.observe(5, Some(TeamLedger::begin(&id(1), gpus(4.0))));
+    holder.observe_record(5, Some(TeamLedger::create(&id(1), gpus(4.0))));
     let proposal = holder.propose(0.0, &demand(4.0, 2.0)).unwrap();
-    assert_eq!((proposal.expected_version, holder.grant()), (5, gpus(4.0)));
+    assert_eq!(
+        (proposal.expected_version, holder.usable_grant()),
+        (5, gpus(4.0))
+    );
     assert!(
         holder.propose(0.0, &demand(4.0, 2.0)).is_none(),
         "one write at a time"
     );
-    holder.record_outcome(Outcome::Committed(6));
-    assert_eq!(holder.grant(), gpus(8.0), "with headroom");
+    holder.record_outcome(WriteOutcome::Committed(6));
+    assert_eq!(holder.usable_grant(), gpus(8.0), "with headroom");
     // After the delay it returns the surplus, and does not learn whether that was written.
     assert!(holder.propose(10.0, &demand(1.0, 0.0)).is_none());
     assert!(holder.propose(15.0, &demand(1.0, 0.0)).is_some());
-    holder.record_outcome(Outcome::Unknown);
-    assert_eq!(holder.grant(), gpus(3.0));
+    holder.record_outcome(WriteOutcome::Unknown);
+    assert_eq!(holder.usable_grant(), gpus(3.0));
     // A later write of another holder shows that it was not, and can't be any more.
-    let others = TeamLedger::begin(&id(1), gpus(8.0)).join(&id(2));
-    holder.observe(7, Some(others));
-    assert_eq!(holder.grant(), gpus(8.0));
+    let others = TeamLedger::create(&id(1), gpus(8.0)).add_holder(&id(2));
+    holder.observe_record(7, Some(others));
+    assert_eq!(holder.usable_grant(), gpus(8.0));
 }
 
 #[test]
 fn a_recall_returns_what_is_not_used() {
     let (mut first, mut second) = (holder(1), holder(2));
-    let stored = TeamLedger::begin(&id(1), gpus(16.0));
-    second.observe(5, Some(stored));
+    let stored = TeamLedger::create(&id(1), gpus(16.0));
+    second.observe_record(5, Some(stored));
     let proposal = second.propose(0.0, &demand(0.0, 3.0)).unwrap();
-    second.record_outcome(Outcome::Committed(6));
+    second.record_outcome(WriteOutcome::Committed(6));
     assert_eq!(
-        (second.grant(), second.outstanding()),
+        (second.usable_grant(), second.granted_to_others()),
         (gpus(0.0), gpus(16.0))
     );
-    first.observe(6, Some(proposal.ledger));
+    first.observe_record(6, Some(proposal.ledger));
     let proposal = first.propose(0.0, &demand(10.0, 0.0)).unwrap();
-    first.record_outcome(Outcome::Committed(7));
-    assert_eq!(first.grant(), gpus(10.0));
-    second.observe(7, Some(proposal.ledger));
+    first.record_outcome(WriteOutcome::Committed(7));
+    assert_eq!(first.usable_grant(), gpus(10.0));
+    second.observe_record(7, Some(proposal.ledger));
     let proposal = second.propose(0.0, &demand(0.0, 3.0)).unwrap();
-    second.record_outcome(Outcome::Committed(8));
-    assert!(second.grant().covers(&gpus(3.0)), "{:?}", proposal.ledger);
+    second.record_outcome(WriteOutcome::Committed(8));
+    assert!(
+        second.usable_grant().covers(&gpus(3.0)),
+        "{:?}",
+        proposal.ledger
+    );
     assert!(
         proposal.ledger.wanted_by_others(&id(1)).is_zero(),
         "the recall is over"
@@ -194,21 +203,21 @@
 #[test]
 fn a_new_holder_absorbs_former_grants_once_everything_that_runs_is_known() {
     let mut holder = holder(2);
-    holder.observe(5, Some(TeamLedger::begin(&id(1), gpus(9.0))));
+    holder.observe_record(5, Some(TeamLedger::create(&id(1), gpus(9.0))));
     let joined = holder.propose(0.0, &demand(0.0, 0.0)).unwrap();
-    assert_eq!(joined.ledger.outstanding(&id(2)), gpus(9.0));
-    holder.record_outcome(Outcome::Committed(6));
+    assert_eq!(joined.ledger.granted_to_others(&id(2)), gpus(9.0));
+    holder.record_outcome(WriteOutcome::Committed(6));
     let known = Demand {
-        ended: Ended::AllOthers,
+        ended_holders: EndedHolders::AllOthers,
         inherited: gpus(6.0),
         ..demand(1.0, 0.0)
     };
     holder.propose(1.0, &known).unwrap();
-    holder.record_outcome(Outcome::Committed(7));
+    holder.record_outcome(WriteOutcome::Committed(7));
     assert_eq!(
-        (holder.outstanding(), holder.grant()),
+        (holder.granted_to_others(), holder.usable_grant()),
         (Amount::ZERO, gpus(8.0))
     );
-    let released = holder.release(gpus(6.0)).unwrap();
+    let released = holder.propose_release(gpus(6.0)).unwrap();
     assert_eq!(released.ledger.grant(&id(2)).unwrap().amount, gpus(6.0));
 }
--- a/src/core/controller/status.rs
+++ b/src/core/controller/status.rs
@@ -182,7 +182,7 @@
 
 /// The amount in CPUs and GPUs.
 fn capacity(amount: &Amount) -> Capacity {
-    let (cpus, gpus) = amount.units();
+    let (cpus, gpus) = amount.cpus_and_gpus();
     Capacity { cpus, gpus }
 }
 
@@ -191,7 +191,7 @@
     match stored.map(|stored| stored.ledger.as_ref()) {
         None => RecordState::None,
         Some(None) => RecordState::Damaged,
-        Some(Some(ledger)) if since.is_some_and(|since| ledger.began() >= since.0) => {
+        Some(Some(ledger)) if since.is_some_and(|since| ledger.creator_term() >= since.0) => {
             RecordState::ReliedOn
         }
         Some(Some(_)) => RecordState::NotReliedOn,
--- a/src/core/scheduling/usage.rs
+++ b/src/core/scheduling/usage.rs
@@ -78,7 +78,7 @@
         largest_allowed(max_tasks, |count| {
             let mut own = self.own;
             own.add(QuotaUnits::of(need).times(count));
-            bound.covers(&limit.limited(&own.amount()))
+            bound.covers(&limit.limited_part(&own.amount()))
         })
     }
 
@@ -86,8 +86,8 @@
     /// they were granted; if the team's usage `is_unknown`, it counts as all of that.
     fn apply_grant(&mut self, limit: &Limit, own: Amount, outstanding: &Amount, is_unknown: bool) {
         self.granted = Some(own);
-        self.grantable = Some(limit.amount().less(outstanding).max(&own));
-        let (cpus, gpus) = outstanding.units();
+        self.grantable = Some(limit.amount().minus(outstanding).max(&own));
+        let (cpus, gpus) = outstanding.cpus_and_gpus();
         let inherited = |counted: f64, granted: f64, is_limited: bool| match is_limited {
             true if is_unknown => granted,
             true => counted.min(granted),
@@ -261,7 +261,7 @@
             return Default::default();
         };
         let own = used.own.amount();
-        (own, used.total.amount().less(&own))
+        (own, used.total.amount().minus(&own))
     }
 
     /// All tasks of the team that wait only for a larger grant, and the first of them.
--- a/src/core/shard/grants.rs
+++ b/src/core/shard/grants.rs
@@ -19,7 +19,7 @@
 use crate::core::store::replica::StoreReplica;
 use crate::ids::{FencingToken, Team, Version};
 use crate::wire::{Precondition, Transaction, Write};
-use quota_ledger::{Demand, Ended, Holder, HolderId, Outcome, Proposal};
+use quota_ledger::{Demand, EndedHolders, Holder, HolderId, Proposal, WriteOutcome};
 
 /// Average delay before a failed write is retried, in seconds.
 const RETRY_PAUSE_S: Time = 0.1;
@@ -88,15 +88,16 @@
             self.seen_version = Some(version);
             let reliable_ledger = stored
                 .and_then(|stored| stored.ledger.as_ref())
-                .filter(|ledger| kept_since.is_some_and(|since| ledger.began() >= since.0));
-            self.holder.observe(version, reliable_ledger.cloned());
+                .filter(|ledger| kept_since.is_some_and(|since| ledger.creator_term() >= since.0));
+            self.holder
+                .observe_record(version, reliable_ledger.cloned());
         }
         // Other processes rely on a record for as long as it exists, so no task starts until it is deleted.
         let has_record_to_delete = self.is_record_disabled && version != 0;
         self.basis = if store.revision() < gained_at_revision || has_record_to_delete {
             QuotaBasis::Undecided
         } else if self.holder.ledger().is_some() {
-            let (own, outstanding) = (self.holder.grant(), self.holder.outstanding());
+            let (own, outstanding) = (self.holder.usable_grant(), self.holder.granted_to_others());
             QuotaBasis::Granted { own, outstanding }
         } else {
             QuotaBasis::Counting {
@@ -174,17 +175,17 @@
         let team = self.teams.get_mut(name)?;
         let is_reconciled = team.unreconciled.is_empty() && usage.is_known(name);
         let (used, inherited) = usage.own_and_inherited(name);
-        let (waiting, next) = usage.blocked_by_grant(name);
-        let ended = if is_reconciled {
-            Ended::AllOthers
+        let (waiting, first_waiting) = usage.blocked_by_grant(name);
+        let ended_holders = if is_reconciled {
+            EndedHolders::AllOthers
         } else {
-            Ended::None
+            EndedHolders::None
         };
         let demand = Demand {
             used,
             waiting,
-            next,
-            ended,
+            first_waiting,
+            ended_holders,
             inherited,
         };
         team.grant.as_mut()?.propose_change(now, &demand)
@@ -207,7 +208,7 @@
             };
             let (used, _) = usage.own_and_inherited(name);
             let released = match grant.basis {
-                QuotaBasis::Granted { .. } => grant.holder.release(used),
+                QuotaBasis::Granted { .. } => grant.holder.propose_release(used),
                 QuotaBasis::Undecided | QuotaBasis::Counting { .. } => None,
             };
             if let Some(released) = released.filter(|_| outbox.may_write()) {
@@ -316,9 +317,9 @@
             return;
         }
         grant.holder.record_outcome(match reply {
-            StoreReply::Committed(version) => Outcome::Committed(version),
-            StoreReply::Unknown => Outcome::Unknown,
-            _ => Outcome::NotExecuted,
+            StoreReply::Committed(version) => WriteOutcome::Committed(version),
+            StoreReply::Unknown => WriteOutcome::Unknown,
+            _ => WriteOutcome::NotExecuted,
         });
         match reply {
             StoreReply::Committed(_) => {}
--- a/src/core/shard/grants/tests.rs
+++ b/src/core/shard/grants/tests.rs
@@ -196,7 +196,7 @@
         incarnation: 7,
         node: "n1".into(),
     };
-    serde_json::to_value(TeamLedger::begin(&holder, Amount::covering(0.0, gpus))).unwrap()
+    serde_json::to_value(TeamLedger::create(&holder, Amount::covering(0.0, gpus))).unwrap()
 }
 
 #[test]
@@ -291,7 +291,7 @@
     );
     assert!(fixture.allows(2.0) && !fixture.allows(3.0));
     // The write was executed, and other processes rely on the record.
-    let ledger = TeamLedger::begin(
+    let ledger = TeamLedger::create(
         &HolderId {
             term: 9,
             incarnation: 1,
--- a/src/features.rs
+++ b/src/features.rs
@@ -5,7 +5,7 @@
 
 use failure_detector::{MIN_SUSPECT_HEARTBEATS, SUSPECT_HEARTBEATS};
 use garde::Validate;
-use quota_ledger::Headroom;
+use quota_ledger::HeadroomPolicy;
 use schemars::JsonSchema;
 use serde::Deserialize;
 use std::path::Path;
@@ -119,9 +119,9 @@
 
     /// The rule by which grants of team limits grow and shrink; `None` if the quota ledger is not enabled.
     /// `lease_s` is the workers' lease in seconds.
-    pub fn headroom(&self, lease_s: f64) -> Option<Headroom> {
+    pub fn headroom(&self, lease_s: f64) -> Option<HeadroomPolicy> {
         let ledger = self.quota_ledger.as_ref().filter(|ledger| ledger.enabled)?;
-        Some(Headroom {
+        Some(HeadroomPolicy {
             limit_fraction: ledger.headroom,
             surplus_delay_s: ledger.give_back_leases * lease_s,
         })
