--- a/src/core/jobs/job.rs
+++ b/src/core/jobs/job.rs
@@ -1,4 +1,4 @@
-//! An unfinished job, as the owner of its team runs it.
+//! The state of an unfinished job in the process that owns its team.
 
 use crate::core::jobs::failures::JobFailures;
 use crate::core::model::ranges::TaskIndexRanges;
@@ -13,73 +13,81 @@
 /// The state of a task.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Task {
-    /// May be on a machine that has not sent a heartbeat to this owner yet.
+    /// The task may be on a machine that has not yet sent a heartbeat to this owner.
     Unreconciled,
-    /// On no machine.
+    /// The task is on no machine.
     Waiting,
-    /// On this machine, or possibly on it.
+    /// This attempt of the task is, or may be, on this machine.
     Placed(MachineId, Attempt),
-    /// Finished; this state is final.
+    /// The task has finished. This state never changes.
     Done,
 }
 
-/// Why a task has to wait before it is tried again.
+/// The retry state of a task that has failed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Retry {
-    /// Failures of the task so far.
+    /// Number of failures of the task so far.
     pub failures: u32,
-    /// The task is not started before this time.
+    /// Time before which the task is not started again.
     pub not_before: Time,
 }
 
-/// An unfinished job and the states of its tasks.
+/// An unfinished job, the states of its tasks and the state of the writes of its record.
 pub struct Job {
-    /// The job's description.
+    /// The specification that the user submitted.
     pub spec: Rc<JobSpec>,
-    /// The stored record.
+    /// The job's record as last read from the store.
     pub record: Rc<JobRecord>,
-    /// The version of the stored record.
+    /// The version of that record, which is the precondition of the next write.
     pub version: Version,
-    /// Its own priority, or the highest of the jobs that depend on it.
+    /// The highest of its own priority and the priorities of the jobs that depend on it.
     pub priority: Priority,
-    /// When it could first run: it was submitted, and all its dependencies were done.
+    /// Since when it has been able to run: it was accepted and all its dependencies were done.
     pub runnable_since: Time,
-    /// Unfinished jobs depend on it.
+    /// Whether unfinished jobs depend on it.
     pub has_dependents: bool,
-    /// When it should be done, for its own deadline or for the jobs that depend on it.
+    /// The earlier of its own deadline and the deadline that the jobs depending on it impose; `None` without
+    /// either.
     pub deadline: Option<Time>,
+    /// The states of its tasks, by index.
     tasks: Vec<Task>,
+    /// Indexes of the tasks in state [`Task::Waiting`].
     waiting: BTreeSet<u32>,
+    /// Number of tasks in state [`Task::Unreconciled`].
     unreconciled: u32,
     /// Indexes of the tasks that are done.
     pub done: TaskIndexRanges,
-    /// Tasks that failed, by their indexes.
+    /// The retry states of tasks that have failed, by task index.
     pub retries: BTreeMap<u32, Retry>,
-    /// Number of tasks that may be in each zone.
+    /// Number of its tasks that are placed on machines of each zone.
     pub zones: BTreeMap<Zone, u32>,
-    /// The machines on which its tasks failed.
+    /// Failures of its tasks and the machines on which they failed.
     pub failures: JobFailures,
-    /// Since when there has been progress that is not recorded.
+    /// Since when it has had progress that is not recorded in the store; `None` if there is none.
     pub unrecorded_since: Option<Time>,
-    /// A write of its record is pending.
+    /// Whether a write of its record is in flight.
     pub write_in_flight: bool,
-    /// Its record is not written before this time.
+    /// Time before which its record is not written, after a failed write.
     pub write_after: Time,
-    /// A transaction with records of other jobs failed: its next write is a transaction of its own.
+    /// Whether its next write is a transaction of its own, because a transaction with records of other jobs
+    /// failed.
     pub write_alone: bool,
-    /// The store refused a record of this many bytes: only smaller ones are written.
+    /// Size in bytes of the smallest record that the store has rejected; `usize::MAX` if it has rejected none.
+    /// Only smaller records are written.
     pub refused_bytes: usize,
-    /// Some of its tasks have run before, so waiting tasks are lost ones.
+    /// Whether some of its tasks have run. Waiting tasks then include lost ones, which have to be restarted.
     pub has_started: bool,
-    /// Since when placement has found no machine for some of its tasks.
+    /// Since when placement has found no machine for some of its tasks; `None` if there are no such tasks.
     pub waits_since: Option<Time>,
-    /// Opportunistic work that has waited so long that it keeps a machine of its own until it ends.
+    /// Whether it is an opportunistic job that has waited so long that it keeps a machine of its own until it
+    /// ends.
     pub starved: bool,
 }
 
 impl Job {
-    /// A job of which nothing is known but its record. `runnable_since`: when it could first run. `reconciled`:
-    /// whether all machines have reported, so that no machine can hold any of its tasks.
+    /// Creates a job of which only the stored record is known. `runnable_since` is the time since which it
+    /// has been able to run. `reconciled` says that no machine can hold any of its tasks; they are then
+    /// waiting.
     pub fn new(
         spec: Rc<JobSpec>,
         record: Rc<JobRecord>,
@@ -124,18 +132,18 @@
         }
     }
 
-    /// The resources of each task.
+    /// Returns the resources that each of its tasks uses.
     pub fn need(&self) -> Resources {
         Resources::of(&self.spec)
     }
 
-    /// The state of a task.
+    /// Returns the state of a task; `None` if the job has no task with this index.
     pub fn task(&self, index: u32) -> Option<&Task> {
         self.tasks.get(index as usize)
     }
 
-    /// Changes a task's state; a done task stays done. `zone`: the zone of the machine that it is placed on or
-    /// removed from.
+    /// Changes the state of a task; a done task stays done. `zone` is the zone of the machine on which the
+    /// task is placed or from which it is removed.
     pub fn set_task(&mut self, index: u32, task: Task, zone: Option<&Zone>) {
         let Some(state) = self.tasks.get_mut(index as usize) else {
             return;
@@ -168,7 +176,8 @@
         }
     }
 
-    /// All machines have reported their tasks: a task that none of them reported is on no machine.
+    /// Marks the remaining unreconciled tasks as waiting after all machines have reported: a task that no
+    /// machine has reported is on no machine.
     pub fn reconcile(&mut self) {
         if self.unreconciled == 0 {
             return;
@@ -180,27 +189,27 @@
         }
     }
 
-    /// Number of tasks that may be on a machine that has not reported yet.
+    /// Returns the number of tasks that may be on a machine that has not reported yet.
     pub fn unreconciled(&self) -> u32 {
         self.unreconciled
     }
 
-    /// Indexes of the tasks that are on no machine.
+    /// Returns the indexes of the tasks that are on no machine.
     pub fn waiting(&self) -> &BTreeSet<u32> {
         &self.waiting
     }
 
-    /// Whether every task is done.
+    /// Returns whether every task is done.
     pub fn all_done(&self) -> bool {
         self.done.len() == self.spec.tasks
     }
 
-    /// Whether its tasks are started together or not at all (gang scheduling).
+    /// Returns whether its tasks are started all together or not at all (gang scheduling).
     pub fn is_gang(&self) -> bool {
         self.spec.kind == JobKind::Gang
     }
 
-    /// Attempts that may be running.
+    /// Returns the attempt numbers of the placed tasks.
     pub fn attempts(&self) -> BTreeSet<Attempt> {
         let placed = |task: &Task| match task {
             Task::Placed(_, attempt) => Some(*attempt),
@@ -209,13 +218,13 @@
         self.tasks.iter().filter_map(placed).collect()
     }
 
-    /// Number of tasks that are placed.
+    /// Returns the number of tasks in state [`Task::Placed`].
     pub fn placed(&self) -> u32 {
         self.spec.tasks - self.done.len() - task_count(self.waiting.len()) - self.unreconciled
     }
 
-    /// Whether the zone rules allow one more task in `zone`, besides the tasks in `planned` that are not placed
-    /// yet.
+    /// Returns whether the zone rules of the job allow one more task in `zone`. `planned` counts, by zone,
+    /// further tasks that are chosen but not placed yet.
     pub fn zone_allows(&self, zone: &Zone, planned: &BTreeMap<Zone, u32>) -> bool {
         if planned.is_empty() {
             return zone_allows(&self.spec, zone, &self.zones);
@@ -228,7 +237,7 @@
     }
 }
 
-/// The states of a job's tasks before any machine has reported one.
+/// Returns the states of a job's tasks before any machine has reported one of them.
 fn initial_tasks(count: u32, done: &TaskIndexRanges, reconciled: bool) -> Vec<Task> {
     let not_done = if reconciled {
         Task::Waiting
@@ -245,12 +254,13 @@
     (0..count).map(state).collect()
 }
 
-/// A number of tasks of one job. A job has at most `u32::MAX` tasks, so nothing is lost.
+/// Converts a number of tasks of one job. A job has at most `u32::MAX` tasks, so the conversion is exact.
 fn task_count(count: usize) -> u32 {
     u32::try_from(count).unwrap_or(u32::MAX)
 }
 
-/// Whether the zone rules allow one more task in `zone`, if the others may be in `zones`.
+/// Returns whether the zone rules of a job allow one more task in `zone`, given the number of its tasks that
+/// may be in each zone.
 pub fn zone_allows(spec: &JobSpec, zone: &Zone, zones: &BTreeMap<Zone, u32>) -> bool {
     if spec.zone.as_ref().is_some_and(|only| only != zone) {
         return false;
--- a/src/core/jobs/mod.rs
+++ b/src/core/jobs/mod.rs
@@ -1,4 +1,4 @@
-//! The state of an unfinished job and its tasks in the shard that owns its team.
+//! Unfinished jobs in the shard that owns their team: the states of their tasks and their failures.
 
 pub mod failures;
 pub mod job;
--- a/src/core/machines/claims.rs
+++ b/src/core/machines/claims.rs
@@ -1,9 +1,10 @@
-//! Claims of machines that can't reach their owners, nor their owners them.
+//! Claims of machines that are partitioned from their owners.
 //!
-//! A network partition between two zones leaves machines in one zone with an owner in the other: their
-//! heartbeats can't be relayed, and their leases would expire. The controller that hears them claims them in
-//! its own key, and the leader moves them to its shard as it moves any machine: their tasks keep running, and
-//! their teams keep them. So a claim by itself permits nothing; one that the shard map has overtaken is ignored.
+//! A network partition between two zones may separate machines in one zone from their owner in the other.
+//! Their heartbeats cannot be relayed, so their leases would expire. A controller that receives their
+//! heartbeats claims them in its own key, and the leader reassigns them to that controller like any other
+//! machine. Their tasks keep running and stay with their teams. A claim alone grants nothing. The leader
+//! ignores a claim whose token is no longer the one in the shard map.
 
 use crate::config::Config;
 use crate::core::model::time::Time;
@@ -12,44 +13,46 @@
 use crate::ids::{FencingToken, MachineId};
 use std::collections::BTreeMap;
 
-/// Worker leases for which a claim is valid, and for which a claimed machine stays with the claimant, even if
-/// that controller has no team.
+/// Time for which a claim is valid, in worker leases. A reassigned machine also stays with the claimant for
+/// this time, even if the claimant owns no team.
 pub(crate) const CLAIM_VALIDITY_LEASES: f64 = 3.0;
 
-/// Fraction of the limit on a stored value that claims may take.
-const VALUE_FRACTION: f64 = 0.5;
+/// Fraction of the size limit of a stored value that claims may use.
+const MAX_VALUE_FRACTION: f64 = 0.5;
 
-/// Bytes that one stored claim takes at most.
-const CLAIM_BYTES: f64 = 48.0;
+/// Maximum size of one stored claim, in bytes.
+const MAX_CLAIM_BYTES: f64 = 48.0;
 
-/// The owner's fencing token that a claim refers to, and when the claim was last made.
+/// A claim of one machine.
 struct Claim {
+    /// The token under which the machine was owned when it was claimed.
     token: FencingToken,
-    since: Time,
+    /// When the claim was last made or repeated.
+    renewed_at: Time,
 }
 
-/// The machines that this controller claims.
+/// The claims of this controller, by machine.
 pub struct MachineClaims {
     claims: BTreeMap<MachineId, Claim>,
-    /// How many claims the stored value holds.
+    /// Maximum number of claims that the stored value can hold.
     capacity: usize,
-    /// Seconds for which a claim is valid.
+    /// Seconds for which a claim is valid after it was last made.
     valid_s: Time,
 }
 
 impl MachineClaims {
-    /// No claims yet.
+    /// Creates an empty set of claims, with its capacity and validity taken from the settings.
     pub fn new(config: &Config) -> Self {
         let deployment = &config.deployment;
-        let bytes = deployment.state.value_kb * 1024.0 * VALUE_FRACTION;
+        let bytes = deployment.state.value_kb * 1024.0 * MAX_VALUE_FRACTION;
         Self {
             claims: BTreeMap::new(),
-            capacity: whole(bytes / CLAIM_BYTES),
+            capacity: round_down(bytes / MAX_CLAIM_BYTES),
             valid_s: deployment.workers.lease_s * CLAIM_VALIDITY_LEASES,
         }
     }
 
-    /// The claims as they are stored in this process's key.
+    /// Returns the claims in the form in which this process stores them under its key.
     pub fn records(&self) -> Vec<MachineClaim> {
         let claims = self.claims.iter();
         claims
@@ -60,8 +63,9 @@
             .collect()
     }
 
-    /// Claims a machine from its owner under this token; returns whether there was capacity for it. Claims that
-    /// have expired or that the shard map has overtaken are removed first.
+    /// Claims a machine that is owned under `token`, or renews its claim. Returns false if there is no
+    /// capacity for another claim. Expired claims and claims whose token the shard map has replaced are
+    /// removed first.
     pub(crate) fn add(
         &mut self,
         machine: &MachineId,
@@ -73,24 +77,27 @@
         self.claims.retain(|id, claim| {
             let owner = owners.machines.get(id);
             let is_current = owner.is_some_and(|owner| owner.token == claim.token);
-            is_current && now - claim.since < valid_s
+            is_current && now - claim.renewed_at < valid_s
         });
         let is_known = self.claims.contains_key(machine);
         let has_capacity = self.claims.len() < self.capacity;
         if is_known || has_capacity {
-            let claim = Claim { token, since: now };
+            let claim = Claim {
+                token,
+                renewed_at: now,
+            };
             self.claims.insert(machine.clone(), claim);
         }
         is_known || has_capacity
     }
 }
 
-/// The number rounded down.
+/// Rounds a number down to an integer; negative numbers become 0.
 #[expect(
     clippy::cast_possible_truncation,
-    reason = "the cast rounds down and saturates, which is what is wanted here"
+    reason = "the cast truncates and saturates as intended"
 )]
-fn whole(number: f64) -> usize {
+fn round_down(number: f64) -> usize {
     number as usize
 }
 
--- a/src/core/machines/claims/tests.rs
+++ b/src/core/machines/claims/tests.rs
@@ -2,10 +2,10 @@
 use crate::core::records::shard_map::ShardOwner;
 use crate::core::test_support::{config, owner};
 
-/// Claims that were served once stayed in the stored value for three leases, so that a zone with more machines
-/// than the value holds was claimed in part only.
+/// Guards against fulfilled claims that stay in the stored value for three leases: a zone with more machines
+/// than the value holds would then be claimed only in part.
 #[test]
-fn overtaken_and_expired_claims_free_capacity_for_others() {
+fn outdated_and_expired_claims_free_capacity_for_others() {
     let mut claims = MachineClaims::new(&config());
     let capacity = claims.capacity;
     assert!(capacity > 2);
@@ -17,10 +17,14 @@
     }
     let token = owner("n1").token;
     let claimed = (0..all).filter(|number| claims.add(&machine(*number), token, &owners, 1.0));
-    assert_eq!(claimed.count(), capacity, "no more than a value holds");
+    assert_eq!(
+        claimed.count(),
+        capacity,
+        "claims stop at the capacity of the stored value"
+    );
     assert!(
         claims.add(&machine(0), token, &owners, 1.5),
-        "it is claimed already"
+        "renewing a claim needs no capacity"
     );
     owners.machines.insert(
         machine(0),
--- a/src/core/machines/machine.rs
+++ b/src/core/machines/machine.rs
@@ -1,4 +1,4 @@
-//! A machine as its owner knows it, with the attempts that may be on it.
+//! The state of a machine in its owner, and in other controllers whose teams have attempts on it.
 
 mod attempt;
 mod capacity;
@@ -20,71 +20,74 @@
 use image_cache::ImageCache;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One machine. Its owner schedules on it; other controllers know it for the attempts of their teams
-/// that may be on it.
+/// One machine and the attempts that may be on it. Its owner schedules on it. Other controllers keep it only
+/// for the attempts of their teams.
 pub struct Machine {
-    /// Its identity.
+    /// Identity that the cloud gave the machine.
     pub id: MachineId,
-    /// Where its worker is reached; empty until a heartbeat has shown it.
+    /// Address of its worker; empty until the first heartbeat.
     pub address: String,
-    /// Its machine type; empty until a heartbeat has shown it.
+    /// Name of its machine type; empty until the first heartbeat.
     pub type_name: MachineTypeName,
-    /// Its zone; empty until a heartbeat has shown it.
+    /// Zone in which it runs; empty until the first heartbeat.
     pub zone: Zone,
-    /// It is a spot instance.
+    /// Whether it is a spot instance, which the cloud may reclaim.
     pub spot: bool,
-    /// All its resources; none until its type is known.
+    /// Total resources; zero until its type is known.
     pub total: Resources,
-    /// Rate at which it fetches images, in GB per second.
+    /// Rate at which it fetches images, in GB per second; 0 until its type is known.
     pub fetch_rate: f64,
     image_cache: ImageCache,
     heartbeat_order: HeartbeatOrder,
-    /// The fencing token that the shard map gives it, which its heartbeats must show.
+    /// Its fencing token in the shard map, which its heartbeats must carry.
     pub token: FencingToken,
-    /// A heartbeat of the present agent epoch has shown the token.
+    /// Whether a heartbeat of the present agent epoch has carried the token.
     pub token_confirmed: bool,
-    /// When a heartbeat of it was last answered with 200. Its lease ends at most the length of a lease
-    /// after this.
+    /// When one of its heartbeats was last answered with status 200. Its lease ends at most one lease
+    /// duration later.
     pub last_answered: Time,
-    /// The shard map gives it to this process; otherwise it is known for tasks of our teams on it.
+    /// Whether the shard map assigns it to this process. If not, it is kept for attempts of this process's
+    /// teams.
     pub is_owned: bool,
-    /// The living process that owned it before, until that is known to have released it: until then it
-    /// may still answer the machine and so extend its lease.
+    /// The previous owner, if that process is alive and not known to have released the machine. It may still
+    /// answer the machine's heartbeats and so extend its lease.
     pub previous_owner: Option<ProcessId>,
-    /// The store revision at which it changed its owner or token.
+    /// Store revision at which its owner or token last changed.
     pub owned_since_revision: Version,
-    /// Known to have no attempts, since its lease has expired.
+    /// Whether it is known to have no attempts because its lease has expired.
     pub known_empty: bool,
-    /// When the cloud reclaims it, if it has given notice.
+    /// When the cloud reclaims it; `None` unless the cloud has given notice.
     pub reclaimed_at: Option<Time>,
-    /// Attempts that may be on it.
+    /// Attempts that may be on it, including ended ones that its worker still reports.
     pub attempts: BTreeMap<AttemptKey, TrackedAttempt>,
-    /// Since when only opportunistic work has been on it.
+    /// Since when it has held no work other than opportunistic work.
     pub idle_since: Time,
-    /// Direct commands do not seem to reach it.
+    /// Whether direct messages seem not to reach it.
     pub unreachable: bool,
-    /// It is to be returned to the cloud.
+    /// Whether it is to be returned to the cloud.
     pub releasing: bool,
-    /// Its replicas are moved to other machines; nothing is started on it until they have ended.
+    /// Whether its replicas are being moved to other machines. Nothing is started on it until they have
+    /// ended.
     pub draining: bool,
-    /// It needs a new token, to make void the commands that may still be in flight to it.
+    /// Whether it needs a new token, which voids the commands that may still be in flight to it.
     pub needs_new_token: bool,
-    /// It was declared unresponsive under its present token, and is not answered until it has a new one.
+    /// Whether it was declared unresponsive under its present token. Its heartbeats are not answered until it
+    /// has a new token.
     pub unresponsive: bool,
-    /// Since when it could have sent a heartbeat under its present token.
+    /// Since when a heartbeat under its present token has been expected.
     pub heartbeat_expected_since: Time,
-    /// Jobs that failed on it.
+    /// Jobs that have had a task fail on it.
     pub failed_jobs: BTreeSet<JobId>,
-    /// Nothing is started on it before this time.
+    /// Time until which no task is started on it; see [`Machine::is_cordoned`].
     pub cordoned_until: Time,
-    /// When this process first knew of it.
+    /// When this process first learned of it.
     pub known_since: Time,
-    /// When a sibling last relayed a heartbeat of it.
+    /// When a sibling last relayed one of its heartbeats.
     pub last_relayed: Time,
 }
 
 impl Machine {
-    /// A machine of which only the shard map is known.
+    /// Creates a machine of which only its entry in the shard map is known.
     pub fn new(id: MachineId, token: FencingToken, now: Time) -> Self {
         Self {
             id,
@@ -119,7 +122,7 @@
         }
     }
 
-    /// Takes the description of the machine from a heartbeat.
+    /// Updates address, type, zone and spot status from a heartbeat.
     pub fn update_description(&mut self, heartbeat: &Heartbeat, types: &[MachineType]) {
         if self.address != heartbeat.address {
             self.address.clone_from(&heartbeat.address);
@@ -130,7 +133,7 @@
         self.set_type(types);
     }
 
-    /// Takes resources and rates from the machine's type, if the cloud offers it.
+    /// Updates resources, fetch rate and cache size from the machine's type, if `types` contains it.
     pub fn set_type(&mut self, types: &[MachineType]) {
         if let Some(machine_type) = types.iter().find(|offered| offered.name == self.type_name) {
             self.total = Resources {
@@ -143,17 +146,17 @@
         }
     }
 
-    /// The newest agent epoch that a message of the machine has shown.
+    /// Returns the latest agent epoch in the machine's messages.
     pub fn agent_epoch(&self) -> u64 {
         self.heartbeat_order.epoch()
     }
 
-    /// Agent epochs up to this one are over.
+    /// Returns the latest agent epoch that is known to be over; all earlier epochs are over as well.
     pub fn ended_epoch(&self) -> u64 {
         self.heartbeat_order.ended_epoch()
     }
 
-    /// Records a heartbeat in the order of the machine's messages, and tells whether it is new.
+    /// Records a heartbeat in the message order of the machine and returns whether it is new.
     pub fn accept_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -163,19 +166,19 @@
         self.heartbeat_order.accept(heartbeat, shows_token, origin)
     }
 
-    /// Its lease has expired: every attempt on it has ended, and no message of its present agent epoch
-    /// counts any more.
+    /// Ends the present agent epoch after the lease has expired: every attempt on the machine has ended, and
+    /// later messages of this epoch are ignored.
     pub fn end_epoch(&mut self) {
         self.heartbeat_order.end_epoch();
         self.token_confirmed = false;
         self.known_empty = true;
     }
 
-    /// It has a new owner or a new token. Its tasks keep running; commands sent under the earlier token
-    /// are void once it has shown the new one.
+    /// Applies a new owner or a new token. The machine's tasks keep running. Commands that were sent under
+    /// the earlier token are void once the machine has received the new one.
     pub fn change_owner(&mut self, token: FencingToken, is_owned: bool, now: Time) {
         if !self.is_owned && is_owned {
-            // Its former owner may have answered it until now.
+            // The previous owner may have answered its heartbeats until now.
             self.last_answered = now;
             self.known_empty = false;
             self.heartbeat_order.unconfirm_epoch();
@@ -190,18 +193,19 @@
         self.draining = false;
     }
 
-    /// Its former owner no longer answers it, but may have done so until now.
+    /// Records that the previous owner no longer answers the machine's heartbeats. It may have done so until
+    /// now.
     pub fn record_previous_owner_release(&mut self, now: Time) {
         self.previous_owner = None;
         self.last_answered = self.last_answered.max(now);
     }
 
-    /// Whether every attempt that may be on it is known.
+    /// Returns whether every attempt that may be on the machine is known.
     pub fn reconciled(&self) -> bool {
         self.token_confirmed || self.known_empty
     }
 
-    /// Whether tasks may be started on it.
+    /// Returns whether tasks may be started on the machine.
     pub fn usable(&self, now: Time) -> bool {
         self.token_confirmed
             && self.is_owned
@@ -214,7 +218,8 @@
             && !self.is_cordoned(now)
     }
 
-    /// Whether it is cordoned, for several jobs have failed on it alone.
+    /// Returns whether the machine is cordoned because several jobs have failed on it and on no other
+    /// machine.
     pub fn is_cordoned(&self, now: Time) -> bool {
         now < self.cordoned_until
     }
--- a/src/core/machines/machine/attempt.rs
+++ b/src/core/machines/machine/attempt.rs
@@ -1,16 +1,16 @@
-//! One attempt of a task that may be on a machine.
+//! The state of an attempt that may be on a machine.
 
 use crate::core::model::resources::Resources;
 use crate::core::model::time::Time;
 use crate::ids::{Image, Team};
 use crate::wire::{ExitReason, Priority, TaskState};
 
-/// How far an attempt is known to have come.
+/// The latest known phase of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Phase {
-    /// A start command was issued; no heartbeat has shown the attempt yet.
+    /// A start command was issued, but no heartbeat has reported the attempt yet.
     Issued,
-    /// The newest heartbeat shows the attempt in this state, which is not an exit.
+    /// The newest heartbeat reports the attempt in this state, which is not an exit.
     Seen(TaskState),
     /// The attempt has ended for this reason.
     Exited(ExitReason),
@@ -19,34 +19,34 @@
 /// One attempt of a task that may be on the machine.
 #[derive(Clone, Debug)]
 pub struct TrackedAttempt {
-    /// Resources it uses; None while its job is unknown.
+    /// Resources that it uses; `None` while its job is unknown.
     pub resources: Option<Resources>,
-    /// Team of its job; None while the job is unknown.
+    /// Team of its job; `None` while the job is unknown.
     pub team: Option<Team>,
-    /// Image it needs, and the size of that image in GB.
+    /// Image that it needs and the size of the image in GB; `None` while its job is unknown.
     pub image: Option<(Image, f64)>,
-    /// Priority of its job.
+    /// Priority of its job, raised to that of jobs that depend on it; low while the job is unknown.
     pub priority: Priority,
-    /// It is preempted by any other work ([`crate::core::scheduling::opportunistic`]).
+    /// Whether any other work may preempt it ([`crate::core::scheduling::opportunistic`]).
     pub opportunistic: bool,
-    /// Seconds it needs to write a checkpoint when it is stopped; 0 if it never writes one.
+    /// Seconds that it needs to write a checkpoint when it is stopped; 0 if it writes none.
     pub checkpoint_write_s: f64,
-    /// How far it is known to have come.
+    /// Its latest known phase.
     pub phase: Phase,
-    /// When its start was issued, or when a heartbeat first showed it.
+    /// When its start was issued, or when a heartbeat first reported it if this process did not start it.
     pub issued_at: Time,
-    /// When it was first seen with its image.
+    /// When it was first known to be on the machine with its image fetched.
     pub started_at: Option<Time>,
-    /// Grace period in seconds of the stop that was requested; None if it is to go on.
+    /// Grace period in seconds of the requested stop; `None` if no stop was requested.
     pub stop: Option<f64>,
-    /// The worker may forget its exit: it is recorded, or has no consequence.
+    /// Whether the worker may forget its exit, because the exit is recorded or needs no record.
     pub may_forget: bool,
-    /// Heartbeats since the start was issued that did not show the attempt.
+    /// Number of heartbeats since its start was issued that did not report it.
     pub missed_heartbeats: u32,
 }
 
 impl TrackedAttempt {
-    /// An attempt of an unknown job, whose start is issued now.
+    /// Creates an attempt of an unknown job whose start is issued now.
     pub fn new(now: Time) -> Self {
         Self {
             resources: None,
@@ -64,19 +64,19 @@
         }
     }
 
-    /// Whether the attempt has ended.
+    /// Returns whether the attempt has ended.
     pub fn exited(&self) -> bool {
         matches!(self.phase, Phase::Exited(_))
     }
 
-    /// Whether the attempt is on the machine and its image has been fetched.
+    /// Returns whether the attempt is on the machine and its image has been fetched.
     pub fn has_image(&self) -> bool {
         use TaskState::{Checkpointing, Running, Waiting};
         matches!(self.phase, Phase::Seen(Waiting | Running | Checkpointing))
     }
 
     /// Requests a stop with this grace period in seconds, unless the attempt has exited or a stop was
-    /// requested before. Returns whether the machine must be sent the request.
+    /// requested before. Returns whether the request has to be sent to the machine.
     pub fn request_stop(&mut self, grace_s: f64) -> bool {
         let is_new = !self.exited() && self.stop.is_none();
         if is_new {
@@ -85,8 +85,8 @@
         is_new
     }
 
-    /// Requests a stop without grace period, also if one with a grace period was requested before.
-    /// Returns whether the machine must be sent the request.
+    /// Requests a stop without a grace period. It replaces an earlier request that had one. Returns whether
+    /// the request has to be sent to the machine.
     pub fn request_immediate_stop(&mut self) -> bool {
         let immediately = Some(0.0);
         let is_new = !self.exited() && self.stop != immediately;
--- a/src/core/machines/machine/capacity.rs
+++ b/src/core/machines/machine/capacity.rs
@@ -1,4 +1,4 @@
-//! Resources of a machine that are free or in use.
+//! Free and used resources of a machine.
 
 use super::{Machine, TrackedAttempt};
 use crate::core::machines::starts_in_flight::AttemptKey;
@@ -7,28 +7,29 @@
 use crate::wire::Priority;
 
 impl Machine {
-    /// Resources that are free now.
+    /// Returns the resources that are free now.
     pub fn free(&self) -> Resources {
-        self.free_beside(|_| true)
+        self.free_besides(|_| true)
     }
 
-    /// Resources that are free once every attempt with a requested stop has ended.
+    /// Returns the resources that are free once every attempt with a requested stop has ended.
     pub fn free_after_stops(&self) -> Resources {
-        self.free_beside(|tracked| tracked.stop.is_none())
+        self.free_besides(|tracked| tracked.stop.is_none())
     }
 
-    /// Resources that are free once opportunistic work has been preempted as well.
+    /// Returns the resources that are free once opportunistic work has been preempted as well.
     pub fn free_for_other_work(&self) -> Resources {
-        self.free_beside(|tracked| tracked.stop.is_none() && !tracked.opportunistic)
+        self.free_besides(|tracked| tracked.stop.is_none() && !tracked.opportunistic)
     }
 
-    /// Resources left by the attempts that count; none if what one of them uses is unknown.
-    fn free_beside(&self, counts: impl Fn(&TrackedAttempt) -> bool) -> Resources {
+    /// Returns the total resources minus those of the attempts that satisfy `is_counted`. Returns no
+    /// resources if those of a counted attempt are unknown.
+    fn free_besides(&self, is_counted: impl Fn(&TrackedAttempt) -> bool) -> Resources {
         let mut free = self.total;
         let counted = self
             .attempts
             .values()
-            .filter(|tracked| !tracked.exited() && counts(tracked));
+            .filter(|tracked| !tracked.exited() && is_counted(tracked));
         for tracked in counted {
             match &tracked.resources {
                 Some(used) => free = free.minus(used),
@@ -38,14 +39,14 @@
         free
     }
 
-    /// Resources used by attempts that are to go on, by priority.
+    /// Returns the resources of attempts that have neither ended nor been requested to stop, by priority.
     pub fn running_by_priority(&self) -> [Resources; Priority::COUNT] {
         let mut running = [Resources::default(); Priority::COUNT];
-        let going_on = self
+        let continuing = self
             .attempts
             .values()
             .filter(|tracked| !tracked.exited() && tracked.stop.is_none());
-        for tracked in going_on {
+        for tracked in continuing {
             if let Some(used) = &tracked.resources
                 && let Some(sum) = running.get_mut(tracked.priority as usize)
             {
@@ -55,25 +56,25 @@
         running
     }
 
-    /// GPUs that are free or used by work of normal and low priority.
+    /// Returns the number of GPUs that are free or used by work of normal or low priority.
     pub fn gpus_without_urgent_work(&self) -> f64 {
-        let urgent =
+        let is_urgent =
             |tracked: &&TrackedAttempt| !tracked.exited() && tracked.priority > Priority::Normal;
-        let taken = self.attempts.values().filter(urgent);
+        let urgent_attempts = self.attempts.values().filter(is_urgent);
         self.total.gpus
-            - taken
+            - urgent_attempts
                 .filter_map(|tracked| tracked.resources)
                 .map(|used| used.gpus)
                 .sum::<f64>()
     }
 
-    /// Whether no attempt is on the machine.
+    /// Returns whether every attempt on the machine has ended.
     pub fn idle(&self) -> bool {
         self.attempts.values().all(TrackedAttempt::exited)
     }
 
-    /// An attempt has ended or is dropped. If it was the last one that is not opportunistic, the
-    /// machine is idle from now on.
+    /// Updates `idle_since` when an attempt has ended or is dropped: the machine is idle from `now` on if no
+    /// other attempt runs that is not opportunistic. The end of an opportunistic attempt changes nothing.
     pub fn update_idle_since(&mut self, key: &AttemptKey, now: Time) {
         if self
             .attempts
--- a/src/core/machines/machine/commands.rs
+++ b/src/core/machines/machine/commands.rs
@@ -1,14 +1,14 @@
-//! The commands that the next message to a machine carries.
+//! The commands in the next message to a machine.
 
 use super::{Machine, Phase, TrackedAttempt};
 use crate::core::machines::starts_in_flight::{AttemptKey, StartsInFlight};
 use crate::wire::Command;
 use std::collections::BTreeSet;
 
-/// How commands reach a machine.
+/// The kind of message that carries commands to a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandChannel {
-    /// A message on a connection that the controller opens.
+    /// A direct message, on a connection that the controller opens.
     Direct,
     /// The response to a heartbeat.
     HeartbeatResponse,
@@ -17,14 +17,14 @@
 /// The commands of one message to a machine.
 #[derive(Debug, Default)]
 pub struct CommandBatch {
-    /// The commands, ordered by task and attempt.
+    /// Start, stop and forget commands, ordered by task and attempt.
     pub commands: Vec<Command>,
-    /// The attempts that the message starts.
+    /// The attempts for which `commands` contains a start.
     pub starts: BTreeSet<AttemptKey>,
 }
 
 impl Machine {
-    /// The commands for the next message, given the starts that are in flight already.
+    /// Returns the commands for the next message. `in_flight` holds the starts that have already been sent.
     pub fn commands(&self, in_flight: &StartsInFlight, channel: CommandChannel) -> CommandBatch {
         let mut batch = CommandBatch::default();
         for (key, tracked) in &self.attempts {
@@ -39,7 +39,7 @@
         batch
     }
 
-    /// The command for one attempt, if it needs one.
+    /// Returns the command that an attempt needs, if any.
     fn command(
         &self,
         key: &AttemptKey,
@@ -50,8 +50,8 @@
         let (task, attempt) = (key.0.to_string(), key.1);
         match (&tracked.phase, tracked.stop) {
             (Phase::Issued, None) => {
-                // A start in an unanswered direct message needs no second one. The response to a
-                // heartbeat carries all starts, for direct messages may not reach the machine.
+                // A start in an unanswered direct message is not sent in a second one. The response to a
+                // heartbeat carries all starts, because direct messages may not reach the machine.
                 let is_sent =
                     channel == CommandChannel::Direct && in_flight.awaits_answer(&self.id, key);
                 (!is_sent).then_some(Command::Start { task, attempt })
@@ -61,7 +61,7 @@
                 attempt,
                 grace_s,
             }),
-            // While a start may still arrive, a worker that forgot the exit would start the task again.
+            // If a start may still arrive, a worker that has forgotten the exit would start the task again.
             (Phase::Exited(_), _) if tracked.may_forget && !in_flight.may_arrive(&self.id, key) => {
                 Some(Command::Forget { task, attempt })
             }
--- a/src/core/machines/machine/heartbeat_order.rs
+++ b/src/core/machines/machine/heartbeat_order.rs
@@ -1,44 +1,43 @@
-//! The order of a worker's messages. They arrive late, twice and out of order; only one that is newer
-//! than everything received before may change what is known of the machine.
+//! The order of a worker's messages. Messages may be delayed, duplicated and reordered. Only a message that
+//! is newer than all messages received before may change the state of the machine.
 
 use crate::wire::Heartbeat;
 
-/// How a heartbeat was received.
+/// The kind of message that carried a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatOrigin {
-    /// The worker sent it by itself, and waits for the response.
+    /// A periodic request of the worker, which waits for the response.
     Periodic,
-    /// It is the answer to a direct message with commands.
+    /// The answer to a direct message with commands.
     CommandReply,
 }
 
-/// Whether a heartbeat is newer than what was received before.
+/// Whether a heartbeat is newer than the messages received before.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// Newer than every message received before.
+    /// The heartbeat is newer than every message received before.
     New {
-        /// It begins a later agent epoch than the one known here: everything that was on the machine
-        /// in the earlier one has ended.
+        /// Whether it begins a later agent epoch. All attempts of the earlier epoch have then ended.
         new_epoch: bool,
     },
-    /// Its worker waits for the response, but a newer message of the same epoch was received.
+    /// The worker waits for the response, but a newer message of the same epoch was received before.
     Superseded,
-    /// A copy of an earlier heartbeat, or one of an epoch that is over. It proves nothing.
+    /// The heartbeat is a copy of an earlier one or belongs to an epoch that is over. It must be ignored.
     Duplicate,
 }
 
-/// The newest agent epoch and messages of one machine.
+/// The newest agent epoch of one machine and the newest messages of that epoch.
 #[derive(Default)]
 pub(super) struct HeartbeatOrder {
     epoch: u64,
-    /// The epoch was seen under a token of the present owner, so that a later one ends what is on the
-    /// machine.
+    /// Whether the epoch was reported with a token of the present owner. Only then does a later epoch show
+    /// that the known attempts have ended.
     epoch_is_confirmed: bool,
-    /// Newest message of the epoch, of either origin.
+    /// Highest sequence number of the epoch, of either origin.
     sequence: u64,
-    /// Newest periodic heartbeat of the epoch.
+    /// Highest sequence number of a periodic heartbeat of the epoch.
     periodic_sequence: u64,
-    /// Epochs up to this one are over.
+    /// The latest epoch that is known to be over.
     ended_epoch: u64,
 }
 
@@ -51,19 +50,20 @@
         self.ended_epoch
     }
 
-    /// The present epoch is over: none of its messages counts any more.
+    /// Ends the present epoch: later messages of it are duplicates.
     pub(super) fn end_epoch(&mut self) {
         self.ended_epoch = self.epoch;
     }
 
-    /// The machine comes from another owner. Its epoch is known only once it has shown the new token:
-    /// what was known when it was here before, or from the copy of an old heartbeat, may be older than
-    /// the tasks that its former owner reported.
+    /// Marks the epoch as unconfirmed after the machine came from another owner, until the machine reports
+    /// the new token. The epoch known from an earlier ownership, or from a copy of an old heartbeat, may be
+    /// older than the attempts that the previous owner reported.
     pub(super) fn unconfirm_epoch(&mut self) {
         self.epoch_is_confirmed = false;
     }
 
-    /// Records a heartbeat and tells whether it is new. `shows_token`: it shows the owner's present token.
+    /// Records a heartbeat and returns whether it is new. `shows_token` says whether the heartbeat carries
+    /// the owner's present token.
     pub(super) fn accept(
         &mut self,
         heartbeat: &Heartbeat,
--- a/src/core/machines/machine/image_cache.rs
+++ b/src/core/machines/machine/image_cache.rs
@@ -1,22 +1,23 @@
-//! Images on a machine, and the time to fetch others.
+//! The images that are cached on a machine, and estimates of the time to fetch others.
 
 use super::Machine;
 use crate::core::model::time::Time;
 use crate::ids::Image;
 use std::collections::BTreeMap;
 
-/// Allowance for fetches below the published rate, from which they deviate by up to a third.
-const FETCH_SLOWNESS: f64 = 1.2;
+/// Factor on the expected duration of a fetch. The actual rate deviates from the published rate by up to a
+/// third.
+const FETCH_TIME_FACTOR: f64 = 1.2;
 
-/// Part of the expected time that a fetch is taken to last at least: one that is overdue is not
-/// expected to be complete at once.
-const LEAST_REMAINING_FETCH: f64 = 0.1;
+/// Minimum remaining time of a fetch in progress, as a fraction of its expected duration. An overdue fetch is
+/// not expected to complete immediately.
+const MIN_REMAINING_FETCH_FRACTION: f64 = 0.1;
 
-/// Images on a machine, of which the least recently used is evicted first.
+/// The controller's model of the image cache of a worker, which evicts the least recently used image first.
 #[derive(Default)]
 pub(super) struct ImageCache {
     pub(super) capacity_gb: f64,
-    /// Images with their sizes in GB, the most recently used last.
+    /// Cached images and their sizes in GB, the most recently used last.
     images: Vec<(Image, f64)>,
 }
 
@@ -25,10 +26,10 @@
         self.images.iter().any(|(known, _)| known == image)
     }
 
-    /// Records a use of an image, and evicts others if it was not in the cache and does not fit.
+    /// Records the use of an image. If it was not in the cache and exceeds the capacity, evicts others.
     fn record_use(&mut self, image: &Image, gb: f64) {
-        if let Some(at) = self.images.iter().position(|(known, _)| known == image) {
-            let entry = self.images.remove(at);
+        if let Some(index) = self.images.iter().position(|(known, _)| known == image) {
+            let entry = self.images.remove(index);
             self.images.push(entry);
             return;
         }
@@ -45,29 +46,30 @@
 }
 
 impl Machine {
-    /// A task has used this image, which so is on the machine.
+    /// Records that a task has used this image, so that the image is on the machine.
     pub fn record_image_use(&mut self, image: &Image, gb: f64) {
         self.image_cache.record_use(image, gb);
     }
 
-    /// Whether the image is on the machine.
+    /// Returns whether the image is on the machine.
     pub fn has_image(&self, image: &Image) -> bool {
         self.image_cache.contains(image)
     }
 
-    /// Images on the machine with their sizes in GB, the most recently used last.
+    /// Returns the images on the machine and their sizes in GB, the most recently used last.
     pub fn images(&self) -> &[(Image, f64)] {
         &self.image_cache.images
     }
 
-    /// Takes the images that an earlier owner reported, unless some are known here already.
+    /// Adopts the images that a previous owner reported, unless some images are already known here.
     pub fn seed_images(&mut self, images: &[(Image, f64)]) {
         if self.image_cache.images.is_empty() {
             self.image_cache.images = images.to_vec();
         }
     }
 
-    /// Seconds to fetch the largest image on the machine.
+    /// Returns the time in seconds to fetch the largest image on the machine at the published rate; 0 if the
+    /// rate is unknown.
     pub fn longest_fetch(&self) -> Time {
         if self.fetch_rate > 0.0 {
             self.image_cache.largest_gb() / self.fetch_rate
@@ -76,12 +78,13 @@
         }
     }
 
-    /// Seconds for a fetch that has the whole rate to itself.
+    /// Returns the expected duration in seconds of a fetch that shares the rate with no other fetch.
     pub fn fetch_s(&self, gb: f64) -> Time {
-        gb / self.fetch_rate * FETCH_SLOWNESS
+        gb / self.fetch_rate * FETCH_TIME_FACTOR
     }
 
-    /// Seconds until a task that needs this image could run on the machine.
+    /// Returns the expected time in seconds until the image is on the machine; infinite if the fetch rate is
+    /// unknown. Fetches in progress share the rate.
     pub fn ready_in(&self, image: &Image, gb: f64, now: Time) -> Time {
         if self.has_image(image) || gb <= 0.0 {
             return 0.0;
@@ -89,18 +92,18 @@
         if self.fetch_rate <= 0.0 {
             return Time::INFINITY;
         }
-        let alone = self.fetch_s(gb);
+        let exclusive_s = self.fetch_s(gb);
         let fetching = self.fetches_in_progress();
         match fetching.get(image) {
             Some(since) => {
-                let shared = alone * fetching.len() as f64;
-                (shared - (now - since)).max(shared * LEAST_REMAINING_FETCH)
+                let shared_s = exclusive_s * fetching.len() as f64;
+                (shared_s - (now - since)).max(shared_s * MIN_REMAINING_FETCH_FRACTION)
             }
-            None => alone * (fetching.len() + 1) as f64,
+            None => exclusive_s * (fetching.len() + 1) as f64,
         }
     }
 
-    /// Images that are being fetched, and since when.
+    /// Returns the images that are being fetched, and since when.
     fn fetches_in_progress(&self) -> BTreeMap<&Image, Time> {
         let mut fetching: BTreeMap<&Image, Time> = BTreeMap::new();
         let without_image = self
--- a/src/core/machines/machine/tests.rs
+++ b/src/core/machines/machine/tests.rs
@@ -5,9 +5,9 @@
     test_support::heartbeat("m-1", agent_epoch, sequence, FencingToken(1))
 }
 
-/// Copies of heartbeats arrive seconds to minutes late; they must prove nothing.
+/// Copies of heartbeats arrive seconds to minutes late. They must not change the state of the machine.
 #[test]
-fn duplicate_and_superseded_heartbeats_are_recognised() {
+fn duplicate_and_superseded_heartbeats_are_recognized() {
     let mut machine = Machine::new("m-1".into(), FencingToken(1), 0.0);
     assert_eq!(
         machine.accept_heartbeat(&heartbeat(1, 5), HeartbeatOrigin::Periodic),
@@ -40,10 +40,10 @@
     );
 }
 
-/// The machine's lease expired under another owner, which started tasks in the later agent epoch. These
-/// came here with the machine, so the later epoch must not end them.
+/// The machine's lease expired under another owner, which started attempts in the later agent epoch. They
+/// moved here with the machine, so the first message of that epoch must not end them.
 #[test]
-fn an_agent_epoch_known_from_before_the_change_of_owner_ends_nothing() {
+fn an_agent_epoch_from_before_the_change_of_owner_does_not_end_attempts() {
     let mut machine = Machine::new("m-1".into(), FencingToken(1), 0.0);
     machine.is_owned = true;
     assert_eq!(
@@ -52,7 +52,7 @@
     );
     machine.change_owner(FencingToken(2), false, 1.0);
     machine.change_owner(FencingToken(3), true, 2.0);
-    // Without our token: first a late copy, then the machine itself.
+    // Two messages without the present token: a delayed copy and a new heartbeat of the machine.
     assert_eq!(
         machine.accept_heartbeat(&heartbeat(1, 7), HeartbeatOrigin::Periodic),
         Freshness::New { new_epoch: false }
@@ -61,16 +61,16 @@
         machine.accept_heartbeat(&heartbeat(2, 1), HeartbeatOrigin::Periodic),
         Freshness::New { new_epoch: false }
     );
-    let with_our_token = |agent_epoch, sequence| Heartbeat {
+    let with_present_token = |agent_epoch, sequence| Heartbeat {
         token: FencingToken(3),
         ..heartbeat(agent_epoch, sequence)
     };
     assert_eq!(
-        machine.accept_heartbeat(&with_our_token(2, 2), HeartbeatOrigin::Periodic),
+        machine.accept_heartbeat(&with_present_token(2, 2), HeartbeatOrigin::Periodic),
         Freshness::New { new_epoch: false }
     );
     assert_eq!(
-        machine.accept_heartbeat(&with_our_token(3, 1), HeartbeatOrigin::Periodic),
+        machine.accept_heartbeat(&with_present_token(3, 1), HeartbeatOrigin::Periodic),
         Freshness::New { new_epoch: true }
     );
 }
--- a/src/core/machines/mod.rs
+++ b/src/core/machines/mod.rs
@@ -1,5 +1,5 @@
-//! Machines as the controllers that schedule on them know them: their state, the start commands in
-//! flight to them, the attempts on them, and the claims and silences that concern their owners.
+//! The state of machines in a controller: their attempts, the start commands in flight to them, claims of
+//! machines that cannot reach their owners, and declarations that a machine is unresponsive.
 
 pub mod claims;
 pub mod machine;
--- a/src/core/machines/starts_in_flight.rs
+++ b/src/core/machines/starts_in_flight.rs
@@ -1,43 +1,44 @@
-//! Start commands in flight to machines: the one place that knows whether the start of an attempt may
-//! still reach its machine.
+//! Start commands in flight to machines. This module alone tracks whether the start of an attempt may still
+//! reach its machine.
 //!
-//! A start travels in direct messages, each on a connection of its own, and in the responses to the
-//! machine's heartbeats. Until every message that carried it is known to have been executed, refused or
-//! never sent, the attempt may begin on the machine, whatever its heartbeats show meanwhile: an attempt
-//! that is taken to be absent, or whose exit the worker forgets, would then begin while the task
-//! runs elsewhere (`docs/incidents/2026-12-start-under-way.md`).
+//! A start is sent in direct messages, each on its own connection, and in responses to the machine's
+//! heartbeats. The attempt may begin on the machine until every message that carried its start is known to
+//! have been executed, refused or never sent. The machine's heartbeats do not change this. If such an attempt
+//! were taken to be absent, or if the worker forgot its exit, it could begin while the task runs elsewhere
+//! (`docs/incidents/2026-12-start-under-way.md`).
 //!
-//! A machine that has shown a higher fencing token or a later agent epoch executes nothing that was sent
-//! under an earlier one, so that makes a message void too. These records outlive the attempts, and the
-//! machine's changes to other owners and back.
+//! A message is also void if the machine has reported a higher fencing token or a later agent epoch: the
+//! worker executes nothing that was sent under an earlier one. The entries outlive the attempts. They also
+//! remain while the machine belongs to other owners.
 
 use crate::core::effects::CallId;
 use crate::ids::{Attempt, FencingToken, MachineId, TaskId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One attempt of a task.
+/// Identifies an attempt by its task and its number within the task.
 pub type AttemptKey = (TaskId, Attempt);
 
-/// A worker executes a message only if it knows no higher token, and is in this agent epoch.
+/// The fence of a message: a worker executes the message only if it is in this agent epoch and knows no
+/// higher token.
 #[derive(Clone, Copy, Debug)]
 pub struct Fence {
     /// The machine's fencing token when the message was sent.
     pub token: FencingToken,
-    /// The worker's agent epoch for which it is meant.
+    /// The worker's agent epoch for which the message is valid.
     pub agent_epoch: u64,
 }
 
-/// A direct message with starts.
+/// A direct message that contains starts and may still arrive.
 #[derive(Debug)]
 struct DirectMessage {
     call: CallId,
     fence: Fence,
     starts: BTreeSet<AttemptKey>,
-    /// Its answer is no longer awaited, but the message may still arrive.
-    given_up: bool,
+    /// Whether its answer is no longer awaited. The message may have been executed or may still arrive.
+    outcome_unknown: bool,
 }
 
-/// The starts in the response to a heartbeat of this agent epoch.
+/// The response to a heartbeat of this agent epoch, with the starts that it contains.
 #[derive(Debug)]
 struct HeartbeatResponse {
     agent_epoch: u64,
@@ -48,8 +49,8 @@
 #[derive(Debug, Default)]
 struct MachineStarts {
     direct: Vec<DirectMessage>,
-    /// The response to its newest heartbeat. A worker has one heartbeat in flight at a time, and executes
-    /// the response before it sends the next one, or never.
+    /// The response to its newest heartbeat. A worker has one heartbeat in flight at a time. It executes the
+    /// response before it sends the next heartbeat, or never.
     response: Option<HeartbeatResponse>,
 }
 
@@ -73,18 +74,18 @@
     fn awaits_answer(&self, attempt: &AttemptKey) -> bool {
         self.direct
             .iter()
-            .any(|message| !message.given_up && message.starts.contains(attempt))
+            .any(|message| !message.outcome_unknown && message.starts.contains(attempt))
     }
 }
 
-/// Starts that may still arrive, by machine.
+/// The starts that may still arrive, by machine.
 #[derive(Debug, Default)]
 pub struct StartsInFlight {
     machines: BTreeMap<MachineId, MachineStarts>,
 }
 
 impl StartsInFlight {
-    /// Records a direct message with these starts that is sent now.
+    /// Records that a direct message with these starts is sent. Messages without starts are not tracked.
     pub fn record_direct_message(
         &mut self,
         machine: &MachineId,
@@ -99,14 +100,14 @@
             call,
             fence,
             starts,
-            given_up: false,
+            outcome_unknown: false,
         };
         let in_flight = self.machines.entry(machine.clone()).or_default();
         in_flight.direct.push(message);
     }
 
-    /// A direct message was executed or refused, or was never sent: it will not arrive, or not again.
-    /// Returns the starts it carried.
+    /// Records that a direct message was executed, refused or never sent, so that it can no longer arrive.
+    /// Returns the starts that it contained.
     pub fn record_outcome(&mut self, machine: &MachineId, call: CallId) -> BTreeSet<AttemptKey> {
         let Some(in_flight) = self.machines.get_mut(machine) else {
             return BTreeSet::new();
@@ -118,24 +119,27 @@
         let starts = position
             .map(|position| in_flight.direct.swap_remove(position).starts)
             .unwrap_or_default();
-        self.prune(machine);
+        self.remove_if_empty(machine);
         starts
     }
 
-    /// A direct message was not answered in time: it was executed, or was not, or will be later.
-    /// Returns how many messages to the machine may now arrive late.
-    pub fn record_timeout(&mut self, machine: &MachineId, call: CallId) -> usize {
+    /// Records that no valid answer to a direct message arrived. The message may have been executed or may
+    /// still arrive. Returns the number of such messages to the machine.
+    pub fn record_unknown_outcome(&mut self, machine: &MachineId, call: CallId) -> usize {
         let Some(in_flight) = self.machines.get_mut(machine) else {
             return 0;
         };
         let direct = &mut in_flight.direct;
         for message in direct.iter_mut().filter(|message| message.call == call) {
-            message.given_up = true;
+            message.outcome_unknown = true;
         }
-        direct.iter().filter(|message| message.given_up).count()
+        direct
+            .iter()
+            .filter(|message| message.outcome_unknown)
+            .count()
     }
 
-    /// Records that a heartbeat of this agent epoch is answered with these starts.
+    /// Records that the response to a heartbeat of this agent epoch contains these starts.
     pub fn record_heartbeat_response(
         &mut self,
         machine: &MachineId,
@@ -152,16 +156,17 @@
         });
     }
 
-    /// A newer heartbeat of the machine was received: the response to the one before was executed, or
-    /// never will be.
+    /// Discards the response to the previous heartbeat after a newer one was received: the worker has
+    /// executed that response or never will.
     pub fn clear_heartbeat_response(&mut self, machine: &MachineId) {
         if let Some(in_flight) = self.machines.get_mut(machine) {
             in_flight.response = None;
-            self.prune(machine);
+            self.remove_if_empty(machine);
         }
     }
 
-    /// The machine has shown this token and agent epoch: what was sent under earlier ones is void.
+    /// Discards the messages that were sent under an earlier token or agent epoch than these, which the
+    /// machine has reported.
     pub fn discard_outdated(&mut self, machine: &MachineId, token: FencingToken, agent_epoch: u64) {
         let Some(in_flight) = self.machines.get_mut(machine) else {
             return;
@@ -172,35 +177,36 @@
         in_flight
             .response
             .take_if(|response| response.agent_epoch < agent_epoch);
-        self.prune(machine);
+        self.remove_if_empty(machine);
     }
 
-    /// Drops the starts to machines that no longer exist.
+    /// Discards the starts to machines that no longer exist.
     pub fn retain_machines(&mut self, exists: impl Fn(&MachineId) -> bool) {
         self.machines.retain(|machine, _| exists(machine));
     }
 
-    /// The agent epoch in which everything was sent is over: nothing of it will be executed.
+    /// Discards all starts to a machine after its agent epoch has ended: none of them can be executed any
+    /// more.
     pub fn discard_all(&mut self, machine: &MachineId) {
         self.machines.remove(machine);
     }
 
-    /// Whether a start of this attempt may still arrive.
+    /// Returns whether a start of this attempt may still arrive at the machine.
     pub fn may_arrive(&self, machine: &MachineId, attempt: &AttemptKey) -> bool {
         self.machines
             .get(machine)
             .is_some_and(|in_flight| in_flight.may_arrive(attempt))
     }
 
-    /// Whether a direct message with the start of this attempt is awaiting its answer.
+    /// Returns whether a direct message with the start of this attempt still awaits its answer.
     pub fn awaits_answer(&self, machine: &MachineId, attempt: &AttemptKey) -> bool {
         self.machines
             .get(machine)
             .is_some_and(|in_flight| in_flight.awaits_answer(attempt))
     }
 
-    /// Keeps no entry without starts.
-    fn prune(&mut self, machine: &MachineId) {
+    /// Removes the machine's entry if it has no starts left.
+    fn remove_if_empty(&mut self, machine: &MachineId) {
         if self
             .machines
             .get(machine)
--- a/src/core/machines/task_index.rs
+++ b/src/core/machines/task_index.rs
@@ -1,25 +1,25 @@
-//! The machines on which attempts of each job may be, so that the cost of an event of a job depends on
-//! its own tasks and not on the size of the fleet.
+//! An index of the machines on which attempts of each job may be. With it, the cost of handling an event of a
+//! job depends on the number of its tasks instead of the size of the fleet.
 
 use crate::ids::{JobId, MachineId};
 use std::collections::BTreeMap;
 
-/// Numbers of attempts that may be on machines, by job and machine.
+/// The number of attempts that may be on each machine, by job and machine. Entries are never zero.
 #[derive(Default)]
 pub struct TaskIndex {
-    attempts: BTreeMap<JobId, BTreeMap<MachineId, usize>>,
+    attempt_counts: BTreeMap<JobId, BTreeMap<MachineId, usize>>,
 }
 
 impl TaskIndex {
-    /// Adds an attempt of a job that may be on a machine.
+    /// Counts one more attempt of a job that may be on a machine.
     pub fn add(&mut self, job: &JobId, machine: &MachineId) {
-        let machines = self.attempts.entry(job.clone()).or_default();
+        let machines = self.attempt_counts.entry(job.clone()).or_default();
         *machines.entry(machine.clone()).or_default() += 1;
     }
 
-    /// Removes an attempt of a job that is no longer on a machine.
+    /// Counts one attempt fewer after an attempt of a job was removed from a machine.
     pub fn remove(&mut self, job: &JobId, machine: &MachineId) {
-        let Some(machines) = self.attempts.get_mut(job) else {
+        let Some(machines) = self.attempt_counts.get_mut(job) else {
             return;
         };
         let Some(count) = machines.get_mut(machine) else {
@@ -30,13 +30,13 @@
             machines.remove(machine);
         }
         if machines.is_empty() {
-            self.attempts.remove(job);
+            self.attempt_counts.remove(job);
         }
     }
 
-    /// The machines on which attempts of a job may be, in order.
+    /// Returns the machines on which attempts of a job may be, ordered by their identities.
     pub fn machines_of(&self, job: &JobId) -> Vec<MachineId> {
-        self.attempts
+        self.attempt_counts
             .get(job)
             .into_iter()
             .flat_map(|machines| machines.keys().cloned())
--- a/src/core/machines/unresponsive.rs
+++ b/src/core/machines/unresponsive.rs
@@ -1,11 +1,12 @@
-//! Machines that their owners have declared unresponsive.
+//! Declarations that a machine is unresponsive.
 //!
-//! An owner that has received no heartbeat of a machine for most of a lease declares it unresponsive,
-//! and from then on does not answer it under the present fencing token: if the machine sends a
-//! heartbeat again, it first gets a new token. So the time of the last answer under that token is final,
-//! and the next owner can count the lease from there instead of from the change of owner. The shard map
-//! names the token that came directly before the present one (`previous_token`) if its owner was known
-//! to have declared the machine unresponsive under it; only then does the declaration count.
+//! An owner that has received no heartbeat of a machine for most of a lease declares the machine
+//! unresponsive. From then on it answers no heartbeat under the present fencing token: a machine that returns
+//! first gets a new token. The time of the last answer under the declared token is therefore final. The next
+//! owner can count the lease from that time instead of from the change of owner. A declaration is valid only
+//! if the shard map contains its token as `previous_token`, the token directly before the present one. The
+//! leader sets `previous_token` if it knows that the owner declared the machine unresponsive under that
+//! token.
 
 use crate::core::messages::shard_update::UnresponsiveMachine;
 use crate::core::model::time::{MAX_CLOCK_DRIFT, Time};
@@ -13,20 +14,21 @@
 use crate::ids::{FencingToken, MachineId};
 use std::collections::BTreeMap;
 
-/// A machine is not answered under a token any more.
+/// The declaration that a machine is no longer answered under a token.
 struct Declaration {
     token: FencingToken,
-    /// When it was last answered, on this process's clock; rather later than earlier.
+    /// When the machine was last answered, on this process's clock. Errors make it later, never earlier.
     last_answered: Time,
 }
 
-/// All declarations that are known here, by machine.
+/// The declarations that this process knows, by machine.
 #[derive(Default)]
 pub struct UnresponsiveMachines(BTreeMap<MachineId, Declaration>);
 
 impl UnresponsiveMachines {
-    /// Records declarations, this process's own or received ones. Messages take time, so of several
-    /// declarations under one token the one with the earliest last answer is nearest to the truth.
+    /// Records declarations that this process made or received. The delay of a message makes the time of the
+    /// last answer appear later, so the earliest time among declarations under one token is the most
+    /// accurate.
     pub fn record(
         &mut self,
         declarations: impl IntoIterator<Item = UnresponsiveMachine>,
@@ -43,8 +45,8 @@
                 token,
                 last_answered,
             });
-            let is_better = last_answered < known.last_answered;
-            if token > known.token || (token == known.token && is_better) {
+            let is_more_accurate = last_answered < known.last_answered;
+            if token > known.token || (token == known.token && is_more_accurate) {
                 *known = Declaration {
                     token,
                     last_answered,
@@ -53,8 +55,8 @@
         }
     }
 
-    /// Drops declarations of machines that are deleted or have a later token, unless the shard map
-    /// refers to them.
+    /// Removes the declarations of deleted machines. Also removes those of machines with a higher token,
+    /// unless the shard map contains the declared token as `previous_token`.
     pub fn prune(&mut self, owners: &ShardMap) {
         self.0.retain(|machine, declaration| {
             let owner = owners.machines.get(machine);
@@ -64,7 +66,7 @@
         });
     }
 
-    /// All declarations, with ages as of now.
+    /// Returns all declarations, with the time since the last answer as of `now`.
     pub fn declarations(&self, now: Time) -> Vec<UnresponsiveMachine> {
         let declarations = self.0.iter();
         declarations
@@ -76,7 +78,8 @@
             .collect()
     }
 
-    /// When the machine was last answered under this token, if it is no longer answered under it.
+    /// Returns when the machine was last answered under this token; `None` if it was not declared
+    /// unresponsive under the token.
     pub fn last_answered(&self, machine: &MachineId, token: FencingToken) -> Option<Time> {
         self.0
             .get(machine)
--- a/src/core/machines/unresponsive/tests.rs
+++ b/src/core/machines/unresponsive/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn only_the_token_under_which_it_was_declared_counts() {
+fn a_declaration_holds_only_for_its_token() {
     let declared = |token, age| {
         [UnresponsiveMachine {
             machine: "m-1".into(),
@@ -15,7 +15,7 @@
     let last_answered = unresponsive.last_answered(&id, FencingToken(5)).unwrap();
     assert!(
         (12.0..12.1).contains(&last_answered),
-        "clocks differ: later rather than earlier"
+        "clock drift makes the time later, never earlier"
     );
     assert_eq!(unresponsive.last_answered(&id, FencingToken(4)), None);
     unresponsive.record(declared(4, 30.0), 21.0);
@@ -23,7 +23,7 @@
     assert_eq!(
         unresponsive.last_answered(&id, FencingToken(5)),
         Some(last_answered),
-        "lower tokens and later answers change nothing"
+        "declarations with lower tokens or later answers change nothing"
     );
     unresponsive.record(declared(6, 8.0), 40.0);
     assert_eq!(unresponsive.last_answered(&id, FencingToken(5)), None);
--- a/src/core/records/job_record.rs
+++ b/src/core/records/job_record.rs
@@ -1,4 +1,4 @@
-//! The stored record of a job.
+//! The record of a job in the key-value store.
 
 use crate::core::model::ranges::TaskIndexRanges;
 use crate::core::model::resources::Resources;
@@ -7,25 +7,27 @@
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// What the store holds of a job.
+/// The state of a job that is kept in the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "StoredJob", into = "StoredJob")]
 pub struct JobRecord {
     /// Whether it is pending, done or cancelled.
     #[serde(rename = "stance")]
     pub status: JobStatus,
-    /// When it was accepted, by the accepting controller's wall clock, in milliseconds.
+    /// When it was accepted, by the wall clock of the controller that accepted it, in milliseconds.
     pub accepted_ms: u64,
-    /// Number of its tasks.
+    /// Number of tasks of the job.
     pub tasks: u32,
     /// Indexes of the tasks that are recorded as done.
     pub done: TaskIndexRanges,
-    /// Its description; final records omit it, because they are kept permanently and should stay small.
+    /// The job's specification. Final records omit it, because they are kept permanently and should stay
+    /// small.
     pub spec: Option<Rc<JobSpec>>,
-    /// When it was done or cancelled, by the writing controller's wall clock, in milliseconds.
+    /// When it was done or cancelled, by the wall clock of the controller that recorded it, in milliseconds;
+    /// `None` while it is unfinished.
     pub ended_ms: Option<u64>,
-    /// Of a cancelled job: the tasks that may still be running. They count towards their team's limit until
-    /// they have stopped.
+    /// The tasks of a cancelled job that may still be running. They count towards the limit of their team
+    /// until they have stopped. `None` unless the job is cancelled.
     #[serde(rename = "leaving")]
     pub terminating: Option<TerminatingTasks>,
 }
@@ -47,8 +49,9 @@
     done: TaskIndexRanges,
     #[serde(rename = "j", default, skip_serializing_if = "Option::is_none")]
     spec: Option<Rc<JobSpec>>,
-    /// The description of a job with dependencies, in place of `j`. A release that does not know dependencies
-    /// sees a job without a description: it answers polls and cancels the job, but never starts or rewrites it.
+    /// The specification of a job with dependencies, stored here instead of in `j`. A release that does not
+    /// know dependencies reads a job without a specification: it answers polls of the job and can cancel it,
+    /// but never starts it or rewrites its record.
     #[serde(rename = "jd", default, skip_serializing_if = "Option::is_none")]
     dependent: Option<Rc<JobSpec>>,
     #[serde(rename = "e", default, skip_serializing_if = "Option::is_none")]
@@ -112,24 +115,24 @@
 /// Tasks of a cancelled job that may still be running.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TerminatingTasks {
-    /// The job's team.
+    /// The team of the job, to whose limit the tasks count.
     #[serde(rename = "t")]
     pub team: Team,
-    /// Number of tasks that were not done.
+    /// Number of tasks that were not done when the job was cancelled.
     #[serde(rename = "n")]
     pub tasks: u32,
-    /// Resources of each task.
+    /// Resources that each task uses.
     #[serde(rename = "r")]
     pub need: Resources,
 }
 
 impl JobRecord {
-    /// Whether the job is done or cancelled, which never changes again.
+    /// Returns whether the job is done or cancelled. Such a job never changes again.
     pub fn is_final(&self) -> bool {
         matches!(self.status, JobStatus::Done | JobStatus::Cancelled)
     }
 
-    /// The final record of this job, done at `wall_ms`.
+    /// Returns the final record of this job if it is done at `wall_ms`, a wall-clock time in milliseconds.
     pub fn done(&self, wall_ms: u64) -> Self {
         let (done, ended_ms) = (TaskIndexRanges::default(), Some(wall_ms));
         Self {
@@ -141,7 +144,8 @@
         }
     }
 
-    /// The final record of this job, cancelled at `wall_ms`.
+    /// Returns the final record of this job if it is cancelled at `wall_ms`, a wall-clock time in
+    /// milliseconds.
     pub fn cancelled(&self, wall_ms: u64) -> Self {
         let terminating = self.spec.as_ref().map(|spec| TerminatingTasks {
             team: spec.team.clone(),
@@ -155,8 +159,8 @@
         }
     }
 
-    /// The final record of a job cancelled through a dependency: the dependency was never done, so none of its
-    /// tasks has started.
+    /// Returns the final record of this job if it is cancelled because a dependency was cancelled. The
+    /// dependency was never done, so no task of this job has started and none can be running.
     pub fn cancelled_unstarted(&self, wall_ms: u64) -> Self {
         let mut record = self.cancelled(wall_ms);
         if let Some(terminating) = &mut record.terminating {
--- a/src/core/records/keys.rs
+++ b/src/core/records/keys.rs
@@ -1,17 +1,17 @@
-//! Keys of the key-value store, and what is stored under each.
+//! The keys of the service in the key-value store.
 
 use crate::ids::{ControllerName, JobId, Team};
 
-/// Prefix of all keys of the service.
-pub const ROOT: &str = "ochredrum/";
+/// Prefix of every key of the service.
+pub const KEY_PREFIX: &str = "ochredrum/";
 
-/// The leader's process.
+/// Key of the leader's process record.
 pub const LEADER_KEY: &str = "ochredrum/leader";
 
-/// The machine types that the cloud last listed.
+/// Key of the machine types that the cloud last listed.
 pub const TYPES_KEY: &str = "ochredrum/types";
 
-/// Prefix of the keys of the shard map's chunks.
+/// Prefix of the keys of the chunks of the shard map.
 pub const MAP_PREFIX: &str = "ochredrum/map/";
 
 const NODE_PREFIX: &str = "ochredrum/node/";
@@ -20,30 +20,30 @@
 
 const QUOTA_PREFIX: &str = "ochredrum/quota/";
 
-/// Longest key that the store accepts, in bytes.
-const LONGEST_KEY: usize = 200;
+/// Maximum length of a key that the store accepts, in bytes.
+const MAX_KEY_BYTES: usize = 200;
 
-/// What is stored under a key.
+/// A parsed key, which identifies the record that is stored under it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreKey {
-    /// The leader's process.
+    /// The process record of the leader.
     Leader,
     /// The machine types that the cloud last listed.
     MachineTypes,
-    /// The registered process of a controller.
+    /// The record of a controller's registered process.
     Node(ControllerName),
     /// A chunk of the shard map.
     ShardMapChunk,
-    /// A team's grant record.
+    /// The grant record of a team.
     Ledger(Team),
-    /// A job's record.
+    /// The record of a job.
     Job(JobId),
     /// A key that this version of the service does not know.
     Unknown,
 }
 
 impl StoreKey {
-    /// What is stored under `key`.
+    /// Parses a key of the store.
     pub fn parse(key: &str) -> Self {
         if key == LEADER_KEY {
             Self::Leader
@@ -63,24 +63,24 @@
     }
 }
 
-/// The key of a controller's registered process.
+/// Returns the key of a controller's process record.
 pub fn node_key(node: &ControllerName) -> String {
     format!("{NODE_PREFIX}{node}")
 }
 
-/// The key of a job's record.
+/// Returns the key of a job's record.
 pub fn job_key(job: &JobId) -> String {
     format!("{JOB_PREFIX}{job}")
 }
 
-/// The key of a team's grant record; `None` if the team's name cannot be part of a key.
+/// Returns the key of a team's grant record; `None` if the key would be too long or contain whitespace.
 pub fn quota_key(team: &Team) -> Option<String> {
     let key = format!("{QUOTA_PREFIX}{team}");
-    let valid = key.len() <= LONGEST_KEY && !key.contains(char::is_whitespace);
+    let valid = key.len() <= MAX_KEY_BYTES && !key.contains(char::is_whitespace);
     valid.then_some(key)
 }
 
-/// The key of the shard map's chunk that holds the owners of teams.
+/// Returns the key of the chunk of the shard map that contains the owners of teams.
 pub fn teams_key() -> String {
     format!("{MAP_PREFIX}teams")
 }
--- a/src/core/records/mod.rs
+++ b/src/core/records/mod.rs
@@ -1,4 +1,4 @@
-//! The records that the key-value store holds, and the keys under which they are stored.
+//! The records in the key-value store, their keys and their versions.
 
 pub mod job_record;
 pub mod keys;
--- a/src/core/records/process_record.rs
+++ b/src/core/records/process_record.rs
@@ -1,40 +1,40 @@
-//! The stored record of a controller's process.
+//! The record of a controller's process in the key-value store.
 
 use crate::core::model::process::ProcessId;
 use crate::ids::{ControllerName, FencingToken, MachineId};
 use serde::{Deserialize, Serialize};
 
-/// A controller's process, stored under its own key and, while it leads, under the leader's key. Both keys are
-/// bound to its lease in the store.
+/// A process of a controller. It is stored under the controller's key and, while the process leads, under the
+/// leader's key. Both keys are bound to the lease of the process in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcessRecord {
-    /// The controller.
+    /// The controller that the process runs.
     pub node: ControllerName,
-    /// Which of its processes.
+    /// Number that distinguishes this process from earlier and later processes of the controller.
     pub incarnation: u64,
-    /// The lease of the store that the record is bound to.
+    /// The lease in the store to which the record is bound. The store removes the record when the lease ends.
     pub lease: u64,
-    /// It keeps to the grants of limited teams: once a team has a grant record, it starts no task beyond its
-    /// grant.
+    /// Whether it keeps to the grants of limited teams: once a team has a grant record, the process starts no
+    /// task beyond its grant.
     #[serde(rename = "quota", default, skip_serializing_if = "std::ops::Not::not")]
     pub keeps_grants: bool,
-    /// Processes whose shards may be reassigned as far as this process can tell; stored here because it does not
-    /// hear from the leader
+    /// Processes to whose failover this process consents: as far as it can tell, their shards may be
+    /// reassigned. It stores its consents here when it receives no messages from the leader
     /// ([`crate::core::membership::ownership`]).
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub consents: Vec<ProcessId>,
-    /// Machines that it asks the leader to assign to it ([`crate::core::machines::claims`]).
+    /// Requests to the leader to assign machines to this process ([`crate::core::machines::claims`]).
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub claims: Vec<MachineClaim>,
 }
 
-/// A request to be assigned a machine that is owned under this fencing token.
+/// A request of a process to be assigned a machine that another process owns.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineClaim {
-    /// The machine.
+    /// The machine that the process requests.
     #[serde(rename = "m")]
     pub machine: MachineId,
-    /// The fencing token of its owner.
+    /// The fencing token under which the machine is owned. The claim is ignored once this token has changed.
     #[serde(rename = "t")]
     pub token: FencingToken,
 }
--- a/src/core/records/shard_map.rs
+++ b/src/core/records/shard_map.rs
@@ -1,82 +1,83 @@
-//! The shard map: which process owns which teams and machines, and under which fencing token.
+//! The shard map, which assigns each team and machine to an owning process and a fencing token.
 
 use crate::core::model::process::ProcessId;
 use crate::ids::{ControllerName, FencingToken, MachineId, Team};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One stored value of the shard map, which is split into chunks to keep values small.
+/// One stored value of the shard map. The map is split into chunks to keep the values small.
 #[derive(Clone, Debug, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ShardMapChunk {
-    /// The teams and machines of this chunk by their owners.
+    /// The teams and machines of this chunk, grouped by owner.
     #[serde(rename = "shares")]
     pub shards: Vec<ShardEntry>,
-    /// In the chunk of teams: the fencing token since which every owner of a team has kept to its grants
-    /// ([`crate::core::shard::grants`]). A leader that does not know this field omits it, so that no controller
-    /// relies on it.
+    /// The fencing token since which every owner of a team has kept to the team's grants
+    /// ([`crate::core::shard::grants`]). Only the chunk of teams contains it. A leader of a release without
+    /// this field omits it, so that no controller relies on it.
     #[serde(rename = "q", default, skip_serializing_if = "BTreeMap::is_empty")]
     pub grants_kept_since: BTreeMap<Team, FencingToken>,
 }
 
-/// What one process owns under one fencing token, as far as one chunk holds it.
+/// The teams and machines in one chunk that one process owns under one fencing token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardEntry {
-    /// The owner.
+    /// The owning process and its fencing token.
     #[serde(rename = "o")]
     pub owner: ShardOwner,
-    /// Its teams.
+    /// The teams that it owns.
     #[serde(rename = "t", default, skip_serializing_if = "Vec::is_empty")]
     pub teams: Vec<Team>,
-    /// Its machines.
+    /// The machines that it owns.
     #[serde(rename = "m", default, skip_serializing_if = "Vec::is_empty")]
     pub machines: Vec<MachineId>,
 }
 
-/// A process of a controller, and the fencing token under which it owns a team or machine.
+/// The process that owns a team or machine, and the fencing token under which it does.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ShardOwner {
-    /// The controller.
+    /// The controller that the process runs.
     #[serde(rename = "n")]
     pub node: ControllerName,
-    /// Which of its processes.
+    /// Number that distinguishes the process from other processes of the controller.
     #[serde(rename = "i")]
     pub incarnation: u64,
-    /// The fencing token.
+    /// The fencing token of the assignment. Each reassignment has a higher one.
     #[serde(rename = "t")]
     pub token: FencingToken,
-    /// The process from which it was reassigned, if that was alive.
+    /// The previous owner, if it was alive when the machine was reassigned from it.
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
     pub previous_owner: Option<ProcessId>,
-    /// The fencing token directly before, if its owner had declared that it no longer answers the machine.
+    /// The fencing token directly before this one, if its owner had declared the machine unresponsive under
+    /// it ([`crate::core::machines::unresponsive`]).
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
     pub previous_token: Option<FencingToken>,
 }
 
 impl ShardOwner {
-    /// The process of the owner.
+    /// Returns the identity of the owning process.
     pub fn process(&self) -> ProcessId {
         ProcessId::new(self.node.clone(), self.incarnation)
     }
 
-    /// Whether this process of this controller is the owner.
+    /// Returns whether the process with this controller and incarnation is the owner.
     pub fn is_process(&self, node: &ControllerName, incarnation: u64) -> bool {
         self.node == *node && self.incarnation == incarnation
     }
 }
 
-/// The whole shard map, by what is owned.
+/// The complete shard map, indexed by team and by machine.
 #[derive(Clone, Debug, Default)]
 pub struct ShardMap {
     /// The owner of each team.
     pub teams: BTreeMap<Team, ShardOwner>,
     /// The owner of each machine.
     pub machines: BTreeMap<MachineId, ShardOwner>,
-    /// The fencing token since which every owner of a team has kept to its grants.
+    /// The fencing token since which every owner of a team has kept to the team's grants.
     pub grants_kept_since: BTreeMap<Team, FencingToken>,
 }
 
 impl ShardMap {
-    /// Merges stored chunks. Later chunks take precedence.
+    /// Merges stored chunks into one map. Later chunks take precedence.
     pub fn read<'a>(chunks: impl Iterator<Item = &'a ShardMapChunk>) -> Self {
         let mut map = Self::default();
         for chunk in chunks {
@@ -98,7 +99,7 @@
         map
     }
 
-    /// The processes that own at least one team or machine.
+    /// Returns the processes that own at least one team or machine.
     pub fn owning_processes(&self) -> BTreeSet<ProcessId> {
         let owners = self.teams.values().chain(self.machines.values());
         owners.map(ShardOwner::process).collect()
--- a/src/core/shard/commands.rs
+++ b/src/core/shard/commands.rs
@@ -174,7 +174,9 @@
                 self.drop_unsent_starts(machine_id, unsent, now);
             }
             WorkerReply::Unknown => {
-                let given_up = self.starts_in_flight.record_timeout(machine_id, call);
+                let given_up = self
+                    .starts_in_flight
+                    .record_unknown_outcome(machine_id, call);
                 let machine = self.machines.get_mut(machine_id);
                 if let Some(machine) = machine.filter(|machine| machine.is_owned) {
                     machine.unreachable = true;
--- a/src/core/store/replica/reads.rs
+++ b/src/core/store/replica/reads.rs
@@ -2,7 +2,7 @@
 
 use crate::core::effects::StoreCall;
 use crate::core::model::time::Time;
-use crate::core::records::keys::ROOT;
+use crate::core::records::keys::KEY_PREFIX;
 use crate::core::store::replica::StoreReplica;
 use crate::ids::Version;
 use crate::wire::{Changes, Listing};
@@ -86,12 +86,15 @@
         }
         self.reads.requested = false;
         self.reads.in_flight = true;
-        let list = |from| StoreCall::List { prefix: ROOT, from };
+        let list = |from| StoreCall::List {
+            prefix: KEY_PREFIX,
+            from,
+        };
         Some(match &self.reads.full_read {
             Some(full_read) => list(full_read.last_key.clone()),
             None if !self.complete => list(None),
             None => StoreCall::Changes {
-                prefix: ROOT,
+                prefix: KEY_PREFIX,
                 from: self.revision,
             },
         })
