--- a/src/core/scheduling/catalog.rs
+++ b/src/core/scheduling/catalog.rs
@@ -1,4 +1,4 @@
-//! The machine types that the cloud offers, and which submissions none of them can ever run.
+//! The machine types that the cloud offers, and the check whether any of them can ever run a job.
 
 use crate::config::Config;
 use crate::core::model::resources::Resources;
@@ -11,24 +11,24 @@
 /// Boot time assumed for a machine type that is not in the catalog, in seconds.
 const UNKNOWN_TYPE_BOOT_S: Time = 60.0;
 
-/// A boot is never assumed to be shorter than this, in seconds.
-const MIN_BOOT_S: Time = 1.0;
+/// Lower bound of every assumed boot time, in seconds.
+pub(crate) const MIN_BOOT_S: Time = 1.0;
 
-/// The machine types, known to every controller.
+/// The machine types as this controller last read them from the cloud or the state service.
 #[derive(Default)]
 pub struct Catalog {
-    /// The types; empty until they have been read.
+    /// Empty until the types have been read.
     pub(crate) types: Vec<MachineType>,
-    /// When the cloud is to be queried next.
+    /// Earliest time of the next query to the cloud.
     pub(crate) next_query: Time,
-    /// Whether a query to the cloud is pending.
+    /// Whether a query to the cloud awaits its reply.
     pub(crate) is_query_pending: bool,
-    /// The types are not written to the state service before this time.
+    /// Earliest time of the next write of the types to the state service.
     pub(crate) next_store_write: Time,
 }
 
 impl Catalog {
-    /// A catalog of the given types.
+    /// Creates a catalog of the given types.
     #[cfg(test)]
     pub fn with_types(types: Vec<MachineType>) -> Self {
         Self {
@@ -47,7 +47,7 @@
         &self.types
     }
 
-    /// The state service refused to store the types: the write is not repeated.
+    /// Stops writes of the types, which the state service rejected, until the types change.
     pub fn stop_store_writes(&mut self) {
         tracing::error!(
             "store rejected the machine types: they are not written again until they change"
@@ -55,20 +55,21 @@
         self.next_store_write = Time::INFINITY;
     }
 
-    /// How long a machine of the type takes to boot, in seconds.
+    /// Boot time of a machine of the type, in seconds.
     pub fn boot_s(&self, name: &MachineTypeName) -> Time {
-        self.find(name).map_or(UNKNOWN_TYPE_BOOT_S, |of_type| {
-            of_type.boot_s.max(MIN_BOOT_S)
+        self.find(name).map_or(UNKNOWN_TYPE_BOOT_S, |machine_type| {
+            machine_type.boot_s.max(MIN_BOOT_S)
         })
     }
 
-    /// Price of a machine of the type, as a spot instance or not; 0 for an unknown type.
+    /// The spot or on-demand price of a machine of the type; 0 for an unknown type.
     pub fn price(&self, name: &MachineTypeName, spot: bool) -> f64 {
-        self.find(name).map_or(0.0, |of_type| price(of_type, spot))
+        self.find(name)
+            .map_or(0.0, |machine_type| price(machine_type, spot))
     }
 
-    /// Whether a submission can never run: no machine type can hold a task of it, or its team's limit
-    /// is too low. `None` while the machine types are not known.
+    /// Whether a job can never run: no machine type can hold one of its tasks, its team's limit is too low,
+    /// or its team is not configured. `None` while the machine types are not known.
     pub fn can_never_run(&self, config: &Config, spec: &JobSpec) -> Option<bool> {
         if !self.is_known() {
             return None;
@@ -79,58 +80,65 @@
         let quota = minimum_quota(spec);
         let is_within_quota = is_within_limit(quota.cpus, team_limits.cpus_max)
             && is_within_limit(quota.gpus, team_limits.gpus_max);
-        let fits_some_type = self.types.iter().any(|of_type| can_hold(of_type, spec));
+        let fits_some_type = self
+            .types
+            .iter()
+            .any(|machine_type| can_hold(machine_type, spec));
         Some(!is_within_quota || !fits_some_type)
     }
 
     fn find(&self, name: &MachineTypeName) -> Option<&MachineType> {
-        self.types.iter().find(|of_type| of_type.name == *name)
+        self.types
+            .iter()
+            .find(|machine_type| machine_type.name == *name)
     }
 }
 
-/// Price of a machine of a type, as a spot instance or not.
-pub fn price(of_type: &MachineType, spot: bool) -> f64 {
+/// The spot or on-demand price of a machine of the type, in the cloud's unit.
+pub fn price(machine_type: &MachineType, spot: bool) -> f64 {
     if spot {
-        of_type.spot_price
+        machine_type.spot_price
     } else {
-        of_type.price
+        machine_type.price
     }
 }
 
 /// Whether an empty machine of the type can hold a task of the job, and the job accepts the type. Zones are
 /// not considered: a type may be offered in further zones later.
-pub fn can_hold(of_type: &MachineType, spec: &JobSpec) -> bool {
-    accepts_type(spec, &of_type.name) && total_resources(of_type).holds(&Resources::of(spec))
+pub fn can_hold(machine_type: &MachineType, spec: &JobSpec) -> bool {
+    accepts_type(spec, &machine_type.name)
+        && total_resources(machine_type).holds(&Resources::of(spec))
 }
 
-/// Whether a task needs no GPUs and some machine type without GPUs can hold it: then it can leave the
-/// CPUs and memory beside free GPUs to tasks that need GPUs.
+/// Whether a task of the job needs no GPUs and some machine type without GPUs can hold it. Such a task can
+/// leave the CPUs and memory of GPU machines to tasks that need GPUs.
 pub fn fits_without_gpus(types: &[MachineType], spec: &JobSpec) -> bool {
-    let holds_without_gpus = |of_type: &MachineType| of_type.gpus <= 0.0 && can_hold(of_type, spec);
+    let holds_without_gpus =
+        |machine_type: &MachineType| machine_type.gpus <= 0.0 && can_hold(machine_type, spec);
     spec.gpus <= 0.0 && types.iter().any(holds_without_gpus)
 }
 
 /// All resources of a machine of the type.
-pub fn total_resources(of_type: &MachineType) -> Resources {
+pub fn total_resources(machine_type: &MachineType) -> Resources {
     Resources {
-        cpus: of_type.cpus,
-        gpus: of_type.gpus,
-        memory_gb: of_type.memory_gb,
+        cpus: machine_type.cpus,
+        gpus: machine_type.gpus,
+        memory_gb: machine_type.memory_gb,
     }
 }
 
-/// How many tasks of this size fit on an empty machine of the type; a whole number.
-pub fn tasks_per_machine(of_type: &MachineType, need: &Resources) -> f64 {
-    let per = |have: f64, need: f64| {
+/// Number of tasks with this need that fit on an empty machine of the type; `f64::MAX` if they need nothing.
+pub fn tasks_per_machine(machine_type: &MachineType, need: &Resources) -> f64 {
+    let whole_multiples = |have: f64, need: f64| {
         if need > 0.0 {
             (have / need).floor()
         } else {
             f64::MAX
         }
     };
-    per(of_type.cpus, need.cpus)
-        .min(per(of_type.gpus, need.gpus))
-        .min(per(of_type.memory_gb, need.memory_gb))
+    whole_multiples(machine_type.cpus, need.cpus)
+        .min(whole_multiples(machine_type.gpus, need.gpus))
+        .min(whole_multiples(machine_type.memory_gb, need.memory_gb))
 }
 
 #[cfg(test)]
--- a/src/core/scheduling/catalog/tests.rs
+++ b/src/core/scheduling/catalog/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::core::test_support::{config, service, types};
 
-/// Two types that have nothing in common: one without GPUs, one with little memory.
+/// A type with much memory and no GPUs, and a type with GPUs and little memory.
 fn disjoint_types() -> Vec<MachineType> {
     let g8 = types().remove(1);
     let without_gpus = MachineType {
@@ -24,9 +24,9 @@
 #[test]
 fn a_task_must_fit_on_one_machine_type() {
     assert_eq!(can_never_run(disjoint_types(), |_| ()), Some(false));
-    let memory_of_one = |job: &mut JobSpec| job.memory_gb = 512.0;
+    let much_memory = |job: &mut JobSpec| job.memory_gb = 512.0;
     assert_eq!(
-        can_never_run(disjoint_types(), memory_of_one),
+        can_never_run(disjoint_types(), much_memory),
         Some(true),
         "GPUs of one, memory of the other"
     );
@@ -40,19 +40,21 @@
     );
 }
 
-/// Neither says that the job can never run: images are fetched whatever the cache holds, and zones come back.
+/// An image larger than every cache can still be fetched, and a type may be offered in a zone again.
 #[test]
 fn large_images_and_types_without_a_zone_do_not_make_a_job_infeasible() {
     assert_eq!(
         can_never_run(disjoint_types(), |job| job.image_gb = 5000.0),
         Some(false)
     );
-    let mut nowhere = disjoint_types();
-    nowhere.iter_mut().for_each(|of_type| of_type.zones.clear());
-    assert_eq!(can_never_run(nowhere, |_| ()), Some(false));
+    let mut without_zones = disjoint_types();
+    without_zones
+        .iter_mut()
+        .for_each(|machine_type| machine_type.zones.clear());
+    assert_eq!(can_never_run(without_zones, |_| ()), Some(false));
 }
 
-/// A single type without a GPU field made the whole list unreadable, and every submission waited.
+/// A required GPU field makes the whole list undecodable if one type omits it: then every submission waits.
 #[test]
 fn a_machine_type_may_omit_its_gpus() {
     let json = |cards: &str| {
@@ -65,7 +67,7 @@
 }
 
 #[test]
-fn a_task_without_gpus_fits_without_them_only_if_such_a_type_exists() {
+fn a_task_fits_without_gpus_only_if_a_type_without_gpus_can_hold_it() {
     let mut service_spec = (*service("chat", "x", 1.0)).clone();
     assert!(
         !fits_without_gpus(&disjoint_types(), &service_spec),
--- a/src/core/scheduling/constraints.rs
+++ b/src/core/scheduling/constraints.rs
@@ -6,12 +6,12 @@
 use crate::ids::{MachineTypeName, Zone};
 use crate::wire::JobSpec;
 
-/// Factor on the submitter's run time estimate when deciding by when a machine has to be ready.
-/// Estimates are often too low by half and sometimes by more, and a job that is late only because of an
-/// image fetch has still missed its objective.
+/// Factor applied to the submitter's run time estimate to compute when a machine has to be ready.
+/// Estimates are often too low by half and sometimes by more. A job that is late only because of an image
+/// fetch has missed its objective too.
 pub(crate) const RUN_TIME_ESTIMATE_MARGIN: f64 = 2.0;
 
-/// Whether the job accepts machines of this type and zone, spot instances or not.
+/// Whether the job accepts machines of this type in this zone. `spot` states whether they are spot instances.
 pub fn accepts_machine(
     spec: &JobSpec,
     type_name: &MachineTypeName,
@@ -30,8 +30,8 @@
         .is_none_or(|types| types.contains(type_name))
 }
 
-/// When the job has to start at the latest to meet its objectives and its deadline, if it runs for as long
-/// as estimated.
+/// The latest start at which the job meets its objectives and its deadline if its run time equals the
+/// estimate.
 pub fn start_deadline(config: &Config, job: &Job) -> Time {
     start_deadline_with_margin(config, job, 1.0)
 }
@@ -53,7 +53,7 @@
         .into_iter()
         .flatten()
         .min_by(Time::total_cmp)
-        // Without an objective, a job should start within one cancellation time of its submission.
+        // A job without objectives and deadline should start within `cancel_s` of its submission.
         .unwrap_or(job.submitted + config.deployment.workers.cancel_s)
 }
 
--- a/src/core/scheduling/forecast.rs
+++ b/src/core/scheduling/forecast.rs
@@ -1,45 +1,44 @@
-//! Forecast of the jobs that are likely to be submitted soon, from recent submissions.
+//! Forecasts the jobs that are likely to be submitted soon from recent submissions.
 
 use crate::config::Config;
 use crate::core::model::time::Time;
+use crate::core::scheduling::catalog::MIN_BOOT_S;
 use crate::ids::Image;
 use crate::wire::{JobKind, JobSpec, MachineType};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
 /// Arrivals are averaged over this many boot times.
-const HISTORY_BOOTS: f64 = 3.0;
+const HISTORY_BOOT_TIMES: f64 = 3.0;
 
-/// Arrivals are kept for at most this many times `cancel_s`. Each arrival takes a write to the state
-/// service, whose rate therefore bounds their number.
-const HISTORY_CANCELS: f64 = 4.0;
+/// The history holds the arrivals of this many times `cancel_s` at the highest possible rate. Each arrival
+/// takes a write to the state service, so the write rate bounds the arrival rate.
+const HISTORY_CANCEL_TIMES: f64 = 4.0;
 
-/// The shortest boot time that forecasts assume, in seconds.
-const MIN_BOOT_S: Time = 1.0;
-
-/// Recent submissions.
+/// Recent submissions of jobs, from which demand is forecast.
 pub struct Forecast {
+    /// Ordered by time.
     arrivals: VecDeque<Arrival>,
-    /// Arrivals kept at most.
+    /// Maximum number of arrivals; the oldest is dropped first.
     capacity: usize,
 }
 
-/// A submission.
+/// The submission of a job, to this or another controller.
 struct Arrival {
     at: Time,
     spec: Rc<JobSpec>,
 }
 
-/// Recent demand for an image whose fetch takes longer than a start may.
+/// Recent demand for an image that cannot be fetched within the start objective of its jobs.
 pub struct ImageDemand {
-    /// The latest job that uses the image.
+    /// Specification of the latest submitted job with the image.
     pub spec: Rc<JobSpec>,
-    /// Tasks of the image that arrived within the history.
+    /// Number of tasks with the image that were submitted within the averaging window.
     pub recent_tasks: u32,
 }
 
 impl Forecast {
-    /// A forecast without any arrivals.
+    /// Creates a forecast without arrivals.
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -47,7 +46,8 @@
     )]
     pub fn new(config: &Config) -> Self {
         let deployment = &config.deployment;
-        let capacity = deployment.state.write_rps * deployment.workers.cancel_s * HISTORY_CANCELS;
+        let capacity =
+            deployment.state.write_rps * deployment.workers.cancel_s * HISTORY_CANCEL_TIMES;
         Self {
             arrivals: VecDeque::new(),
             capacity: (capacity as usize).max(1),
@@ -64,20 +64,20 @@
         self.arrivals.insert(position, Arrival { at, spec });
     }
 
-    /// Forgets a job that cannot run anywhere: it does not predict demand.
+    /// Removes a job that cannot run on any machine, because it does not predict demand.
     pub fn remove_job(&mut self, spec: &Rc<JobSpec>) {
         self.arrivals
             .retain(|arrival| !Rc::ptr_eq(&arrival.spec, spec));
     }
 
-    /// Recent demand for each image that has to be cached on a machine for a start to be in time.
+    /// Recent demand for each image that a machine must have cached for a start to meet its objective.
     pub fn images_to_keep_cached(
         &self,
         config: &Config,
         types: &[MachineType],
         now: Time,
     ) -> BTreeMap<Image, ImageDemand> {
-        let window = longest_boot_s(types) * HISTORY_BOOTS;
+        let window_s = longest_boot_s(types) * HISTORY_BOOT_TIMES;
         let mut images: BTreeMap<Image, ImageDemand> = BTreeMap::new();
         for Arrival { at, spec } in self.arrivals.iter().rev() {
             if !needs_cached_image(config, types, spec) {
@@ -89,20 +89,20 @@
                     spec: spec.clone(),
                     recent_tasks: 0,
                 });
-            if now - at <= window {
+            if now - at <= window_s {
                 demand.recent_tasks += spec.tasks;
             }
         }
         images
     }
 
-    /// The jobs expected to arrive during one boot: of each class with a wait objective as many of the
-    /// latest ones as arrived per boot time.
-    pub fn expected_jobs(&self, config: &Config, boot: Time, now: Time) -> Vec<Rc<JobSpec>> {
-        let window = boot * HISTORY_BOOTS;
+    /// The jobs expected to arrive during one boot. For each class with a wait objective these are its latest
+    /// jobs, as many as arrived per boot time on average.
+    pub fn expected_jobs(&self, config: &Config, boot_s: Time, now: Time) -> Vec<Rc<JobSpec>> {
+        let window_s = boot_s * HISTORY_BOOT_TIMES;
         let mut classes: BTreeMap<&str, Vec<&Rc<JobSpec>>> = BTreeMap::new();
         for Arrival { at, spec } in self.arrivals.iter().rev() {
-            if now - at <= window && config.wait_objective(&spec.class).is_some() {
+            if now - at <= window_s && config.wait_objective(&spec.class).is_some() {
                 classes.entry(&spec.class).or_default().push(spec);
             }
         }
@@ -119,29 +119,29 @@
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "a third of a collection's length"
+    reason = "a fraction of a collection's length"
 )]
 fn arrivals_per_boot(arrivals_in_history: usize) -> usize {
-    (arrivals_in_history as f64 / HISTORY_BOOTS).ceil() as usize
+    (arrivals_in_history as f64 / HISTORY_BOOT_TIMES).ceil() as usize
 }
 
-/// The longest boot time of the machine types, in seconds.
+/// The longest boot time of the machine types, in seconds; at least `MIN_BOOT_S`.
 pub fn longest_boot_s(types: &[MachineType]) -> Time {
     types
         .iter()
-        .map(|of_type| of_type.boot_s)
+        .map(|machine_type| machine_type.boot_s)
         .fold(MIN_BOOT_S, f64::max)
 }
 
-/// Whether a replica of the job can start within its objective only on a machine that has its image cached.
+/// Whether the job is a service whose replicas meet their start objective only if the image is cached.
 pub fn needs_cached_image(config: &Config, types: &[MachineType], spec: &JobSpec) -> bool {
-    let fastest_fetch = types
+    let fastest_fetch_gb_per_s = types
         .iter()
-        .map(|of_type| of_type.fetch_gb_per_s)
+        .map(|machine_type| machine_type.fetch_gb_per_s)
         .fold(0.0, f64::max);
     let objective = config.wait_objective(&spec.class);
     spec.kind == JobKind::Service
-        && objective.is_some_and(|objective_s| objective_s * fastest_fetch < spec.image_gb)
+        && objective.is_some_and(|objective_s| objective_s * fastest_fetch_gb_per_s < spec.image_gb)
 }
 
 #[cfg(test)]
--- a/src/core/scheduling/forecast/tests.rs
+++ b/src/core/scheduling/forecast/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::core::test_support::{service, types};
 
-/// Resources are worth reserving only for images that cannot be fetched in time.
+/// Resources are reserved only for images that cannot be fetched within the start objective.
 #[test]
 fn images_to_keep_cached_are_those_whose_fetch_misses_the_start_objective() {
     let config = Config::parse(crate::config::TEST_SETTINGS).unwrap();
--- a/src/core/scheduling/mod.rs
+++ b/src/core/scheduling/mod.rs
@@ -1,5 +1,5 @@
-//! Scheduling policy without side effects: which machines satisfy a job, how tasks are packed onto
-//! them, what a team's quota allows, and which demand is to be expected.
+//! Scheduling policy without side effects: machine types, constraints of jobs, packing of tasks onto
+//! machines, quotas of teams and the forecast of demand.
 
 pub mod catalog;
 pub mod constraints;
--- a/src/core/scheduling/packing.rs
+++ b/src/core/scheduling/packing.rs
@@ -1,6 +1,6 @@
-//! A plan of which tasks fit on the existing machines, and which machines the others would need.
-//! It is an estimate for renting and returning machines; the actual placement of tasks is decided in
-//! [`crate::core::shard::round`].
+//! Plans how many tasks fit on the existing machines, and the machines to rent for the remaining tasks.
+//! The plan is an estimate for renting and returning machines. The actual placement of tasks is decided
+//! in [`crate::core::shard::round`].
 
 pub mod candidate;
 mod rental;
@@ -16,13 +16,13 @@
 use crate::wire::{JobSpec, MachineType, Priority};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Tasks of one job that a plan places on existing machines at most. Each of them is compared with
-/// every machine; the next plan considers the remaining ones.
+/// Maximum number of tasks of one job that a plan places on existing machines. Each task is compared with
+/// every machine, so the limit bounds the cost of a plan; the next plan considers the remaining tasks.
 const MAX_PLACED_PER_JOB: u32 = 1000;
 
-/// Candidates, and the tasks placed on them so far.
+/// Candidate machines and the resources that the tasks planned so far leave on them.
 pub struct Plan<'a> {
-    /// Machines demanded at once at most.
+    /// Maximum number of machines demanded at once for ordinary tasks.
     max_machines_wanted: u32,
     types: &'a [MachineType],
     /// Offers that the cloud cannot provide at present.
@@ -32,7 +32,7 @@
 }
 
 impl<'a> Plan<'a> {
-    /// A plan without any tasks. `unavailable` are the offers that the cloud cannot provide at present.
+    /// Creates a plan without tasks. `unavailable` are the offers that the cloud cannot provide at present.
     pub fn new(
         types: &'a [MachineType],
         unavailable: &'a BTreeSet<MachineOffer>,
@@ -64,7 +64,7 @@
         self.candidates
     }
 
-    /// Adds resources that will be free on a machine by the time the next tasks start.
+    /// Adds resources to a machine that become free there before the next tasks start.
     pub fn add_released(&mut self, machine: &MachineId, released: &Resources) {
         let is_machine =
             |candidate: &&mut PackingCandidate| candidate.machine.as_ref() == Some(machine);
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Places queued or forecast tasks, and adds the machines they lack to `demand`.
+    /// Places queued or forecast tasks. Adds machines to `demand` for the tasks that do not fit.
     pub fn place(&mut self, tasks: TaskDemand, demand: &mut CapacityDemand) {
         if tasks.urgency.is_some() {
             let size = if tasks.spec.gpus > 0.0 {
@@ -83,12 +83,12 @@
             };
             demand.queued += size * f64::from(tasks.count);
         }
-        self.place_as(&tasks, Purpose::Ordinary, demand);
+        self.place_tasks(&tasks, PlacementKind::Ordinary, demand);
     }
 
-    /// Places tasks of an opportunistic job. For the tasks that do not fit, at most `rentals` machines are
-    /// added to `demand`, and only cost-effective ones unless the job is starved; `rentals` is reduced by
-    /// their number.
+    /// Places tasks of an opportunistic job. Adds at most `rentals` machines to `demand` for the tasks that
+    /// do not fit, and subtracts their number from `rentals`. Unless the job is starved, these machines are
+    /// cost-effective.
     pub fn place_opportunistic(
         &mut self,
         tasks: TaskDemand,
@@ -96,14 +96,19 @@
         rentals: &mut u32,
         demand: &mut CapacityDemand,
     ) {
-        let purpose = Purpose::Opportunistic {
+        let kind = PlacementKind::Opportunistic {
             is_starved,
             rentals,
         };
-        self.place_as(&tasks, purpose, demand);
+        self.place_tasks(&tasks, kind, demand);
     }
 
-    fn place_as(&mut self, tasks: &TaskDemand, mut purpose: Purpose, demand: &mut CapacityDemand) {
+    fn place_tasks(
+        &mut self,
+        tasks: &TaskDemand,
+        mut kind: PlacementKind,
+        demand: &mut CapacityDemand,
+    ) {
         let task = PlannedTask::of(tasks);
         let is_bound_to_zones = task.spec.spread || task.spec.one_zone;
         let mut tasks_in_zone = tasks.tasks_in_zone.clone();
@@ -114,11 +119,11 @@
             if placed_on_machines >= MAX_PLACED_PER_JOB {
                 return;
             }
-            let has_zone_quota = |zone: &Zone| zone_allows(task.spec, zone, &tasks_in_zone);
-            let zone = if let Some(candidate) = self.best_candidate(first, &task, &has_zone_quota) {
+            let accepts_zone = |zone: &Zone| zone_allows(task.spec, zone, &tasks_in_zone);
+            let zone = if let Some(candidate) = self.best_candidate(first, &task, &accepts_zone) {
                 candidate.free = candidate.free.minus(&task.need);
                 placed_on_machines += u32::from(candidate.machine.is_some());
-                purpose.mark(candidate, task.urgency);
+                kind.mark_candidate(candidate, task.urgency);
                 candidate.offer.zone.clone()
             } else {
                 first = if is_bound_to_zones {
@@ -126,7 +131,7 @@
                 } else {
                     self.candidates.len()
                 };
-                let Some(zone) = self.rent(&task, &has_zone_quota, &mut purpose, demand) else {
+                let Some(zone) = self.rent(&task, &accepts_zone, &mut kind, demand) else {
                     return;
                 };
                 zone
@@ -135,20 +140,21 @@
         }
     }
 
-    /// From now on resources of opportunistic tasks no longer count as free.
+    /// Subtracts the resources of opportunistic tasks from the free resources of all candidates.
     pub fn reserve_opportunistic(&mut self) {
         for candidate in &mut self.candidates {
             candidate.free = candidate.free.minus(&candidate.opportunistic_resources);
         }
     }
 
-    /// The best candidate for a task among those from index `first` on: of a job that may use spot instances,
-    /// a spot instance; then a machine in use; then one that is not being drained; then the best fit.
+    /// Returns the best candidate for a task among those from index `first` on. The order of preference is: a
+    /// spot instance if the job may use one, a machine in use, a machine that is not being drained, the best
+    /// fit.
     fn best_candidate(
         &mut self,
         first: usize,
         task: &PlannedTask,
-        has_zone_quota: &dyn Fn(&Zone) -> bool,
+        accepts_zone: &dyn Fn(&Zone) -> bool,
     ) -> Option<&mut PackingCandidate> {
         let leftover = |candidate: &PackingCandidate| candidate.free.minus(&task.need);
         let is_needlessly_on_demand =
@@ -156,7 +162,7 @@
         self.candidates
             .get_mut(first..)?
             .iter_mut()
-            .filter(|candidate| task.fits_on(candidate) && has_zone_quota(&candidate.offer.zone))
+            .filter(|candidate| task.fits_on(candidate) && accepts_zone(&candidate.offer.zone))
             .min_by(|one, other| {
                 let (one_left, other_left) = (leftover(one), leftover(other));
                 (is_needlessly_on_demand(one).cmp(&is_needlessly_on_demand(other)))
@@ -167,27 +173,27 @@
             })
     }
 
-    /// Adds the cheapest suitable machine to the plan and to `demand`; returns its zone. `None` if no
-    /// further machine may be rented or none suits.
+    /// Adds the cheapest suitable machine to the plan and to `demand`, and returns its zone. Returns `None`
+    /// if no further machine may be rented or no offer is suitable.
     fn rent(
         &mut self,
         task: &PlannedTask,
-        has_zone_quota: &dyn Fn(&Zone) -> bool,
-        purpose: &mut Purpose,
+        accepts_zone: &dyn Fn(&Zone) -> bool,
+        kind: &mut PlacementKind,
         demand: &mut CapacityDemand,
     ) -> Option<Zone> {
-        if !purpose.may_rent(demand, self.max_machines_wanted) {
+        if !kind.may_rent(demand, self.max_machines_wanted) {
             return None;
         }
         let request = RentalRequest {
             spec: task.spec,
             need: &task.need,
-            zone_allows: has_zone_quota,
+            accepts_zone,
         };
         let (any_of, not_worthwhile): (Vec<MachineOffer>, Vec<MachineOffer>) = request
             .offers(self.types)
             .into_iter()
-            .partition(|offer| self.is_worthwhile(offer, task, purpose));
+            .partition(|offer| self.is_worthwhile(offer, task, kind));
         let unavailable = self.unavailable.iter().cloned();
         let excluded = unavailable.chain(not_worthwhile).collect();
         let (offer, total) = request.cheapest(self.types, &self.machines_in_zone, &excluded)?;
@@ -197,7 +203,7 @@
             any_of,
             urgency: task.urgency,
             gpus: task.need.gpus,
-            opportunistic: purpose.count_rental(),
+            opportunistic: kind.count_rental(),
         });
         let zone = offer.zone.clone();
         let mut rented = PackingCandidate {
@@ -205,31 +211,37 @@
             total,
             ..PackingCandidate::empty(None, offer)
         };
-        purpose.mark(&mut rented, task.urgency);
+        kind.mark_candidate(&mut rented, task.urgency);
         self.candidates.push(rented);
         *self.machines_in_zone.entry(zone.clone()).or_default() += 1;
         Some(zone)
     }
 
-    /// Whether an offer that can run the task is worth renting.
-    fn is_worthwhile(&self, offer: &MachineOffer, task: &PlannedTask, purpose: &Purpose) -> bool {
+    /// Whether an offer that can run the task is worth renting. No GPU machine is rented for a task that
+    /// avoids stranding GPUs, and only cost-effective ones for an opportunistic job that is not starved.
+    fn is_worthwhile(
+        &self,
+        offer: &MachineOffer,
+        task: &PlannedTask,
+        kind: &PlacementKind,
+    ) -> bool {
         let has_gpus = || {
             self.types
                 .iter()
-                .any(|of_type| of_type.name == offer.type_name && of_type.gpus > 0.0)
+                .any(|machine_type| machine_type.name == offer.type_name && machine_type.gpus > 0.0)
         };
-        match purpose {
+        match kind {
             _ if task.avoids_stranding_gpus && has_gpus() => false,
-            Purpose::Ordinary
-            | Purpose::Opportunistic {
+            PlacementKind::Ordinary
+            | PlacementKind::Opportunistic {
                 is_starved: true, ..
             } => true,
-            Purpose::Opportunistic { .. } => is_cost_effective(self.types, offer, task.spec),
+            PlacementKind::Opportunistic { .. } => is_cost_effective(self.types, offer, task.spec),
         }
     }
 }
 
-/// A task of the job that is being placed.
+/// A task of the job that is being placed. All tasks of the job are alike.
 struct PlannedTask<'a> {
     spec: &'a JobSpec,
     need: Resources,
@@ -249,8 +261,8 @@
         }
     }
 
-    /// Whether the candidate has the resources and satisfies the job's constraints, except those on how
-    /// its tasks are spread over zones.
+    /// Whether the candidate has the needed resources and satisfies the job's constraints, except those on
+    /// the distribution of its tasks over zones.
     fn fits_on(&self, candidate: &PackingCandidate) -> bool {
         let PackingCandidate { machine, offer, .. } = candidate;
         self.usable_resources(candidate).holds(&self.need)
@@ -260,7 +272,7 @@
             && accepts_machine(self.spec, &offer.type_name, &offer.zone, offer.spot)
     }
 
-    /// The free resources that the task may use.
+    /// The candidate's free resources that the task may use.
     fn usable_resources(&self, candidate: &PackingCandidate) -> Resources {
         if self.avoids_stranding_gpus {
             candidate.free.without_share_of_free_gpus(&candidate.total)
@@ -270,11 +282,11 @@
     }
 }
 
-/// What kind of tasks are being placed.
-enum Purpose<'r> {
+/// The kind of tasks that are being placed.
+enum PlacementKind<'r> {
     /// Queued or forecast tasks.
     Ordinary,
-    /// Opportunistic tasks: they use idle resources, and machines are rented for them only within bounds.
+    /// Opportunistic tasks. They use idle resources, and machines are rented for them only within bounds.
     Opportunistic {
         /// Whether the job has waited so long that any machine may be rented for it.
         is_starved: bool,
@@ -283,9 +295,9 @@
     },
 }
 
-impl Purpose<'_> {
-    /// Marks a candidate on which a task was placed.
-    fn mark(&self, candidate: &mut PackingCandidate, urgency: Option<Priority>) {
+impl PlacementKind<'_> {
+    /// Records in a candidate that a task of this kind was placed on it.
+    fn mark_candidate(&self, candidate: &mut PackingCandidate, urgency: Option<Priority>) {
         match self {
             Self::Ordinary => {
                 candidate.is_in_use = true;
@@ -296,8 +308,8 @@
         }
     }
 
-    /// Whether another machine may be demanded. Even a job of 100,000 tasks does not demand more than can
-    /// be rented soon.
+    /// Whether another machine may be demanded. The limit for ordinary tasks keeps a job of 100,000 tasks
+    /// from demanding more machines than can be rented soon.
     fn may_rent(&self, demand: &CapacityDemand, max_machines_wanted: u32) -> bool {
         match self {
             Self::Ordinary => demand.machines_wanted() < max_machines_wanted,
@@ -305,7 +317,7 @@
         }
     }
 
-    /// Counts a rented machine; returns whether it is for opportunistic tasks.
+    /// Counts a machine to be rented, and returns whether it is for opportunistic tasks.
     fn count_rental(&mut self) -> bool {
         match self {
             Self::Ordinary => false,
--- a/src/core/scheduling/packing/candidate.rs
+++ b/src/core/scheduling/packing/candidate.rs
@@ -1,4 +1,4 @@
-//! The input of a packing plan: tasks that need resources, and machines that may offer them.
+//! The input of a packing plan: tasks to place, and machines on which they may be placed.
 
 use crate::core::jobs::job::Job;
 use crate::core::messages::capacity_demand::MachineOffer;
@@ -11,24 +11,24 @@
 
 /// Tasks of one job that a plan has to place.
 pub struct TaskDemand {
-    /// The job.
+    /// Specification of the job.
     pub spec: Rc<JobSpec>,
-    /// How many tasks there are.
+    /// Number of tasks to place.
     pub count: u32,
-    /// How many of the job's other tasks are in each zone. A plan that ignored them could place tasks in
-    /// a zone that the job's constraints exclude, and would never ask for the machines they need.
+    /// Number of the job's other tasks in each zone. A plan that ignored them could place tasks in a zone
+    /// that the job's constraints exclude, and would never demand the machines that the tasks need.
     pub tasks_in_zone: BTreeMap<Zone, u32>,
-    /// Machines that the job avoids. A plan that placed it there would never ask for another machine.
+    /// Machines that the job avoids. A plan that placed tasks there would never demand another machine.
     pub avoided: BTreeSet<MachineId>,
     /// Priority of a job that is queued; `None` if it is only forecast.
     pub urgency: Option<Priority>,
-    /// Whether the tasks avoid stranding GPUs: they leave the CPUs and memory that free GPUs need, and
-    /// no machines with GPUs are rented for them.
+    /// Whether the tasks avoid stranding GPUs. Such tasks do not use the CPUs and memory that free GPUs need,
+    /// and no machines with GPUs are rented for them.
     pub avoids_stranding_gpus: bool,
 }
 
 impl TaskDemand {
-    /// Tasks of a job that is only forecast, and so has no tasks on any machine.
+    /// Tasks of a job that is only forecast. The job has no tasks on any machine.
     pub fn expected(types: &[MachineType], spec: Rc<JobSpec>, count: u32) -> Self {
         let avoids_stranding_gpus = fits_without_gpus(types, &spec);
         Self {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Queued tasks of a job.
+    /// Tasks of a job that are queued.
     pub fn queued(job: &Job, count: u32, avoids_stranding_gpus: bool) -> Self {
         Self {
             spec: job.spec.clone(),
@@ -54,22 +54,22 @@
     }
 }
 
-/// A machine that a plan may place tasks on: one that exists or one to be rented.
+/// A machine on which a plan may place tasks. It exists or is to be rented.
 pub struct PackingCandidate {
     /// The machine; `None` if it is to be rented.
     pub machine: Option<MachineId>,
-    /// Its type, zone and whether it is a spot instance.
+    /// The machine's type and zone, and whether it is a spot instance.
     pub offer: MachineOffer,
-    /// Resources beside the tasks on it and those planned there. Resources of opportunistic tasks count
-    /// as free until [`crate::core::scheduling::packing::Plan::reserve_opportunistic`] is called.
+    /// Resources not used by tasks on the machine or planned there. Resources of opportunistic tasks count as
+    /// free until [`crate::core::scheduling::packing::Plan::reserve_opportunistic`] is called.
     pub free: Resources,
     /// All resources of the machine.
     pub total: Resources,
-    /// The part of `free` that opportunistic tasks use at present.
+    /// The part of `free` that opportunistic tasks on the machine use.
     pub opportunistic_resources: Resources,
-    /// Whether tasks other than opportunistic ones are on it or planned there.
+    /// Whether tasks other than opportunistic ones are on the machine or planned there.
     pub is_in_use: bool,
-    /// Whether it is being drained: it is used only if no other machine suffices.
+    /// Whether the machine is being drained. It is used only if no other machine suffices.
     pub is_draining: bool,
     /// Whether queued or forecast tasks are planned there.
     pub has_planned_tasks: bool,
--- a/src/core/scheduling/packing/tests.rs
+++ b/src/core/scheduling/packing/tests.rs
@@ -4,30 +4,30 @@
 use crate::ids::MachineTypeName;
 use std::rc::Rc;
 
-/// The lowest price per task decides, then the zone with fewer machines; offers that the cloud cannot
-/// provide are passed over.
+/// Offers are ordered by price per task, then by number of machines in the zone. Offers that the cloud cannot
+/// provide are not considered.
 #[test]
 fn the_offer_with_the_lowest_price_per_task_is_demanded() {
     let (types, job) = (types(), service("chat", "x", 1.0));
     let need = Resources::of(&job);
     let zones = BTreeMap::from([(Zone::from("a"), 3)]);
-    let best = |unavailable: &BTreeSet<MachineOffer>| {
+    let cheapest_offer = |unavailable: &BTreeSet<MachineOffer>| {
         let request = RentalRequest {
             spec: &job,
             need: &need,
-            zone_allows: &|_| true,
+            accepts_zone: &|_| true,
         };
         let cheapest = request.cheapest(&types, &zones, unavailable);
         cheapest.map(|(offer, _)| offer)
     };
     let g8 =
         |zone: &str| MachineOffer::from((MachineTypeName::from("g8"), Zone::from(zone), false));
-    assert_eq!(best(&BTreeSet::new()), Some(g8("b")));
-    assert_eq!(best(&BTreeSet::from([g8("b")])), Some(g8("a")));
+    assert_eq!(cheapest_offer(&BTreeSet::new()), Some(g8("b")));
+    assert_eq!(cheapest_offer(&BTreeSet::from([g8("b")])), Some(g8("a")));
 }
 
-/// A job that was planned on a machine it avoids would wait forever: it is never placed there, and no
-/// other machine would be demanded.
+/// A job that is planned on a machine it avoids waits forever: it is never placed there, and no other machine
+/// is demanded.
 #[test]
 fn tasks_are_not_planned_on_machines_that_the_job_avoids() {
     let (types, unavailable) = (types(), BTreeSet::new());
@@ -52,9 +52,9 @@
     assert_eq!(demanded(BTreeSet::from(["m-1".into()])), 1);
 }
 
-/// A job may demand thousands of machines at once, but no more than the configured maximum.
+/// One job may demand thousands of machines at once, but no more than the maximum that is passed to the plan.
 #[test]
-fn a_wide_job_demands_thousands_of_machines_up_to_the_maximum() {
+fn a_job_with_many_tasks_demands_machines_up_to_the_maximum() {
     let (types, unavailable) = (types(), BTreeSet::new());
     let demanded = |tasks: u32| {
         let mut plan = Plan::new(&types, &unavailable, Vec::new(), 4000);
@@ -71,10 +71,10 @@
     );
 }
 
-/// An opportunistic job keeps to its zones like any other. Planned in a zone where it is never placed, it
-/// would wait beside free resources that it cannot use and demand no other machine.
+/// Zone constraints apply to opportunistic jobs too. A job that is planned in a zone where it is never placed
+/// waits although resources are free there, and demands no other machine.
 #[test]
-fn opportunistic_tasks_are_planned_within_their_zones() {
+fn opportunistic_tasks_are_planned_within_the_zone_constraints_of_their_job() {
     let (types, unavailable) = (types(), BTreeSet::new());
     let offer = || MachineOffer::from((MachineTypeName::from("g8"), Zone::from("a"), true));
     let candidates = vec![PackingCandidate {
@@ -96,8 +96,8 @@
     assert!(demand.machine_demands[0].opportunistic && rentals == 4);
 }
 
-/// Tasks without GPUs demanded GPU machines although there were others, and the leader moved forty of
-/// them away from a shard whose tasks waited for GPUs.
+/// If tasks without GPUs demand GPU machines, the leader takes these from a shard whose tasks wait for GPUs.
+/// In one case it moved forty of them, although machines without GPUs were offered.
 #[test]
 fn tasks_without_gpus_do_not_demand_gpu_machines() {
     let mut types = types();
--- a/src/core/scheduling/placement.rs
+++ b/src/core/scheduling/placement.rs
@@ -1,15 +1,15 @@
-//! Best-fit bin packing of a single task: among the machines that suffice, the one with the fewest
-//! free GPUs is chosen. Ties, and tasks without GPUs, go to the machine left with the lowest weighted
-//! sum of its free CPU and memory fractions. The functions only look at candidates and pick one.
+//! Best-fit bin packing of a single task. Among the machines that suffice, the task goes to the one that is
+//! left with the fewest free GPUs. A tie goes to the machine left with the lowest weighted sum of the free
+//! fractions of its CPUs and memory. The functions choose a candidate and change nothing.
 //!
-//! CPUs and memory of a GPU machine are needed to use its GPUs, so a task without GPUs can strand
-//! GPUs by taking them. Where machines without GPUs can be rented, a GPU machine therefore offers such a
+//! The GPUs of a machine cannot be used without its CPUs and memory, so a task without GPUs that takes
+//! these can strand the GPUs. If machines without GPUs can be rented, a GPU machine therefore offers such a
 //! task only the CPUs and memory that its free GPUs do not need ([`Resources::without_share_of_free_gpus`]).
 
 use crate::core::model::resources::Resources;
 use crate::core::model::time::Time;
 
-/// Candidates that are ready within this factor of the soonest one count as equally soon, because
+/// Candidates whose time until ready is within this factor of the shortest one count as equally soon, because
 /// the times are estimates.
 const EQUALLY_SOON_FACTOR: f64 = 1.1;
 
@@ -38,23 +38,23 @@
     pub free: Resources,
     /// All resources of the machine.
     pub total: Resources,
-    /// Seconds until the task could run there.
+    /// Seconds until the task could run on the machine.
     pub ready_in: Time,
 }
 
-/// How to choose among the soonest machines when none is ready before the start deadline.
+/// Choice among the machines that are ready soonest if none is ready before the start deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LateStartPolicy {
     /// The machine that is left with the least free resources.
     BestFit,
-    /// The machine that is left with the most free resources, so that further tasks with the image
-    /// that has to be fetched there can start in time.
+    /// The machine that is left with the most free resources. Further tasks with the same image can then
+    /// start in time on this machine, which has to fetch it.
     WorstFit,
 }
 
-/// Picks a candidate and returns its index. A candidate that is not ready within
-/// `time_to_deadline` seconds is considered only if none is; then the soonest ones compete under
-/// `late_start`. Returns `None` if no candidate has the needed resources free.
+/// Chooses a candidate and returns its index. If no candidate is ready within `time_to_deadline` seconds,
+/// `late_start` decides among those that are ready soonest. Returns `None` if no candidate has the needed
+/// resources free.
 pub fn best_fit(
     need: &Resources,
     candidates: &[Candidate],
@@ -92,7 +92,7 @@
         .map(|(index, _)| index)
 }
 
-/// What a placement would leave free on a machine.
+/// Resources that a placement would leave free on a machine, by which candidates are ordered.
 struct Leftover {
     gpus: f64,
     /// Weighted sum of the free fractions of CPUs and memory.
--- a/src/core/scheduling/placement/tests.rs
+++ b/src/core/scheduling/placement/tests.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn ties_go_to_the_machine_left_with_the_least_cpu_and_memory() {
+fn ties_go_to_the_machine_left_with_the_least_free_cpu_and_memory() {
     assert_eq!(
         pick(&[candidate(4.0, 30.0, 0.0), candidate(4.0, 8.0, 0.0)], 10.0),
         Some(1)
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_machine_ready_after_the_start_deadline_does_not_suffice() {
+fn a_machine_ready_after_the_start_deadline_is_chosen_only_if_no_other_suffices() {
     let all = [candidate(2.0, 8.0, 30.0), candidate(8.0, 32.0, 5.0)];
     assert_eq!(pick(&all, 10.0), Some(1));
     assert_eq!(pick(&all, 40.0), Some(0));
@@ -80,8 +80,8 @@
     );
 }
 
-/// Services without GPUs took the CPUs of GPU machines: a ninth of the GPUs was stranded, and others were
-/// rented in their place.
+/// Services without GPUs that take the CPUs of GPU machines strand the GPUs, and others are rented in their
+/// place. In one case a ninth of the GPUs was stranded.
 #[test]
 fn free_gpus_keep_their_share_of_cpus_and_memory() {
     let total = Resources {
--- a/src/core/scheduling/usage.rs
+++ b/src/core/scheduling/usage.rs
@@ -1,5 +1,5 @@
-//! Teams' quotas: what they use, what they are guaranteed, and what their limits and grants allow. Usage
-//! includes everything that may be on a machine.
+//! Quotas of teams: their usage, and the further tasks that their limits, grants and guarantees allow. Usage
+//! includes every task that may be on a machine.
 
 use crate::config::{Config, TeamLimits};
 use crate::core::model::resources::Resources;
@@ -11,12 +11,12 @@
 /// Tolerance for rounding errors in sums of CPUs and GPUs.
 const EPSILON: f64 = 1e-6;
 
-/// An amount of the resources that quotas count.
+/// An amount of the resources that quotas count, which excludes memory.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct QuotaUnits {
-    /// CPUs.
+    /// Number of CPUs; may be fractional.
     pub(crate) cpus: f64,
-    /// GPUs.
+    /// Number of GPUs; may be fractional.
     pub(crate) gpus: f64,
 }
 
@@ -45,25 +45,25 @@
     }
 }
 
-/// What one team may be using.
+/// Resources that one team may be using, and its grant.
 #[derive(Clone, Debug, Default)]
 struct TeamUsage {
-    /// Everything that may be on a machine.
+    /// Resources of all tasks that may be on a machine.
     total: QuotaUnits,
-    /// The part of it that this process started since it gained the team.
+    /// The part of `total` that belongs to tasks that this process started since it gained the team.
     own: QuotaUnits,
     /// The grant, which `own` must not exceed; `None` if no grant applies.
     granted: Option<Amount>,
-    /// The most that the grant can be raised to while other holders keep theirs.
+    /// The highest amount of the grant while other holders keep theirs; `None` if no grant applies.
     grantable: Option<Amount>,
-    /// Tasks that the limit allows and that wait for a larger grant.
+    /// Resources of tasks that the limit allows and that wait for a larger grant.
     blocked: QuotaUnits,
-    /// The first of the tasks in `blocked`.
+    /// Resources of the first of the blocked tasks, or of its whole gang.
     first_blocked: QuotaUnits,
 }
 
 impl TeamUsage {
-    /// How many of `max_tasks` further tasks can be started here with `own` staying within `bound`.
+    /// Number of further tasks, up to `max_tasks`, for which `own` stays within `bound`.
     fn tasks_within(
         &self,
         bound: Option<Amount>,
@@ -75,15 +75,15 @@
             return max_tasks;
         };
         let limit = limit_of(team_limits);
-        largest_allowed(max_tasks, |count| {
+        largest_allowed_count(max_tasks, |count| {
             let mut own = self.own;
             own.add(QuotaUnits::of(need).times(count));
             bound.covers(&limit.limited(&own.amount()))
         })
     }
 
-    /// Applies a grant while other holders have grants outstanding. What was inherited counts up to what
-    /// they were granted; if the team's usage `is_unknown`, it counts as all of that.
+    /// Applies a grant while other holders have grants outstanding. Of a limited resource, inherited usage
+    /// counts up to the amount granted to them; if the team's usage `is_unknown`, that whole amount counts.
     fn apply_grant(&mut self, limit: &Limit, own: Amount, outstanding: &Amount, is_unknown: bool) {
         self.granted = Some(own);
         self.grantable = Some(limit.amount().less(outstanding).max(&own));
@@ -111,13 +111,13 @@
     }
 }
 
-/// What each team may be using at this moment.
+/// Resources that each team may be using at present.
 #[derive(Debug, Default)]
 pub struct Usage {
     teams: BTreeMap<Team, TeamUsage>,
-    /// Teams whose usage is unknown: those with limits start nothing.
+    /// Teams whose usage is unknown. Those with limits start nothing.
     unknown_usage: BTreeSet<Team>,
-    /// Teams of which it is unknown whether they have a record of grants: they start nothing.
+    /// Teams for which it is unknown whether a record of grants exists. They start nothing.
     unknown_grants: BTreeSet<Team>,
 }
 
@@ -162,7 +162,7 @@
             .unwrap_or_default()
     }
 
-    /// The same usage with limits applied but grants ignored.
+    /// Returns the same usage without grants, so that only limits apply.
     pub fn without_grants(mut self) -> Self {
         for used in self.teams.values_mut() {
             used.granted = None;
@@ -191,7 +191,7 @@
             || self.unknown_grants.contains(&team_limits.name)
     }
 
-    /// How many of `max_tasks` further tasks the team's grant covers.
+    /// Number of further tasks, up to `max_tasks`, that the team's grant covers.
     fn tasks_within_grant(
         &self,
         team_limits: &TeamLimits,
@@ -204,7 +204,7 @@
         })
     }
 
-    /// How many of `max_tasks` further tasks fit into the team's limit, less what is granted to others.
+    /// Number of further tasks, up to `max_tasks`, that fit into the team's limit less the grants of others.
     pub fn tasks_within_limit(
         &self,
         team_limits: &TeamLimits,
@@ -214,20 +214,20 @@
         if self.is_blocked(team_limits) {
             return 0;
         }
-        let of_team = self.teams.get(&team_limits.name);
-        let grantable = of_team.map_or(max_tasks, |used| {
+        let team_usage = self.teams.get(&team_limits.name);
+        let grantable = team_usage.map_or(max_tasks, |used| {
             used.tasks_within(used.grantable, team_limits, need, max_tasks)
         });
         let used = self.total(&team_limits.name);
-        largest_allowed(grantable, |count| {
+        largest_allowed_count(grantable, |count| {
             let more = QuotaUnits::of(need).times(count);
             is_within_limit(used.cpus + more.cpus, team_limits.cpus_max)
                 && is_within_limit(used.gpus + more.gpus, team_limits.gpus_max)
         })
     }
 
-    /// How many of `max_tasks` tasks may be started now under the team's grant; for a gang all or none.
-    /// Records the tasks that have to wait for a larger grant.
+    /// Returns the number of tasks, up to `max_tasks`, that the team's grant allows to start now; for a gang
+    /// all or none. Records the tasks that have to wait for a larger grant.
     pub fn admit_under_grant(
         &mut self,
         team_limits: &TeamLimits,
@@ -254,8 +254,8 @@
         !self.unknown_usage.contains(team) && !self.unknown_grants.contains(team)
     }
 
-    /// What counts against this process's grant for the team, and what against the grants of previous
-    /// owners.
+    /// The team's usage that counts against this process's grant, and the usage that counts against the
+    /// grants of previous owners.
     pub fn own_and_inherited(&self, team: &Team) -> (Amount, Amount) {
         let Some(used) = self.teams.get(team) else {
             return Default::default();
@@ -264,7 +264,7 @@
         (own, used.total.amount().less(&own))
     }
 
-    /// All tasks of the team that wait only for a larger grant, and the first of them.
+    /// Resources of all tasks of the team that wait only for a larger grant, and those of the first of them.
     pub fn blocked_by_grant(&self, team: &Team) -> (Amount, Amount) {
         let Some(used) = self.teams.get(team) else {
             return Default::default();
@@ -272,8 +272,8 @@
         (used.blocked.amount(), used.first_blocked.amount())
     }
 
-    /// Counts a team by its grants: previous owners' tasks use at most what was granted to them, and once
-    /// nothing is granted to them any more, all running tasks are this process's.
+    /// Accounts for a team's usage on the given basis. Tasks of previous owners use at most the amount
+    /// granted to these owners. Once nothing is granted to them, all running tasks count as this process's.
     pub(crate) fn apply_basis(&mut self, team_limits: &TeamLimits, basis: QuotaBasis) {
         let is_unknown = self.unknown_usage.contains(&team_limits.name);
         let used = self.teams.entry(team_limits.name.clone()).or_default();
@@ -296,8 +296,8 @@
         }
     }
 
-    /// Whether the team, with this much more, stays within its guaranteed quota. A team without a
-    /// guarantee never does.
+    /// Whether the team stays within its guaranteed quota with this much more. A team without a guarantee
+    /// never does.
     pub fn is_within_guarantee(&self, team_limits: &TeamLimits, cpus: f64, gpus: f64) -> bool {
         let used = self.total(&team_limits.name);
         let is_within = |used: f64, guarantee: f64| guarantee > 0.0 && used <= guarantee + EPSILON;
@@ -308,12 +308,12 @@
     }
 }
 
-/// The largest count up to `max` for which it and all smaller counts are allowed.
-fn largest_allowed(max: usize, is_allowed: impl Fn(usize) -> bool) -> usize {
+/// The largest count, up to `max`, such that it and all smaller positive counts are allowed.
+fn largest_allowed_count(max: usize, is_allowed: impl Fn(usize) -> bool) -> usize {
     (1..=max).take_while(|count| is_allowed(*count)).count()
 }
 
-/// Whether `used` is within a limit; a limit of 0 means none.
+/// Whether `used` is within a limit. A limit of 0 means unlimited.
 pub fn is_within_limit(used: f64, limit: f64) -> bool {
     limit == 0.0 || used <= limit + EPSILON
 }
@@ -326,31 +326,33 @@
         .is_some()
 }
 
-/// A team's limit in the ledger's units.
+/// A team's limit in the units of the quota ledger.
 pub fn limit_of(team_limits: &TeamLimits) -> Limit {
     Limit::new(team_limits.cpus_max, team_limits.gpus_max)
 }
 
-/// How the owner of a team accounts for the team's quota.
+/// Basis on which the owner of a team accounts for the team's quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum QuotaBasis {
-    /// The owner has not yet read whether there is a record of grants: it starts nothing.
+    /// The owner has not yet read whether a record of grants exists, so it starts nothing.
     Undecided,
     /// All tasks that any owner may have started count against the limit.
     Counting {
-        /// While a record of grants is being created: the amount that running tasks must not exceed.
+        /// The owner's grant in a record of grants whose creation is not confirmed, if there is one. Running
+        /// tasks must not exceed it.
         unconfirmed_grant: Option<Amount>,
     },
-    /// The owner's tasks count against its grant, those of other holders up to what they were granted.
+    /// The owner's tasks count against its grant. Tasks of other holders count up to the amount granted to
+    /// them.
     Granted {
         /// The owner's grant.
         own: Amount,
-        /// What is granted to other holders.
+        /// The sum of the grants of other holders.
         outstanding: Amount,
     },
 }
 
-/// The quota that a job needs at once at the least: of one task for an array, of all tasks otherwise.
+/// The smallest quota with which the job can run: of one task for an array, of all tasks otherwise.
 pub(crate) fn minimum_quota(spec: &JobSpec) -> QuotaUnits {
     let tasks = match spec.kind {
         JobKind::Array => 1.0,
