--- a/src/core/scheduling/catalog/tests.rs
+++ b/src/core/scheduling/catalog/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
-use crate::core::test_support::{config, service, types};
+use crate::core::test_support::{config, machine_types, service};
 
 /// A type with much memory and no GPUs, and a type with GPUs and little memory.
 fn disjoint_types() -> Vec<MachineType> {
-    let g8 = types().remove(1);
+    let g8 = machine_types().remove(1);
     let without_gpus = MachineType {
         name: "c16".into(),
         cpus: 16.0,
@@ -76,7 +76,7 @@
     service_spec.gpus = 0.0;
     assert!(fits_without_gpus(&disjoint_types(), &service_spec));
     assert!(
-        !fits_without_gpus(&types(), &service_spec),
+        !fits_without_gpus(&machine_types(), &service_spec),
         "all types have GPUs"
     );
     service_spec.cpus = 32.0;
