--- a/src/core/scheduling/constraints.rs
+++ b/src/core/scheduling/constraints.rs
@@ -1,4 +1,4 @@
-//! Constraints of a single job: which machines it accepts and when it has to start.
+//! Constraints of a single job: the machines that it accepts, and the latest time of its start.
 
 use crate::config::{Config, TeamLimits};
 use crate::core::jobs::job::Job;
--- a/src/core/scheduling/forecast.rs
+++ b/src/core/scheduling/forecast.rs
@@ -23,7 +23,7 @@
     capacity: usize,
 }
 
-/// The submission of a job, to this or another controller.
+/// The arrival of a runnable job at this or another controller.
 struct Arrival {
     at: Time,
     spec: Rc<JobSpec>,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Records that a job was submitted at `at`, possibly to another controller and some time ago.
+    /// Records that a job became runnable at `at`, possibly some time ago and at another controller.
     pub fn record_arrival(&mut self, spec: &Rc<JobSpec>, at: Time) {
         if self.arrivals.len() >= self.capacity {
             self.arrivals.pop_front();
--- a/src/core/scheduling/usage.rs
+++ b/src/core/scheduling/usage.rs
@@ -334,7 +334,8 @@
 /// Basis on which the owner of a team accounts for the team's quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum QuotaBasis {
-    /// The owner has not yet read whether a record of grants exists, so it starts nothing.
+    /// The owner has not yet read whether a record of grants exists, or one exists that is to be deleted. It
+    /// starts nothing.
     Undecided,
     /// All tasks that any owner may have started count against the limit.
     Counting {
@@ -347,7 +348,7 @@
     Granted {
         /// The owner's grant.
         own: Amount,
-        /// The sum of the grants of other holders.
+        /// The amount that is granted to other holders.
         outstanding: Amount,
     },
 }
