--- a/crates/quota-ledger/src/headroom.rs
+++ b/crates/quota-ledger/src/headroom.rs
@@ -1,68 +1,72 @@
-//! How much more than it uses a holder asks for, so that ordinary starts need not wait for a write, and
-//! when it returns a surplus, so that writes stay rare.
+//! The headroom that a holder requests beyond its usage, and the time at which it returns a surplus.
+//!
+//! With headroom most task starts need not wait for a write. The delayed return keeps writes rare.
 
 use crate::amount::{Amount, Limit};
 
-/// Fraction of the headroom below which a holder asks for more.
-const LOW_WATERMARK: f64 = 0.5;
-/// Multiple of the headroom above which a holder returns some.
-const HIGH_WATERMARK: f64 = 2.0;
+/// Fraction of the headroom. A holder with less unused capacity requests more.
+const LOW_WATERMARK_FRACTION: f64 = 0.5;
+/// Multiple of the headroom. A holder with more unused capacity returns the surplus.
+const HIGH_WATERMARK_MULTIPLE: f64 = 2.0;
 
-/// The rule by which grants grow and shrink.
+/// Decides when grants grow and shrink.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HeadroomPolicy {
-    /// Fraction of the limit that a holder holds beyond what it uses.
+    /// Fraction of the limit that a holder requests beyond its usage.
     pub limit_fraction: f64,
-    /// Seconds for which a surplus must last before it is returned.
+    /// Time in seconds for which a surplus must last before it is returned.
     pub surplus_delay_s: f64,
 }
 
-/// What a grant should become.
+/// The size that a grant should get, and when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantTarget {
-    /// No change.
+    /// Leave the grant as it is.
     Keep,
-    /// Starts wait or soon will: grow at once to this amount.
+    /// Task starts wait for capacity or soon will: grow to this amount at once.
     Grow(Amount),
-    /// There is a surplus: shrink to this amount if it lasts.
+    /// There is a surplus: shrink to this amount if the surplus lasts.
     ShrinkLater(Amount),
-    /// Others lack what is not used here: shrink at once to this amount.
+    /// Other holders lack capacity that is unused here: shrink to this amount at once.
     ShrinkNow(Amount),
 }
 
 impl HeadroomPolicy {
-    /// The part of the limit that a holder holds beyond what it uses.
+    /// The part of the limit that a holder requests beyond its usage.
     pub(crate) fn headroom_amount(&self, limit: &Limit) -> Amount {
         limit.amount().scaled(self.limit_fraction)
     }
 
-    /// What a grant should become. `needed` is what runs under it or waits to be started under it;
-    /// `others_lack` says whether other holders lack something.
+    /// The target for `grant`. `needed` is the capacity of all tasks that run or wait under it.
+    /// `others_lack_capacity` says whether other holders wait for capacity.
     pub fn grant_target(
         &self,
         limit: &Limit,
         grant: &Amount,
         needed: &Amount,
-        others_lack: bool,
+        others_lack_capacity: bool,
     ) -> GrantTarget {
-        if others_lack {
+        if others_lack_capacity {
             return Self::target_without_headroom(grant, needed);
         }
         let headroom = self.headroom_amount(limit);
-        let needed_with = |multiple: f64| {
+        let needed_with_headroom = |multiple: f64| {
             let with_headroom = needed.plus(&headroom.scaled(multiple));
             limit.amount().min(&with_headroom).max(needed)
         };
-        if !grant.covers(&needed_with(LOW_WATERMARK)) {
-            GrantTarget::Grow(needed_with(1.0).max(grant))
-        } else if !needed.plus(&headroom.scaled(HIGH_WATERMARK)).covers(grant) {
-            GrantTarget::ShrinkLater(needed_with(1.0).min(grant))
+        if !grant.covers(&needed_with_headroom(LOW_WATERMARK_FRACTION)) {
+            GrantTarget::Grow(needed_with_headroom(1.0).max(grant))
+        } else if !needed
+            .plus(&headroom.scaled(HIGH_WATERMARK_MULTIPLE))
+            .covers(grant)
+        {
+            GrantTarget::ShrinkLater(needed_with_headroom(1.0).min(grant))
         } else {
             GrantTarget::Keep
         }
     }
 
-    /// While others lack something, exactly what is needed.
+    /// The target while other holders lack capacity: exactly `needed`.
     fn target_without_headroom(grant: &Amount, needed: &Amount) -> GrantTarget {
         match (grant.covers(needed), needed.covers(grant)) {
             (true, true) => GrantTarget::Keep,
--- a/crates/quota-ledger/src/holder.rs
+++ b/crates/quota-ledger/src/holder.rs
@@ -1,67 +1,66 @@
-//! One controller's side of a team's ledger: what it may use now, and which change of the record it requests
-//! next.
+//! The state of one controller that has a grant of a team's limit: the part that it may use now, and the
+//! change of the record that it requests next.
 //!
-//! A grant grows only once the store has confirmed the write, and shrinks as soon as the write is requested.
-//! If an answer is lost or a write is executed late, the holder counts with less than the record says, never
-//! with more.
+//! A grant grows when the store has confirmed the write, and shrinks as soon as the write is requested.
+//! So if an answer is lost or a write is executed late, the holder never uses more than the record grants.
 
 use crate::amount::{Amount, Limit};
 use crate::headroom::{GrantTarget, HeadroomPolicy};
 use crate::record::{HolderId, TeamLedger};
 
-/// Former holders that provably can't start anything under their grants any more.
+/// Former holders for which there is evidence that they can't start tasks under their grants any more.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum EndedHolders {
-    /// None is known.
+    /// No such holder is known.
     #[default]
     None,
-    /// The listed ones.
+    /// These holders.
     Listed(Vec<HolderId>),
-    /// All holders except the one that asks.
+    /// All holders except the one that states the demand.
     AllOthers,
 }
 
-/// What a holder needs.
+/// The capacity that a holder needs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Demand {
-    /// What the holder's own grant must cover: everything that it started and that may be running, starts in
-    /// flight included, and what it has inherited before.
+    /// Capacity that the holder's own grant must cover: all tasks that it started and that may be running,
+    /// including starts in flight, and tasks that it has inherited before.
     pub used: Amount,
-    /// What waits in addition and could be started at once if it were granted.
+    /// Additional capacity of waiting tasks that could start at once if it were granted.
     pub waiting: Amount,
-    /// The part of `waiting` that is to be started first.
+    /// The part of `waiting` that is to start first.
     pub first_waiting: Amount,
-    /// Holders whose grants are to be transferred to this one.
+    /// Holders whose grants this holder is to take over.
     pub ended_holders: EndedHolders,
-    /// What may still run of the tasks that those started.
+    /// Capacity of the tasks of ended holders that may still be running.
     pub inherited: Amount,
 }
 
-/// A change of the record to be written as a compare-and-swap.
+/// A change of the record. The caller writes it as a compare-and-swap.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Proposal {
     /// The version that the stored record must have; 0 if it must not exist.
     pub expected_version: u64,
-    /// The new record.
+    /// The record after the change.
     pub ledger: TeamLedger,
 }
 
 /// The outcome of writing a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It was written; the record now has this version.
+    /// The proposal was written. The record now has this version.
     Committed(u64),
-    /// It was not written and never will be.
+    /// The proposal was not written and never will be.
     NotExecuted,
-    /// It may have been written, or may be later.
+    /// The proposal may have been written, or may be written later.
     Unknown,
 }
 
-/// Writes of which it is not known whether they were executed, all with the same expected version.
+/// Writes with an unknown outcome. All of them have the same expected version.
 #[derive(Clone, Copy, Debug)]
-struct InDoubt {
+struct WritesInDoubt {
     expected_version: u64,
-    /// The smallest of the holder's own grants in these writes.
+    /// The smallest amount that one of these writes grants to the holder itself.
     amount: Amount,
 }
 
@@ -70,24 +69,25 @@
 pub struct Holder {
     id: HolderId,
     limit: Limit,
-    headroom: HeadroomPolicy,
-    /// Version of the record as it is known; 0 if there is none.
+    headroom_policy: HeadroomPolicy,
+    /// The latest known version of the record; 0 if there is no record.
     version: u64,
+    /// The record of that version; `None` if there is no record.
     ledger: Option<TeamLedger>,
-    in_doubt: Option<InDoubt>,
-    /// The write in flight.
+    in_doubt: Option<WritesInDoubt>,
+    /// The write whose outcome has not been recorded yet.
     writing: Option<Proposal>,
-    /// Since when there has been a surplus.
+    /// Time in seconds since which the grant has had a surplus.
     surplus_since: Option<f64>,
 }
 
 impl Holder {
-    /// A holder that has not read the record yet.
-    pub fn new(id: HolderId, limit: Limit, headroom: HeadroomPolicy) -> Self {
+    /// Creates a holder that has not read the record yet.
+    pub fn new(id: HolderId, limit: Limit, headroom_policy: HeadroomPolicy) -> Self {
         Self {
             id,
             limit,
-            headroom,
+            headroom_policy,
             version: 0,
             ledger: None,
             in_doubt: None,
@@ -96,13 +96,13 @@
         }
     }
 
-    /// Its id.
+    /// The id under which the record lists this holder.
     pub fn id(&self) -> &HolderId {
         &self.id
     }
 
-    /// Records the stored record and its version, or `None` and 0 if there is none. Versions older than the
-    /// known one are ignored.
+    /// Takes note of the stored record and its version, or of `None` and 0 if there is no record. A version
+    /// that is not newer than the known one is ignored.
     pub fn observe_record(&mut self, version: u64, ledger: Option<TeamLedger>) {
         if version != 0 && version <= self.version {
             return;
@@ -114,32 +114,32 @@
             .take_if(|in_doubt| in_doubt.expected_version != version);
     }
 
-    /// The record as it is known.
+    /// The latest known record; `None` if there is no record or it has not been read.
     pub fn ledger(&self) -> Option<&TeamLedger> {
         self.ledger.as_ref()
     }
 
-    /// The most that may be running under this holder's grant.
+    /// The amount that may be in use under this holder's grant. Writes in doubt can only reduce it.
     pub fn usable_grant(&self) -> Amount {
         let stored = self
             .ledger
             .as_ref()
-            .map_or(Amount::ZERO, |ledger| self.amount_in(ledger));
+            .map_or(Amount::ZERO, |ledger| self.own_amount_in(ledger));
         match &self.in_doubt {
             Some(in_doubt) => stored.min(&in_doubt.amount),
             None => stored,
         }
     }
 
-    /// The least that the first record grants if this holder has requested to create it and the outcome is
-    /// unknown. Until it is known, no more than that may be started.
+    /// The smallest amount that a first record may grant to this holder, if the holder has requested to
+    /// create one and the outcome is unknown. Until it is known, tasks may use no more than this amount.
     pub fn first_grant_in_doubt(&self) -> Option<Amount> {
         self.in_doubt
             .filter(|_| self.ledger.is_none())
             .map(|in_doubt| in_doubt.amount)
     }
 
-    /// The most that may be running of what other holders started.
+    /// The most that tasks of other holders may use.
     pub fn granted_to_others(&self) -> Amount {
         self.ledger
             .as_ref()
@@ -147,7 +147,7 @@
             .unwrap_or_default()
     }
 
-    /// The next change to write, if one is due and no write is in flight.
+    /// Returns the next change of the record, if one is due and no write is in flight. `now` is in seconds.
     pub fn propose(&mut self, now: f64, demand: &Demand) -> Option<Proposal> {
         if self.writing.is_some() {
             return None;
@@ -157,7 +157,7 @@
             expected_version: self.version,
             ledger,
         };
-        self.count_as_in_doubt(&proposal);
+        self.mark_in_doubt(&proposal);
         self.writing = Some(proposal.clone());
         Some(proposal)
     }
@@ -169,14 +169,14 @@
         };
         match outcome {
             WriteOutcome::Committed(version) => self.observe_record(version, Some(proposal.ledger)),
-            // Also a write that was not executed keeps counting as in doubt: an earlier one that expects the
-            // same version may be, and both share one amount.
+            // A write that was not executed stays in doubt as well: an earlier write that expects the same
+            // version may still be executed, and both are counted with one amount.
             WriteOutcome::NotExecuted | WriteOutcome::Unknown => {}
         }
     }
 
-    /// The last change, with which the holder gives the team to another controller: only `still_used`, what
-    /// may still run, stays granted. `None` if nothing changes.
+    /// Returns the last change of a holder whose team another controller now owns. It reduces the grant to
+    /// `still_used`, the capacity of tasks that may still be running. `None` if nothing changes.
     pub fn propose_release(&self, still_used: Amount) -> Option<Proposal> {
         let ledger = self.ledger.as_ref()?;
         let still_used = self.limit.limited_part(&still_used);
@@ -187,51 +187,53 @@
         })
     }
 
-    /// This holder's grant in a record.
-    fn amount_in(&self, ledger: &TeamLedger) -> Amount {
+    /// The amount that `ledger` grants to this holder.
+    fn own_amount_in(&self, ledger: &TeamLedger) -> Amount {
         ledger
             .grant(&self.id)
             .map_or(Amount::ZERO, |grant| grant.amount)
     }
 
-    fn count_as_in_doubt(&mut self, proposal: &Proposal) {
-        let granted = self.amount_in(&proposal.ledger);
+    /// Counts a requested write as in doubt until a newer version of the record is known.
+    fn mark_in_doubt(&mut self, proposal: &Proposal) {
+        let granted = self.own_amount_in(&proposal.ledger);
         let expected_version = proposal.expected_version;
         let earlier = self
             .in_doubt
             .filter(|in_doubt| in_doubt.expected_version == expected_version);
         let amount = earlier.map_or(granted, |earlier| earlier.amount.min(&granted));
-        self.in_doubt = Some(InDoubt {
+        self.in_doubt = Some(WritesInDoubt {
             expected_version,
             amount,
         });
     }
 
+    /// The record after the next change; `None` if no change is due.
     fn next_ledger(&mut self, now: f64, demand: &Demand) -> Option<TeamLedger> {
         let Some(ledger) = self.ledger.clone() else {
             return self.first_ledger(demand);
         };
-        if let Some(absorbed) = self.absorbed(&ledger, demand) {
-            return Some(absorbed);
+        if let Some(next) = self.with_grants_taken_over(&ledger, demand) {
+            return Some(next);
         }
-        let needed = self.needed(&ledger, demand);
+        let needed = self.requestable_amount(&ledger, demand);
         if ledger.grant(&self.id).is_none() {
-            let wanted = needed.plus(&self.headroom.headroom_amount(&self.limit));
-            return Some(self.resized(&ledger.add_holder(&self.id), wanted, needed));
+            let desired = needed.plus(&self.headroom_policy.headroom_amount(&self.limit));
+            return Some(self.with_resized_grant(&ledger.add_holder(&self.id), desired, needed));
         }
-        let wanted = self.grant_target(now, &ledger, needed)?;
-        let next = self.resized(&ledger, wanted, needed);
+        let desired = self.target_amount(now, &ledger, needed)?;
+        let next = self.with_resized_grant(&ledger, desired, needed);
         (next != ledger).then_some(next)
     }
 
-    /// A new record. Only a holder that knows everything that runs may create it.
+    /// Creates the first record. Only a holder that knows all running tasks of the team may create it.
     fn first_ledger(&self, demand: &Demand) -> Option<TeamLedger> {
-        let knows_all = demand.ended_holders == EndedHolders::AllOthers;
-        knows_all.then(|| TeamLedger::create(&self.id, self.first_amount(demand)))
+        let knows_all_tasks = demand.ended_holders == EndedHolders::AllOthers;
+        knows_all_tasks.then(|| TeamLedger::create(&self.id, self.first_grant_amount(demand)))
     }
 
-    /// What this holder may ask for, given what others lack.
-    fn needed(&self, ledger: &TeamLedger, demand: &Demand) -> Amount {
+    /// The amount that this holder may request. It is smaller while other holders lack capacity.
+    fn requestable_amount(&self, ledger: &TeamLedger, demand: &Demand) -> Amount {
         let waiting = if ledger.must_yield(&self.id) {
             Amount::ZERO
         } else if ledger.wanted_by_others(&self.id).is_zero() {
@@ -242,60 +244,63 @@
         self.limit.limited_part(&demand.used.plus(&waiting))
     }
 
-    /// The record after the grants of ended holders were transferred to this one; `None` if there are none.
-    fn absorbed(&self, ledger: &TeamLedger, demand: &Demand) -> Option<TeamLedger> {
+    /// The record after this holder took over the grants of ended holders; `None` if those have no grants.
+    fn with_grants_taken_over(&self, ledger: &TeamLedger, demand: &Demand) -> Option<TeamLedger> {
         let inherited = self.limit.limited_part(&demand.inherited);
         match &demand.ended_holders {
             EndedHolders::None => None,
             EndedHolders::Listed(former) => {
                 let have_grants = former.iter().any(|former| ledger.grant(former).is_some());
-                let absorb = || {
+                let take_over = || {
                     let joined = ledger.add_holder(&self.id);
                     joined.take_over_grants(&self.id, former, inherited).ok()
                 };
-                have_grants.then(absorb)?
+                have_grants.then(take_over)?
             }
             EndedHolders::AllOthers => {
                 let have_grants = !ledger.granted_to_others(&self.id).is_zero();
-                let absorb = || {
+                let take_over = || {
                     ledger
                         .add_holder(&self.id)
                         .take_over_all_grants(&self.id, inherited)
                         .ok()
                 };
-                have_grants.then(absorb)?
+                have_grants.then(take_over)?
             }
         }
     }
 
-    /// The grant in a new record: everything that runs, and room for more within the limit.
-    fn first_amount(&self, demand: &Demand) -> Amount {
+    /// The grant in a first record: all running tasks, and within the limit also waiting tasks and headroom.
+    fn first_grant_amount(&self, demand: &Demand) -> Amount {
         let running = self
             .limit
             .limited_part(&demand.used.plus(&demand.inherited));
         let waiting = self.limit.limited_part(&demand.waiting);
-        let headroom = self.headroom.headroom_amount(&self.limit);
-        let wanted = running.plus(&waiting).plus(&headroom);
-        running.max(&self.limit.amount().min(&wanted))
+        let headroom = self.headroom_policy.headroom_amount(&self.limit);
+        let desired = running.plus(&waiting).plus(&headroom);
+        running.max(&self.limit.amount().min(&desired))
     }
 
-    /// What the grant should become; `None` if nothing is to be written now.
-    fn grant_target(&mut self, now: f64, ledger: &TeamLedger, needed: Amount) -> Option<Amount> {
+    /// The amount to which the grant should change; `None` if nothing is to be written now.
+    fn target_amount(&mut self, now: f64, ledger: &TeamLedger, needed: Amount) -> Option<Amount> {
         let grant = ledger.grant(&self.id)?;
-        let others_lack = !ledger.wanted_by_others(&self.id).is_zero();
-        let target = self
-            .headroom
-            .grant_target(&self.limit, &grant.amount, &needed, others_lack);
+        let others_lack_capacity = !ledger.wanted_by_others(&self.id).is_zero();
+        let target = self.headroom_policy.grant_target(
+            &self.limit,
+            &grant.amount,
+            &needed,
+            others_lack_capacity,
+        );
         let GrantTarget::ShrinkLater(smaller) = target else {
             self.surplus_since = None;
             return match target {
                 GrantTarget::Grow(amount) | GrantTarget::ShrinkNow(amount) => Some(amount),
-                // Writing the same amount again withdraws a recall that has been met.
+                // Requesting the same amount again withdraws a recall that has been met.
                 _ => (!grant.wanted.is_zero()).then_some(grant.amount),
             };
         };
         let since = *self.surplus_since.get_or_insert(now);
-        let is_due = now - since >= self.headroom.surplus_delay_s;
+        let is_due = now - since >= self.headroom_policy.surplus_delay_s;
         if !is_due {
             return None;
         }
@@ -303,15 +308,20 @@
         Some(smaller)
     }
 
-    /// The record with as much of `wanted` granted as is available, and a recall of what starts lack.
-    fn resized(&self, ledger: &TeamLedger, wanted: Amount, needed: Amount) -> TeamLedger {
+    /// Grants as much of `desired` as is available, and recalls the part of `needed` that is then lacking.
+    fn with_resized_grant(
+        &self,
+        ledger: &TeamLedger,
+        desired: Amount,
+        needed: Amount,
+    ) -> TeamLedger {
         let grant = ledger.grant(&self.id);
         let held = grant.map_or(Amount::ZERO, |grant| grant.amount);
         let recalled = grant.map_or(Amount::ZERO, |grant| grant.wanted);
-        // A limit that was lowered does not reduce what is held already.
-        let amount = wanted.min(&ledger.available(&self.id, &self.limit).max(&held));
+        // A lowered limit does not reduce an existing grant.
+        let amount = desired.min(&ledger.available(&self.id, &self.limit).max(&held));
         let lacking = needed.minus(&amount);
-        // While something is lacking the recall never shrinks, so that it need not be written again.
+        // The recall does not shrink while capacity is lacking. That avoids further writes.
         let lacking = if lacking.is_zero() {
             lacking
         } else {
--- a/crates/quota-ledger/src/lib.rs
+++ b/crates/quota-ledger/src/lib.rs
@@ -1,14 +1,14 @@
-//! Escrow of team limits.
+//! Divides the limits of teams into grants for controllers (escrow).
 //!
 //! A team's limit is divided into grants, one for each controller that may start tasks of the team. All
 //! grants of a team are in one record of a consistent key-value store, and every change of the record is a
 //! compare-and-swap on its version. The sum of the grants never exceeds the limit, and a controller starts
-//! only what its own grant covers. So the limit holds whatever controllers believe about one another.
+//! only tasks that its own grant covers. So the limit holds even if controllers are wrong about each other.
 //!
 //! - [`amount`]: amounts and limits of CPUs and GPUs, in thousandths.
 //! - [`record`]: the stored record and its changes, as pure functions.
-//! - [`headroom`]: how much more than it uses a holder asks for, and when it returns a surplus.
-//! - [`holder`]: one controller's side: what it may use, and what it writes next.
+//! - [`headroom`]: the capacity that a holder requests beyond its usage, and when it returns a surplus.
+//! - [`holder`]: the state of one controller: its usable grant and its next change of the record.
 //!
 //! The library does no I/O and reads no clock.
 
--- a/crates/quota-ledger/src/record.rs
+++ b/crates/quota-ledger/src/record.rs
@@ -1,8 +1,8 @@
 //! The stored record of a team's grants, and its changes.
 //!
-//! Every change is a pure function from one record to the next. The caller writes the next record on
-//! condition that the stored one still has the version from which the change was computed. So two
-//! controllers that grant the same capacity at the same time can't both succeed.
+//! Every change is a pure function from one record to the next. The caller writes the next record only if
+//! the stored record still has the version from which the change was computed. So if two controllers grant
+//! the same capacity at the same time, only one of them succeeds.
 
 use crate::amount::{Amount, Limit};
 use garde::Validate;
@@ -10,13 +10,12 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// The format of records that this version writes and reads.
+/// The only format of records that this version reads and writes.
 const FORMAT: u32 = 1;
-/// The most grants that a record lists one by one. Older ones are folded into one sum, so that the size of a
-/// record stays bounded however often a team's owner changes before all machines have reported what they
-/// run.
+/// Maximum number of grants that a record lists one by one. Older grants are added to one sum. So the size of
+/// a record stays bounded even if a team's owner changes often before all machines have reported their tasks.
 pub const MAX_GRANTS: usize = 8;
-/// The longest name of a controller in a record, in bytes.
+/// Maximum length in bytes of a controller's name in a record.
 const MAX_NAME_BYTES: usize = 100;
 
 /// The holder of a grant: a controller's process and the term under which it owns the team. No term is used
@@ -69,7 +68,7 @@
     creator_term: u64,
     /// The grants, ordered by holder and so by term.
     #[serde(rename = "g")]
-    #[garde(length(max = MAX_GRANTS), custom(each_holder_once), dive)]
+    #[garde(length(max = MAX_GRANTS), custom(validate_unique_holders), dive)]
     grants: Vec<Grant>,
     /// The sum of the grants of former holders that are no longer listed.
     #[serde(rename = "f", default, skip_serializing_if = "Amount::is_zero")]
@@ -80,26 +79,27 @@
 /// Why a stored value is not a valid record.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// It does not have the form of a record.
-    #[error("not a record of grants: {0}")]
+    /// The value does not have the fields and types of a record.
+    #[error("not a grant record: {0}")]
     Malformed(String),
-    /// It has the form of a record, but values out of range.
-    #[error("an invalid record of grants: {0}")]
+    /// The fields have values that a record must not have.
+    #[error("invalid grant record: {0}")]
     Invalid(String),
 }
 
 /// Why a record can't be changed as requested.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum ChangeError {
-    /// Others hold what the holder asks for.
-    #[error("others hold what is left of the limit")]
+    /// The other grants leave too little of the limit.
+    #[error("the grant would exceed what other grants leave of the limit")]
     LimitReached,
-    /// The record has no grant of the holder.
+    /// The record lists no grant of the holder.
     #[error("the holder has no grant in the record")]
     NotAHolder,
 }
 
-fn each_holder_once(grants: &[Grant], _: &()) -> garde::Result {
+/// Checks that no holder has more than one grant.
+fn validate_unique_holders(grants: &[Grant], _: &()) -> garde::Result {
     let holders: BTreeSet<&HolderId> = grants.iter().map(|grant| &grant.holder).collect();
     if holders.len() == grants.len() {
         Ok(())
@@ -120,7 +120,7 @@
         Ok(ledger)
     }
 
-    /// Creates a record. Its holder asserts that `amount` covers all tasks of the team that may run.
+    /// Creates a record. The holder asserts that `amount` covers all tasks of the team that may be running.
     pub fn create(holder: &HolderId, amount: Amount) -> Self {
         let grant = Grant {
             holder: holder.clone(),
@@ -135,61 +135,62 @@
         }
     }
 
-    /// The term of the holder that created the record.
+    /// The term of the holder that created the record. That holder counted all tasks started before.
     pub fn creator_term(&self) -> u64 {
         self.creator_term
     }
 
-    /// The grants, oldest holder first.
+    /// The listed grants, by ascending term of the holder.
     pub fn grants(&self) -> &[Grant] {
         &self.grants
     }
 
-    /// The sum of the grants of former holders that are no longer listed.
+    /// The sum of the grants of former holders that are no longer listed. It counts against the limit.
     pub fn folded(&self) -> Amount {
         self.folded
     }
 
-    /// The grant of one holder.
+    /// The grant of `holder`; `None` if the record does not list it.
     pub fn grant(&self, holder: &HolderId) -> Option<&Grant> {
         self.grants.iter().find(|grant| grant.holder == *holder)
     }
 
-    /// The sum of all grants of others, which covers every task of the team that may run and was not started by
-    /// `holder`.
+    /// The sum of all grants except that of `holder`. It covers all tasks of the team that may be running and
+    /// that `holder` did not start.
     pub fn granted_to_others(&self, holder: &HolderId) -> Amount {
         let others = self.grants.iter().filter(|grant| grant.holder != *holder);
         others.fold(self.folded, |sum, grant| sum.plus(&grant.amount))
     }
 
-    /// The sum of what others lack.
+    /// The sum of the recalls of all holders except `holder`.
     pub fn wanted_by_others(&self, holder: &HolderId) -> Amount {
         let others = self.grants.iter().filter(|grant| grant.holder != *holder);
         others.fold(Amount::ZERO, |sum, grant| sum.plus(&grant.wanted))
     }
 
-    /// Whether `holder` must yield to another one that lacks something: of those the holder with the smallest
-    /// grant takes precedence. The others then keep only what runs. So if two each hold half of what the other
-    /// needs, one of them gets the whole, and no holder waits for long.
+    /// Whether `holder` must yield to another holder that lacks capacity. Among those that lack capacity,
+    /// the one with the smallest grant takes precedence. Holders that yield keep only the capacity of their
+    /// running tasks. So if two holders each have half of the capacity that the other one needs, one of
+    /// them gets all of it, and no holder waits for long.
     pub fn must_yield(&self, holder: &HolderId) -> bool {
-        let rank = |grant: &Grant| {
+        let precedence = |grant: &Grant| {
             let Amount {
                 gpu_thousandths,
                 cpu_thousandths,
             } = grant.amount;
             (gpu_thousandths, cpu_thousandths, grant.holder.clone())
         };
-        let own = self.grant(holder).map(rank);
+        let own = self.grant(holder).map(precedence);
         let lacking = self.grants.iter().filter(|grant| !grant.wanted.is_zero());
-        own.is_some_and(|own| lacking.map(rank).any(|other| other < own))
+        own.is_some_and(|own| lacking.map(precedence).any(|other| other < own))
     }
 
-    /// The most that `holder` may be granted: the limit less the grants of others.
+    /// The most that `holder` may be granted: the limit minus all other grants.
     pub fn available(&self, holder: &HolderId, limit: &Limit) -> Amount {
         limit.amount().minus(&self.granted_to_others(holder))
     }
 
-    /// Adds a holder with an empty grant.
+    /// Adds a holder with an empty grant, unless the record lists it already.
     pub fn add_holder(&self, holder: &HolderId) -> Self {
         let mut next = self.clone();
         if self.grant(holder).is_none() {
@@ -200,12 +201,12 @@
             });
             next.grants
                 .sort_by(|one, other| one.holder.cmp(&other.holder));
-            next.fold_oldest(holder);
+            next.fold_oldest_grants(holder);
         }
         next
     }
 
-    /// Changes a holder's grant to `amount`. A grant may always shrink; it grows only within the limit.
+    /// Changes a holder's grant to `amount`. A grant may always shrink, but grows only within the limit.
     pub fn resize_grant(
         &self,
         holder: &HolderId,
@@ -213,23 +214,23 @@
         limit: &Limit,
     ) -> Result<Self, ChangeError> {
         let held = self.grant(holder).ok_or(ChangeError::NotAHolder)?.amount;
-        let most = held.max(&self.available(holder, limit));
-        if !most.covers(&limit.limited_part(&amount)) {
+        let max_amount = held.max(&self.available(holder, limit));
+        if !max_amount.covers(&limit.limited_part(&amount)) {
             return Err(ChangeError::LimitReached);
         }
-        Ok(self.with(holder, |grant| grant.amount = amount))
+        Ok(self.with_changed_grant(holder, |grant| grant.amount = amount))
     }
 
-    /// Records that a holder lacks `wanted` because others hold it.
+    /// Records that a holder lacks `wanted` because others hold it. Zero withdraws the recall.
     pub fn set_recall(&self, holder: &HolderId, wanted: Amount) -> Result<Self, ChangeError> {
         self.grant(holder).ok_or(ChangeError::NotAHolder)?;
-        Ok(self.with(holder, |grant| grant.wanted = wanted))
+        Ok(self.with_changed_grant(holder, |grant| grant.wanted = wanted))
     }
 
-    /// Removes the grants of `former` holders and transfers what may still run of their tasks to `holder`: its
-    /// grant grows by `inherited`, and at most by what they had. The caller has evidence that nothing can be
-    /// started under the former grants any more, and that at most `inherited` still runs of what was. The limit
-    /// is not checked, since the sum of all grants does not grow.
+    /// Removes the grants of `former` holders and adds `inherited` to the grant of `holder`, but at most the
+    /// sum of the removed grants. The caller must have evidence that no task can be started under the former
+    /// grants any more, and that the tasks still running under them use at most `inherited`. The limit is
+    /// not checked, since the sum of all grants does not grow.
     pub fn take_over_grants(
         &self,
         holder: &HolderId,
@@ -239,13 +240,13 @@
         let mut next = self.clone();
         next.grants
             .retain(|grant| !former.contains(&grant.holder) || grant.holder == *holder);
-        let ended = self
+        let removed = self
             .granted_to_others(holder)
             .minus(&next.granted_to_others(holder));
-        next.inherit(holder, inherited.min(&ended))
+        next.add_inherited(holder, inherited.min(&removed))
     }
 
-    /// As [`Self::take_over_grants`] for all other holders, including those that are no longer listed.
+    /// Like [`Self::take_over_grants`], but for all other holders, including those that are no longer listed.
     pub fn take_over_all_grants(
         &self,
         holder: &HolderId,
@@ -254,23 +255,24 @@
         let mut next = self.clone();
         next.grants.retain(|grant| grant.holder == *holder);
         next.folded = Amount::ZERO;
-        next.inherit(holder, inherited.min(&self.granted_to_others(holder)))
+        next.add_inherited(holder, inherited.min(&self.granted_to_others(holder)))
     }
 
-    fn inherit(&self, holder: &HolderId, inherited: Amount) -> Result<Self, ChangeError> {
+    /// Adds `inherited` to the grant of `holder`.
+    fn add_inherited(&self, holder: &HolderId, inherited: Amount) -> Result<Self, ChangeError> {
         self.grant(holder).ok_or(ChangeError::NotAHolder)?;
-        Ok(self.with(holder, |grant| grant.amount = grant.amount.plus(&inherited)))
+        Ok(self.with_changed_grant(holder, |grant| grant.amount = grant.amount.plus(&inherited)))
     }
 
-    /// Reduces the grant of a holder that starts nothing any more to what may still run of its tasks. An empty
-    /// grant is removed.
+    /// Reduces the grant of a holder that starts no more tasks to `still_used`, the capacity of its tasks
+    /// that may still be running. An empty grant is removed.
     pub fn release_grant(
         &self,
         holder: &HolderId,
         still_used: Amount,
     ) -> Result<Self, ChangeError> {
         self.grant(holder).ok_or(ChangeError::NotAHolder)?;
-        let mut next = self.with(holder, |grant| {
+        let mut next = self.with_changed_grant(holder, |grant| {
             grant.amount = grant.amount.min(&still_used);
             grant.wanted = Amount::ZERO;
         });
@@ -279,7 +281,8 @@
         Ok(next)
     }
 
-    fn with(&self, holder: &HolderId, change: impl FnOnce(&mut Grant)) -> Self {
+    /// The record after `change` was applied to the grant of `holder`, if it is listed.
+    fn with_changed_grant(&self, holder: &HolderId, change: impl FnOnce(&mut Grant)) -> Self {
         let mut next = self.clone();
         if let Some(grant) = next.grants.iter_mut().find(|grant| grant.holder == *holder) {
             change(grant);
@@ -287,9 +290,9 @@
         next
     }
 
-    /// Folds the oldest grants into the sum until at most [`MAX_GRANTS`] are listed. A folded holder can't
-    /// change its grant any more, but the grant still counts.
-    fn fold_oldest(&mut self, joining: &HolderId) {
+    /// Adds the oldest grants to the sum until at most [`MAX_GRANTS`] are listed. A holder that is no longer
+    /// listed can't change its grant, but the grant still counts against the limit.
+    fn fold_oldest_grants(&mut self, joining: &HolderId) {
         while self.grants.len() > MAX_GRANTS {
             let oldest = self
                 .grants
--- a/crates/quota-ledger/tests/interleaving.rs
+++ b/crates/quota-ledger/tests/interleaving.rs
@@ -1,5 +1,5 @@
-//! Seeded schedules of grants, recalls, lost messages, process pauses and restarts: the limit is never
-//! exceeded, and each safety rule is needed for that.
+//! Runs seeded schedules of grants, recalls, lost messages, process pauses and restarts. The tests check that
+//! the limit is never exceeded, and that it is exceeded if one of the safety rules is disabled.
 
 #![allow(
     clippy::cast_possible_truncation,
@@ -12,13 +12,13 @@
 
 mod model;
 
-use model::{LIMIT_GPUS, Model, Removed};
+use model::{DisabledRule, LIMIT_GPUS, Model};
 
-/// Schedules that CI runs. The environment variable `LEDGER_SCHEDULES=from-to` selects others.
+/// Seeds that CI runs. The environment variable `LEDGER_SCHEDULES=from-to` selects others, both inclusive.
 const SCHEDULES: std::ops::Range<u64> = 0..2000;
 const THREADS: usize = 4;
-/// Schedules within which a missing safety rule must lead to a violation.
-const TRIES: u64 = 1000;
+/// Number of schedules in which a disabled safety rule must lead to a violation.
+const VIOLATION_SCHEDULES: u64 = 1000;
 
 fn schedules() -> std::ops::Range<u64> {
     let Ok(text) = std::env::var("LEDGER_SCHEDULES") else {
@@ -29,10 +29,10 @@
 }
 
 #[test]
-fn the_limit_is_never_exceeded_and_everything_is_served() {
+fn the_limit_is_never_exceeded_and_all_waiting_tasks_start() {
     let counts = std::thread::scope(|scope| {
         let parts: Vec<_> = (0..THREADS)
-            .map(|part| scope.spawn(move || run_part(part)))
+            .map(|part| scope.spawn(move || run_schedules_of_part(part)))
             .collect();
         parts
             .into_iter()
@@ -43,13 +43,13 @@
     assert!(counts.starts > 0 && counts.crashes > 0 && counts.limit_reached > 0);
 }
 
-/// Totals over some schedules.
+/// Totals over several schedules.
 #[derive(Debug, Default)]
 struct Counts {
     starts: usize,
     crashes: usize,
     writes: usize,
-    /// Schedules in which nearly all of the limit was in use.
+    /// Number of schedules in which more than 90 % of the limit was in use.
     limit_reached: usize,
 }
 
@@ -64,56 +64,56 @@
     }
 }
 
-/// Runs every `THREADS`-th schedule, beginning with `part`.
-fn run_part(part: usize) -> Counts {
+/// Runs every `THREADS`-th schedule, starting at index `part`, and checks each of them.
+fn run_schedules_of_part(part: usize) -> Counts {
     let mut counts = Counts::default();
     for seed in schedules().skip(part).step_by(THREADS) {
-        let mut model = Model::new(seed, Removed::Nothing);
+        let mut model = Model::new(seed, DisabledRule::None);
         model
             .run()
-            .unwrap_or_else(|overshoot| panic!("schedule {seed}: {overshoot}"));
-        assert_eq!(model.unsettled(), None, "schedule {seed}");
+            .unwrap_or_else(|violation| panic!("schedule {seed}: {violation}"));
+        assert_eq!(model.remaining_problem(), None, "schedule {seed}");
         counts = counts.plus(Counts {
-            starts: model.started,
+            starts: model.started_tasks,
             crashes: model.crashes,
             writes: model.writes,
-            limit_reached: usize::from(model.most_running > LIMIT_GPUS * 0.9),
+            limit_reached: usize::from(model.max_running_gpus > LIMIT_GPUS * 0.9),
         });
     }
     counts
 }
 
-/// The first schedule in which the limit is exceeded without a safety rule.
-fn found_without(removed: Removed) -> Option<u64> {
-    (0..TRIES).find(|seed| Model::new(*seed, removed).run().is_err())
+/// Finds the first schedule in which the limit is exceeded while a safety rule is disabled.
+fn find_violation_without(disabled_rule: DisabledRule) -> Option<u64> {
+    (0..VIOLATION_SCHEDULES).find(|seed| Model::new(*seed, disabled_rule).run().is_err())
 }
 
 #[test]
 fn without_compare_and_swap_the_limit_is_exceeded() {
-    assert!(found_without(Removed::CompareAndSwap).is_some());
+    assert!(find_violation_without(DisabledRule::CompareAndSwap).is_some());
 }
 
 #[test]
-fn without_confirmation_the_limit_is_exceeded() {
-    assert!(found_without(Removed::Confirmation).is_some());
+fn without_waiting_for_confirmation_the_limit_is_exceeded() {
+    assert!(find_violation_without(DisabledRule::Confirmation).is_some());
 }
 
 #[test]
 fn without_counting_writes_in_doubt_the_limit_is_exceeded() {
-    assert!(found_without(Removed::Doubt).is_some());
+    assert!(find_violation_without(DisabledRule::InDoubtWrites).is_some());
 }
 
 #[test]
-fn without_evidence_the_limit_is_exceeded() {
-    assert!(found_without(Removed::Evidence).is_some());
+fn without_waiting_for_machine_reports_the_limit_is_exceeded() {
+    assert!(find_violation_without(DisabledRule::MachineReports).is_some());
 }
 
 #[test]
-fn without_fenced_workers_the_limit_is_exceeded() {
-    assert!(found_without(Removed::Fencing).is_some());
+fn without_fencing_by_workers_the_limit_is_exceeded() {
+    assert!(find_violation_without(DisabledRule::Fencing).is_some());
 }
 
 #[test]
 fn without_counting_starts_in_flight_the_limit_is_exceeded() {
-    assert!(found_without(Removed::StartsInFlight).is_some());
+    assert!(find_violation_without(DisabledRule::StartsInFlight).is_some());
 }
--- a/crates/quota-ledger/tests/model/mod.rs
+++ b/crates/quota-ledger/tests/model/mod.rs
@@ -1,5 +1,5 @@
-//! A simulation of five controllers that share one team's limit, in virtual time, with faults of the
-//! controllers, the store and the links to workers. After each event it checks the sum of what runs.
+//! Simulates five controllers that share one team's limit, in virtual time, with faults of the controllers,
+//! the store and the links to workers. After each event it checks the sum of the GPUs in use.
 
 use quota_ledger::{
     Amount, Demand, EndedHolders, HeadroomPolicy, Holder, HolderId, Limit, Proposal, TeamLedger,
@@ -14,29 +14,29 @@
 pub const LIMIT_GPUS: f64 = 24.0;
 /// Seconds between two steps of a controller.
 const STEP_S: f64 = 0.25;
-/// Seconds of silence after which a controller's machines are given to another.
+/// Seconds without contact after which a controller's machines are assigned to another controller.
 const FAILOVER_S: f64 = 6.0;
-/// Seconds with faults.
+/// Seconds at the start in which faults occur.
 const FAULTY_S: f64 = 240.0;
-/// Seconds without faults after them.
+/// Seconds without faults that follow.
 const QUIET_S: f64 = 200.0;
 
-/// A safety rule that is disabled, to show that the check notices what it prevents.
+/// A safety rule that is disabled, to show that the check detects the violation which the rule prevents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Removed {
+pub enum DisabledRule {
     /// All rules are in force.
-    Nothing,
-    /// The store does not compare versions.
+    None,
+    /// The store executes writes without comparing versions.
     CompareAndSwap,
-    /// A grant counts before the store has confirmed it.
+    /// A grant is used before the store has confirmed it.
     Confirmation,
-    /// Writes with an unknown outcome are not counted.
-    Doubt,
-    /// The grants of an ended process are absorbed before all its machines have reported.
-    Evidence,
-    /// Workers execute commands of former owners.
+    /// Writes with an unknown outcome do not reduce the usable grant.
+    InDoubtWrites,
+    /// The grants of an ended process are taken over before all its machines have reported.
+    MachineReports,
+    /// Workers execute the commands of former owners.
     Fencing,
-    /// Starts count only once their worker has confirmed them.
+    /// Task starts count as usage only after the worker has confirmed them.
     StartsInFlight,
 }
 
@@ -48,33 +48,37 @@
 }
 
 struct Machine {
+    /// Index of the controller that owns the machine.
     owner: usize,
     /// The owner's fencing token in the shard map.
-    term: u64,
-    /// The highest token that the worker has seen.
-    seen: u64,
-    /// GPUs and duration of the tasks that run.
+    owner_token: u64,
+    /// The highest fencing token that the worker has received.
+    highest_token: u64,
+    /// GPUs and duration in seconds of the running tasks, by id.
     running: BTreeMap<u64, (f64, f64)>,
 }
 
 struct Controller {
     alive: bool,
     paused_until: f64,
-    heard: f64,
+    /// Time in seconds of the last step, from which the leader detects failures.
+    last_contact: f64,
+    /// Identifies the process, and is its holder's term.
     term: u64,
     holder: Holder,
-    /// Its machines with their fencing tokens, as it last read the shard map.
+    /// The controller's machines and their fencing tokens as of the last read of the shard map.
     machines: BTreeMap<usize, u64>,
-    /// Whether it ever had one.
-    had_machines: bool,
-    /// GPUs of the tasks that it started or has inherited, and whether the worker has confirmed them.
+    /// Whether the process has ever had a machine.
+    has_had_machines: bool,
+    /// GPUs of the tasks that the process started or inherited, and whether the worker has confirmed them.
     tasks: BTreeMap<u64, (f64, bool)>,
-    /// GPUs of tasks that it found on machines, which are still covered by others' grants.
-    found: BTreeMap<u64, f64>,
-    /// Former holders of its machines, with the machines that have not reported yet.
-    former: Vec<(HolderId, BTreeSet<usize>)>,
+    /// GPUs of the tasks found on machines that the grants of former holders still cover.
+    found_tasks: BTreeMap<u64, f64>,
+    /// Former holders that owned the machines, each with the machines that have not reported yet.
+    former_holders: Vec<(HolderId, BTreeSet<usize>)>,
     waiting: Vec<Task>,
-    unconfirmed: Amount,
+    /// This holder's grant in the write in flight.
+    unconfirmed_grant: Amount,
 }
 
 enum Action {
@@ -97,47 +101,50 @@
         token: u64,
         task: Task,
     },
-    Started {
+    ConfirmStart {
         node: usize,
         term: u64,
         task: u64,
         runs: bool,
     },
-    Ends {
+    EndTask {
         machine: usize,
         task: u64,
     },
-    Reported {
+    ReportMachine {
         node: usize,
         term: u64,
         machine: usize,
         token: u64,
     },
     Crash(usize),
-    Return(usize),
+    Restart(usize),
     Pause(usize, f64),
 }
 
 pub struct Model {
     now: f64,
     sequence: u64,
+    /// Scheduled actions, ordered by time in microseconds and then by sequence number.
     actions: BTreeMap<(u64, u64), Action>,
     rng: StdRng,
-    removed: Removed,
+    disabled_rule: DisabledRule,
     limit: Limit,
     next_term: u64,
     next_task: u64,
+    /// Version and record.
     store: (u64, Option<TeamLedger>),
+    /// Start and length in seconds of the outages of the store.
     outages: Vec<(f64, f64)>,
     controllers: Vec<Controller>,
     machines: Vec<Machine>,
-    pub most_running: f64,
-    pub started: usize,
+    pub max_running_gpus: f64,
+    pub started_tasks: usize,
     pub writes: usize,
     pub crashes: usize,
 }
 
-fn holder(node: usize, term: u64, limit: Limit) -> Holder {
+fn new_holder(node: usize, term: u64, limit: Limit) -> Holder {
     let id = HolderId {
         term,
         incarnation: term,
@@ -154,7 +161,7 @@
 }
 
 impl Model {
-    pub fn new(seed: u64, removed: Removed) -> Self {
+    pub fn new(seed: u64, disabled_rule: DisabledRule) -> Self {
         let limit = Limit::new(0.0, LIMIT_GPUS);
         let mut rng = StdRng::seed_from_u64(seed);
         let controllers = (0..CONTROLLERS).map(|node| {
@@ -162,31 +169,31 @@
             Controller {
                 alive: true,
                 paused_until: 0.0,
-                heard: 0.0,
+                last_contact: 0.0,
                 term,
-                holder: holder(node, term, limit),
+                holder: new_holder(node, term, limit),
                 machines: BTreeMap::new(),
-                had_machines: false,
+                has_had_machines: false,
                 tasks: BTreeMap::new(),
-                found: BTreeMap::new(),
-                former: Vec::new(),
+                found_tasks: BTreeMap::new(),
+                former_holders: Vec::new(),
                 waiting: Vec::new(),
-                unconfirmed: Amount::ZERO,
+                unconfirmed_grant: Amount::ZERO,
             }
         });
         let machines = (0..MACHINES).map(|machine| {
             let owner = machine % CONTROLLERS;
             Machine {
                 owner,
-                term: owner as u64 + 1,
-                seen: 0,
+                owner_token: owner as u64 + 1,
+                highest_token: 0,
                 running: BTreeMap::new(),
             }
         });
         let outages =
             (0..2).map(|_| (rng.random_range(0.0..FAULTY_S), rng.random_range(1.0..40.0)));
         let outages: Vec<(f64, f64)> = outages.collect();
-        let first = HolderId {
+        let creator = HolderId {
             term: 0,
             incarnation: 0,
             node: "founder".into(),
@@ -196,27 +203,27 @@
             sequence: 0,
             actions: BTreeMap::new(),
             rng,
-            removed,
+            disabled_rule,
             limit,
             next_term: CONTROLLERS as u64 + 1,
             next_task: 0,
-            store: (1, Some(TeamLedger::create(&first, Amount::ZERO))),
+            store: (1, Some(TeamLedger::create(&creator, Amount::ZERO))),
             outages,
             controllers: controllers.collect(),
             machines: machines.collect(),
-            most_running: 0.0,
-            started: 0,
+            max_running_gpus: 0.0,
+            started_tasks: 0,
             writes: 0,
             crashes: 0,
         };
         for node in 0..CONTROLLERS {
-            model.after(0.01 * node as f64, Action::Step(node));
+            model.schedule(0.01 * node as f64, Action::Step(node));
         }
-        model.plan_faults();
+        model.schedule_faults();
         model
     }
 
-    fn plan_faults(&mut self) {
+    fn schedule_faults(&mut self) {
         for _ in 0..self.rng.random_range(2..8) {
             let at = self.rng.random_range(5.0..FAULTY_S);
             let node = self.rng.random_range(0..CONTROLLERS);
@@ -224,16 +231,16 @@
                 let pause = *[0.5, 3.0, 7.0, 25.0]
                     .get(self.rng.random_range(0..4))
                     .unwrap_or(&1.0);
-                self.after(at, Action::Pause(node, pause));
+                self.schedule(at, Action::Pause(node, pause));
             } else {
-                let back = self.rng.random_range(0.3..30.0);
-                self.after(at, Action::Crash(node));
-                self.after(at + back, Action::Return(node));
+                let restart_delay = self.rng.random_range(0.3..30.0);
+                self.schedule(at, Action::Crash(node));
+                self.schedule(at + restart_delay, Action::Restart(node));
             }
         }
     }
 
-    fn after(&mut self, delay: f64, action: Action) {
+    fn schedule(&mut self, delay: f64, action: Action) {
         self.sequence += 1;
         let micros = ((self.now + delay) * 1e6) as u64;
         self.actions.insert((micros, self.sequence), action);
@@ -243,7 +250,7 @@
         self.now < FAULTY_S
     }
 
-    /// Runs to the end. The error names the first time at which the limit was exceeded.
+    /// Runs until the end. The error states the first time at which the limit was exceeded.
     pub fn run(&mut self) -> Result<(), String> {
         while let Some(((micros, _), action)) = self.actions.pop_first() {
             self.now = micros as f64 / 1e6;
@@ -256,28 +263,32 @@
                 .iter()
                 .flat_map(|machine| machine.running.values());
             let running: f64 = running.map(|(gpus, _)| gpus).sum();
-            self.most_running = self.most_running.max(running);
+            self.max_running_gpus = self.max_running_gpus.max(running);
             if running > LIMIT_GPUS + 1e-6 {
-                return Err(format!("{running} GPUs run at {:.3}", self.now));
+                return Err(format!(
+                    "{running} GPUs in use at {:.3} s exceed the limit",
+                    self.now
+                ));
             }
         }
         Ok(())
     }
 
-    /// What is still wrong after the time without faults.
-    pub fn unsettled(&self) -> Option<String> {
+    /// The first problem that remains after the time without faults, if any.
+    pub fn remaining_problem(&self) -> Option<String> {
         let (_, ledger) = &self.store;
         let ledger = ledger.as_ref()?;
         let living: BTreeSet<&HolderId> = self.controllers.iter().map(|c| c.holder.id()).collect();
-        let left = ledger
+        let leftover_grant = ledger
             .grants()
             .iter()
             .find(|grant| !living.contains(&grant.holder) && !grant.amount.is_zero());
-        let waits = self.controllers.iter().position(|c| {
+        let node_with_waiting_task = self.controllers.iter().position(|c| {
             c.alive && !c.machines.is_empty() && c.waiting.iter().any(|task| task.id > 0)
         });
-        left.map(|grant| format!("{grant:?} was never absorbed"))
-            .or(waits.map(|node| format!("tasks wait at n{node}: {ledger:?}")))
+        leftover_grant
+            .map(|grant| format!("{grant:?} was never taken over"))
+            .or(node_with_waiting_task.map(|node| format!("tasks wait at n{node}: {ledger:?}")))
     }
 
     fn execute(&mut self, action: Action) {
@@ -289,9 +300,9 @@
                 proposal,
                 answered,
             } => {
-                let outcome = self.write(proposal);
+                let outcome = self.execute_write(proposal);
                 if answered {
-                    self.after(
+                    self.schedule(
                         0.005,
                         Action::Answer {
                             node,
@@ -309,7 +320,7 @@
                 let controller = &mut self.controllers[node];
                 if controller.alive && controller.term == term {
                     controller.holder.record_outcome(outcome);
-                    controller.unconfirmed = Amount::ZERO;
+                    controller.unconfirmed_grant = Amount::ZERO;
                 }
             }
             Action::Start {
@@ -319,9 +330,9 @@
                 token,
                 task,
             } => {
-                self.start(node, term, machine, token, task);
+                self.execute_start(node, term, machine, token, task);
             }
-            Action::Started {
+            Action::ConfirmStart {
                 node,
                 term,
                 task,
@@ -337,39 +348,40 @@
                     }
                 }
             }
-            Action::Ends { machine, task } => {
+            Action::EndTask { machine, task } => {
                 self.machines[machine].running.remove(&task);
                 let node = self.machines[machine].owner;
                 self.controllers[node].tasks.remove(&task);
-                self.controllers[node].found.remove(&task);
+                self.controllers[node].found_tasks.remove(&task);
             }
-            Action::Reported {
+            Action::ReportMachine {
                 node,
                 term,
                 machine,
                 token,
-            } => self.reported(node, term, machine, token),
+            } => self.handle_report(node, term, machine, token),
             Action::Crash(node) => {
                 let controller = &mut self.controllers[node];
                 self.crashes += usize::from(controller.alive);
                 controller.alive = false;
             }
-            Action::Return(node) => self.restart(node),
+            Action::Restart(node) => self.restart(node),
             Action::Pause(node, pause) => self.controllers[node].paused_until = self.now + pause,
         }
     }
 
-    /// Starts a new process of a controller, which knows only what it reads.
+    /// Starts a new process of a controller. It has no state of the former process.
     fn restart(&mut self, node: usize) {
         let term = self.next_term;
         self.next_term += 1;
         let ended = self.controllers[node].holder.id().clone();
         let held: BTreeSet<usize> = self.owned_by(node);
         let controller = &mut self.controllers[node];
-        // Without a machine it started nothing. Machines that it lost are the concern of their new owner.
-        let idle = !controller.had_machines;
-        // The former holders of its machines have ended as well.
-        let mut former: Vec<(HolderId, BTreeSet<usize>)> = controller.former.clone();
+        // A process without machines started no task. If it lost its machines, their new owner takes over its
+        // grant.
+        let never_had_machines = !controller.has_had_machines;
+        // The former holders that owned its machines have ended as well.
+        let mut former: Vec<(HolderId, BTreeSet<usize>)> = controller.former_holders.clone();
         former
             .iter_mut()
             .for_each(|(_, machines)| *machines = held.clone());
@@ -377,23 +389,23 @@
         *controller = Controller {
             alive: true,
             paused_until: 0.0,
-            heard: self.now,
+            last_contact: self.now,
             term,
-            holder: holder(node, term, self.limit),
+            holder: new_holder(node, term, self.limit),
             machines: BTreeMap::new(),
-            had_machines: false,
+            has_had_machines: false,
             tasks: BTreeMap::new(),
-            found: BTreeMap::new(),
-            former: if held.is_empty() && !idle {
+            found_tasks: BTreeMap::new(),
+            former_holders: if held.is_empty() && !never_had_machines {
                 Vec::new()
             } else {
                 former
             },
             waiting: Vec::new(),
-            unconfirmed: Amount::ZERO,
+            unconfirmed_grant: Amount::ZERO,
         };
         for machine in held {
-            self.machines[machine].term = term;
+            self.machines[machine].owner_token = term;
         }
     }
 
@@ -405,58 +417,60 @@
             .collect()
     }
 
-    /// Failover: the leader gives the machines of silent controllers to another, under a new term.
-    fn fail_over(&mut self) {
+    /// Assigns the machines of controllers without recent contact to others, with a new fencing token.
+    fn fail_over_machines(&mut self) {
         for node in 0..CONTROLLERS {
             let controller = &self.controllers[node];
             let held = self.owned_by(node);
-            if self.now - controller.heard < FAILOVER_S || held.is_empty() {
+            if self.now - controller.last_contact < FAILOVER_S || held.is_empty() {
                 continue;
             }
             let now = self.now;
-            let lives = |other: &usize| {
-                self.controllers[*other].alive && now - self.controllers[*other].heard < FAILOVER_S
+            let is_reachable = |other: &usize| {
+                self.controllers[*other].alive
+                    && now - self.controllers[*other].last_contact < FAILOVER_S
             };
             let successor = (0..CONTROLLERS)
-                .filter(lives)
+                .filter(is_reachable)
                 .min_by_key(|n| self.owned_by(*n).len());
             let Some(successor) = successor else { continue };
             let term = self.next_term;
             self.next_term += 1;
             let ended = controller.holder.id().clone();
-            let mut former = self.controllers[node].former.clone();
+            let mut former = self.controllers[node].former_holders.clone();
             former
                 .iter_mut()
                 .for_each(|(_, machines)| *machines = held.clone());
             former.push((ended, held.clone()));
-            self.controllers[successor].former.extend(former);
+            self.controllers[successor].former_holders.extend(former);
             for machine in held {
                 self.machines[machine].owner = successor;
-                self.machines[machine].term = term;
+                self.machines[machine].owner_token = term;
             }
         }
     }
 
     fn step(&mut self, node: usize) {
         let pause = STEP_S * self.rng.random_range(0.8..1.2);
-        self.after(pause, Action::Step(node));
-        self.fail_over();
+        self.schedule(pause, Action::Step(node));
+        self.fail_over_machines();
         let controller = &self.controllers[node];
         if !controller.alive || self.now < controller.paused_until {
             return;
         }
-        // The first action after a pause is still based on what was known before it.
-        let stale = self.now - controller.heard > FAILOVER_S;
-        self.start_waiting(node);
-        let lost = self.owned_by(node).is_empty() && !self.controllers[node].machines.is_empty();
-        if stale && lost {
+        // The first action after a pause is still based on the state known before the pause.
+        let was_silent = self.now - controller.last_contact > FAILOVER_S;
+        self.start_waiting_tasks(node);
+        let lost_machines =
+            self.owned_by(node).is_empty() && !self.controllers[node].machines.is_empty();
+        if was_silent && lost_machines {
             return self.restart(node);
         }
-        self.controllers[node].heard = self.now;
+        self.controllers[node].last_contact = self.now;
         if !self.in_outage() {
-            self.read(node);
+            self.read_store(node);
         }
-        self.write_when_due(node);
+        self.propose_write(node);
         if self.rng.random_bool(0.025) && self.is_faulty() {
             self.next_task += 1;
             let (gpus, run_s) = (
@@ -477,23 +491,23 @@
             .any(|(from, length)| (*from..from + length).contains(&self.now))
     }
 
-    fn read(&mut self, node: usize) {
+    fn read_store(&mut self, node: usize) {
         let owned = self.owned_by(node);
         let machines = owned
             .iter()
-            .map(|machine| (*machine, self.machines[*machine].term));
+            .map(|machine| (*machine, self.machines[*machine].owner_token));
         let machines: BTreeMap<usize, u64> = machines.collect();
         let (version, ledger) = self.store.clone();
         let controller = &mut self.controllers[node];
         controller.holder.observe_record(version, ledger);
         let term = controller.term;
         controller.machines = machines.clone();
-        controller.had_machines |= !machines.is_empty();
+        controller.has_had_machines |= !machines.is_empty();
         for (machine, token) in machines {
             let delay = self.rng.random_range(0.01..1.5);
-            self.after(
+            self.schedule(
                 delay,
-                Action::Reported {
+                Action::ReportMachine {
                     node,
                     term,
                     machine,
@@ -503,12 +517,12 @@
         }
     }
 
-    /// A worker has reported its owner's token and everything that it runs.
-    fn reported(&mut self, node: usize, term: u64, machine: usize, token: u64) {
-        if self.machines[machine].term != token {
+    /// Handles a worker's report of its owner's token and all its running tasks.
+    fn handle_report(&mut self, node: usize, term: u64, machine: usize, token: u64) {
+        if self.machines[machine].owner_token != token {
             return;
         }
-        self.machines[machine].seen = self.machines[machine].seen.max(token);
+        self.machines[machine].highest_token = self.machines[machine].highest_token.max(token);
         let found: Vec<(u64, f64)> = self.machines[machine]
             .running
             .iter()
@@ -519,61 +533,61 @@
             return;
         }
         for (id, gpus) in found {
-            let found = !controller.tasks.contains_key(&id) && !controller.former.is_empty();
-            if found {
-                controller.found.insert(id, gpus);
+            let is_inherited =
+                !controller.tasks.contains_key(&id) && !controller.former_holders.is_empty();
+            if is_inherited {
+                controller.found_tasks.insert(id, gpus);
             }
         }
-        for (_, machines) in &mut controller.former {
+        for (_, machines) in &mut controller.former_holders {
             machines.remove(&machine);
         }
     }
 
-    fn used(&self, node: usize) -> Amount {
+    fn used_amount(&self, node: usize) -> Amount {
         let controller = &self.controllers[node];
-        let counted = controller
-            .tasks
-            .values()
-            .filter(|(_, confirmed)| *confirmed || self.removed != Removed::StartsInFlight);
+        let counted = controller.tasks.values().filter(|(_, confirmed)| {
+            *confirmed || self.disabled_rule != DisabledRule::StartsInFlight
+        });
         Amount::covering(0.0, counted.map(|(gpus, _)| gpus).sum())
     }
 
-    /// Once grants have been absorbed, the tasks found count towards the own grant.
-    fn count_absorbed(&mut self, node: usize) {
+    /// Counts found tasks towards the own grant once the grants that covered them have been taken over.
+    fn count_inherited_tasks(&mut self, node: usize) {
         let controller = &mut self.controllers[node];
         let Some(ledger) = controller.holder.ledger() else {
             return;
         };
-        let before = controller.former.len();
+        let before = controller.former_holders.len();
         controller
-            .former
+            .former_holders
             .retain(|(id, machines)| !machines.is_empty() || ledger.grant(id).is_some());
-        if controller.former.len() < before {
+        if controller.former_holders.len() < before {
             let found = controller
-                .found
+                .found_tasks
                 .iter()
                 .map(|(id, gpus)| (*id, (*gpus, true)));
             controller.tasks.extend(found);
         }
-        // Which former holder started the rest is unknown, so it counts for every other one as well.
-        if controller.former.is_empty() {
-            controller.found.clear();
+        // It is unknown which former holder started a found task, so the task counts for each of them.
+        if controller.former_holders.is_empty() {
+            controller.found_tasks.clear();
         }
     }
 
-    fn start_waiting(&mut self, node: usize) {
-        self.count_absorbed(node);
-        let mut used = self.used(node);
+    fn start_waiting_tasks(&mut self, node: usize) {
+        self.count_inherited_tasks(node);
+        let mut used = self.used_amount(node);
         let controller = &mut self.controllers[node];
         let machines: Vec<(usize, u64)> = controller.machines.clone().into_iter().collect();
         if machines.is_empty() {
             return;
         }
         let mut grant = controller.holder.usable_grant();
-        if self.removed == Removed::Confirmation {
-            grant = grant.max(&controller.unconfirmed);
+        if self.disabled_rule == DisabledRule::Confirmation {
+            grant = grant.max(&controller.unconfirmed_grant);
         }
-        if self.removed == Removed::Doubt {
+        if self.disabled_rule == DisabledRule::InDoubtWrites {
             let stored = controller
                 .holder
                 .ledger()
@@ -593,13 +607,13 @@
                 .tasks
                 .insert(task.id, (task.gpus, false));
             let (machine, token) = machines[self.rng.random_range(0..machines.len())];
-            let late = self.is_faulty() && self.rng.random_bool(0.1);
-            let delay = if late {
+            let is_late = self.is_faulty() && self.rng.random_bool(0.1);
+            let delay = if is_late {
                 self.rng.random_range(1.0..30.0)
             } else {
                 self.rng.random_range(0.01..0.3)
             };
-            self.after(
+            self.schedule(
                 delay,
                 Action::Start {
                     node,
@@ -612,44 +626,45 @@
         }
     }
 
-    fn start(&mut self, node: usize, term: u64, machine: usize, token: u64, task: Task) {
-        let fenced = token < self.machines[machine].seen && self.removed != Removed::Fencing;
-        if !fenced {
-            self.machines[machine].seen = self.machines[machine].seen.max(token);
+    fn execute_start(&mut self, node: usize, term: u64, machine: usize, token: u64, task: Task) {
+        let is_fenced = token < self.machines[machine].highest_token
+            && self.disabled_rule != DisabledRule::Fencing;
+        if !is_fenced {
+            self.machines[machine].highest_token = self.machines[machine].highest_token.max(token);
             self.machines[machine]
                 .running
                 .insert(task.id, (task.gpus, task.run_s));
-            self.started += 1;
-            self.after(
+            self.started_tasks += 1;
+            self.schedule(
                 task.run_s,
-                Action::Ends {
+                Action::EndTask {
                     machine,
                     task: task.id,
                 },
             );
         }
-        self.after(
+        self.schedule(
             0.02,
-            Action::Started {
+            Action::ConfirmStart {
                 node,
                 term,
                 task: task.id,
-                runs: !fenced,
+                runs: !is_fenced,
             },
         );
     }
 
-    fn write_when_due(&mut self, node: usize) {
-        let used = self.used(node);
-        let evidence = self.removed == Removed::Evidence;
+    fn propose_write(&mut self, node: usize) {
+        let used = self.used_amount(node);
+        let skips_reports = self.disabled_rule == DisabledRule::MachineReports;
         let now = self.now;
         let controller = &mut self.controllers[node];
         let ended = controller
-            .former
+            .former_holders
             .iter()
-            .filter(|(_, machines)| evidence || machines.is_empty());
+            .filter(|(_, machines)| skips_reports || machines.is_empty());
         let ended: Vec<HolderId> = ended.map(|(id, _)| id.clone()).collect();
-        // A controller without machines can start nothing, so it requests nothing.
+        // A controller without machines can start no task, so it requests no capacity.
         let startable = if controller.machines.is_empty() {
             &[][..]
         } else {
@@ -661,7 +676,7 @@
             first_waiting: Amount::covering(0.0, next),
             used,
             waiting: Amount::covering(0.0, waiting),
-            inherited: Amount::covering(0.0, controller.found.values().sum()),
+            inherited: Amount::covering(0.0, controller.found_tasks.values().sum()),
             ended_holders: if ended.is_empty() {
                 EndedHolders::None
             } else {
@@ -672,20 +687,20 @@
             return;
         };
         let granted = proposal.ledger.grant(controller.holder.id());
-        controller.unconfirmed = granted.map_or(Amount::ZERO, |grant| grant.amount);
+        controller.unconfirmed_grant = granted.map_or(Amount::ZERO, |grant| grant.amount);
         let term = controller.term;
-        let fate = if self.is_faulty() {
+        let fault_roll = if self.is_faulty() {
             self.rng.random_range(0..10)
         } else {
             0
         };
-        let answered = fate < 8;
-        let delay = if fate == 9 {
+        let answered = fault_roll < 8;
+        let delay = if fault_roll == 9 {
             self.rng.random_range(1.0..40.0)
         } else {
             0.01
         };
-        self.after(
+        self.schedule(
             delay,
             Action::Write {
                 node,
@@ -695,7 +710,7 @@
             },
         );
         if !answered {
-            self.after(
+            self.schedule(
                 1.0,
                 Action::Answer {
                     node,
@@ -706,9 +721,9 @@
         }
     }
 
-    fn write(&mut self, proposal: Proposal) -> WriteOutcome {
-        let unconditional = self.removed == Removed::CompareAndSwap;
-        if self.in_outage() || (proposal.expected_version != self.store.0 && !unconditional) {
+    fn execute_write(&mut self, proposal: Proposal) -> WriteOutcome {
+        let ignores_version = self.disabled_rule == DisabledRule::CompareAndSwap;
+        if self.in_outage() || (proposal.expected_version != self.store.0 && !ignores_version) {
             return WriteOutcome::NotExecuted;
         }
         self.writes += 1;
--- a/crates/quota-ledger/tests/record.rs
+++ b/crates/quota-ledger/tests/record.rs
@@ -1,4 +1,4 @@
-//! Changes and validation of the record, and how a holder requests changes.
+//! Tests the changes and the validation of the record, and the changes that a holder requests.
 
 #![allow(
     clippy::cast_possible_truncation,
@@ -64,7 +64,7 @@
         ledger.resize_grant(&id(3), gpus(1.0), &limit()),
         Err(ChangeError::NotAHolder)
     );
-    // After the limit was lowered grants may stay as they are, but not grow.
+    // After the limit was lowered, grants may stay as they are but not grow.
     let lowered = Limit::new(0.0, 8.0);
     assert!(ledger.resize_grant(&id(1), gpus(9.0), &lowered).is_ok());
     assert_eq!(
@@ -74,16 +74,16 @@
 }
 
 #[test]
-fn a_transfer_is_at_most_what_was_granted() {
+fn a_takeover_transfers_at_most_the_former_grants() {
     let ledger = TeamLedger::create(&id(1), gpus(5.0))
         .add_holder(&id(2))
         .add_holder(&id(3));
     let ledger = ledger.resize_grant(&id(2), gpus(4.0), &limit()).unwrap();
-    let absorbed = ledger
+    let after_takeover = ledger
         .take_over_grants(&id(3), &[id(1)], gpus(9.0))
         .unwrap();
-    assert_eq!(absorbed.grant(&id(3)).unwrap().amount, gpus(5.0));
-    assert_eq!(absorbed.granted_to_others(&id(3)), gpus(4.0));
+    assert_eq!(after_takeover.grant(&id(3)).unwrap().amount, gpus(5.0));
+    assert_eq!(after_takeover.granted_to_others(&id(3)), gpus(4.0));
     let all = ledger.take_over_all_grants(&id(3), gpus(6.0)).unwrap();
     assert_eq!(
         (all.grants().len(), all.grant(&id(3)).unwrap().amount),
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn the_record_keeps_its_size_and_sum_over_many_changes_of_the_owner() {
+fn the_record_keeps_its_size_and_sum_over_many_owner_changes() {
     let mut ledger = TeamLedger::create(&id(1), gpus(1.0));
     for term in 2..200 {
         let before = ledger.granted_to_others(&id(term));
@@ -113,7 +113,7 @@
     assert_eq!(
         ledger.release_grant(&id(2), gpus(0.0)),
         Err(ChangeError::NotAHolder),
-        "folded"
+        "holder 2 is no longer listed"
     );
 }
 
@@ -136,9 +136,9 @@
         (json!({"v": 1, "b": 1, "g": vec![grant; 9]}), "grants"),
     ] {
         let error = TeamLedger::decode(&value).unwrap_err();
-        let is_damage = matches!(error, RecordError::Malformed(_) | RecordError::Invalid(_));
+        let is_decode_error = matches!(error, RecordError::Malformed(_) | RecordError::Invalid(_));
         assert!(
-            is_damage && error.to_string().contains(reason),
+            is_decode_error && error.to_string().contains(reason),
             "{value}: {error}"
         );
         assert_eq!(error.to_string().lines().count(), 1);
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_holder_counts_growth_once_confirmed_and_shrinking_at_once() {
+fn a_grant_grows_when_the_write_is_confirmed_and_shrinks_when_it_is_requested() {
     let mut holder = holder(1);
     holder.observe_record(5, Some(TeamLedger::create(&id(1), gpus(4.0))));
     let proposal = holder.propose(0.0, &demand(4.0, 2.0)).unwrap();
@@ -156,23 +156,27 @@
     );
     assert!(
         holder.propose(0.0, &demand(4.0, 2.0)).is_none(),
-        "one write at a time"
+        "a write is in flight"
     );
     holder.record_outcome(WriteOutcome::Committed(6));
-    assert_eq!(holder.usable_grant(), gpus(8.0), "with headroom");
-    // After the delay it returns the surplus, and does not learn whether that was written.
+    assert_eq!(
+        holder.usable_grant(),
+        gpus(8.0),
+        "the grant includes the headroom"
+    );
+    // The holder returns the surplus after the delay. The outcome of the write is unknown.
     assert!(holder.propose(10.0, &demand(1.0, 0.0)).is_none());
     assert!(holder.propose(15.0, &demand(1.0, 0.0)).is_some());
     holder.record_outcome(WriteOutcome::Unknown);
     assert_eq!(holder.usable_grant(), gpus(3.0));
-    // A later write of another holder shows that it was not, and can't be any more.
+    // A later write of another holder shows that the write was not executed and can't be any more.
     let others = TeamLedger::create(&id(1), gpus(8.0)).add_holder(&id(2));
     holder.observe_record(7, Some(others));
     assert_eq!(holder.usable_grant(), gpus(8.0));
 }
 
 #[test]
-fn a_recall_returns_what_is_not_used() {
+fn a_recall_makes_the_other_holder_return_its_unused_capacity() {
     let (mut first, mut second) = (holder(1), holder(2));
     let stored = TeamLedger::create(&id(1), gpus(16.0));
     second.observe_record(5, Some(stored));
@@ -196,23 +200,23 @@
     );
     assert!(
         proposal.ledger.wanted_by_others(&id(1)).is_zero(),
-        "the recall is over"
+        "the recall is withdrawn"
     );
 }
 
 #[test]
-fn a_new_holder_absorbs_former_grants_once_everything_that_runs_is_known() {
+fn a_new_holder_takes_over_former_grants_once_all_running_tasks_are_known() {
     let mut holder = holder(2);
     holder.observe_record(5, Some(TeamLedger::create(&id(1), gpus(9.0))));
     let joined = holder.propose(0.0, &demand(0.0, 0.0)).unwrap();
     assert_eq!(joined.ledger.granted_to_others(&id(2)), gpus(9.0));
     holder.record_outcome(WriteOutcome::Committed(6));
-    let known = Demand {
+    let demand_with_all_known = Demand {
         ended_holders: EndedHolders::AllOthers,
         inherited: gpus(6.0),
         ..demand(1.0, 0.0)
     };
-    holder.propose(1.0, &known).unwrap();
+    holder.propose(1.0, &demand_with_all_known).unwrap();
     holder.record_outcome(WriteOutcome::Committed(7));
     assert_eq!(
         (holder.granted_to_others(), holder.usable_grant()),
