--- a/src/core/controller/user_requests.rs
+++ b/src/core/controller/user_requests.rs
@@ -130,7 +130,11 @@
             .any(|dependency| self.store.is_cancelled(dependency));
         // Recorded as cancelled from the start, so that polls of it are answered so.
         let write = match dependency_cancelled {
-            true => put(&key, &record.cancelled_unstarted(self.outbox.wall_ms), None),
+            true => put(
+                &key,
+                &record.to_cancelled_unstarted(self.outbox.wall_ms),
+                None,
+            ),
             false => write,
         };
         request.create_sent = true;
@@ -265,8 +269,8 @@
         let id = request.operation.job();
         let (key, wall_ms) = (job_key(id), self.outbox.wall_ms);
         let record = match self.store.has_cancelled_dependency(id) {
-            true => job.record.cancelled_unstarted(wall_ms),
-            false => job.record.cancelled(wall_ms),
+            true => job.record.to_cancelled_unstarted(wall_ms),
+            false => job.record.to_cancelled(wall_ms),
         };
         let write = put(&key, &record, None);
         self.commit_or_wait(request, key, job.version, write);
--- a/src/core/jobs/job.rs
+++ b/src/core/jobs/job.rs
@@ -190,7 +190,7 @@
     }
 
     /// Returns the number of tasks that may be on a machine that has not reported yet.
-    pub fn unreconciled(&self) -> u32 {
+    pub fn unreconciled_count(&self) -> u32 {
         self.unreconciled
     }
 
@@ -219,7 +219,7 @@
     }
 
     /// Returns the number of tasks in state [`Task::Placed`].
-    pub fn placed(&self) -> u32 {
+    pub fn placed_count(&self) -> u32 {
         self.spec.tasks - self.done.len() - task_count(self.waiting.len()) - self.unreconciled
     }
 
--- a/src/core/machines/machine/image_cache.rs
+++ b/src/core/machines/machine/image_cache.rs
@@ -70,7 +70,7 @@
 
     /// Returns the time in seconds to fetch the largest image on the machine at the published rate; 0 if the
     /// rate is unknown.
-    pub fn longest_fetch(&self) -> Time {
+    pub fn longest_fetch_s(&self) -> Time {
         if self.fetch_rate > 0.0 {
             self.image_cache.largest_gb() / self.fetch_rate
         } else {
--- a/src/core/records/job_record.rs
+++ b/src/core/records/job_record.rs
@@ -133,7 +133,7 @@
     }
 
     /// Returns the final record of this job if it is done at `wall_ms`, a wall-clock time in milliseconds.
-    pub fn done(&self, wall_ms: u64) -> Self {
+    pub fn to_done(&self, wall_ms: u64) -> Self {
         let (done, ended_ms) = (TaskIndexRanges::default(), Some(wall_ms));
         Self {
             status: JobStatus::Done,
@@ -146,7 +146,7 @@
 
     /// Returns the final record of this job if it is cancelled at `wall_ms`, a wall-clock time in
     /// milliseconds.
-    pub fn cancelled(&self, wall_ms: u64) -> Self {
+    pub fn to_cancelled(&self, wall_ms: u64) -> Self {
         let terminating = self.spec.as_ref().map(|spec| TerminatingTasks {
             team: spec.team.clone(),
             tasks: self.tasks.saturating_sub(self.done.len()),
@@ -155,14 +155,14 @@
         Self {
             status: JobStatus::Cancelled,
             terminating,
-            ..self.done(wall_ms)
+            ..self.to_done(wall_ms)
         }
     }
 
     /// Returns the final record of this job if it is cancelled because a dependency was cancelled. The
     /// dependency was never done, so no task of this job has started and none can be running.
-    pub fn cancelled_unstarted(&self, wall_ms: u64) -> Self {
-        let mut record = self.cancelled(wall_ms);
+    pub fn to_cancelled_unstarted(&self, wall_ms: u64) -> Self {
+        let mut record = self.to_cancelled(wall_ms);
         if let Some(terminating) = &mut record.terminating {
             terminating.tasks = 0;
         }
--- a/src/core/shard/capacity_planning.rs
+++ b/src/core/shard/capacity_planning.rs
@@ -76,7 +76,7 @@
         return now - job.runnable_since;
     }
     job.waits_since
-        .filter(|_| job.placed() == 0)
+        .filter(|_| job.placed_count() == 0)
         .map_or(0.0, |since| now - since)
 }
 
@@ -280,7 +280,7 @@
             return false;
         };
         // A replacement would have to boot and to fetch the images that this machine has cached.
-        let idle_timeout_s = catalog.boot_s(&machine.type_name) + machine.longest_fetch();
+        let idle_timeout_s = catalog.boot_s(&machine.type_name) + machine.longest_fetch_s();
         let is_idle = machine.idle();
         let is_spare =
             machine.token_confirmed && machine.holds_only_opportunistic() && !candidate.is_in_use;
--- a/src/core/shard/opportunistic.rs
+++ b/src/core/shard/opportunistic.rs
@@ -15,7 +15,7 @@
         let starved = self
             .jobs
             .iter()
-            .filter(|(_, job)| job.starved && job.placed() > 0);
+            .filter(|(_, job)| job.starved && job.placed_count() > 0);
         for (id, _) in starved {
             let machines = self.task_index.machines_of(id);
             let has_machine = machines.iter().any(|id| is_spot(id) || kept.contains(id));
--- a/src/core/shard/owned_jobs.rs
+++ b/src/core/shard/owned_jobs.rs
@@ -94,7 +94,7 @@
     ) {
         let all_done = job.all_done();
         let exits = self.place_existing_attempts(id, &mut job);
-        if job.unreconciled() > 0 {
+        if job.unreconciled_count() > 0 {
             self.unreconciled_jobs.insert(id.clone());
         }
         self.forecast.record_arrival(&job.spec, job.runnable_since);
--- a/src/core/shard/progress_records.rs
+++ b/src/core/shard/progress_records.rs
@@ -169,7 +169,7 @@
         let value_limit = self.config.deployment.state.value_kb * 1024.0;
         let job = self.jobs.get_mut(id)?;
         let record = if job.all_done() {
-            job.record.done(wall_ms)
+            job.record.to_done(wall_ms)
         } else {
             progress_record(job, value_limit)
         };
@@ -219,7 +219,7 @@
                 break;
             }
             *not_before = now + outbox.jitter(pause);
-            let record = job.record.cancelled_unstarted(outbox.wall_ms);
+            let record = job.record.to_cancelled_unstarted(outbox.wall_ms);
             let write = put(&job_key(id), &record, None);
             batch.push(RecordWrite {
                 job: id.clone(),
--- a/src/core/shard/reconciliation.rs
+++ b/src/core/shard/reconciliation.rs
@@ -44,7 +44,7 @@
         for id in std::mem::take(&mut self.unreconciled_jobs) {
             self.visits += 1;
             let job = self.jobs.get_mut(&id);
-            let Some(job) = job.filter(|job| job.unreconciled() > 0) else {
+            let Some(job) = job.filter(|job| job.unreconciled_count() > 0) else {
                 continue;
             };
             let team = self.teams.get(&job.spec.team);
@@ -54,7 +54,7 @@
             }
             job.reconcile();
             self.changed_since_round = true;
-            if job.is_gang() && job.placed() > 0 && !job.waiting().is_empty() {
+            if job.is_gang() && job.placed_count() > 0 && !job.waiting().is_empty() {
                 incomplete_gangs.push(id);
             }
         }
--- a/src/core/shard/round/machine_choice.rs
+++ b/src/core/shard/round/machine_choice.rs
@@ -60,7 +60,7 @@
         snapshots: &[MachineSnapshot],
         now: Time,
     ) -> Vec<usize> {
-        let is_new_in_one_zone = job.spec.one_zone && request.tasks > 1 && job.placed() == 0;
+        let is_new_in_one_zone = job.spec.one_zone && request.tasks > 1 && job.placed_count() == 0;
         let chosen = if is_new_in_one_zone {
             self.choose_in_best_zone(job, request, snapshots, now)
         } else {
--- a/src/core/shard/round/queue.rs
+++ b/src/core/shard/round/queue.rs
@@ -39,7 +39,7 @@
         for (id, job) in &self.jobs {
             // The constraints of such a job depend on the machines of all its tasks.
             let needs_all_tasks_known = job.spec.spread || job.spec.one_zone || job.is_gang();
-            if job.waiting().is_empty() || (job.unreconciled() > 0 && needs_all_tasks_known) {
+            if job.waiting().is_empty() || (job.unreconciled_count() > 0 && needs_all_tasks_known) {
                 continue;
             }
             queue.push((self.queue_rank(job, usage, now), id));
@@ -78,7 +78,7 @@
     /// starts only one task at a time, as a probe, unless it is a gang.
     pub(super) fn startable_tasks(&self, job: &Job, now: Time) -> Vec<u32> {
         let is_probe = job.failures.fails_everywhere();
-        if is_probe && (job.placed() > 0 || !job.failures.may_probe(now)) {
+        if is_probe && (job.placed_count() > 0 || !job.failures.may_probe(now)) {
             return Vec::new();
         }
         let max_tasks = if is_probe && !job.is_gang() {
--- a/src/core/shard/shard_log.rs
+++ b/src/core/shard/shard_log.rs
@@ -98,8 +98,8 @@
         for job in self.jobs.values() {
             let tasks = classes.entry(&job.spec.class).or_default();
             tasks.waiting += job.waiting().len();
-            tasks.unreconciled += job.unreconciled();
-            tasks.placed += job.placed();
+            tasks.unreconciled += job.unreconciled_count();
+            tasks.placed += job.placed_count();
         }
         classes
     }
--- a/src/core/shard/soon_ready.rs
+++ b/src/core/shard/soon_ready.rs
@@ -62,7 +62,7 @@
         let is_ending = |id: &JobId, job: &Job| {
             job.spec.kind != JobKind::Service
                 && job.waiting().is_empty()
-                && job.unreconciled() == 0
+                && job.unreconciled_count() == 0
                 && last_end.get(id).is_none_or(|end| *end <= by)
         };
         self.jobs
--- a/src/core/shard/soon_ready/tests.rs
+++ b/src/core/shard/soon_ready/tests.rs
@@ -159,7 +159,7 @@
         .jobs
         .insert("req-000002".into(), removed_job.unwrap());
     let (id, cancelled) = record(2, 1, &[]);
-    fixture.accept((id, cancelled.cancelled(1)), 5);
+    fixture.accept((id, cancelled.to_cancelled(1)), 5);
     assert!(
         fixture.soon_ready(20.0).demands.is_empty(),
         "cancelled with its dependency"
--- a/src/core/shard/tests.rs
+++ b/src/core/shard/tests.rs
@@ -314,7 +314,7 @@
     let id = JobId::from("req-000001");
     store.apply_write(&put(&job_key(&id), &record(false), None), 7);
     shard.apply_job_record(&store, &id, &Rc::new(record(false)), 7, (1.0, 0));
-    assert_eq!(shard.jobs[&id].unreconciled(), 0);
+    assert_eq!(shard.jobs[&id].unreconciled_count(), 0);
     apply_shard_map(&mut store, 8, vec![entry_with_token(11), other]);
     store.apply_write(
         &put(&job_key(&"req-000002".into()), &record(false), None),
@@ -324,7 +324,7 @@
     assert!(!shard.teams[&Team::from("red")].unreconciled.is_empty());
     shard.apply_job_record(&store, &id, &Rc::new(record(false)), 7, (1.0, 0));
     assert_eq!(
-        shard.jobs[&id].unreconciled(),
+        shard.jobs[&id].unreconciled_count(),
         2,
         "the other controller may have started them"
     );
@@ -355,7 +355,7 @@
     ] {
         shard.apply_job_record(&store, id, &Rc::new(record(done)), version, (1.0, 0));
     }
-    let unreconciled = ids.map(|id| shard.jobs[&id].unreconciled());
+    let unreconciled = ids.map(|id| shard.jobs[&id].unreconciled_count());
     assert_eq!(
         unreconciled,
         [2, 1, 0],
@@ -376,7 +376,7 @@
     let recent_ms = now_ms - 59_000;
     let cancelled = |at: u64| JobRecord {
         ended_ms: Some(at),
-        ..record(false).cancelled(at)
+        ..record(false).to_cancelled(at)
     };
     let write_record =
         |store: &mut StoreReplica, id: &str, record: &JobRecord, version: Version| {
@@ -469,14 +469,14 @@
     let plain = JobRecord {
         ended_ms: None,
         terminating: None,
-        ..record(false).cancelled(1)
+        ..record(false).to_cancelled(1)
     };
     store.apply_write(&put(&job_key(&"req-000001".into()), &plain, None), 10);
     assert!(store.has_unattributed_cancellation_since(since));
     store.apply_write(
         &put(
             &job_key(&"req-000002".into()),
-            &record(false).done(1500),
+            &record(false).to_done(1500),
             None,
         ),
         11,
@@ -485,7 +485,7 @@
     store.apply_write(
         &put(
             &job_key(&"req-000003".into()),
-            &record(false).done(900),
+            &record(false).to_done(900),
             None,
         ),
         12,
@@ -561,7 +561,7 @@
     let (id, now, wall_ms) = (JobId::from("req-000003"), 100.0, 60_000);
     let done = |store: &mut StoreReplica, id: &str, at_ms: u64| {
         store.apply_write(
-            &put(&job_key(&id.into()), &record(false).done(at_ms), None),
+            &put(&job_key(&id.into()), &record(false).to_done(at_ms), None),
             at_ms,
         );
     };
--- a/src/core/shard/usage.rs
+++ b/src/core/shard/usage.rs
@@ -56,8 +56,12 @@
 
     /// Adds tasks of unfinished jobs that may be on machines that have not reported their tasks.
     fn add_unreconciled_tasks(&self, usage: &mut Usage) {
-        for job in self.jobs.values().filter(|job| job.unreconciled() > 0) {
-            let tasks = f64::from(job.unreconciled());
+        for job in self
+            .jobs
+            .values()
+            .filter(|job| job.unreconciled_count() > 0)
+        {
+            let tasks = f64::from(job.unreconciled_count());
             usage.add_inherited(&job.spec.team, job.spec.cpus * tasks, job.spec.gpus * tasks);
         }
     }
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -148,7 +148,7 @@
         assert_eq!(stored[field], fixture()["job"][field]);
     }
     assert_eq!(serde_json::from_value::<JobRecord>(stored).unwrap(), record);
-    let cancelled = serde_json::to_value(record.cancelled(5)).unwrap();
+    let cancelled = serde_json::to_value(record.to_cancelled(5)).unwrap();
     assert_eq!(
         cancelled["s"],
         serde_json::to_value(JobStatus::Cancelled).unwrap()
