--- a/src/core/controller/catalog.rs
+++ b/src/core/controller/catalog.rs
@@ -1,4 +1,4 @@
-//! Keeping the machine types current, from the cloud and from the store.
+//! Updates the catalog of machine types from the cloud and from the store.
 
 use crate::core::Core;
 use crate::core::effects::pending::Pending;
@@ -8,16 +8,16 @@
 use crate::core::records::versioned::{precondition, put};
 use crate::wire::{MachineTypes, Transaction};
 
-/// Time between two requests for the machine types, in lags of the cloud's list.
+/// Time between two queries for the machine types, in multiples of the delay of the cloud's machine list.
 const REFRESH_INTERVAL_LAGS: f64 = 6.0;
 
-/// Pause after a failed request, as the time that so many requests take at the cloud's rate limit.
+/// Pause after a failed query before jitter, as a number of requests at the cloud's rate limit.
 const RETRY_PAUSE_REQUESTS: f64 = 1.5;
 
 impl Core {
-    /// Asks the cloud for the machine types, which every controller needs, and as the leader also stores them:
-    /// so controllers that start while the cloud is unavailable can accept jobs and place tasks. The leader, who
-    /// rents machines, asks repeatedly; other controllers until they know them.
+    /// Queries the cloud for the machine types if a query is due. The leader rents machines, so it repeats
+    /// the query regularly. Other controllers query until they know the types. The leader also stores the
+    /// types, so that controllers that start while the cloud is unavailable can accept jobs and place tasks.
     pub(crate) fn refresh_catalog_when_due(&mut self) {
         let catalog = &mut self.catalog;
         if let (false, Some(stored)) = (catalog.is_known(), self.store.machine_types()) {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Stores the machine types, if they differ from what is stored and are not too large.
+    /// Writes the machine types to the store if they differ from the stored ones and fit into one value.
     fn write_machine_types(&mut self) {
         let Some(leader) = &self.leader else { return };
         let record = MachineTypes {
@@ -70,7 +70,7 @@
             .call_store(Pending::MachineTypes(write), StoreCall::Commit(transaction));
     }
 
-    /// Takes in the cloud's reply to a request for the machine types.
+    /// Applies the cloud's reply to a query for the machine types and schedules the next query.
     pub(crate) fn handle_catalog_reply(&mut self, reply: CloudReply) {
         let now = self.outbox.now;
         let cloud = &self.config.deployment.cloud;
--- a/src/core/controller/hello.rs
+++ b/src/core/controller/hello.rs
@@ -1,4 +1,4 @@
-//! The hellos that controllers exchange, and the dispatch of all requests and replies between them.
+//! Exchanges hellos with siblings, and dispatches all messages and replies of siblings.
 
 use crate::core::Core;
 use crate::core::effects::pending::Pending;
@@ -13,8 +13,8 @@
 use crate::ids::{ControllerName, Version};
 
 impl Core {
-    /// Sends a hello to every sibling if the next ones are due, except to those that have not
-    /// answered the last one.
+    /// Sends a hello to every sibling if the next round is due. Skips siblings that have not answered the
+    /// previous hello.
     pub(crate) fn send_hellos_when_due(&mut self) {
         let now = self.outbox.now;
         if !self.peers.hello_is_due(now) {
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Updates what hellos contain about machines beyond this shard's own state.
+    /// Updates the unresponsive machines and the machine contacts, which hellos contain also for other
+    /// shards.
     fn update_machine_information(&mut self) {
         let now = self.outbox.now;
         if let Some(shard) = &self.shard {
@@ -55,7 +56,7 @@
         }
     }
 
-    /// A hello with everything that is the same for all siblings.
+    /// Creates a hello with the fields that are the same for all siblings.
     fn hello_without_update(&self, number: u64) -> Hello {
         let now = self.outbox.now;
         let process = self.ownership.process();
@@ -77,19 +78,20 @@
         }
     }
 
-    /// The shard, while this process may act as its owner.
+    /// Returns the shard if the ownership lease is valid.
     fn leased_shard(&self) -> Option<&Shard> {
         let holds_lease = self.ownership.holds_lease(self.outbox.now);
         self.shard.as_ref().filter(|_| holds_lease)
     }
 
-    /// The version after which siblings are asked for final states, while syncs with the store fail.
+    /// Returns the version after which to request final states from siblings. `None` while reads of the store
+    /// succeed, and while the replica is incomplete.
     fn wanted_final_states_after(&self) -> Option<Version> {
         let is_behind = self.outbox.now - self.store.current_as_of() > self.peers.recent_window();
         (is_behind && self.store.is_complete()).then(|| self.store.final_states_known_up_to())
     }
 
-    /// The state of this shard for a sibling's shard, while this process may act as its owner.
+    /// Creates this shard's update for the sibling `node`. `None` unless the ownership lease is valid.
     fn peer_update_for(&mut self, node: &ControllerName) -> Option<PeerUpdate> {
         self.leased_shard()?;
         let scope = self.peers.take_image_scope(node);
@@ -111,7 +113,7 @@
         Some(shard.peer_update_for(node, &self.store, refused, images, contacts))
     }
 
-    /// A sibling sends a request.
+    /// Handles a sibling's message.
     pub(crate) fn handle_mesh_message(&mut self, request: RequestId, message: MeshMessage) {
         match message {
             MeshMessage::Hello(hello) => self.handle_hello(request, *hello),
@@ -143,7 +145,8 @@
         if hello.bounded_staleness {
             self.peers.record_bounded_staleness(&sender);
         }
-        // True whenever it was sent: a delay only makes the statement weaker.
+        // A delayed hello is applied, too: a delay makes the recorded time of the last answer later, which is
+        // safe.
         self.unresponsive.record(hello.unresponsive, now);
         let is_newest =
             self.peers
@@ -171,8 +174,8 @@
         self.outbox.answer_sibling(request, MeshReply::Hello(reply));
     }
 
-    /// A reply to a hello that grants and consents to nothing. `final_states_after`: the version after
-    /// which the sender asked for final states.
+    /// Creates a reply to a hello, without a grant of a lease extension and without consents.
+    /// `final_states_after` is the version after which the sender requested final states.
     fn build_hello_reply(&self, to: &ProcessId, final_states_after: Option<Version>) -> HelloReply {
         HelloReply {
             incarnation: self.ownership.incarnation(),
@@ -187,7 +190,7 @@
         }
     }
 
-    /// Applies the state of a sibling's shard.
+    /// Applies the update of a sibling's shard.
     fn apply_update(&mut self, sender: &ProcessId, mut update: PeerUpdate) {
         self.contacts.extend(std::mem::take(&mut update.contacts));
         if let Some(leader) = self.leader.as_mut() {
@@ -205,14 +208,14 @@
         }
     }
 
-    /// Whether final states may be sent to a process. A replica that is being read again knows what it
-    /// knew before, but one that was never complete says nothing. A process whose key is gone gets
-    /// none, since its ownership is to end.
+    /// Returns whether final states may be sent to a process. A replica that was once complete keeps its
+    /// content while it is read again, but one that has never been complete may lack final states. A process
+    /// that is not registered receives none, because they would prolong its ownership.
     fn may_send_final_states(&self, to: &ProcessId) -> bool {
         self.store.is_complete() && self.store.is_registered(&to.node, to.incarnation)
     }
 
-    /// A request to a sibling was answered, or there will be no answer.
+    /// Handles the reply to a message to a sibling. `reply` is `None` if the message failed.
     pub(crate) fn handle_mesh_reply(&mut self, pending: Pending, reply: Option<MeshReply>) {
         match pending {
             Pending::Hello { node, sent } => {
@@ -239,7 +242,7 @@
         }
     }
 
-    /// A sibling has answered the hello that was sent to it at `sent`.
+    /// Applies a sibling's reply to the hello that was sent to it at `sent`.
     fn handle_hello_reply(&mut self, node: &ControllerName, sent: Time, reply: HelloReply) {
         let now = self.outbox.now;
         self.peers.hello_answered(node, sent, &reply, now);
@@ -262,25 +265,26 @@
         self.ownership.consents_received(node, &reply.consents);
     }
 
-    /// Whether this controller's reads of the store work.
+    /// Returns whether the replica is complete and the store has replied recently.
     pub(crate) fn reads_store(&self) -> bool {
         let silence = self.store.seconds_since_store_reply(self.outbox.now);
         self.store.is_complete() && silence < self.peers.recent_window()
     }
 
-    /// Answers a health check: whether this controller can take requests, since it reads the store, or
-    /// reaches a sibling that may. (In an outage for all controllers, to stay in rotation costs users
-    /// less than to leave it and return.)
+    /// Answers a health check with 200 if this controller can serve requests, and with 503 otherwise. Its
+    /// replica must be complete, it must know the machine types, and it must read the store or reach a
+    /// sibling. The sibling need not read the store: if all controllers are cut off from the store, staying in
+    /// the load balancer costs users less than leaving and returning.
     pub(crate) fn answer_health_check(&mut self, request: RequestId) {
-        let is_able = self.store.is_complete()
+        let is_healthy = self.store.is_complete()
             && self.catalog.is_known()
             && (self.reads_store() || self.peers.any_reachable(self.outbox.now));
         self.outbox
-            .answer(request, Answer::empty(if is_able { 200 } else { 503 }));
+            .answer(request, Answer::empty(if is_healthy { 200 } else { 503 }));
     }
 }
 
-/// The answer to a user's request that was relayed to a sibling.
+/// Converts a sibling's reply to a relayed request into the answer for the user.
 fn from_mesh_reply(reply: Option<MeshReply>) -> Answer {
     match reply {
         Some(MeshReply::Answer {
--- a/src/core/controller/inputs.rs
+++ b/src/core/controller/inputs.rs
@@ -1,4 +1,4 @@
-//! Routes each input to the state that it concerns.
+//! Dispatches each input to its handler.
 
 use crate::core::Core;
 use crate::core::effects::pending::Pending;
@@ -10,7 +10,7 @@
     /// Handles one input. Replies to calls that are no longer pending are ignored.
     pub(crate) fn handle_input(&mut self, input: Input) {
         match input {
-            Input::User(request, what) => self.handle_user_request(request, what),
+            Input::User(request, operation) => self.handle_user_request(request, operation),
             Input::Health(request) => self.answer_health_check(request),
             Input::Status(request) => self.answer_status(request),
             Input::Heartbeat(request, heartbeat) => self.receive_heartbeat(request, heartbeat),
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Handles the reply of the store to one call.
+    /// Updates the pacing of calls and the record of store contact, then handles the store's reply to one
+    /// call.
     pub(crate) fn handle_store_reply(&mut self, pending: Pending, reply: StoreReply) {
         self.outbox.update_pacing(pending.is_write(), &reply);
         self.record_store_contact(&reply);
@@ -88,7 +89,7 @@
         }
     }
 
-    /// What a reply of the store, or its absence, says of this controller's contact with it.
+    /// Records whether the store answered, refused the call or did not reply.
     fn record_store_contact(&mut self, reply: &StoreReply) {
         match reply {
             StoreReply::Refused => self.detection.record_store_refusal(),
@@ -101,8 +102,9 @@
         }
     }
 
-    /// A read of the store that was sent at `sent` is over. It extends the ownership lease's bound on staleness only while
-    /// the store shows this process's key: a process whose key is gone must not act for longer.
+    /// Handles the reply to a read of the store that was sent at `sent`. The read extends the time for which
+    /// this process may act as an owner only if the process is registered in the store: once its key is gone,
+    /// its ownership must end.
     fn handle_store_read(&mut self, sent: Time, reply: StoreReply) {
         self.handle_read_reply(sent, reply);
         let incarnation = self.ownership.incarnation();
--- a/src/core/controller/mod.rs
+++ b/src/core/controller/mod.rs
@@ -1,5 +1,5 @@
-//! What [`Core`](crate::core::Core) does with each input: the glue between the parts of its state, one module for each
-//! exchange (users, workers, siblings, store, cloud, operators).
+//! The input handlers of [`Core`](crate::core::Core), which connect the parts of its state. There is a module
+//! for each kind of exchange, for example with users, workers, siblings, the store, the cloud and operators.
 
 pub mod acquired_machines;
 pub mod catalog;
--- a/src/core/controller/status.rs
+++ b/src/core/controller/status.rs
@@ -1,4 +1,4 @@
-//! The status of this controller, its teams and its siblings, for operators ([`crate::status`]).
+//! Builds the status of this controller, its teams and its siblings for operators ([`crate::status`]).
 
 use crate::config::TeamLimits;
 use crate::core::Core;
@@ -16,9 +16,9 @@
 use quota_ledger::Amount;
 use std::collections::BTreeMap;
 
-/// How much a process owns.
+/// The numbers of teams and machines that one process owns.
 #[derive(Default)]
-struct Owned {
+struct OwnedCounts {
     teams: usize,
     machines: usize,
 }
@@ -55,11 +55,11 @@
         }
     }
 
-    /// How each sibling is judged, and on what evidence.
+    /// Returns the failure detector's stage of each sibling, with the evidence for it.
     fn sibling_statuses(&self) -> Vec<SiblingStatus> {
         let now = self.outbox.now;
         let detector = self.peers.detector();
-        let status = |(node, evidence): (ControllerName, Evidence)| {
+        let sibling_status = |(node, evidence): (ControllerName, Evidence)| {
             let opinions = detector.received_opinions(&node, now).into_iter();
             let opinions = opinions.map(|opinion| OpinionStatus {
                 observer: opinion.observer.to_string(),
@@ -80,33 +80,40 @@
                 told: opinions.collect(),
             }
         };
-        detector.evidence(now).into_iter().map(status).collect()
+        detector
+            .evidence(now)
+            .into_iter()
+            .map(sibling_status)
+            .collect()
     }
 
-    /// Processes that own teams or machines although they have failed or their keys have expired.
+    /// Returns the processes that still own teams or machines although they have failed or are not
+    /// registered.
     fn hand_over_statuses(&self) -> Vec<HandOverStatus> {
-        let owners = self.store.shard_map();
-        let mut owned: BTreeMap<ProcessId, Owned> = BTreeMap::new();
-        for owner in owners.teams.values() {
+        let shard_map = self.store.shard_map();
+        let mut owned: BTreeMap<ProcessId, OwnedCounts> = BTreeMap::new();
+        for owner in shard_map.teams.values() {
             owned.entry(owner.process()).or_default().teams += 1;
         }
-        for owner in owners.machines.values() {
+        for owner in shard_map.machines.values() {
             owned.entry(owner.process()).or_default().machines += 1;
         }
-        let status = |(process, Owned { teams, machines }): (ProcessId, Owned)| {
-            let waits_for = self.hand_over_wait(&process)?;
-            Some(HandOverStatus {
-                controller: process.node.to_string(),
-                incarnation: process.incarnation,
-                teams,
-                machines,
-                waits_for,
-            })
-        };
-        owned.into_iter().filter_map(status).collect()
+        let hand_over_status =
+            |(process, OwnedCounts { teams, machines }): (ProcessId, OwnedCounts)| {
+                let waits_for = self.hand_over_wait(&process)?;
+                Some(HandOverStatus {
+                    controller: process.node.to_string(),
+                    incarnation: process.incarnation,
+                    teams,
+                    machines,
+                    waits_for,
+                })
+            };
+        owned.into_iter().filter_map(hand_over_status).collect()
     }
 
-    /// What the failover of a process's shard waits for; None if the process has not failed.
+    /// Returns the event that the failover of a process's shard waits for. `None` if the process has not
+    /// failed.
     fn hand_over_wait(&self, process: &ProcessId) -> Option<HandOverWait> {
         if self.store.is_registered(&process.node, process.incarnation) {
             let failed = self.peers.detector().has_failed(&process.node);
@@ -120,7 +127,7 @@
         Some(HandOverWait::Consents { given, needed })
     }
 
-    /// A team's limits, its owner and its grants as they are stored.
+    /// Returns a team's limits, its owner and its grants, as the store replica contains them.
     fn team_status(&self, team_limits: &TeamLimits) -> TeamStatus {
         let since = self.store.grants_kept_since(&team_limits.name);
         let stored = self.store.ledger(&team_limits.name);
@@ -155,7 +162,7 @@
         }
     }
 
-    /// What this controller knows of a team in its own shard.
+    /// Returns the usage of a team that this controller owns. `None` if it does not own the team.
     fn owned_team_status(&self, team_limits: &TeamLimits) -> Option<OwnedTeamStatus> {
         let shard = self.shard.as_ref()?;
         let team = shard.teams.get(&team_limits.name)?;
@@ -170,7 +177,7 @@
     }
 }
 
-/// The stage as operators see it.
+/// Converts a stage of the failure detector to its form in the status.
 fn stage_status(stage: Stage) -> StageStatus {
     match stage {
         Stage::Alive => StageStatus::Alive,
@@ -180,13 +187,14 @@
     }
 }
 
-/// The amount in CPUs and GPUs.
+/// Converts an amount to numbers of CPUs and GPUs.
 fn capacity(amount: &Amount) -> Capacity {
     let (cpus, gpus) = amount.units();
     Capacity { cpus, gpus }
 }
 
-/// Whether a team's record of grants is relied on; it is if grants have been kept to since before it began.
+/// Returns whether owners rely on a team's grant record. They do if every owner since `since` has complied
+/// with the team's grants and the record began at or after that token.
 fn record_state(stored: Option<&StoredLedger>, since: Option<FencingToken>) -> RecordState {
     match stored.map(|stored| stored.ledger.as_ref()) {
         None => RecordState::None,
@@ -198,7 +206,7 @@
     }
 }
 
-/// What the owner's decisions on the team's limits are based on.
+/// Returns the basis of the owner's decisions on a team's limits.
 fn basis_status(grant: Option<&TeamGrant>) -> BasisStatus {
     match grant.map(TeamGrant::basis) {
         None
--- a/src/core/controller/store_sync.rs
+++ b/src/core/controller/store_sync.rs
@@ -1,4 +1,4 @@
-//! Sends the reads that keep the store replica current, and applies their replies.
+//! Sends the reads that update the store replica, and applies their replies.
 
 use crate::core::Core;
 use crate::core::effects::StoreReply;
@@ -18,7 +18,8 @@
         }
     }
 
-    /// Applies the reply to a read that was sent at `sent`, and answers the user requests that waited for it.
+    /// Applies the reply to a read that was sent at `sent`, then resumes the user requests that waited for
+    /// it.
     pub(crate) fn handle_read_reply(&mut self, sent: Time, reply: StoreReply) {
         let now = self.outbox.now;
         let store = &mut self.store;
--- a/src/core/controller/user_requests.rs
+++ b/src/core/controller/user_requests.rs
@@ -1,8 +1,9 @@
-//! Users' requests: submit, poll and cancel.
+//! Handles the requests of users: submit, poll and cancel.
 //!
-//! Any controller answers any request. Jobs are created, cancelled and read in the store itself, guarded by
-//! versions, so the answer does not depend on the controller. Submissions and cancellations are idempotent, and
-//! reads are linearizable. A request that cannot be served soon is answered with the time after which to retry.
+//! Any controller answers any request. Writes to the store have the version of the job's record as
+//! precondition, so the answer does not depend on the controller. Submissions and cancellations are
+//! idempotent, and reads are linearizable. A request that cannot be served soon is answered with the time
+//! after which to retry.
 
 use crate::core::Core;
 use crate::core::effects::pending::{Pending, ReplyTo, UserWrite, WaitingRequest};
@@ -17,35 +18,36 @@
 use crate::wire::{JobSpec, JobStatus, Transaction, Write, progress_answer, status_answer};
 use std::rc::Rc;
 
-/// Users wait 2 s for the answer to a poll; this leaves time to pass the request on to a sibling.
+/// Seconds that a poll waits in this controller. Users wait 2 s, so there is time left to relay it to a
+/// sibling.
 const MAX_POLL_WAIT: Time = 0.9;
 
-/// Users wait 5 s for the answer to a submission or cancellation.
+/// Seconds that a submission or cancellation waits in this controller. Users wait 5 s for the answer.
 const MAX_WRITE_WAIT: Time = 1.5;
 
-/// The store is asked all the time and replies within a few hundred ms: after this silence, in seconds, this
-/// controller is cut off from it.
+/// Seconds without a reply of the store after which this controller counts as cut off from it. Controllers
+/// read the store continually, and it replies within a few hundred milliseconds.
 const MAX_STORE_SILENCE: Time = MAX_POLL_WAIT / 3.0;
 
-/// For how long a write that the store refused for its rate is tried again.
+/// Seconds after the arrival of a request during which a write that the store refused as busy is retried.
 const BUSY_RETRY_WINDOW: Time = 0.6;
 
-/// The pause before such a write is tried again.
+/// Seconds before a write is retried, before jitter.
 const BUSY_RETRY_PAUSE: Time = BUSY_RETRY_WINDOW / 6.0;
 
-/// Requests that a controller keeps waiting at most, per MB of its memory limit.
+/// Maximum number of waiting requests per MB of the controller's memory limit.
 const MAX_WAITING_PER_MB: f64 = 20.0;
 
-/// Problem of a submission that fits no machine type, or exceeds its team's limit.
+/// Error text for a submission whose tasks fit no machine type or that exceeds its team's limit.
 const PROBLEM_NEVER_FITS: &str = "can never run";
 
-/// Problem of a submission with a dependency that does not exist.
+/// Error text for a submission with a dependency that does not exist.
 const PROBLEM_UNKNOWN_DEPENDENCY: &str = "awaits: a job that was never accepted";
 
-/// Problem of a submission whose record exceeds the store's limit on values.
+/// Error text for a submission whose record exceeds the store's size limit for values.
 const PROBLEM_RECORD_TOO_LARGE: &str = "awaits or breeds: too many";
 
-/// The requests of users that wait for the store.
+/// The requests of users that wait for a read of the store or for a postponed write.
 #[derive(Default)]
 pub struct UserRequests {
     waiting: Vec<WaitingRequest>,
@@ -58,12 +60,12 @@
 }
 
 impl Core {
-    /// Handles a request of a user.
+    /// Handles a request that a user sent to this controller.
     pub(crate) fn handle_user_request(&mut self, request: RequestId, operation: UserRequest) {
         self.receive_request(ReplyTo::User(request), operation);
     }
 
-    /// Handles a request that a sibling passed on.
+    /// Handles a user's request that a sibling relayed.
     pub(crate) fn handle_relayed_request(&mut self, request: RequestId, operation: UserRequest) {
         self.receive_request(ReplyTo::Sibling(request), operation);
     }
@@ -78,22 +80,24 @@
             not_before: now,
             create_sent: false,
         };
-        let limit = self.config.deployment.limits.mem_mb * MAX_WAITING_PER_MB;
-        if !self.store.is_complete() || self.user_requests.waiting.len() as f64 > limit {
-            return self.forward_or_reject(request);
+        let max_waiting = self.config.deployment.limits.mem_mb * MAX_WAITING_PER_MB;
+        if !self.store.is_complete() || self.user_requests.waiting.len() as f64 > max_waiting {
+            return self.relay_or_reject(request);
         }
-        let silent = self.store.seconds_since_store_reply(now) > MAX_STORE_SILENCE;
-        if silent
+        let is_silent = self.store.seconds_since_store_reply(now) > MAX_STORE_SILENCE;
+        if is_silent
             && matches!(reply_to, ReplyTo::User(_))
             && self.peers.sibling_reading_store(now).is_some()
         {
-            // Only this controller is cut off from the store: a sibling answers at once what would be late here.
-            return self.forward_to_sibling(request);
+            // The sibling reads the store and can answer at once. This controller is cut off and would be
+            // late.
+            return self.relay_to_sibling(request);
         }
         self.start_request(request);
     }
 
-    /// Creates the job of a submission that is unknown here; every other request is a read first.
+    /// Creates the job if the request submits one that the replica does not contain. Answers every other
+    /// request from the replica, or lets it wait for a read.
     fn start_request(&mut self, request: WaitingRequest) {
         match &request.operation {
             UserRequest::Submit(id, _) if self.store.job(id).is_none() => self.create_job(request),
@@ -101,6 +105,7 @@
         }
     }
 
+    /// Writes the record of a submitted job, or refuses the submission.
     fn create_job(&mut self, mut request: WaitingRequest) {
         let UserRequest::Submit(id, spec) = &request.operation else {
             return;
@@ -109,14 +114,16 @@
         let key = job_key(id);
         let write = put(&key, &record, None);
         let Some(never_fits) = self.catalog.can_never_run(&self.config, spec) else {
-            return self.forward_or_reject(request);
+            return self.relay_or_reject(request);
         };
         let problem = self.submission_problem(spec, never_fits, &write);
-        // Only a read since the request shows that no controller has accepted this job or one of its
-        // dependencies. And a controller that was paused may have missed a cancellation long ago.
+        // Only a read after the request shows that no controller has accepted this job or one of its
+        // dependencies. A replica that is older than a heartbeat interval may also lack the cancellation of a
+        // dependency, for example after a pause of this process.
         let age = self.outbox.now - self.store.current_as_of();
-        let behind = age > self.config.deployment.workers.report_s && !spec.dependencies.is_empty();
-        if (problem.is_some() || behind) && self.store.current_as_of() < request.read_after {
+        let is_behind =
+            age > self.config.deployment.workers.report_s && !spec.dependencies.is_empty();
+        if (problem.is_some() || is_behind) && self.store.current_as_of() < request.read_after {
             self.store.request_read();
             return self.user_requests.enqueue(request);
         }
@@ -124,12 +131,12 @@
             let answer = Answer::value(422, serde_json::json!({"error": problem}));
             return self.reply(request.reply_to, answer);
         }
-        let dependency_cancelled = spec
+        let is_dependency_cancelled = spec
             .dependencies
             .iter()
             .any(|dependency| self.store.is_cancelled(dependency));
-        // Recorded as cancelled from the start, so that polls of it are answered so.
-        let write = match dependency_cancelled {
+        // The record is created as cancelled, so that polls return this status.
+        let write = match is_dependency_cancelled {
             true => put(&key, &record.cancelled_unstarted(self.outbox.wall_ms), None),
             false => write,
         };
@@ -137,7 +144,8 @@
         self.commit_or_wait(request, key, 0, write);
     }
 
-    /// Why a submission is refused, if it is. `write`: the write of its record.
+    /// Returns the error text of a submission that must be refused, and `None` for a valid one. `write` is
+    /// the write of its record.
     fn submission_problem(
         &self,
         spec: &JobSpec,
@@ -157,7 +165,8 @@
         }
     }
 
-    /// Commits a write if `key` still has this version, or postpones the request if writes are held back.
+    /// Sends a write with the precondition that `key` has this version. The request waits instead while
+    /// pacing delays writes.
     fn commit_or_wait(
         &mut self,
         mut request: WaitingRequest,
@@ -178,7 +187,7 @@
             .call_store(pending, StoreCall::Commit(transaction));
     }
 
-    /// Handles the store's reply to a write that a request needed.
+    /// Handles the store's reply to the write of a request.
     pub(crate) fn handle_user_write_reply(&mut self, call: UserWrite, reply: StoreReply) {
         let now = self.outbox.now;
         let UserWrite { mut request, write } = call;
@@ -188,15 +197,17 @@
                 request.not_before = now + self.outbox.jitter(BUSY_RETRY_PAUSE);
                 self.user_requests.enqueue(request);
             }
-            // The record has changed, or was possibly written: its stored state decides.
+            // The record was changed by another write, or this write may have been applied. The stored record
+            // determines the answer.
             StoreReply::Conflict | StoreReply::Unknown => {
                 request.read_after = now;
                 self.answer_or_wait(request);
             }
-            _ => self.forward_or_reject(request),
+            _ => self.relay_or_reject(request),
         }
     }
 
+    /// Applies a committed write to the replica and answers its request.
     fn handle_committed_write(&mut self, request: WaitingRequest, write: &Write, version: Version) {
         let previous = self.store.job(request.operation.job());
         let team = previous
@@ -216,26 +227,27 @@
                 let answer = Answer::value(200, status_answer(id, JobStatus::Cancelled));
                 self.reply(request.reply_to, answer);
             }
-            // Its cancellation through a dependency is recorded now.
+            // The write recorded that the job is cancelled because of a dependency.
             UserRequest::Submit(..) | UserRequest::Poll(_) => self.answer_or_wait(request),
         }
     }
 
-    /// Answers a request if the replica is current enough for it; otherwise the request waits for a read.
+    /// Answers a request if the replica is current enough. Otherwise the request waits for a read or a write.
     fn answer_or_wait(&mut self, mut request: WaitingRequest) {
         let id = request.operation.job().clone();
         let known = self.store.job(&id).cloned();
-        let ended = known.as_ref().is_some_and(|job| job.record.is_final());
-        if let (false, true, Some(job)) = (ended, self.store.has_cancelled_dependency(&id), &known)
+        let is_final = known.as_ref().is_some_and(|job| job.record.is_final());
+        if let (false, true, Some(job)) =
+            (is_final, self.store.has_cancelled_dependency(&id), &known)
         {
             return self.record_cancellation(request, job);
         }
-        if !ended && self.store.current_as_of() < request.read_after {
+        if !is_final && self.store.current_as_of() < request.read_after {
             self.store.request_read();
             return self.user_requests.enqueue(request);
         }
         match (&request.operation, known) {
-            // Whether an earlier create was executed or not, a repeat of it decides.
+            // The earlier create may be applied or not. Repeating it determines the outcome.
             (UserRequest::Submit(..), None) if request.create_sent => {
                 request.not_before = self.outbox.now + self.outbox.jitter(BUSY_RETRY_PAUSE);
                 self.user_requests.enqueue(request);
@@ -247,7 +259,7 @@
                 let answer = Answer::value(200, progress_answer(&id, status, done, running));
                 self.reply(request.reply_to, answer);
             }
-            (UserRequest::Cancel(_), Some(job)) if !ended => {
+            (UserRequest::Cancel(_), Some(job)) if !is_final => {
                 self.record_cancellation(request, &job);
             }
             (UserRequest::Submit(..) | UserRequest::Cancel(_), Some(job)) => {
@@ -258,9 +270,9 @@
         }
     }
 
-    /// Cancels a job for its user, or because a dependency is cancelled. The user is not told before that is
-    /// recorded: a release that does not know dependencies could report another status later, for example after
-    /// a controller was rolled back to it.
+    /// Records that a job is cancelled, at the request of its user or because a dependency is cancelled. The
+    /// request is answered only after the record is committed: a release without support for dependencies
+    /// would otherwise report another status later, for example after a controller is rolled back to it.
     fn record_cancellation(&mut self, request: WaitingRequest, job: &Versioned<Rc<JobRecord>>) {
         let id = request.operation.job();
         let (key, wall_ms) = (job_key(id), self.outbox.wall_ms);
@@ -272,8 +284,8 @@
         self.commit_or_wait(request, key, job.version, write);
     }
 
-    /// A job's status, and its numbers of done and of running tasks, as shown to users. Only final states are
-    /// promises.
+    /// Returns a job's status and its numbers of done and of running tasks, for users. Only final states are
+    /// permanent.
     fn displayed_progress(&self, id: &JobId, record: &JobRecord) -> (JobStatus, u32, u32) {
         match record.status {
             JobStatus::Done => return (JobStatus::Done, record.tasks, 0),
@@ -292,8 +304,8 @@
         (status, done, running)
     }
 
-    /// Notifies the owner of the job's team of a cancellation. Its next read shows the cancellation anyway; this
-    /// is only sooner.
+    /// Notifies the owner of the job's team of a cancellation, so that it learns of it before its next read
+    /// of the store.
     fn notify_owner(&mut self, id: &JobId, team: Option<&Team>) {
         let owner = team.and_then(|team| self.store.shard_map().teams.get(team));
         let node = owner.map(|owner| owner.node.clone());
@@ -306,17 +318,18 @@
         }
     }
 
-    /// Handles a request that this controller cannot answer: if it is cut off from the store, a sibling may
-    /// answer; otherwise the user is told at once when to retry.
-    fn forward_or_reject(&mut self, request: WaitingRequest) {
+    /// Handles a request that this controller cannot answer. It relays the request to a sibling if its own
+    /// reads of the store fail. Otherwise it answers at once that the user should retry later.
+    fn relay_or_reject(&mut self, request: WaitingRequest) {
         if self.reads_store() {
             return self.reply(request.reply_to, Answer::unavailable());
         }
-        self.forward_to_sibling(request);
+        self.relay_to_sibling(request);
     }
 
-    /// Passes a user's request on to a sibling that reaches the store, if there is one.
-    fn forward_to_sibling(&mut self, waiting: WaitingRequest) {
+    /// Relays a user's request to a sibling that reads the store. If there is none, or the request was
+    /// already relayed to this controller, the answer is to retry later.
+    fn relay_to_sibling(&mut self, waiting: WaitingRequest) {
         let sibling = self.peers.sibling_reading_store(self.outbox.now).cloned();
         let (ReplyTo::User(request), Some(node)) = (waiting.reply_to, sibling) else {
             return self.reply(waiting.reply_to, Answer::unavailable());
@@ -333,6 +346,7 @@
             .send_to_sibling(Pending::RelayedRequest { request }, &node, message);
     }
 
+    /// Sends the answer to the user, or to the sibling that relayed the request.
     fn reply(&mut self, reply_to: ReplyTo, answer: Answer) {
         match reply_to {
             ReplyTo::User(request) => self.outbox.answer(request, answer),
@@ -340,7 +354,7 @@
         }
     }
 
-    /// Answers the requests that waited for the replica to become current.
+    /// Resumes the waiting requests whose read is complete and whose pause before a write is over.
     pub(crate) fn resume_user_requests(&mut self) {
         let current = self.store.current_as_of();
         let now = self.outbox.now;
@@ -353,25 +367,27 @@
         }
     }
 
+    /// Processes a request from the start after it has waited.
     fn resume_request(&mut self, mut request: WaitingRequest) {
         request.create_sent = false;
         self.start_request(request);
     }
 
-    /// Gives up the requests that have waited too long, and resumes those whose postponed write may be sent.
+    /// Relays or rejects the requests that have waited too long or cannot succeed because this controller is
+    /// cut off from the store. Resumes the requests whose postponed write may be sent.
     pub(crate) fn time_out_user_requests(&mut self) {
         let now = self.outbox.now;
-        let cut_off =
+        let is_cut_off =
             !self.reads_store() && self.store.seconds_since_store_reply(now) > MAX_POLL_WAIT;
         let mut index = 0;
-        // Requests that wait again are appended, and are visited as well.
+        // A resumed request that has to wait again is appended, so this loop visits it as well.
         while let Some(request) = self.user_requests.waiting.get(index) {
-            let late = now > request.received + max_wait(&request.operation) || cut_off;
-            let postponed = request.not_before > request.received && request.not_before <= now;
-            if late {
+            let is_late = now > request.received + max_wait(&request.operation) || is_cut_off;
+            let is_pause_over = request.not_before > request.received && request.not_before <= now;
+            if is_late {
                 let request = self.user_requests.waiting.swap_remove(index);
-                self.forward_or_reject(request);
-            } else if postponed && self.store.current_as_of() >= request.read_after {
+                self.relay_or_reject(request);
+            } else if is_pause_over && self.store.current_as_of() >= request.read_after {
                 let request = self.user_requests.waiting.swap_remove(index);
                 self.resume_request(request);
             } else {
@@ -384,7 +400,7 @@
     }
 }
 
-/// The first record of a submitted job.
+/// Creates the record of a newly submitted job.
 fn new_job_record(spec: &JobSpec, wall_ms: u64) -> JobRecord {
     JobRecord {
         status: JobStatus::Pending,
@@ -397,7 +413,7 @@
     }
 }
 
-/// An answer as a sibling passes it on; only bodies for users are.
+/// Converts an answer to the reply for the sibling that relayed the request. Only bodies for users are sent.
 fn to_mesh_reply(answer: Answer) -> MeshReply {
     let body = match answer.body {
         Body::Value(body) => Some(body),
@@ -410,7 +426,7 @@
     }
 }
 
-/// For how long a request waits in this controller, in seconds.
+/// Returns the seconds that a request may wait in this controller.
 fn max_wait(operation: &UserRequest) -> Time {
     match operation {
         UserRequest::Poll(_) => MAX_POLL_WAIT,
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,8 +1,7 @@
-//! The state machine of a controller. It does no I/O: batches of [`Input`]s and the time go in, [`Effect`]s come out.
-//! The same inputs, times and seed give the same effects.
+//! The state machine of a controller. It performs no I/O: each step takes a batch of [`Input`]s and the time,
+//! and returns [`Effect`]s. The same inputs, times and seed produce the same effects.
 //!
-//! [`Core`] owns all state. The folders beside this module import one another in one direction only; see
-//! `docs/architecture.md`.
+//! [`Core`] owns all state. The dependencies between the submodules are acyclic; see `docs/architecture.md`.
 
 pub mod controller;
 pub mod effects;
@@ -43,11 +42,11 @@
 use rand::rngs::StdRng;
 use std::rc::Rc;
 
-/// Bits by which a drawn incarnation is shortened: the rest leaves room to count up whenever the process begins anew,
-/// and is exact as a number of 53 bits.
+/// High bits of the random incarnation that stay zero. A JSON number represents integers of 53 bits exactly;
+/// the shorter incarnation leaves room for the increment at each step-down.
 const INCARNATION_SPARE_BITS: u32 = 12;
 
-/// One controller: all of its state, and the order in which it is brought up to date.
+/// The state of one controller, and the order in which each step updates it.
 pub struct Core {
     config: Rc<Config>,
     outbox: Outbox,
@@ -55,12 +54,13 @@
     user_requests: UserRequests,
     peers: Peers,
     ownership: OwnershipLease,
-    /// The shard of this process, while it is registered in the store.
+    /// The shard of this process. `None` until the process is registered in the store, and after it steps
+    /// down.
     shard: Option<Shard>,
-    /// What only a leader does, while this process is the leader.
+    /// The state of the leader's work. `None` unless this process is the leader.
     leader: Option<Leader>,
     catalog: Catalog,
-    /// Images of machines that siblings have told of before there is a shard.
+    /// Images on machines that siblings have reported before this process has a shard.
     image_hints: ImageHints,
     unresponsive: UnresponsiveMachines,
     relays: HeartbeatRelays,
@@ -72,7 +72,8 @@
 }
 
 impl Core {
-    /// A controller that has just started. The seed determines its incarnation and every random draw.
+    /// Creates the state of a controller that has just started. `seed` determines its incarnation and every
+    /// random number.
     pub fn new(config: Config, seed: u64) -> Self {
         let config = Rc::new(config);
         let mut rng = StdRng::seed_from_u64(seed);
@@ -98,8 +99,8 @@
         }
     }
 
-    /// Handles a batch of inputs, then does everything that is due. `now` is the steady clock in seconds, `wall_ms` the
-    /// time of day in milliseconds.
+    /// Handles a batch of inputs, performs all work that is due, and returns the effects. `now` is the time
+    /// of the monotonic clock in seconds. `wall_ms` is the Unix time in milliseconds.
     pub fn step(&mut self, now: Time, wall_ms: u64, batch: Vec<Input>) -> Vec<Effect> {
         self.outbox.begin_step(now, wall_ms);
         self.peers.detector_mut().begin_step(now);
@@ -113,45 +114,48 @@
         self.outbox.take_effects()
     }
 
-    /// Whether this controller is the leader and its ownership lease is valid.
+    /// Returns whether this controller is the leader and its ownership lease is valid.
     pub fn leads(&self, now: Time) -> bool {
         self.leader.is_some() && self.ownership.holds_lease(now)
     }
 
-    /// The failure detector's judgement of a sibling.
+    /// Returns the failure detector's stage of a sibling.
     pub fn sibling_stage(&self, sibling: &ControllerName) -> Stage {
         self.peers.detector().stage(sibling)
     }
 
-    /// The teams whose tasks this controller can start: its ownership lease is valid, it owns machines, and the teams are
-    /// reconciled.
+    /// Returns the teams whose tasks this controller can start. There are none unless its ownership lease is
+    /// valid and it owns machines. Each of them is reconciled.
     pub fn reconciled_teams(&self, now: Time) -> Vec<Team> {
         let shard = self.shard.as_ref().filter(|shard| shard.has_machines());
         let shard = shard.filter(|_| self.ownership.holds_lease(now));
         shard.map(Shard::reconciled_teams).unwrap_or_default()
     }
 
-    /// Attempts and jobs examined so far because something happened to them, and rounds of placement: what the work of
-    /// the shard is in proportion to.
+    /// Returns the numbers of examined attempts and jobs, and of placement rounds, so far. The shard's
+    /// computing time is proportional to them.
     pub fn work_counts(&self) -> (u64, u64) {
         self.shard.as_ref().map(Shard::work).unwrap_or_default()
     }
 
-    /// Starts that the last guard has held back so far. Any at all is a fault of the tracking of attempts.
+    /// Returns the number of starts so far that were held back because another attempt of the task may still
+    /// run. A number above 0 shows a fault in the tracking of attempts.
     pub fn starts_held_back(&self) -> u64 {
         let shard = self.shard.as_ref();
         shard.map_or(0, |shard| shard.starts_held_back)
     }
 
-    /// The process was paused while its clock went on ([`ProcessPause`]).
+    /// Handles the end of a pause of the process ([`ProcessPause`]): worker silence is measured from now on,
+    /// and the store is read again.
     fn handle_pause(&mut self, paused: Time) {
         tracing::info!(seconds = %format_args!("{paused:.1}"), "process was paused");
         self.peers.record_worker_contact(self.outbox.now);
         self.store.request_read();
     }
 
-    /// Everything that is due at this time. Knowledge comes first (the store, siblings), then the right to act on it,
-    /// then the shard and the leader's work, and last what waits for their results.
+    /// Performs all work that is due. Information from the store and from siblings is updated first, then the
+    /// ownership lease and the roles that depend on it, then the shard and the leader's work. The messages
+    /// that contain their results come last.
     fn advance(&mut self) {
         let now = self.outbox.now;
         let catching_up = self
@@ -187,7 +191,7 @@
         );
         shard.plan_capacity_when_due(&self.outbox, &self.store, &self.catalog);
         if !shard.has_machines() {
-            // There is no worker to hear from, so silence is no evidence of a failure.
+            // No worker sends heartbeats to this controller, so their absence is no evidence of a failure.
             self.peers.record_worker_contact(now);
         }
         if shard.take_sync_soon() {
@@ -217,7 +221,8 @@
         }
     }
 
-    /// The shard begins once this process is registered. Leading begins and ends with the leader's key.
+    /// Creates the shard once this process is registered, and creates or drops the leader's state when the
+    /// leader's key changes.
     fn update_roles(&mut self) {
         let now = self.outbox.now;
         let incarnation = self.ownership.incarnation();
@@ -231,7 +236,8 @@
         }
         let term = self.ownership.leader_key_version(&self.store);
         if self.leader.as_ref().map(Leader::key_version) != term {
-            // The map as of the revision of the leader's key has every change of earlier leaders.
+            // A shard map that is at least as new as the leader's key contains every change of earlier
+            // leaders.
             let readable_term = term.filter(|term| self.store.revision() >= *term);
             self.leader = readable_term.map(|term| self.begin_leading(term));
         }
--- a/src/core/test_support.rs
+++ b/src/core/test_support.rs
@@ -1,4 +1,4 @@
-//! What several unit tests of the core begin with.
+//! Fixtures shared by the unit tests of the core.
 
 use crate::config::Config;
 use crate::core::Core;
@@ -19,12 +19,13 @@
 use rand::SeedableRng;
 use std::rc::Rc;
 
-pub fn record(first_done: bool) -> JobRecord {
+/// Creates the record of a pending service of two tasks of team `red`, whose task 1 is done if `task_1_done`.
+pub fn record(task_1_done: bool) -> JobRecord {
     let spec = serde_json::json!({"c": "chat", "t": "red", "k": "standing", "p": "critical",
         "n": 2, "cpu": 1.0, "gpu": 1.0, "mem": 1.0, "img": "i", "igb": 1.0, "est": 0.0,
         "ck": 0.0, "sv": 0.0});
     let mut ranges = crate::core::model::ranges::TaskIndexRanges::default();
-    if first_done {
+    if task_1_done {
         ranges.insert(1);
     }
     let spec = Some(Rc::new(serde_json::from_value(spec).unwrap()));
@@ -39,14 +40,17 @@
     }
 }
 
+/// Parses the test settings.
 pub fn config() -> Config {
     Config::parse(crate::config::TEST_SETTINGS).unwrap()
 }
 
+/// Creates a shard with the test settings and an empty store replica.
 pub fn shard() -> (Shard, Outbox, StoreReplica) {
     shard_with_config(config())
 }
 
+/// Creates a shard of incarnation 1 with these settings and an empty store replica.
 pub fn shard_with_config(config: Config) -> (Shard, Outbox, StoreReplica) {
     let config = Rc::new(config);
     let rng = rand::rngs::StdRng::seed_from_u64(1);
@@ -58,6 +62,7 @@
     )
 }
 
+/// Applies a shard map of these entries to the replica, as if the leader had written it at `version`.
 pub fn apply_shard_map(store: &mut StoreReplica, version: Version, shards: Vec<ShardEntry>) {
     store.apply_write(
         &put(
@@ -72,6 +77,7 @@
     );
 }
 
+/// Creates the owner entry of a controller's first process, with token 9 and no previous owner.
 pub fn owner(node: &str) -> ShardOwner {
     ShardOwner {
         node: node.into(),
@@ -82,7 +88,7 @@
     }
 }
 
-/// A service of two tasks.
+/// Creates the specification of a service of two tasks, each with 4 CPUs, 2 GPUs and 16 GB of memory.
 pub fn service(class: &str, image: &str, image_gb: f64) -> Rc<JobSpec> {
     let mut job = serde_json::json!({"c": class, "t": "red", "k": "standing", "p": "critical",
         "n": 2, "cpu": 4.0, "gpu": 2.0, "mem": 16.0, "est": 0.0, "ck": 0.0, "sv": 0.0});
@@ -91,6 +97,7 @@
     Rc::new(serde_json::from_value(job).unwrap())
 }
 
+/// Returns two machine types that differ in GPUs and price: `g4` and `g8`.
 pub fn machine_types() -> Vec<MachineType> {
     let of = |name: &str, gpus: f64, price: f64| MachineType {
         name: name.into(),
@@ -107,7 +114,7 @@
     vec![of("g4", 4.0, 10.0), of("g8", 8.0, 16.0)]
 }
 
-/// The report of a machine of kind `g8` on which nothing runs.
+/// Creates the heartbeat of a machine of type `g8` on which no task runs.
 pub fn heartbeat(machine: &str, agent_epoch: u64, sequence: u64, token: FencingToken) -> Heartbeat {
     Heartbeat {
         machine: machine.into(),
@@ -123,10 +130,10 @@
     }
 }
 
-/// The lease on which the key of [`running_core`] hangs.
+/// The lease to which the key of [`running_core`] is attached.
 pub const OWN_LEASE: u64 = 5;
 
-/// What a sibling's process registers; its incarnation is 1, its lease 9.
+/// Creates the record that a sibling's process registers, with incarnation 1 and lease 9.
 pub fn process_record(node: &str) -> ProcessRecord {
     ProcessRecord {
         node: node.into(),
@@ -138,8 +145,9 @@
     }
 }
 
-/// Controller n1 with siblings n0, n2 and so on, which acts on failures. It has read the state service at
-/// `now`, where all of them are registered, and n0 leads; it holds its lease and a share without machines.
+/// Creates controller n1 with siblings n0, n2 and so on, with failure detection enabled. It has read the
+/// store at `now`. All controllers are registered, and n0 is the leader. n1 holds its lease and a shard
+/// without machines.
 pub fn running_core(siblings: usize, now: Time) -> Core {
     let mut settings = crate::config::TEST_SETTINGS.replace("\"n0\"", "\"n1\"");
     let names: Vec<String> = (0..=siblings)
@@ -184,7 +192,7 @@
 
 fn entry(key: &str, record: &ProcessRecord) -> Entry {
     let Write::Put { value, .. } = put(key, record, None) else {
-        panic!("a put")
+        panic!("`put` creates a Write::Put")
     };
     Entry {
         key: key.to_owned(),
@@ -193,7 +201,7 @@
     }
 }
 
-/// A sibling answers hellos that are sent every 0.4 s until `until`, as a process that reads the state service.
+/// Records an answer of each sibling every 0.1 s until `until`, and updates the siblings' failure stages.
 pub fn record_answers(core: &mut Core, siblings: &[&str], from: Time, until: Time) {
     let mut now = from;
     while now <= until {
