--- a/src/core/controller/status.rs
+++ b/src/core/controller/status.rs
@@ -189,7 +189,7 @@
 
 /// Converts an amount to numbers of CPUs and GPUs.
 fn capacity(amount: &Amount) -> Capacity {
-    let (cpus, gpus) = amount.units();
+    let (cpus, gpus) = amount.cpus_and_gpus();
     Capacity { cpus, gpus }
 }
 
@@ -199,7 +199,7 @@
     match stored.map(|stored| stored.ledger.as_ref()) {
         None => RecordState::None,
         Some(None) => RecordState::Damaged,
-        Some(Some(ledger)) if since.is_some_and(|since| ledger.began() >= since.0) => {
+        Some(Some(ledger)) if since.is_some_and(|since| ledger.creator_term() >= since.0) => {
             RecordState::ReliedOn
         }
         Some(Some(_)) => RecordState::NotReliedOn,
