--- a/tests/architecture.rs
+++ b/tests/architecture.rs
@@ -1,4 +1,5 @@
-//! The folders of the core import one another in one direction only, as `docs/architecture.md` lists them.
+//! Checks that each folder of the core imports only folders that precede it in the table of
+//! `docs/architecture.md`.
 
 #![allow(
     clippy::cast_possible_truncation,
@@ -11,7 +12,7 @@
 
 use std::path::{Path, PathBuf};
 
-/// Heading of the column whose rows are the folders, lowest first.
+/// Head row of the table of folders. A folder may import those in the rows above its own.
 const TABLE_HEADING: &str = "| folder | owns |";
 
 #[test]
@@ -20,23 +21,24 @@
     let folders = documented_folders();
     assert_eq!(
         folders.len(),
-        folders_in(&core).len(),
-        "all folders are in the table"
+        module_folders(&core).len(),
+        "each folder of the core has a row in the table"
     );
-    let mut upward = Vec::new();
+    let mut forbidden_imports = Vec::new();
     for (position, folder) in folders.iter().enumerate() {
-        for file in sources(&core.join(folder)) {
+        for file in source_files(&core.join(folder)) {
             let text = code_without_comments(&file);
             for imported in folders.iter().skip(position + 1) {
                 if text.contains(&format!("crate::core::{imported}::")) {
-                    upward.push(format!("{} imports {imported}", file.display()));
+                    forbidden_imports.push(format!("{} imports {imported}", file.display()));
                 }
             }
         }
     }
-    assert!(upward.is_empty(), "{upward:#?}");
+    assert!(forbidden_imports.is_empty(), "{forbidden_imports:#?}");
 }
 
+/// Returns the folders in the order of the table.
 fn documented_folders() -> Vec<String> {
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("docs/architecture.md");
     let text = std::fs::read_to_string(page).unwrap();
@@ -45,11 +47,12 @@
         .lines()
         .skip(2)
         .take_while(|line| line.starts_with('|'));
-    let first_code = |row: &str| row.split('`').nth(1).unwrap().to_owned();
-    rows.map(first_code).collect()
+    let folder_name = |row: &str| row.split('`').nth(1).unwrap().to_owned();
+    rows.map(folder_name).collect()
 }
 
-fn folders_in(folder: &Path) -> Vec<PathBuf> {
+/// Returns the folders directly inside `folder` that are Rust modules.
+fn module_folders(folder: &Path) -> Vec<PathBuf> {
     let entries = std::fs::read_dir(folder)
         .unwrap()
         .map(|entry| entry.unwrap().path());
@@ -58,13 +61,13 @@
         .collect()
 }
 
-/// Source files of a folder, without unit tests: those may use anything.
-fn sources(folder: &Path) -> Vec<PathBuf> {
+/// Returns the source files inside a folder at any depth, without unit tests, which may import any folder.
+fn source_files(folder: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         if path.is_dir() {
-            files.extend(sources(&path));
+            files.extend(source_files(&path));
         } else if !path.ends_with("tests.rs") {
             files.push(path);
         }
--- a/tests/loopback/failures.rs
+++ b/tests/loopback/failures.rs
@@ -1,9 +1,12 @@
-//! Five controllers as real processes. The owner of a team is paused by a signal and continued, or killed and restarted,
-//! while users submit jobs. What ran is taken from the workers' own history.
+//! Failover between five controller processes. In each step the owner of the team is paused and continued by
+//! signals, or killed and restarted, while users submit jobs. The workers record which tasks ran.
 //!
-//! A few steps run in CI, more by hand: `FAILURE_STEPS=100`.
+//! CI runs a few steps. `FAILURE_STEPS=100` runs more.
 
-use super::{Deployment, Program, WAIT, ask, job, settings_file, start_with, until};
+use super::{
+    Deployment, Program, TIMEOUT, retry_until_status, send_request, start_program_with_features,
+    submission, write_settings_file,
+};
 use hyper::Method;
 use ochredrum::front::MESSAGE_PACK;
 use ochredrum::http::Client;
@@ -16,57 +19,61 @@
 
 const CONTROLLERS: usize = 5;
 const MACHINES: usize = 6;
-/// Longer than a worker waits for an answer.
+/// The lease of the workers. It is longer than a worker waits for the answer to a heartbeat.
 const LEASE: Duration = Duration::from_secs(8);
-const STEPS_IN_CI: usize = 3;
-/// One in this many steps kills its controller instead of pausing it.
-const KILL_EVERY: usize = 3;
-/// How long a controller stays paused or away.
-const AWAY: Duration = Duration::from_secs(6);
-const FAILOVER_WITHIN: Duration = Duration::from_secs(30);
-const PAUSE: Duration = Duration::from_millis(200);
+const DEFAULT_STEPS: usize = 3;
+/// Every step whose number is a multiple of this kills the controller instead of pausing it.
+const STEPS_PER_KILL: usize = 3;
+/// The least time for which a controller stays paused or stopped.
+const OUTAGE: Duration = Duration::from_secs(6);
+const FAILOVER_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A deployment with its programs.
+/// A deployment and its controller processes.
 struct Fleet {
     deployment: Deployment,
+    /// The process of each controller; absent while it is killed.
     programs: Vec<Option<Program>>,
-    files: Vec<PathBuf>,
-    jobs: usize,
+    settings_files: Vec<PathBuf>,
+    /// Jobs submitted so far, including those that no controller accepted.
+    submitted_jobs: usize,
 }
 
 impl Fleet {
     async fn start() -> Self {
-        let deployment = Deployment::of(CONTROLLERS).await;
+        let deployment = Deployment::with_controllers(CONTROLLERS).await;
         let lease = format!("lease_s = {:?}", LEASE.as_secs_f64());
         let settings = |node| {
             deployment
                 .settings_of(node)
                 .replace("lease_s = 4.0", &lease)
         };
-        let file = |node| settings_file(&format!("failures{node}.toml"), &settings(node));
-        let files: Vec<PathBuf> = (0..CONTROLLERS).map(file).collect();
+        let file = |node| write_settings_file(&format!("failures{node}.toml"), &settings(node));
+        let settings_files: Vec<PathBuf> = (0..CONTROLLERS).map(file).collect();
         let mut fleet = Self {
             deployment,
             programs: Vec::new(),
-            files,
-            jobs: 0,
+            settings_files,
+            submitted_jobs: 0,
         };
-        fleet.programs = (0..CONTROLLERS).map(|node| Some(fleet.run(node))).collect();
+        fleet.programs = (0..CONTROLLERS)
+            .map(|node| Some(fleet.start_program(node)))
+            .collect();
         for front in &fleet.deployment.fronts {
             let client = Client::new(*front, MESSAGE_PACK, 1);
-            until(&client, Method::GET, "/healthz", &[], 200).await;
+            retry_until_status(&client, Method::GET, "/healthz", &[], 200).await;
         }
         fleet
     }
 
-    fn run(&self, node: usize) -> Program {
+    fn start_program(&self, node: usize) -> Program {
         let features = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/failure-detection.toml");
-        start_with(&self.files[node], Some(&features))
+        start_program_with_features(&self.settings_files[node], Some(&features))
     }
 
-    /// The status of a controller, if it answers.
+    /// Returns the status of a controller, if it answers.
     async fn status(&self, node: usize) -> Option<Status> {
-        let client = Client::new(self.deployment.mesh_of(node), JSON_CONTENT_TYPE, 1);
+        let client = Client::new(self.deployment.mesh_address(node), JSON_CONTENT_TYPE, 1);
         let answer = client
             .send(Method::GET, STATUS_PATH, Vec::new(), Duration::from_secs(2))
             .await;
@@ -74,43 +81,47 @@
         serde_json::from_slice(&body).ok()
     }
 
-    /// Submits one job to each controller, some of which may be away.
-    fn submit(&mut self) {
+    /// Submits one job to each controller without waiting for answers. A controller that is paused or killed
+    /// accepts none.
+    fn submit_to_all(&mut self) {
         for front in self.deployment.fronts.clone() {
-            self.jobs += 1;
-            let mut wanted = job(&format!("req-{:06}", self.jobs));
-            wanted["beats"] = json!(1);
+            self.submitted_jobs += 1;
+            let mut job = submission(&format!("req-{:06}", self.submitted_jobs));
+            job["beats"] = json!(1);
             spawn_local(async move {
                 let client = Client::new(front, MESSAGE_PACK, 1);
-                ask(&client, Method::POST, "/v1/jobs", encode(&wanted))
+                send_request(&client, Method::POST, "/v1/jobs", encode(&job))
                     .await
                     .ok();
             });
         }
     }
 
-    /// Submits jobs until the status of `node` is as expected, and returns how long that took.
+    /// Submits jobs until the status of `node` fulfils a condition, and returns how long that took.
     async fn wait_until(
         &mut self,
         node: usize,
-        within: Duration,
-        what: impl Fn(&Status) -> bool,
+        timeout: Duration,
+        condition: impl Fn(&Status) -> bool,
     ) -> Duration {
-        let began = Instant::now();
+        let started_at = Instant::now();
         loop {
             let status = self.status(node).await;
-            if status.as_ref().is_some_and(&what) {
-                return began.elapsed();
+            if status.as_ref().is_some_and(&condition) {
+                return started_at.elapsed();
             }
-            assert!(began.elapsed() < within, "n{node} has status {status:?}");
-            self.submit();
-            tokio::time::sleep(PAUSE).await;
+            assert!(
+                started_at.elapsed() < timeout,
+                "n{node} has status {status:?}"
+            );
+            self.submit_to_all();
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// The controller that owns the team.
-    async fn owner(&self, asked: usize) -> usize {
-        let status = self.status(asked).await;
+    /// Returns the number of the controller that owns the team according to `observer`.
+    async fn team_owner(&self, observer: usize) -> usize {
+        let status = self.status(observer).await;
         let owner = status.and_then(|status| status.teams[0].owner.clone());
         owner
             .and_then(|name| name.strip_prefix('n')?.parse().ok())
@@ -118,20 +129,21 @@
     }
 }
 
+/// Whether the failure of `from` is confirmed and another controller owns the team.
 fn has_failed_over(status: &Status, from: &str) -> bool {
     let sibling = status
         .siblings
         .iter()
         .find(|sibling| sibling.controller == from);
-    let failed = sibling.is_some_and(|sibling| sibling.stage >= StageStatus::Confirmed);
-    failed
+    let is_confirmed = sibling.is_some_and(|sibling| sibling.stage >= StageStatus::Confirmed);
+    is_confirmed
         && status.teams[0]
             .owner
             .as_deref()
             .is_some_and(|owner| owner != from)
 }
 
-fn hears_all_siblings(status: &Status) -> bool {
+fn are_all_siblings_alive(status: &Status) -> bool {
     status
         .siblings
         .iter()
@@ -150,42 +162,44 @@
     LocalSet::new().block_on(&runtime, async {
         let mut fleet = Fleet::start().await;
         let history = fleet.deployment.start_fleet(MACHINES, LEASE).await;
-        for step in 1..=steps.unwrap_or(STEPS_IN_CI) {
-            let asked = step % CONTROLLERS;
-            let all_well =
-                |status: &Status| hears_all_siblings(status) && status.teams[0].owner.is_some();
-            fleet.wait_until(asked, WAIT, all_well).await;
-            let owner = fleet.owner(asked).await;
-            let (failed, other) = (format!("n{owner}"), (owner + 1) % CONTROLLERS);
-            let killed = step % KILL_EVERY == 0;
-            match killed {
+        for step in 1..=steps.unwrap_or(DEFAULT_STEPS) {
+            let observer = step % CONTROLLERS;
+            let is_healthy =
+                |status: &Status| are_all_siblings_alive(status) && status.teams[0].owner.is_some();
+            fleet.wait_until(observer, TIMEOUT, is_healthy).await;
+            let owner = fleet.team_owner(observer).await;
+            let (failed, survivor) = (format!("n{owner}"), (owner + 1) % CONTROLLERS);
+            let kills = step % STEPS_PER_KILL == 0;
+            match kills {
                 true => drop(fleet.programs[owner].take()),
                 false => fleet.programs[owner].as_ref().unwrap().signal("STOP"),
             }
-            let began = Instant::now();
+            let started_at = Instant::now();
             let failed_over = |status: &Status| has_failed_over(status, &failed);
-            let took = fleet.wait_until(other, FAILOVER_WITHIN, failed_over).await;
+            let elapsed = fleet
+                .wait_until(survivor, FAILOVER_TIMEOUT, failed_over)
+                .await;
             println!(
                 "step {step}: {failed} fails, failed over after {:.1} s",
-                took.as_secs_f64()
+                elapsed.as_secs_f64()
             );
-            tokio::time::sleep(AWAY.saturating_sub(began.elapsed())).await;
-            match killed {
-                true => fleet.programs[owner] = Some(fleet.run(owner)),
+            tokio::time::sleep(OUTAGE.saturating_sub(started_at.elapsed())).await;
+            match kills {
+                true => fleet.programs[owner] = Some(fleet.start_program(owner)),
                 false => fleet.programs[owner].as_ref().unwrap().signal("CONT"),
             }
-            let did_not_reclaim = |status: &Status| {
+            let has_not_reclaimed = |status: &Status| {
                 let owner = status.teams[0].owner.as_deref();
-                hears_all_siblings(status) && owner.is_some_and(|owner| owner != failed)
+                are_all_siblings_alive(status) && owner.is_some_and(|owner| owner != failed)
             };
             fleet
-                .wait_until(owner, FAILOVER_WITHIN, did_not_reclaim)
+                .wait_until(owner, FAILOVER_TIMEOUT, has_not_reclaimed)
                 .await;
         }
         let history = history.borrow();
-        println!("{} jobs, {} starts", fleet.jobs, history.starts);
+        println!("{} jobs, {} starts", fleet.submitted_jobs, history.starts);
         assert_eq!(
-            (history.overshoots, history.ran_twice),
+            (history.limit_violations, history.duplicate_starts),
             (0, 0),
             "{history:?}"
         );
--- a/tests/loopback/fleet.rs
+++ b/tests/loopback/fleet.rs
@@ -1,8 +1,8 @@
-//! Workers that follow redirects of the controllers, end their tasks by themselves, respect their leases, and record one
-//! history of what ran.
+//! Workers that follow redirects between controllers and stop their tasks when their lease expires. Their
+//! tasks also end by themselves. All workers record the starts and ends of tasks in one history.
 
 use super::worker::empty_heartbeat;
-use super::{MAX_CONNECTIONS, WAIT, listen};
+use super::{MAX_CONNECTIONS, TIMEOUT, listen};
 use hyper::body::Incoming;
 use hyper::{Method, Request};
 use ochredrum::front::MESSAGE_PACK;
@@ -20,52 +20,52 @@
 use std::time::{Duration, Instant};
 use tokio::task::spawn_local;
 
-/// How often a worker sends a heartbeat.
-const REPORT_EVERY: Duration = Duration::from_millis(500);
-/// How often a worker checks its lease and its tasks.
-const TURN: Duration = Duration::from_millis(50);
-/// How long tasks run, in turn.
-const RUNS: [Duration; 4] = [
+/// Pause between two heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// Pause between two checks of the lease and the tasks of a worker.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// How long tasks run; consecutive starts take consecutive entries.
+const TASK_DURATIONS: [Duration; 4] = [
     Duration::from_millis(300),
     Duration::from_millis(900),
     Duration::from_millis(1700),
     Duration::from_millis(3100),
 ];
 
-/// What ran, as the workers recorded it.
+/// The starts and ends of tasks, as the workers recorded them.
 #[derive(Debug, Default)]
 pub struct History {
-    /// Copies of each task that run now.
+    /// The number of copies of each running task.
     pub running: BTreeMap<String, usize>,
-    /// Tasks that were started.
+    /// Starts of tasks on all machines.
     pub starts: usize,
     /// The largest number of tasks that ran at once.
-    pub most_at_once: usize,
-    /// Moments at which more ran than the limit allows.
-    pub overshoots: usize,
-    /// Starts of a task that ran on another machine.
-    pub ran_twice: usize,
+    pub peak_running: usize,
+    /// Starts after which more tasks ran than the limit allows.
+    pub limit_violations: usize,
+    /// Starts of a task of which another copy was running.
+    pub duplicate_starts: usize,
     /// The largest number of tasks that may run at once.
     pub limit: usize,
 }
 
 impl History {
-    fn started(&mut self, task: &str) {
+    fn record_start(&mut self, task: &str) {
         self.starts += 1;
         let copies = self.running.entry(task.to_owned()).or_default();
         *copies += 1;
-        self.ran_twice += usize::from(*copies > 1);
+        self.duplicate_starts += usize::from(*copies > 1);
         let running = self.running.values().sum();
-        self.most_at_once = self.most_at_once.max(running);
-        self.overshoots += usize::from(running > self.limit);
+        self.peak_running = self.peak_running.max(running);
+        self.limit_violations += usize::from(running > self.limit);
     }
 
-    fn ended(&mut self, task: &str) {
-        let left = self.running.get_mut(task).map_or(0, |copies| {
+    fn record_end(&mut self, task: &str) {
+        let remaining = self.running.get_mut(task).map_or(0, |copies| {
             *copies -= 1;
             *copies
         });
-        if left == 0 {
+        if remaining == 0 {
             self.running.remove(task);
         }
     }
@@ -73,8 +73,8 @@
 
 struct Task {
     state: TaskState,
-    ends: Instant,
-    why: Option<ExitReason>,
+    ends_at: Instant,
+    exit_reason: Option<ExitReason>,
 }
 
 struct Machine {
@@ -83,7 +83,8 @@
     agent_epoch: u64,
     sequence: u64,
     token: FencingToken,
-    answered: Instant,
+    /// Start of the present lease: when the last answered heartbeat was sent, or when this agent epoch began.
+    lease_started_at: Instant,
     lease: Duration,
     tasks: BTreeMap<(String, Attempt), Task>,
     history: Rc<RefCell<History>>,
@@ -99,7 +100,7 @@
                 task: task.clone(),
                 attempt: *attempt,
                 state: running.state,
-                exit: running.why,
+                exit: running.exit_reason,
                 checkpointed: None,
             });
         let (agent_epoch, sequence, token) = (self.agent_epoch, self.sequence, self.token);
@@ -132,17 +133,17 @@
             return;
         }
         let mut history = self.history.borrow_mut();
-        history.started(&key.0);
-        let run = RUNS[history.starts % RUNS.len()];
+        history.record_start(&key.0);
+        let duration = TASK_DURATIONS[history.starts % TASK_DURATIONS.len()];
         let task = Task {
             state: TaskState::Running,
-            ends: Instant::now() + run,
-            why: None,
+            ends_at: Instant::now() + duration,
+            exit_reason: None,
         };
         self.tasks.insert(key, task);
     }
 
-    fn exit(&mut self, key: &(String, Attempt), why: ExitReason) {
+    fn exit(&mut self, key: &(String, Attempt), reason: ExitReason) {
         let Some(task) = self
             .tasks
             .get_mut(key)
@@ -151,33 +152,36 @@
             return;
         };
         task.state = TaskState::Exited;
-        task.why = Some(why);
-        self.history.borrow_mut().ended(&key.0);
+        task.exit_reason = Some(reason);
+        self.history.borrow_mut().record_end(&key.0);
     }
 
-    /// Tasks end by themselves, or with the machine's lease.
-    fn pass_time(&mut self) {
+    /// Ends the tasks whose time is over. If the lease has expired, stops all tasks and begins a new agent
+    /// epoch.
+    fn update_tasks(&mut self) {
         let now = Instant::now();
-        let over: Vec<(String, Attempt)> = self
+        let finished: Vec<(String, Attempt)> = self
             .tasks
             .iter()
-            .filter(|(_, t)| now >= t.ends)
+            .filter(|(_, t)| now >= t.ends_at)
             .map(|(key, _)| key.clone())
             .collect();
-        over.iter().for_each(|key| self.exit(key, ExitReason::Done));
-        if now > self.answered + self.lease {
+        finished
+            .iter()
+            .for_each(|key| self.exit(key, ExitReason::Done));
+        if now > self.lease_started_at + self.lease {
             let all: Vec<(String, Attempt)> = self.tasks.keys().cloned().collect();
             all.iter()
                 .for_each(|key| self.exit(key, ExitReason::Stopped));
             self.tasks.clear();
             self.agent_epoch += 1;
-            self.answered = now;
+            self.lease_started_at = now;
         }
     }
 }
 
-/// Starts workers that report to the controllers at `fronts`. Returns their history and their entries in the listing of
-/// the cloud.
+/// Starts workers that send heartbeats to the controllers at `fronts`. Returns their common history and their
+/// entries in the listing of the cloud.
 pub async fn start_fleet(
     machines: usize,
     fronts: &[(String, SocketAddr)],
@@ -188,7 +192,7 @@
         limit,
         ..History::default()
     }));
-    let mut listed = Vec::new();
+    let mut cloud_machines = Vec::new();
     for number in 1..=machines {
         let (listener, address) = listen().await;
         let id = MachineId::from(format!("m-{number:06}"));
@@ -198,33 +202,33 @@
             agent_epoch: 1,
             sequence: 0,
             token: FencingToken(0),
-            answered: Instant::now(),
+            lease_started_at: Instant::now(),
             lease,
             tasks: BTreeMap::new(),
             history: history.clone(),
         }));
-        listed.push(serde_json::json!({"nameId": id, "address":
+        cloud_machines.push(serde_json::json!({"nameId": id, "address":
             address.to_string(), "breed": "g8", "yard": "a", "loaners": false, "stance": "running",
             "heldS": 600.0}));
-        let taking = machine.clone();
+        let served_machine = machine.clone();
         spawn_local(serve(listener, MAX_CONNECTIONS, move |request| {
-            take_request(taking.clone(), request)
+            handle_request(served_machine.clone(), request)
         }));
-        spawn_local(pass_time(machine.clone()));
+        spawn_local(run_tasks(machine.clone()));
         spawn_local(send_heartbeats(machine, fronts.to_vec(), number));
     }
-    (history, listed)
+    (history, cloud_machines)
 }
 
-async fn pass_time(machine: Rc<RefCell<Machine>>) {
+async fn run_tasks(machine: Rc<RefCell<Machine>>) {
     loop {
-        tokio::time::sleep(TURN).await;
-        machine.borrow_mut().pass_time();
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        machine.borrow_mut().update_tasks();
     }
 }
 
-async fn take_request(machine: Rc<RefCell<Machine>>, request: Request<Incoming>) -> Reply {
-    let Ok(body) = read_body(request.into_body(), BODY_LIMIT, WAIT).await else {
+async fn handle_request(machine: Rc<RefCell<Machine>>, request: Request<Incoming>) -> Reply {
+    let Ok(body) = read_body(request.into_body(), BODY_LIMIT, TIMEOUT).await else {
         return reply(400, Vec::new(), MESSAGE_PACK);
     };
     let mut machine = machine.borrow_mut();
@@ -244,29 +248,32 @@
     reply(status, encode(&machine.heartbeat()), MESSAGE_PACK)
 }
 
+/// Sends heartbeats to one controller after the other, beginning with number `first`. After a redirect it
+/// goes to the controller that was named, otherwise to the next one.
 async fn send_heartbeats(
     machine: Rc<RefCell<Machine>>,
     fronts: Vec<(String, SocketAddr)>,
     first: usize,
 ) {
-    let mut at = first % fronts.len();
+    let mut current = first % fronts.len();
     loop {
-        let client = Client::new(fronts[at].1, MESSAGE_PACK, 1);
-        let next = redirect_to(&machine, &client).await;
+        let client = Client::new(fronts[current].1, MESSAGE_PACK, 1);
+        let next = wait_for_redirect(&machine, &client).await;
         let named = next.and_then(|name| fronts.iter().position(|(node, _)| *node == name));
-        at = named
-            .filter(|named| *named != at)
-            .unwrap_or((at + 1) % fronts.len());
+        current = named
+            .filter(|named| *named != current)
+            .unwrap_or((current + 1) % fronts.len());
         if named.is_none() {
-            tokio::time::sleep(REPORT_EVERY).await;
+            tokio::time::sleep(HEARTBEAT_INTERVAL).await;
         }
     }
 }
 
-/// Sends heartbeats to one controller until it redirects the worker, and returns the controller that it names.
-async fn redirect_to(machine: &Rc<RefCell<Machine>>, client: &Client) -> Option<String> {
+/// Sends heartbeats to one controller until it redirects the worker, and returns the controller that it
+/// names. Returns nothing if a heartbeat fails or the redirect names no controller.
+async fn wait_for_redirect(machine: &Rc<RefCell<Machine>>, client: &Client) -> Option<String> {
     loop {
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         let (body, agent_epoch) = {
             let mut machine = machine.borrow_mut();
             (encode(&machine.heartbeat()), machine.agent_epoch)
@@ -284,10 +291,10 @@
             let mut machine = machine.borrow_mut();
             if answer.token >= machine.token && agent_epoch == machine.agent_epoch {
                 machine.token = answer.token;
-                machine.answered = machine.answered.max(sent);
+                machine.lease_started_at = machine.lease_started_at.max(sent_at);
                 machine.execute(answer.commands);
             }
         }
-        tokio::time::sleep(REPORT_EVERY).await;
+        tokio::time::sleep(HEARTBEAT_INTERVAL).await;
     }
 }
--- a/tests/loopback/mod.rs
+++ b/tests/loopback/mod.rs
@@ -1,4 +1,5 @@
-//! Support for tests of the real program: stand-ins for the store, the cloud and workers that speak HTTP over loopback.
+//! Support for tests that run the program as a process: HTTP servers on loopback addresses replace the store,
+//! the cloud and the workers.
 
 mod failures;
 mod fleet;
@@ -28,27 +29,28 @@
 pub use fleet::History;
 pub use worker::StandInWorker;
 
-/// Items in a page of a listing, well within the protocol's limits for jobs of this size.
-const ITEMS_IN_PAGE: usize = 500;
+/// Entries in a page of a store listing. With jobs as small as those of these tests, a page stays well within
+/// the size limit of the protocol.
+const STORE_PAGE_SIZE: usize = 500;
 
-/// The limit of the team in the settings.
-pub const LIMIT_GPUS: usize = 16;
+/// The GPU limit of the team in the settings; equals `gpus_max` there.
+pub const TEAM_LIMIT_GPUS: usize = 16;
 
-/// How long a test waits for something before it fails.
-pub const WAIT: Duration = Duration::from_secs(10);
+/// How long a test waits for a condition before it fails.
+pub const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers requests as the store's documentation specifies.
-async fn store_service(
+/// Answers an HTTP request as the store's protocol specifies.
+async fn handle_store_request(
     store: Rc<RefCell<Store>>,
-    began: Instant,
+    started_at: Instant,
     request: Request<Incoming>,
 ) -> Reply {
     let (method, uri) = (request.method().clone(), request.uri().clone());
-    let Ok(body) = read_body(request.into_body(), 64 * 1024, WAIT).await else {
+    let Ok(body) = read_body(request.into_body(), 64 * 1024, TIMEOUT).await else {
         return reply(400, Vec::new(), MESSAGE_PACK);
     };
     let query = uri.query().unwrap_or("");
-    let value = |name: &str| {
+    let parameter = |name: &str| {
         query
             .split('&')
             .find_map(|pair| pair.split_once('=').filter(|(key, _)| *key == name))
@@ -57,10 +59,12 @@
     let call = match (&method, parts.as_slice()) {
         (&Method::GET, ["kv"]) => StoreCall::List {
             prefix: "ochredrum/",
-            from: value("from").map(|(_, v)| v.into()),
+            from: parameter("from").map(|(_, v)| v.into()),
         },
         (&Method::GET, ["watch"]) => {
-            let from = value("from").and_then(|(_, v)| v.parse().ok()).unwrap_or(0);
+            let from = parameter("from")
+                .and_then(|(_, v)| v.parse().ok())
+                .unwrap_or(0);
             StoreCall::Changes {
                 prefix: "ochredrum/",
                 from,
@@ -84,7 +88,7 @@
         },
         _ => return reply(400, Vec::new(), MESSAGE_PACK),
     };
-    let now = began.elapsed().as_secs_f64();
+    let now = started_at.elapsed().as_secs_f64();
     let (status, body) = match store.borrow_mut().call(now, call, None) {
         StoreReply::Listing(listing) => (200, encode(&listing)),
         StoreReply::Changes(changes) => (200, encode(&changes)),
@@ -97,24 +101,27 @@
     reply(status, body, MESSAGE_PACK)
 }
 
-/// Answers requests for machine types and machines; no machine can be rented.
-async fn cloud(listed: Rc<RefCell<Vec<Value>>>, request: Request<Incoming>) -> Reply {
+/// Answers requests for machine types and machines. Every request to rent a machine gets status 503.
+async fn handle_cloud_request(
+    machines: Rc<RefCell<Vec<Value>>>,
+    request: Request<Incoming>,
+) -> Reply {
     let body = match request.uri().path() {
         "/flavors" => json!({"breeds": [{"label": "g8", "cores": 96, "cards": 8, "memGb": 768,
             "cacheGb": 200, "pullGbPerS": 1.0, "rate": 12.0, "marketPrice": 4.5, "bootS": 45,
             "yards": ["a"]}]}),
         "/rentals" if request.method() == Method::GET => {
-            json!({"drumheads": *listed.borrow(), "more": false})
+            json!({"drumheads": *machines.borrow(), "more": false})
         }
         _ => {
-            let none = encode(&json!({"error": "no capacity"}));
-            return reply(503, none, MESSAGE_PACK);
+            let error = encode(&json!({"error": "no capacity"}));
+            return reply(503, error, MESSAGE_PACK);
         }
     };
     reply(200, encode(&body), MESSAGE_PACK)
 }
 
-/// Listens on a free port of the usual loopback address.
+/// Listens on a free port of 127.0.0.1.
 pub async fn listen() -> (TcpListener, SocketAddr) {
     listen_at(IpAddr::V4(Ipv4Addr::LOCALHOST)).await
 }
@@ -125,17 +132,18 @@
     (listener, address)
 }
 
-/// A separate loopback address for each deployment. Its programs listen on ports that were free a moment before; on a
-/// shared address a connection of another test could occupy such a port first, and the program would exit.
-fn address_of_next_deployment() -> IpAddr {
+/// Returns a loopback address that no other deployment uses. The programs of a deployment listen on ports
+/// that were found free and closed again. On a shared address, a connection of another test could occupy such
+/// a port before the program does, and the program would exit.
+fn next_deployment_address() -> IpAddr {
     static DEPLOYMENTS: AtomicU8 = AtomicU8::new(1);
     let process = std::process::id().to_be_bytes();
     let deployment = DEPLOYMENTS.fetch_add(1, Ordering::Relaxed);
     IpAddr::V4(Ipv4Addr::new(127, process[2] | 1, process[3], deployment))
 }
 
-/// The settings file of a single controller.
-pub fn settings(
+/// Returns the text of the settings file of a single controller `n0`.
+pub fn settings_text(
     front: SocketAddr,
     mesh: SocketAddr,
     cloud: SocketAddr,
@@ -176,11 +184,11 @@
     )
 }
 
-/// A running program, killed when dropped.
+/// A controller process. It is killed when this is dropped.
 pub struct Program(Child);
 
 impl Program {
-    /// Sends a signal to this process alone.
+    /// Sends a signal to this process only, given its name without `SIG`.
     pub fn signal(&self, name: &str) {
         let process = self.0.id().to_string();
         let sent = Command::new("sh")
@@ -188,26 +196,29 @@
             .status();
         assert!(
             sent.is_ok_and(|status| status.success()),
-            "SIG{name} to a child"
+            "SIG{name} could not be sent"
         );
     }
 }
 
 impl Drop for Program {
     fn drop(&mut self) {
-        // It may have exited already.
+        // An error means that the process has exited already.
         self.0.kill().ok();
         self.0.wait().ok();
     }
 }
 
-/// Starts the program with a settings file.
-pub fn start(settings: &std::path::Path) -> Program {
-    start_with(settings, None)
+/// Starts a controller without a features file.
+pub fn start_program(settings: &std::path::Path) -> Program {
+    start_program_with_features(settings, None)
 }
 
-/// Starts the program with a settings file and perhaps a features file.
-pub fn start_with(settings: &std::path::Path, features: Option<&std::path::Path>) -> Program {
+/// Starts a controller with a features file, if one is given. Its log is discarded.
+pub fn start_program_with_features(
+    settings: &std::path::Path,
+    features: Option<&std::path::Path>,
+) -> Program {
     let program = env!("CARGO_BIN_EXE_ochredrum");
     let mut command = Command::new(program);
     if let Some(features) = features {
@@ -217,8 +228,8 @@
     Program(command.spawn().unwrap())
 }
 
-/// Writes a settings file and returns its path.
-pub fn settings_file(name: &str, text: &str) -> std::path::PathBuf {
+/// Writes a settings file into the temporary folder of the tests and returns its path.
+pub fn write_settings_file(name: &str, text: &str) -> std::path::PathBuf {
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::File::create(&path)
         .unwrap()
@@ -227,8 +238,8 @@
     path
 }
 
-/// Sends a request and returns the status and the decoded body.
-pub async fn ask(
+/// Sends a request and returns its status and decoded body. A body that cannot be decoded is null.
+pub async fn send_request(
     client: &Client,
     method: Method,
     path: &str,
@@ -240,97 +251,108 @@
     Ok((status, decode(&body).unwrap_or_default()))
 }
 
-/// Repeats a request until it has the expected status.
-pub async fn until(client: &Client, method: Method, path: &str, body: &[u8], status: u16) -> Value {
-    let began = Instant::now();
+/// Repeats a request until it has the expected status, and returns the body.
+pub async fn retry_until_status(
+    client: &Client,
+    method: Method,
+    path: &str,
+    body: &[u8],
+    status: u16,
+) -> Value {
+    let started_at = Instant::now();
     loop {
-        let answer = ask(client, method.clone(), path, body.to_vec()).await;
+        let answer = send_request(client, method.clone(), path, body.to_vec()).await;
         match answer {
             Ok((seen, body)) if seen == status => return body,
-            other => assert!(began.elapsed() < WAIT, "{path}: {other:?} and not {status}"),
+            other => assert!(
+                started_at.elapsed() < TIMEOUT,
+                "{path}: {other:?}, expected status {status}"
+            ),
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// A submission of two tasks.
-pub fn job(id: &str) -> Value {
+/// Returns a submission of a job with two tasks.
+pub fn submission(id: &str) -> Value {
     json!({"nameId": id, "herd": "train", "crew": "vision", "shape": "sweep", "urgency": "high",
         "beats": 2, "cores": 8.0, "cards": 1.0, "memGb": 64.0, "pressing": "img", "sizeGb": 6.2,
         "breeds": null, "samePlace": false, "apart": false, "loaners": true, "expectS": 24.0,
         "markEveryS": 3.0, "markS": 1.0})
 }
 
-/// How many connections a stand-in accepts.
+/// Connections that each HTTP server of the tests accepts at once.
 pub const MAX_CONNECTIONS: usize = 100;
 
-/// The addresses of one or more controllers, with running stand-ins for the store and the cloud.
+/// The addresses of one or more controllers, and of the servers that replace the store and the cloud.
 pub struct Deployment {
-    /// The address for users and workers of the first controller.
+    /// The address of the first controller for users and workers.
     pub front: SocketAddr,
-    /// The addresses for users and workers of all controllers.
+    /// The addresses of all controllers for users and workers, by number of the controller.
     pub fronts: Vec<SocketAddr>,
     meshes: Vec<SocketAddr>,
     cloud: SocketAddr,
     store: SocketAddr,
-    listed: Rc<RefCell<Vec<Value>>>,
+    /// The machines that the cloud lists.
+    cloud_machines: Rc<RefCell<Vec<Value>>>,
 }
 
 impl Deployment {
-    /// A deployment of one controller.
+    /// Prepares a deployment of one controller, as [`Self::with_controllers`] does.
     pub async fn new() -> Self {
-        Self::of(1).await
+        Self::with_controllers(1).await
     }
 
-    /// A deployment of this many controllers. The stand-ins run from now on.
-    pub async fn of(controllers: usize) -> Self {
+    /// Starts the servers that replace the store and the cloud, and reserves addresses for the controllers.
+    /// It starts no controller.
+    pub async fn with_controllers(controllers: usize) -> Self {
         let mut store = Store::default();
-        store.page_size = ITEMS_IN_PAGE;
+        store.page_size = STORE_PAGE_SIZE;
         let store = Rc::new(RefCell::new(store));
-        let began = Instant::now();
-        let (listener, store_at) = listen().await;
+        let started_at = Instant::now();
+        let (listener, store_address) = listen().await;
         spawn_local(serve(listener, MAX_CONNECTIONS, move |request| {
-            store_service(store.clone(), began, request)
+            handle_store_request(store.clone(), started_at, request)
         }));
-        let (listener, cloud_at) = listen().await;
-        let listed = Rc::new(RefCell::new(Vec::new()));
-        let at_cloud = listed.clone();
+        let (listener, cloud_address) = listen().await;
+        let cloud_machines = Rc::new(RefCell::new(Vec::new()));
+        let served_machines = cloud_machines.clone();
         spawn_local(serve(listener, MAX_CONNECTIONS, move |request| {
-            cloud(at_cloud.clone(), request)
+            handle_cloud_request(served_machines.clone(), request)
         }));
         let (mut fronts, mut meshes, mut listeners) = (Vec::new(), Vec::new(), Vec::new());
-        let address = address_of_next_deployment();
+        let address = next_deployment_address();
         for _ in 0..controllers {
-            let (front, front_at) = listen_at(address).await;
-            let (mesh, mesh_at) = listen_at(address).await;
+            let (front, front_address) = listen_at(address).await;
+            let (mesh, mesh_address) = listen_at(address).await;
             listeners.extend([front, mesh]);
-            fronts.push(front_at);
-            meshes.push(mesh_at);
+            fronts.push(front_address);
+            meshes.push(mesh_address);
         }
         drop(listeners);
         Self {
             front: fronts[0],
             fronts,
             meshes,
-            cloud: cloud_at,
-            store: store_at,
-            listed,
+            cloud: cloud_address,
+            store: store_address,
+            cloud_machines,
         }
     }
 
-    /// The settings of the first controller.
+    /// Returns the text of the settings file of the first controller.
     pub fn settings(&self) -> String {
         self.settings_of(0)
     }
 
-    /// The address of a controller for its siblings.
-    pub fn mesh_of(&self, node: usize) -> SocketAddr {
+    /// Returns the address of a controller for other controllers and operators.
+    pub fn mesh_address(&self, node: usize) -> SocketAddr {
         self.meshes[node]
     }
 
-    /// The settings of a controller.
+    /// Returns the text of the settings file of a controller, given its number.
     pub fn settings_of(&self, node: usize) -> String {
-        let text = settings(self.fronts[node], self.meshes[node], self.cloud, self.store);
+        let text = settings_text(self.fronts[node], self.meshes[node], self.cloud, self.store);
         let others = (0..self.meshes.len()).filter(|other| *other != node);
         let siblings: String = others
             .map(|other| {
@@ -342,12 +364,14 @@
         text.replace("[services]", &format!("{siblings}[services]"))
     }
 
-    /// Starts workers that report to the controllers and are listed by the cloud, and returns the history of their tasks.
+    /// Starts workers that send heartbeats to the controllers, and adds them to the listing of the cloud.
+    /// Returns the history of their tasks.
     pub async fn start_fleet(&self, machines: usize, lease: Duration) -> Rc<RefCell<History>> {
         let nodes = (0..self.fronts.len()).map(|node| (format!("n{node}"), self.fronts[node]));
         let nodes: Vec<(String, SocketAddr)> = nodes.collect();
-        let (history, listed) = fleet::start_fleet(machines, &nodes, lease, LIMIT_GPUS).await;
-        *self.listed.borrow_mut() = listed;
+        let (history, machines) =
+            fleet::start_fleet(machines, &nodes, lease, TEAM_LIMIT_GPUS).await;
+        *self.cloud_machines.borrow_mut() = machines;
         history
     }
 }
--- a/tests/loopback/worker.rs
+++ b/tests/loopback/worker.rs
@@ -1,6 +1,7 @@
-//! A worker that sends heartbeats to the program and executes its direct commands, or holds them.
+//! A worker that sends heartbeats to a controller. It executes direct commands at once, or holds a message of
+//! them until the test releases it.
 
-use super::{MAX_CONNECTIONS, WAIT, listen};
+use super::{MAX_CONNECTIONS, TIMEOUT, listen};
 use hyper::body::Incoming;
 use hyper::{Method, Request};
 use ochredrum::front::MESSAGE_PACK;
@@ -17,19 +18,19 @@
 use std::time::{Duration, Instant};
 use tokio::task::{AbortHandle, spawn_local};
 
-/// How often the worker sends a heartbeat.
-const REPORT_EVERY: Duration = Duration::from_millis(500);
-/// How often a test checks what it waits for.
-const POLL_EVERY: Duration = Duration::from_millis(10);
+/// Pause between two heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// Pause between two checks of a condition that a test waits for.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What happens to messages of direct commands.
+/// How the worker treats messages of direct commands.
 #[derive(PartialEq)]
-enum Messages {
-    /// They are executed and answered.
+enum MessageHandling {
+    /// Messages are executed and answered.
     Serve,
-    /// The next one is held: neither executed nor answered.
+    /// The next message will be held: neither executed nor answered.
     HoldNext,
-    /// This one is held.
+    /// This message is held. Others are executed and answered.
     Held(DirectCommands),
 }
 
@@ -39,18 +40,18 @@
     sequence: u64,
     token: FencingToken,
     tasks: BTreeMap<(String, Attempt), TaskState>,
-    /// Every task that ever ran here.
-    ran: BTreeSet<String>,
-    messages: Messages,
+    /// Every task that was started here, including those that have ended.
+    started_tasks: BTreeSet<String>,
+    message_handling: MessageHandling,
 }
 
-/// A worker. While it holds a message it sends no heartbeats.
+/// A running worker. It sends no heartbeats while it holds a message.
 pub struct StandInWorker {
     machine: Rc<RefCell<Machine>>,
-    listening: AbortHandle,
+    server: AbortHandle,
 }
 
-/// The first heartbeat of a machine without tasks.
+/// Returns the first heartbeat of a machine without tasks.
 pub fn empty_heartbeat(machine: &MachineId, address: SocketAddr) -> Heartbeat {
     Heartbeat {
         machine: machine.clone(),
@@ -93,7 +94,7 @@
         for command in commands {
             match command {
                 Command::Start { task, attempt } => {
-                    self.ran.insert(task.clone());
+                    self.started_tasks.insert(task.clone());
                     self.tasks
                         .entry((task, attempt))
                         .or_insert(TaskState::Running);
@@ -110,8 +111,9 @@
         }
     }
 
-    /// Executes a direct message if its token and session match.
-    fn take_message(&mut self, message: DirectCommands) -> u16 {
+    /// Executes a direct message and returns status 200, or 409 if its fencing token is outdated or its agent
+    /// epoch is another one.
+    fn handle_message(&mut self, message: DirectCommands) -> u16 {
         if message.token < self.token || message.agent_epoch != 1 {
             return 409;
         }
@@ -122,7 +124,7 @@
 }
 
 impl StandInWorker {
-    /// A worker that reports to the program at `front` from now on.
+    /// Starts a worker that sends heartbeats to the controller at `front`.
     pub async fn start(id: &str, front: SocketAddr) -> Self {
         let (listener, address) = listen().await;
         let machine = Rc::new(RefCell::new(Machine {
@@ -131,103 +133,111 @@
             sequence: 0,
             token: FencingToken(0),
             tasks: BTreeMap::new(),
-            ran: BTreeSet::new(),
-            messages: Messages::Serve,
+            started_tasks: BTreeSet::new(),
+            message_handling: MessageHandling::Serve,
         }));
-        let taking = machine.clone();
-        let listening = spawn_local(serve(listener, MAX_CONNECTIONS, move |request| {
-            take_request(taking.clone(), request)
+        let served_machine = machine.clone();
+        let server = spawn_local(serve(listener, MAX_CONNECTIONS, move |request| {
+            handle_request(served_machine.clone(), request)
         }));
         spawn_local(send_heartbeats(machine.clone(), front));
         Self {
             machine,
-            listening: listening.abort_handle(),
+            server: server.abort_handle(),
         }
     }
 
-    /// Holds the next message of direct commands: it is neither executed nor answered.
+    /// Holds the next message of direct commands, so that it is neither executed nor answered.
     pub fn hold_next_message(&self) {
-        self.machine.borrow_mut().messages = Messages::HoldNext;
+        self.machine.borrow_mut().message_handling = MessageHandling::HoldNext;
     }
 
-    /// Executes and answers messages of direct commands again.
+    /// Executes and answers messages of direct commands again. A held message is discarded.
     pub fn serve_messages(&self) {
-        self.machine.borrow_mut().messages = Messages::Serve;
+        self.machine.borrow_mut().message_handling = MessageHandling::Serve;
     }
 
-    /// Whether a message is held.
+    /// Whether a message of direct commands is held.
     pub fn holds_message(&self) -> bool {
-        matches!(self.machine.borrow().messages, Messages::Held(_))
+        matches!(
+            self.machine.borrow().message_handling,
+            MessageHandling::Held(_)
+        )
     }
 
-    /// Accepts no more connections.
+    /// Stops accepting connections.
     pub fn refuse_connections(&self) {
-        self.listening.abort();
+        self.server.abort();
     }
 
-    /// Executes the message that is held.
+    /// Executes the held message, if there is one, without answering it.
     pub fn execute_held_message(&self) {
         let mut machine = self.machine.borrow_mut();
-        if let Messages::Held(message) = std::mem::replace(&mut machine.messages, Messages::Serve) {
-            machine.take_message(message);
+        if let MessageHandling::Held(message) =
+            std::mem::replace(&mut machine.message_handling, MessageHandling::Serve)
+        {
+            machine.handle_message(message);
         }
     }
 
-    /// Whether a task runs on this worker.
-    pub fn runs(&self, task: &str) -> bool {
+    /// Whether a task runs on this worker now.
+    pub fn is_running(&self, task: &str) -> bool {
         let running = |(key, state): (&(String, Attempt), &TaskState)| {
             key.0 == task && *state == TaskState::Running
         };
         self.machine.borrow().tasks.iter().any(running)
     }
 
-    /// Whether a task ever ran on this worker.
-    pub fn ran(&self, task: &str) -> bool {
-        self.machine.borrow().ran.contains(task)
+    /// Whether a task was ever started on this worker.
+    pub fn has_started(&self, task: &str) -> bool {
+        self.machine.borrow().started_tasks.contains(task)
     }
 
-    /// Waits until its heartbeats show a fencing token.
-    pub async fn has_token(&self) {
+    /// Waits until the worker has a fencing token and has sent it in a heartbeat.
+    pub async fn wait_for_token(&self) {
         wait_for(|| self.machine.borrow().token > FencingToken(0)).await;
-        tokio::time::sleep(REPORT_EVERY * 2).await;
+        tokio::time::sleep(HEARTBEAT_INTERVAL * 2).await;
     }
 
-    /// Waits until a task runs here.
-    pub async fn has_task(&self, task: &str) {
-        wait_for(|| self.runs(task)).await;
+    /// Waits until a task runs on this worker.
+    pub async fn wait_for_task(&self, task: &str) {
+        wait_for(|| self.is_running(task)).await;
     }
 }
 
 async fn wait_for(condition: impl Fn() -> bool) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     while !condition() {
-        assert!(began.elapsed() < WAIT, "the condition was not met in time");
-        tokio::time::sleep(POLL_EVERY).await;
+        assert!(
+            started_at.elapsed() < TIMEOUT,
+            "the condition was not met in time"
+        );
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn take_request(machine: Rc<RefCell<Machine>>, request: Request<Incoming>) -> Reply {
-    let body = read_body(request.into_body(), BODY_LIMIT, WAIT)
+async fn handle_request(machine: Rc<RefCell<Machine>>, request: Request<Incoming>) -> Reply {
+    let body = read_body(request.into_body(), BODY_LIMIT, TIMEOUT)
         .await
         .unwrap();
     let Some(message) = decode::<DirectCommands>(&body) else {
         return reply(400, Vec::new(), MESSAGE_PACK);
     };
-    if machine.borrow().messages == Messages::HoldNext {
-        machine.borrow_mut().messages = Messages::Held(message);
+    if machine.borrow().message_handling == MessageHandling::HoldNext {
+        machine.borrow_mut().message_handling = MessageHandling::Held(message);
         std::future::pending::<()>().await;
         return reply(500, Vec::new(), MESSAGE_PACK);
     }
     let mut machine = machine.borrow_mut();
-    let status = machine.take_message(message);
+    let status = machine.handle_message(message);
     reply(status, encode(&machine.heartbeat()), MESSAGE_PACK)
 }
 
 async fn send_heartbeats(machine: Rc<RefCell<Machine>>, front: SocketAddr) {
     let client = Client::new(front, MESSAGE_PACK, 1);
     loop {
-        tokio::time::sleep(REPORT_EVERY).await;
-        if matches!(machine.borrow().messages, Messages::Held(_)) {
+        tokio::time::sleep(HEARTBEAT_INTERVAL).await;
+        if matches!(machine.borrow().message_handling, MessageHandling::Held(_)) {
             continue;
         }
         let body = encode(&machine.borrow_mut().heartbeat());
--- a/tests/operator_pages.rs
+++ b/tests/operator_pages.rs
@@ -1,4 +1,4 @@
-//! The log messages on the operators' pages are those that the program prints, no more and no fewer.
+//! Checks that the operators' pages list exactly the log messages that the program can print.
 
 #![allow(
     clippy::cast_possible_truncation,
@@ -12,10 +12,10 @@
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// Levels that an operator sees with the default `LOG_LEVEL`.
+/// Levels that are printed with the default `LOG_LEVEL`.
 const DOCUMENTED_LEVELS: [&str; 3] = ["info", "warn", "error"];
 
-/// The pages that list log messages, each under this heading in the first column of a table.
+/// The pages that list log messages, each in the first column of the tables under [`HEADING`].
 const PAGES: [&str; 3] = [
     "docs/operations.md",
     "docs/operations-failure-detection.md",
@@ -29,7 +29,10 @@
     let documented = documented_messages();
     let undocumented: Vec<_> = printed.difference(&documented).collect();
     let unprinted: Vec<_> = documented.difference(&printed).collect();
-    assert!(printed.len() > 10, "messages are found in the sources");
+    assert!(
+        printed.len() > 10,
+        "too few messages were found in the source files"
+    );
     assert!(
         undocumented.is_empty() && unprinted.is_empty(),
         "not on the operators' pages: {undocumented:#?}\nnot printed: {unprinted:#?}"
@@ -40,10 +43,10 @@
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// The constant message of each event of a documented level.
+/// Returns the constant messages of all events of a documented level in the source files.
 fn printed_messages() -> BTreeSet<String> {
     let mut messages = BTreeSet::new();
-    for file in sources(&repository().join("src")) {
+    for file in source_files(&repository().join("src")) {
         let text = std::fs::read_to_string(&file).unwrap();
         for level in DOCUMENTED_LEVELS {
             for event in text.split(&format!("tracing::{level}!(")).skip(1) {
@@ -55,7 +58,8 @@
     messages
 }
 
-/// The last string literal among the arguments of a macro, given what follows its opening parenthesis.
+/// Returns the last string literal among the arguments of a macro. `arguments` begins after the opening
+/// parenthesis.
 fn last_string_literal(arguments: &str) -> Option<String> {
     let mut depth = 1;
     let mut literal = None;
@@ -77,12 +81,13 @@
     literal
 }
 
-fn sources(folder: &Path) -> Vec<PathBuf> {
+/// Returns the Rust source files inside a folder at any depth, without unit tests.
+fn source_files(folder: &Path) -> Vec<PathBuf> {
     let mut files = Vec::new();
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         if path.is_dir() {
-            files.extend(sources(&path));
+            files.extend(source_files(&path));
         } else if path.extension().is_some_and(|extension| extension == "rs")
             && !path.ends_with("tests.rs")
         {
@@ -92,7 +97,7 @@
     files
 }
 
-/// Code in the first column of the tables under [`HEADING`].
+/// Returns the messages in the first column of the tables under [`HEADING`].
 fn documented_messages() -> BTreeSet<String> {
     let mut messages = BTreeSet::new();
     for page in PAGES {
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -1,4 +1,5 @@
-//! The real program over loopback, with stand-ins that speak HTTP.
+//! Tests of the program as a process. HTTP servers on loopback addresses replace the store, the cloud and the
+//! workers.
 
 #![allow(
     clippy::cast_possible_truncation,
@@ -12,7 +13,10 @@
 mod loopback;
 
 use hyper::Method;
-use loopback::{Deployment, StandInWorker, ask, job, settings, settings_file, start, until};
+use loopback::{
+    Deployment, StandInWorker, retry_until_status, send_request, settings_text, start_program,
+    submission, write_settings_file,
+};
 use ochredrum::front::MESSAGE_PACK;
 use ochredrum::http::{Client, RequestError};
 use ochredrum::wire::encode;
@@ -23,28 +27,29 @@
 use tokio::task::LocalSet;
 
 #[test]
-fn answers_statuses_and_survives_a_kill() {
+fn requests_get_the_documented_statuses_and_jobs_survive_a_kill() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
     LocalSet::new().block_on(&runtime, async {
         let deployment = Deployment::new().await;
-        let file = settings_file("kill.toml", &deployment.settings());
-        let program = start(&file);
+        let file = write_settings_file("kill.toml", &deployment.settings());
+        let program = start_program(&file);
         let client = Client::new(deployment.front, MESSAGE_PACK, 1);
-        until(&client, Method::GET, "/healthz", &[], 200).await;
+        retry_until_status(&client, Method::GET, "/healthz", &[], 200).await;
 
-        let post = |body: Vec<u8>| ask(&client, Method::POST, "/v1/jobs", body);
+        let post = |body: Vec<u8>| send_request(&client, Method::POST, "/v1/jobs", body);
         assert_eq!(post(vec![0xc1, 0xff]).await.unwrap().0, 400);
         assert_eq!(post(encode(&json!([1, 2]))).await.unwrap().0, 400);
         assert_eq!(post(Vec::new()).await.unwrap().0, 400);
-        let mut wrong = job("req-000001");
-        wrong["beats"] = json!(0);
-        assert_eq!(post(encode(&wrong)).await.unwrap().0, 400);
-        let mut large = job("req-000001");
+        let mut invalid = submission("req-000001");
+        invalid["beats"] = json!(0);
+        assert_eq!(post(encode(&invalid)).await.unwrap().0, 400);
+        let mut large = submission("req-000001");
         large["herd"] = json!("x".repeat(70_000));
-        // Refused before it is read to its end: an answer, or a closed connection.
+        // The program refuses the request before it has read all of it, so the client may see a closed
+        // connection.
         assert!(matches!(
             post(encode(&large)).await,
             Ok((400, _)) | Err(RequestError::OutcomeUnknown)
@@ -54,70 +59,91 @@
             ("cards", json!(9.0)),
             ("breeds", json!(["x"])),
         ] {
-            let mut never = job("req-000001");
-            never[field] = value;
-            assert_eq!(post(encode(&never)).await.unwrap().0, 422, "{field}");
+            let mut unsatisfiable = submission("req-000001");
+            unsatisfiable[field] = value;
+            assert_eq!(
+                post(encode(&unsatisfiable)).await.unwrap().0,
+                422,
+                "{field}"
+            );
         }
         assert_eq!(
-            ask(&client, Method::GET, "/v1/jobs/req-000001", vec![])
+            send_request(&client, Method::GET, "/v1/jobs/req-000001", vec![])
                 .await
                 .unwrap()
                 .0,
             404
         );
         assert_eq!(
-            ask(&client, Method::GET, "/nowhere", vec![])
+            send_request(&client, Method::GET, "/nowhere", vec![])
                 .await
                 .unwrap()
                 .0,
             404
         );
         assert_eq!(
-            ask(&client, Method::DELETE, "/v1/jobs", vec![])
+            send_request(&client, Method::DELETE, "/v1/jobs", vec![])
                 .await
                 .unwrap()
                 .0,
             405
         );
 
-        let (status, body) = post(encode(&job("req-000001"))).await.unwrap();
+        let (status, body) = post(encode(&submission("req-000001"))).await.unwrap();
         assert_eq!(
             (status, body),
             (201, json!({"nameId": "req-000001", "stance": "pending"}))
         );
-        assert_eq!(post(encode(&job("req-000001"))).await.unwrap().0, 200);
-        let cancel = "/v1/jobs/req-000002/withdraw";
-        assert_eq!(post(encode(&job("req-000002"))).await.unwrap().0, 201);
-        let (status, body) = ask(&client, Method::POST, cancel, vec![]).await.unwrap();
+        assert_eq!(
+            post(encode(&submission("req-000001"))).await.unwrap().0,
+            200
+        );
+        let cancel_path = "/v1/jobs/req-000002/withdraw";
+        assert_eq!(
+            post(encode(&submission("req-000002"))).await.unwrap().0,
+            201
+        );
+        let (status, body) = send_request(&client, Method::POST, cancel_path, vec![])
+            .await
+            .unwrap();
         assert_eq!((status, &body["stance"]), (200, &json!("withdrawn")));
 
-        let needing = |id: &str, needed: Value| {
-            let mut job = job(id);
-            job["awaits"] = needed;
+        let submit_dependent = |id: &str, dependencies: Value| {
+            let mut job = submission(id);
+            job["awaits"] = dependencies;
             post(encode(&job))
         };
-        for wrong in [json!("req-000001"), json!(["r-1"]), json!([1])] {
-            assert_eq!(needing("req-000003", wrong).await.unwrap().0, 400);
+        for invalid in [json!("req-000001"), json!(["r-1"]), json!([1])] {
+            assert_eq!(
+                submit_dependent("req-000003", invalid).await.unwrap().0,
+                400
+            );
         }
-        for never in ["req-000777", "req-000003"] {
+        for unknown in ["req-000777", "req-000003"] {
             assert_eq!(
-                needing("req-000003", json!([never])).await.unwrap().0,
+                submit_dependent("req-000003", json!([unknown]))
+                    .await
+                    .unwrap()
+                    .0,
                 422,
-                "{never}"
+                "{unknown}"
             );
         }
-        let many: Vec<&str> = vec!["req-000001"; 2000];
+        let repeated: Vec<&str> = vec!["req-000001"; 2000];
         assert_eq!(
-            needing("req-000003", json!(many)).await.unwrap().0,
+            submit_dependent("req-000003", json!(repeated))
+                .await
+                .unwrap()
+                .0,
             201,
-            "all the same one"
+            "repeated dependencies count once"
         );
-        let (status, body) = needing("req-000004", json!(["req-000003", "req-000002"]))
+        let (status, body) = submit_dependent("req-000004", json!(["req-000003", "req-000002"]))
             .await
             .unwrap();
         assert_eq!((status, &body["stance"]), (201, &json!("withdrawn")));
         assert_eq!(
-            needing("req-000005", json!(["req-000004"]))
+            submit_dependent("req-000005", json!(["req-000004"]))
                 .await
                 .unwrap()
                 .1["stance"],
@@ -125,53 +151,54 @@
         );
 
         drop(program);
-        let _program = start(&file);
-        let body = until(&client, Method::GET, "/v1/jobs/req-000001", &[], 200).await;
+        let _program = start_program(&file);
+        let body = retry_until_status(&client, Method::GET, "/v1/jobs/req-000001", &[], 200).await;
         assert_eq!(body["stance"], "pending");
-        let body = until(&client, Method::GET, "/v1/jobs/req-000002", &[], 200).await;
+        let body = retry_until_status(&client, Method::GET, "/v1/jobs/req-000002", &[], 200).await;
         assert_eq!(body["stance"], "withdrawn");
         assert_eq!(
-            post(encode(&job("req-000002"))).await.unwrap().1["stance"],
+            post(encode(&submission("req-000002"))).await.unwrap().1["stance"],
             "withdrawn"
         );
         for (id, status) in [("3", "pending"), ("4", "withdrawn"), ("5", "withdrawn")] {
             let path = format!("/v1/jobs/req-00000{id}");
             assert_eq!(
-                until(&client, Method::GET, &path, &[], 200).await["stance"],
+                retry_until_status(&client, Method::GET, &path, &[], 200).await["stance"],
                 status
             );
         }
     });
 }
 
-/// A direct message is delayed at its worker, the next one to the same worker is refused at once, and then the first is
-/// executed: its task runs there and on no other worker.
+/// A direct message is delayed, the next connection to the same worker is refused at once, and the delayed
+/// message is executed afterwards. Its task must not have been started on another worker because of the
+/// refusal.
 #[test]
-fn a_delayed_start_beside_a_refused_message_runs_once() {
+fn delayed_start_runs_once_although_the_next_message_is_refused() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
     LocalSet::new().block_on(&runtime, async {
         let deployment = Deployment::new().await;
-        // Long enough for both messages to be in flight at once, even on a busy machine.
+        // The lease is long enough for both messages to be in flight at once, even on a busy machine.
         let text = deployment
             .settings()
             .replace("lease_s = 4.0", "lease_s = 20.0");
-        let _program = start(&settings_file("late.toml", &text));
+        let _program = start_program(&write_settings_file("late.toml", &text));
         let client = Client::new(deployment.front, MESSAGE_PACK, 1);
-        until(&client, Method::GET, "/healthz", &[], 200).await;
+        retry_until_status(&client, Method::GET, "/healthz", &[], 200).await;
         let workers = [
             StandInWorker::start("m-000001", deployment.front).await,
             StandInWorker::start("m-000002", deployment.front).await,
         ];
         let submit = async |id: &str| {
-            let mut job = job(id);
+            let mut job = submission(id);
             job["beats"] = json!(1);
-            until(&client, Method::POST, "/v1/jobs", &encode(&job), 201).await
+            retry_until_status(&client, Method::POST, "/v1/jobs", &encode(&job), 201).await
         };
         for worker in &workers {
-            worker.has_token().await;
+            worker.wait_for_token().await;
             worker.hold_next_message();
         }
         submit("req-000001").await;
@@ -190,22 +217,22 @@
         other.serve_messages();
         delayed.refuse_connections();
         submit("req-000002").await;
-        other.has_task("req-000002/0").await;
+        other.wait_for_task("req-000002/0").await;
         delayed.execute_held_message();
-        delayed.has_task("req-000001/0").await;
-        // Long enough for any duplicate start to have reached a worker.
+        delayed.wait_for_task("req-000001/0").await;
+        // A duplicate start would have reached a worker by then.
         tokio::time::sleep(Duration::from_secs(3)).await;
-        assert!(delayed.runs("req-000001/0") && !other.ran("req-000001/0"));
-        assert!(!delayed.ran("req-000002/0") && other.runs("req-000002/0"));
+        assert!(delayed.is_running("req-000001/0") && !other.has_started("req-000001/0"));
+        assert!(!delayed.has_started("req-000002/0") && other.is_running("req-000002/0"));
     });
 }
 
 #[test]
-fn bad_settings_end_the_program_with_the_fields_name() {
+fn invalid_settings_are_rejected_with_the_name_of_the_field() {
     let address: SocketAddr = "127.0.0.1:1".parse().unwrap();
-    let good = settings(address, address, address, address);
-    let run = |name: &str, text: &str| {
-        let file = settings_file(name, text);
+    let valid = settings_text(address, address, address, address);
+    let check_config = |name: &str, text: &str| {
+        let file = write_settings_file(name, text);
         let program = env!("CARGO_BIN_EXE_ochredrum");
         Command::new(program)
             .arg("check-config")
@@ -213,7 +240,7 @@
             .output()
             .unwrap()
     };
-    assert!(run("good.toml", &good).status.success());
+    assert!(check_config("valid.toml", &valid).status.success());
     for (from, to, field) in [
         (
             "lease_s = 4.0",
@@ -234,7 +261,7 @@
         ),
         ("host_name = \"n0\"", "host_name = \"\"", "host_name"),
     ] {
-        let output = run("bad.toml", &good.replace(from, to));
+        let output = check_config("invalid.toml", &valid.replace(from, to));
         let message = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(2), "{message}");
         assert!(
