--- a/tests/failures/load.rs
+++ b/tests/failures/load.rs
@@ -33,7 +33,7 @@
     let mut suspicions = 0;
     let mut suspected = [false; CONTROLLERS];
     while world.now < ends {
-        world.run(world.now + STEP_S);
+        world.run_until(world.now + STEP_S);
         for (node, before) in suspected.iter_mut().enumerate() {
             let now = world.is_suspected(node);
             suspicions += usize::from(now && !*before);
@@ -42,7 +42,7 @@
     }
     println!(
         "{suspicions} suspicions in {seconds} s of load, {:?}",
-        world.work
+        world.counters
     );
     assert_eq!(suspicions, 0);
     assert_no_violations("load", &world);
--- a/tests/failures/measure.rs
+++ b/tests/failures/measure.rs
@@ -64,11 +64,11 @@
 
     /// Schedules it for a controller.
     pub fn schedule(self, world: &mut World, at: f64, node: usize) {
-        let who = Endpoint::Node(node);
+        let target = Endpoint::Node(node);
         let cut = |from: Endpoint, manner: CutManner, direction: Direction| {
-            let who = Endpoint::Node(node);
+            let target = Endpoint::Node(node);
             Fault::Cut {
-                who,
+                target,
                 from,
                 seconds: LASTS_S,
                 manner,
@@ -77,32 +77,32 @@
         };
         let fault = match self {
             Self::Crashes => Fault::Crash {
-                who,
-                back_after: Some(LASTS_S),
+                target,
+                restart_delay_s: Some(LASTS_S),
             },
             Self::Restarts(seconds) => Fault::Crash {
-                who,
-                back_after: Some(seconds),
+                target,
+                restart_delay_s: Some(seconds),
             },
-            Self::Paused(seconds) => Fault::Freeze { who, seconds },
+            Self::Paused(seconds) => Fault::Pause { target, seconds },
             Self::CutFromWorkers(manner) => cut(Endpoint::Workers, manner, Direction::Both),
             Self::RefusedAlone => Fault::Refuse {
-                who,
+                target,
                 seconds: LASTS_S,
             },
             Self::CutFromStateAndSiblings => cut(
-                Endpoint::StateAndSiblings,
+                Endpoint::StoreAndSiblings,
                 CutManner::Silent,
                 Direction::Both,
             ),
             Self::OneDirection(direction) => cut(Endpoint::Everyone, CutManner::Silent, direction),
             Self::Slow(pause) => Fault::Slow {
-                who,
+                target,
                 pause,
                 seconds: LASTS_S,
             },
         };
-        world.at(at, Event::Fault(fault));
+        world.schedule_at(at, Event::Fault(fault));
     }
 }
 
@@ -152,8 +152,8 @@
 /// Measures what follows the failure of `node`.
 pub fn follow(world: &mut World, fails_at: f64, node: usize) -> Measured {
     let key = format!("ochredrum/node/n{node}");
-    let (process, owner) = (world.stored(&key), world.owner_of("red"));
-    let before = world.work.lost_with_leases;
+    let (process, owner) = (world.stored_value(&key), world.owner_of("red"));
+    let before = world.counters.lost_with_leases;
     let mut measured = Measured::default();
     let later = JobSpec {
         gpus: 1.0,
@@ -161,12 +161,12 @@
     };
     let later = world.add_job(fails_at + SUBMITTED_AFTER_S, later, 0.0);
     while world.now < fails_at + FOLLOWED_S {
-        world.run(world.now + STEP_S);
+        world.run_until(world.now + STEP_S);
         let since = Some(world.now - fails_at);
         if measured.suspected.is_none() && world.is_suspected(node) {
             measured.suspected = since;
         }
-        if measured.released.is_none() && !same_process(&world.stored(&key), &process) {
+        if measured.released.is_none() && !same_process(&world.stored_value(&key), &process) {
             measured.released = since;
         }
         if measured.failed_over.is_none() && world.owner_of("red") != owner {
@@ -174,7 +174,7 @@
         }
         if measured.settled.is_none()
             && measured.failed_over.is_some()
-            && world.is_settled("red", node)
+            && world.is_reconciled_by_another("red", node)
         {
             measured.settled = since;
         }
@@ -182,7 +182,7 @@
             measured.started = since;
         }
     }
-    measured.lost = world.work.lost_with_leases - before;
+    measured.lost = world.counters.lost_with_leases - before;
     measured.violations = world.violations.clone();
     measured
 }
--- a/tests/script/faults.rs
+++ b/tests/script/faults.rs
@@ -2,18 +2,18 @@
 
 use super::number;
 use crate::world::{
-    CommandFate, Condition, CutManner, Direction, Endpoint, Fault, MachineCondition, ShardMapFault,
-    UpgradeOrder,
+    CommandOutcome, Condition, CutManner, Direction, Endpoint, Fault, MachineCondition,
+    ShardMapFault, UpgradeOrder,
 };
 
 fn endpoint(word: &str) -> Endpoint {
     match word {
         "leader" => Endpoint::Leader,
         "all" => Endpoint::AllNodes,
-        "state" => Endpoint::State,
+        "state" => Endpoint::Store,
         "cloud" => Endpoint::Cloud,
         "workers" => Endpoint::Workers,
-        "state+siblings" => Endpoint::StateAndSiblings,
+        "state+siblings" => Endpoint::StoreAndSiblings,
         "everyone" => Endpoint::Everyone,
         node => match node.strip_prefix('n').and_then(|n| n.parse().ok()) {
             Some(node) => Endpoint::Node(node),
@@ -37,12 +37,12 @@
 }
 
 /// `served`, `refused`, `unanswered` or `late=S`.
-fn command_fate(word: &str) -> CommandFate {
+fn command_fate(word: &str) -> CommandOutcome {
     match word.split_once('=') {
-        Some(("late", seconds)) => CommandFate::Late(number(Some(&seconds))),
-        None if word == "served" => CommandFate::Served,
-        None if word == "refused" => CommandFate::Refused,
-        None if word == "unanswered" => CommandFate::Unanswered,
+        Some(("late", seconds)) => CommandOutcome::Late(number(Some(&seconds))),
+        None if word == "served" => CommandOutcome::Served,
+        None if word == "refused" => CommandOutcome::Refused,
+        None if word == "unanswered" => CommandOutcome::Unanswered,
         _ => panic!("fate {word:?}?"),
     }
 }
@@ -106,7 +106,7 @@
     }
     if let Some(condition) = machine_condition(name) {
         return Fault::Machine {
-            which: arguments.index(0),
+            machine_index: arguments.index(0),
             condition,
             seconds: arguments.number(1),
         };
@@ -149,28 +149,28 @@
 fn process_fault(name: &str, arguments: &Arguments) -> Option<Fault> {
     Some(match name {
         "crash" => Fault::Crash {
-            who: arguments.endpoint(0),
-            back_after: (arguments.0.len() > 1).then(|| arguments.number(1)),
+            target: arguments.endpoint(0),
+            restart_delay_s: (arguments.0.len() > 1).then(|| arguments.number(1)),
         },
         "rolling_restart" => Fault::RollingRestart {
-            every: arguments.number(0),
+            interval_s: arguments.number(0),
         },
-        "freeze" => Fault::Freeze {
-            who: arguments.endpoint(0),
+        "freeze" => Fault::Pause {
+            target: arguments.endpoint(0),
             seconds: arguments.number(1),
         },
         "slow" => Fault::Slow {
-            who: arguments.endpoint(0),
+            target: arguments.endpoint(0),
             pause: arguments.number(1),
             seconds: arguments.number(2),
         },
         "upgrade" => Fault::Upgrade {
-            every: arguments.number(0),
+            interval_s: arguments.number(0),
             order: upgrade_order(arguments.word(1)),
-            together: if arguments.word(2) == "pairs" { 2 } else { 1 },
+            batch_size: if arguments.word(2) == "pairs" { 2 } else { 1 },
         },
         "downgrade" => Fault::Downgrade {
-            who: arguments.endpoint(0),
+            target: arguments.endpoint(0),
         },
         _ => return None,
     })
@@ -180,34 +180,34 @@
 fn machine_fault(name: &str, arguments: &Arguments) -> Option<Fault> {
     Some(match name {
         "machine_dies" => Fault::MachineDies {
-            which: arguments.index(0),
+            machine_index: arguments.index(0),
         },
         "machine_cut" => Fault::MachineCut {
-            which: arguments.index(0),
+            machine_index: arguments.index(0),
             seconds: arguments.number(1),
-            hold: arguments.holds_messages(2),
+            hold_messages: arguments.holds_messages(2),
         },
         "machine_cut_from" => Fault::MachineCutFrom {
-            which: arguments.index(0),
+            machine_index: arguments.index(0),
             node: arguments.index(1),
             seconds: arguments.number(2),
         },
         "zone_cut" => Fault::ZoneCut {
             zone: arguments.word(0).to_owned(),
             seconds: arguments.number(1),
-            hold: arguments.holds_messages(2),
+            hold_messages: arguments.holds_messages(2),
         },
         "machine_hangs" => Fault::MachineHangs {
-            which: arguments.index(0),
+            machine_index: arguments.index(0),
             seconds: arguments.number(1),
         },
         "termination_notice" => Fault::TerminationNotice {
-            which: arguments.index(0),
+            machine_index: arguments.index(0),
             seconds: arguments.number(1),
         },
         "next_commands" => Fault::NextCommands {
-            which: arguments.index(0),
-            fates: arguments
+            machine_index: arguments.index(0),
+            outcomes: arguments
                 .from(1)
                 .iter()
                 .map(|word| command_fate(word))
@@ -221,11 +221,11 @@
 fn service_fault(name: &str, arguments: &Arguments) -> Option<Fault> {
     Some(match name {
         "refuse" => Fault::Refuse {
-            who: arguments.endpoint(0),
+            target: arguments.endpoint(0),
             seconds: arguments.number(1),
         },
         "cut" => Fault::Cut {
-            who: arguments.endpoint(0),
+            target: arguments.endpoint(0),
             from: arguments.endpoint(1),
             seconds: arguments.number(2),
             manner: cut_manner(arguments.from(3)),
--- a/tests/script/mod.rs
+++ b/tests/script/mod.rs
@@ -4,7 +4,7 @@
 mod jobs;
 mod report;
 
-use crate::world::{Event, Limits, World, grants_on};
+use crate::world::{Event, Limits, World, features_with_grants};
 use faults::fault;
 use jobs::job;
 use pest::Parser;
@@ -87,7 +87,7 @@
     for words in lines {
         match words[0] {
             "seed" | "controllers" => {}
-            "until" => world.run(number(words.get(1))),
+            "until" => world.run_until(number(words.get(1))),
             "at" => schedule(&mut world, &mut jobs, number(words.get(1)), &words[2..]),
             _ => apply_setting(&mut world, controllers, &words),
         }
@@ -115,7 +115,7 @@
                 write_rps: value(4),
             });
         }
-        "grants" => world.features = grants_on(),
+        "grants" => world.features = features_with_grants(),
         "detection_off" => world.features.failure_detection = None,
         "previous_version" => world.previous_version_nodes = (0..controllers).collect(),
         "machines" => world.add_machines(value(1) as usize, false),
@@ -133,23 +133,23 @@
             let (spec, run_s) = job(&words[1..]);
             jobs.push(world.add_job(at, spec, run_s));
         }
-        "cancel" => world.at(
+        "cancel" => world.schedule_at(
             at,
             Event::Cancel {
                 job: job_named(jobs),
             },
         ),
         "expect" => {
-            let (job, what) = (job_named(jobs), words[2].to_owned());
-            world.at(at, Event::Expect { job, what });
+            let (job, expected) = (job_named(jobs), words[2].to_owned());
+            world.schedule_at(at, Event::Expect { job, expected });
         }
-        "limits_fall" => world.at(at, Event::LimitsFall),
-        "submit_again" => world.at(
+        "limits_fall" => world.schedule_at(at, Event::LimitsLowered),
+        "submit_again" => world.schedule_at(
             at,
             Event::Submit {
                 job: job_named(jobs),
             },
         ),
-        _ => world.at(at, Event::Fault(fault(words))),
+        _ => world.schedule_at(at, Event::Fault(fault(words))),
     }
 }
--- a/tests/simulation/failover.rs
+++ b/tests/simulation/failover.rs
@@ -86,12 +86,12 @@
         let mut world = play(&isolated_controllers_day(owner));
         let teams = ["red", "blue"].map(|team| (team, world.owner_of(team)));
         let lost = Some(format!("n{owner}"));
-        world.run(40.0 + 0.7 * LEASE_S);
+        world.run_until(40.0 + 0.7 * LEASE_S);
         for (team, _) in teams.into_iter().filter(|(_, before)| *before == lost) {
             assert_ne!(world.owner_of(team), lost, "{team} is still with {owner}");
             failovers += 1;
         }
-        world.run(140.0);
+        world.run_until(140.0);
         assert_no_violations("isolated leader", &world);
     }
     assert_eq!(failovers, 2, "each team's owner was cut off once");
--- a/tests/simulation/grants.rs
+++ b/tests/simulation/grants.rs
@@ -40,7 +40,7 @@
     world.ignore_violations_of("not_served");
     let last = 3;
     while world.starts_of(last) == 0 && world.now < crashed + 120.0 {
-        world.run(world.now + 0.05);
+        world.run_until(world.now + 0.05);
     }
     assert!(world.violations.is_empty(), "{:?}", world.violations);
     world.now - crashed
--- a/tests/simulation/load.rs
+++ b/tests/simulation/load.rs
@@ -1,7 +1,7 @@
 //! What load costs: requests to the store, traffic between controllers, and work inside them.
 
 use crate::script::{assert_no_violations, default_job, play};
-use crate::world::{CoreWork, LEASE_S, Work};
+use crate::world::{CoreWork, Counters, LEASE_S};
 use ochredrum::wire::{JobKind, JobSpec};
 
 /// When the lowered rate limits of the store take effect, requests are throttled and all leases are still renewed.
@@ -18,9 +18,9 @@
     assert_no_violations("rate", &world);
     // The limits take effect and are respected: without pacing 3,639 requests of this day were throttled.
     assert!(
-        (20..1200).contains(&world.work.throttled_requests),
+        (20..1200).contains(&world.counters.throttled_requests),
         "{:?}",
-        world.work
+        world.counters
     );
     assert_eq!(world.leaderships(), 1, "the first leader kept its lease");
 }
@@ -42,31 +42,31 @@
     assert_no_violations("flood", &world);
     // A job is written when created, when done or cancelled, and perhaps in between; the rest is leases and reads.
     assert!(
-        world.work.store_bytes_written / 480 < 1500,
+        world.counters.store_bytes_written / 480 < 1500,
         "{:?}",
-        world.work
+        world.counters
     );
 }
 
 /// What ten more tasks cost on a fleet of this many machines, most of which run two replicas.
-fn cost_of_ten_tasks(machines: usize) -> Work {
+fn cost_of_ten_tasks(machines: usize) -> Counters {
     let text = format!(
         "controllers 5\nmachines {machines}\nat 2 job service {} gpus=3\nuntil 40",
         machines * 2 - 4
     );
     let mut world = play(&text);
-    let before = world.work;
+    let before = world.counters;
     for _ in 0..5 {
         world.add_job(world.now + 1.0, default_job(JobKind::Service, 2), 0.0);
     }
-    world.run(world.now + 20.0);
+    world.run_until(world.now + 20.0);
     assert!(world.violations.is_empty(), "{:?}", world.violations);
-    Work {
-        store_requests: world.work.store_requests - before.store_requests,
-        store_bytes_written: world.work.store_bytes_written - before.store_bytes_written,
-        mesh_bytes: world.work.mesh_bytes - before.mesh_bytes,
-        commands: world.work.commands - before.commands,
-        throttled_requests: world.work.throttled_requests - before.throttled_requests,
+    Counters {
+        store_requests: world.counters.store_requests - before.store_requests,
+        store_bytes_written: world.counters.store_bytes_written - before.store_bytes_written,
+        mesh_bytes: world.counters.mesh_bytes - before.mesh_bytes,
+        commands: world.counters.commands - before.commands,
+        throttled_requests: world.counters.throttled_requests - before.throttled_requests,
         ..Default::default()
     }
 }
@@ -78,7 +78,7 @@
     let (small, large) = (cost_of_ten_tasks(275), cost_of_ten_tasks(1100));
     println!("{small:?}\n{large:?}");
     assert!(small.store_requests > 0 && small.commands > 0 && small.mesh_bytes > 0);
-    let growth = |of: fn(&Work) -> usize| of(&large) as f64 / of(&small) as f64;
+    let growth = |of: fn(&Counters) -> usize| of(&large) as f64 / of(&small) as f64;
     assert!(
         growth(|work| work.store_requests) <= 1.2,
         "{small:?} {large:?}"
@@ -127,7 +127,7 @@
             chain_ends[number % 2] = added;
         }
     }
-    world.run(began + 400.0);
+    world.run_until(began + 400.0);
     world.check_served();
     assert!(world.violations.is_empty(), "{:?}", world.violations);
     let after = world.core_work();
@@ -171,16 +171,16 @@
     );
     let mut world = play(&text);
     world.ignore_violations_of("not_served");
-    let before = world.work;
+    let before = world.counters;
     let began = world.now;
-    world.run(began + 40.0);
+    world.run_until(began + 40.0);
     world.check_served();
     assert!(
         world.violations.is_empty(),
         "{:?}",
         &world.violations[..world.violations.len().min(5)]
     );
-    let work = world.work;
+    let work = world.counters;
     println!("{before:?}\n{work:?}");
     let each_second = (work.store_requests - before.store_requests) as f64 / 40.0;
     assert!(
--- a/tests/simulation/machine_types.rs
+++ b/tests/simulation/machine_types.rs
@@ -12,7 +12,7 @@
     let mut world = play(day);
     world.ignore_violations_of("not_served");
     assert_eq!(world.starts_of(1), 16, "some wait for another machine");
-    world.run(60.0);
+    world.run_until(60.0);
     assert_eq!(world.starts_of(0), 24);
     world.check_served();
     assert_no_violations("two machine types", &world);
--- a/tests/simulation/scenario_files.rs
+++ b/tests/simulation/scenario_files.rs
@@ -55,8 +55,16 @@
 fn unusual_requests_are_sent_and_cancelled_jobs_start_nothing_more() {
     let world = play(include_str!("../scenarios/unusual_requests.txt"));
     assert!(world.violations.is_empty(), "{:?}", world.violations);
-    assert!(world.work.unusual_requests > 100, "{:?}", world.work);
-    assert!(world.work.starts_after_cancel <= 8, "{:?}", world.work);
+    assert!(
+        world.counters.unusual_requests > 100,
+        "{:?}",
+        world.counters
+    );
+    assert!(
+        world.counters.starts_after_cancel <= 8,
+        "{:?}",
+        world.counters
+    );
 }
 
 /// Jobs that fail on every machine are only probed. Their tasks once started 220, 22 and 44 times, and the gang
--- a/tests/world/calls.rs
+++ b/tests/world/calls.rs
@@ -17,15 +17,15 @@
 /// An epoch that no controller has: answers that are addressed to it reach no controller.
 pub(super) const NO_EPOCH: u64 = u64::MAX;
 /// Part of the transactions whose responses are lost while store responses get lost.
-const LOST_PART: f64 = 0.3;
+const LOST_PROBABILITY: f64 = 0.3;
 /// Seconds until a transaction takes effect whose response is lost.
 const LOST_RESPONSE_DELAY_S: f64 = 0.002;
 /// Part of the messages that are delivered later when a cut holds messages.
-const HELD_PART: f64 = 0.5;
+const HELD_PROBABILITY: f64 = 0.5;
 /// Seconds from the end of a cut until the messages that it held are delivered.
 const HELD_DELIVERY_S: f64 = 0.01;
 /// Part of the messages that are slow.
-const SLOW_PART: f64 = 0.01;
+const SLOW_PROBABILITY: f64 = 0.01;
 
 /// A call of a controller on its way.
 pub(super) struct Call {
@@ -38,39 +38,39 @@
     /// What happens when the call arrives.
     pub event: Event,
     /// The controller's input if it cannot know whether the call arrived.
-    pub lost: Input,
+    pub unknown_outcome: Input,
     /// The controller's input if the call certainly did not arrive.
-    pub unsent: Input,
+    pub not_delivered: Input,
 }
 
 impl World {
     /// Carries out one effect of a controller.
-    pub(super) fn effect(&mut self, node: usize, effect: Effect) {
+    pub(super) fn execute_effect(&mut self, node: usize, effect: Effect) {
         let epoch = self.nodes[node].epoch;
         let previous = self.previous_version_nodes.contains(&node);
         match effect {
             Effect::Answer(request, answer) => {
-                if let Some(asker) = self.nodes[node].pending_requests.remove(&request) {
-                    self.answer_asker(node, asker, Some(answer), None);
+                if let Some(requester) = self.nodes[node].unanswered_requests.remove(&request) {
+                    self.send_answer(node, requester, Some(answer), None);
                 }
             }
             Effect::MeshAnswer(request, mut reply) => {
                 if previous {
                     previous_version::strip_reply(&mut reply);
                 }
-                if let Some(asker) = self.nodes[node].pending_requests.remove(&request) {
-                    self.answer_asker(node, asker, None, Some(reply));
+                if let Some(requester) = self.nodes[node].unanswered_requests.remove(&request) {
+                    self.send_answer(node, requester, None, Some(reply));
                 }
             }
-            Effect::Store(call, what) => {
-                let what = if previous {
-                    previous_version::strip_write(what)
+            Effect::Store(call, request) => {
+                let request = if previous {
+                    previous_version::strip_write(request)
                 } else {
-                    what
+                    request
                 };
-                self.call_store(node, call, what);
+                self.call_store(node, call, request);
             }
-            Effect::Cloud(call, what) => self.call_cloud(node, epoch, call, what),
+            Effect::Cloud(call, request) => self.call_cloud(node, epoch, call, request),
             Effect::Worker(call, address, commands) => {
                 self.send_direct_commands(node, call, address, commands);
             }
@@ -83,56 +83,56 @@
         }
     }
 
-    fn call_store(&mut self, node: usize, call: CallId, what: StoreCall) {
+    fn call_store(&mut self, node: usize, call: CallId, request: StoreCall) {
         let epoch = self.nodes[node].epoch;
-        self.work.store_requests += 1;
-        if let StoreCall::Commit(transaction) = &what {
+        self.counters.store_requests += 1;
+        if let StoreCall::Commit(transaction) = &request {
             let text = serde_json::to_string(transaction);
-            self.work.store_bytes_written += text.map_or(0, |text| text.len());
+            self.counters.store_bytes_written += text.map_or(0, |text| text.len());
         }
-        let lost = Input::Store(call, StoreReply::Unknown);
-        let commit = matches!(what, StoreCall::Commit(_));
-        let late = commit && self.late_commit(&what);
-        let event = |epoch| Event::State {
+        let unknown_outcome = Input::Store(call, StoreReply::Unknown);
+        let commit = matches!(request, StoreCall::Commit(_));
+        let late = commit && self.takes_effect_late(&request);
+        let event = |epoch| Event::StoreRequest {
             node,
             epoch,
             call,
-            what,
+            request,
         };
         let responses_get_lost = self.network.has(Condition::LostStoreResponses);
-        if commit && responses_get_lost && self.rng.random_bool(LOST_PART) {
-            self.after(LOST_RESPONSE_DELAY_S, event(NO_EPOCH));
-            return self.input_after(SHORT_TIMEOUT_S, node, epoch, lost);
+        if commit && responses_get_lost && self.rng.random_bool(LOST_PROBABILITY) {
+            self.schedule_after(LOST_RESPONSE_DELAY_S, event(NO_EPOCH));
+            return self.input_after(SHORT_TIMEOUT_S, node, epoch, unknown_outcome);
         }
         if late {
             let delay = self.rng.random_range(1.5..LEASE_S * 1.5);
-            self.after(delay, event(epoch));
-            return self.input_after(SHORT_TIMEOUT_S, node, epoch, lost);
+            self.schedule_after(delay, event(epoch));
+            return self.input_after(SHORT_TIMEOUT_S, node, epoch, unknown_outcome);
         }
         self.send(Call {
             node,
-            to: Endpoint::State,
+            to: Endpoint::Store,
             timeout: SHORT_TIMEOUT_S,
             event: event(epoch),
-            lost,
-            unsent: Input::Store(call, StoreReply::Refused),
+            unknown_outcome,
+            not_delivered: Input::Store(call, StoreReply::Refused),
         });
     }
 
-    fn call_cloud(&mut self, node: usize, epoch: u64, call: CallId, what: CloudCall) {
-        let event = Event::Cloud {
+    fn call_cloud(&mut self, node: usize, epoch: u64, call: CallId, request: CloudCall) {
+        let event = Event::CloudRequest {
             node,
             epoch,
             call,
-            what,
+            request,
         };
         self.send(Call {
             node,
             to: Endpoint::Cloud,
             timeout: CLOUD_TIMEOUT_S,
             event,
-            lost: Input::Cloud(call, CloudReply::Unknown),
-            unsent: Input::Cloud(call, CloudReply::Refused),
+            unknown_outcome: Input::Cloud(call, CloudReply::Unknown),
+            not_delivered: Input::Cloud(call, CloudReply::Refused),
         });
     }
 
@@ -146,9 +146,9 @@
         let Some(to) = index(to) else { return };
         let mut body = Vec::new();
         ciborium::into_writer(&message, &mut body).ok();
-        self.work.mesh_bytes += body.len();
-        self.work.largest_message = self.work.largest_message.max(body.len());
-        let event = Event::Mesh {
+        self.counters.mesh_bytes += body.len();
+        self.counters.largest_message = self.counters.largest_message.max(body.len());
+        let event = Event::MeshMessage {
             from: node,
             epoch: self.nodes[node].epoch,
             call,
@@ -160,8 +160,8 @@
             to: Endpoint::Node(to),
             timeout: SHORT_TIMEOUT_S,
             event,
-            lost: Input::MeshReply(call, None),
-            unsent: Input::MeshReply(call, None),
+            unknown_outcome: Input::MeshReply(call, None),
+            not_delivered: Input::MeshReply(call, None),
         });
     }
 
@@ -173,44 +173,44 @@
             to,
             timeout,
             event,
-            lost,
-            unsent,
+            unknown_outcome,
+            not_delivered,
         } = call;
         let from = Endpoint::Node(node);
         let epoch = self.nodes[node].epoch;
         if self.network.passes(&from, &to) {
             let delay = self.latency();
-            self.after(delay, event);
-            return self.input_after(timeout, node, epoch, lost);
+            self.schedule_after(delay, event);
+            return self.input_after(timeout, node, epoch, unknown_outcome);
         }
         match self.network.cut_manner(&from, &to) {
             Some(CutManner::Refused) => {
                 let delay = self.latency();
-                self.input_after(delay, node, epoch, unsent);
+                self.input_after(delay, node, epoch, not_delivered);
             }
             Some(CutManner::Reset) => {
                 let delay = self.latency();
-                self.input_after(delay, node, epoch, lost);
+                self.input_after(delay, node, epoch, unknown_outcome);
             }
-            Some(CutManner::Held) if self.rng.random_bool(HELD_PART) => {
+            Some(CutManner::Held) if self.rng.random_bool(HELD_PROBABILITY) => {
                 if let Some(end) = self.network.held_until(&from, &to) {
-                    self.at(end + HELD_DELIVERY_S, event);
+                    self.schedule_at(end + HELD_DELIVERY_S, event);
                 }
-                self.input_after(timeout, node, epoch, lost);
+                self.input_after(timeout, node, epoch, unknown_outcome);
             }
-            _ => self.input_after(timeout, node, epoch, unsent),
+            _ => self.input_after(timeout, node, epoch, not_delivered),
         }
     }
 
     /// Gives a controller an input later, unless it has crashed by then.
     pub(super) fn input_after(&mut self, delay: f64, node: usize, epoch: u64, input: Input) {
         let input = Box::new(input);
-        self.after(delay, Event::Input { node, epoch, input });
+        self.schedule_after(delay, Event::Input { node, epoch, input });
     }
 
     /// Draws how long a message takes, in seconds.
     pub(super) fn latency(&mut self) -> f64 {
-        if self.rng.random_bool(SLOW_PART) {
+        if self.rng.random_bool(SLOW_PROBABILITY) {
             self.rng.random_range(0.05..0.4)
         } else {
             self.rng.random_range(0.001..0.006)
--- a/tests/world/cloud.rs
+++ b/tests/world/cloud.rs
@@ -13,7 +13,7 @@
 const CAPACITY: usize = 24;
 
 /// A machine that has been rented.
-pub struct Owned {
+pub struct RentedMachine {
     /// Its type.
     pub type_name: MachineTypeName,
     /// Its zone.
@@ -29,9 +29,9 @@
 pub struct Cloud {
     /// Machines with GPUs are offered in every simulation, others in some.
     types: Vec<MachineType>,
-    machines: BTreeMap<MachineId, Owned>,
+    machines: BTreeMap<MachineId, RentedMachine>,
     rentals: BTreeMap<String, MachineIds>,
-    deleted: Vec<MachineId>,
+    released: Vec<MachineId>,
     created: usize,
 }
 
@@ -41,7 +41,7 @@
             types: vec![type_with_gpus()],
             machines: BTreeMap::new(),
             rentals: BTreeMap::new(),
-            deleted: Vec::new(),
+            released: Vec::new(),
             created: 0,
         }
     }
@@ -85,7 +85,7 @@
 
     /// The type of a machine; the type with GPUs if the machine is unknown.
     pub fn type_of(&self, machine: &MachineId) -> MachineType {
-        let name = self.machines.get(machine).map(|owned| &owned.type_name);
+        let name = self.machines.get(machine).map(|rented| &rented.type_name);
         let machine_type = self
             .types
             .iter()
@@ -94,12 +94,12 @@
     }
 
     /// Machines that were ever created.
-    pub fn count(&self) -> usize {
+    pub fn created_count(&self) -> usize {
         self.created
     }
 
     /// A machine that has not been released.
-    pub fn get(&self, machine: &MachineId) -> Option<&Owned> {
+    pub fn get(&self, machine: &MachineId) -> Option<&RentedMachine> {
         self.machines.get(machine)
     }
 
@@ -107,7 +107,7 @@
     pub fn create(&mut self, type_name: &str, zone: &str, spot: bool, created: f64) -> MachineId {
         self.created += 1;
         let machine = MachineId::from(format!("m-{:06}", self.created));
-        let owned = Owned {
+        let rented = RentedMachine {
             type_name: type_name.into(),
             zone: zone.into(),
             spot,
@@ -115,27 +115,27 @@
             running: None,
             unlisted_from: None,
         };
-        self.machines.insert(machine.clone(), owned);
+        self.machines.insert(machine.clone(), rented);
         machine
     }
 
     /// A machine has booted.
-    pub fn up(&mut self, machine: &MachineId, now: f64) {
-        if let Some(owned) = self.machines.get_mut(machine) {
-            owned.running = Some(now);
+    pub fn mark_running(&mut self, machine: &MachineId, now: f64) {
+        if let Some(rented) = self.machines.get_mut(machine) {
+            rented.running = Some(now);
         }
     }
 
     /// A machine died: from then on it is no longer listed.
-    pub fn died(&mut self, machine: &MachineId, unlisted_from: f64) {
-        if let Some(owned) = self.machines.get_mut(machine) {
-            owned.unlisted_from = Some(unlisted_from);
+    pub fn stop_listing_from(&mut self, machine: &MachineId, unlisted_from: f64) {
+        if let Some(rented) = self.machines.get_mut(machine) {
+            rented.unlisted_from = Some(unlisted_from);
         }
     }
 
     /// Machines that were released since the last call.
-    pub fn take_deleted(&mut self) -> Vec<MachineId> {
-        std::mem::take(&mut self.deleted)
+    pub fn take_released(&mut self) -> Vec<MachineId> {
+        std::mem::take(&mut self.released)
     }
 
     /// Answers a request; also returns the machines that begin to boot.
@@ -156,22 +156,22 @@
 
     /// The listing as of a moment.
     fn list(&self, as_of: f64) -> MachineList {
-        let is_listed = |owned: &&Owned| {
-            owned.created <= as_of && owned.unlisted_from.is_none_or(|from| from > as_of)
+        let is_listed = |rented: &&RentedMachine| {
+            rented.created <= as_of && rented.unlisted_from.is_none_or(|from| from > as_of)
         };
-        let listed = self.machines.iter().filter(|(_, owned)| is_listed(owned));
+        let listed = self.machines.iter().filter(|(_, rented)| is_listed(rented));
         let machines = listed
-            .map(|(id, owned)| ListedMachine {
+            .map(|(id, rented)| ListedMachine {
                 machine: id.clone(),
                 address: Some(id.to_string()),
-                type_name: owned.type_name.clone(),
-                zone: owned.zone.clone(),
-                spot: owned.spot,
-                state: match owned.running {
+                type_name: rented.type_name.clone(),
+                zone: rented.zone.clone(),
+                spot: rented.spot,
+                state: match rented.running {
                     Some(since) if since <= as_of => MachineState::Running,
                     _ => MachineState::Booting,
                 },
-                age_s: as_of - owned.created,
+                age_s: as_of - rented.created,
             })
             .collect();
         MachineList {
@@ -204,7 +204,7 @@
     fn release(&mut self, names: MachineIds) {
         for machine in names.machines {
             if self.machines.remove(&machine).is_some() {
-                self.deleted.push(machine);
+                self.released.push(machine);
             }
         }
     }
--- a/tests/world/commands.rs
+++ b/tests/world/commands.rs
@@ -12,11 +12,11 @@
 /// How long a controller waits for the response to direct commands.
 const RESPONSE_TIMEOUT_S: f64 = LEASE_S / 10.0;
 /// Part of the direct commands that a condition concerns.
-const AFFECTED_PART: f64 = 0.4;
+const AFFECTED_PROBABILITY: f64 = 0.4;
 
 /// What happens to one message of direct commands.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum CommandFate {
+pub enum CommandOutcome {
     /// Executed and answered.
     Served,
     /// The connection is refused at once.
@@ -36,13 +36,13 @@
         address: String,
         commands: DirectCommands,
     ) {
-        self.work.commands += 1;
+        self.counters.commands += 1;
         let epoch = self.nodes[node].epoch;
         let machine = MachineId::from(address.as_str());
-        let lost = Input::Worker(call, WorkerReply::Unknown);
-        let unsent = Input::Worker(call, WorkerReply::NotSent);
-        let fate = self.command_fate(&machine);
-        let answer_to = if fate == CommandFate::Served {
+        let unknown_outcome = Input::Worker(call, WorkerReply::Unknown);
+        let not_delivered = Input::Worker(call, WorkerReply::NotSent);
+        let outcome = self.command_outcome(&machine);
+        let answer_to = if outcome == CommandOutcome::Served {
             epoch
         } else {
             NO_EPOCH
@@ -54,49 +54,49 @@
             address,
             commands,
         };
-        match fate {
-            CommandFate::Refused => {
+        match outcome {
+            CommandOutcome::Refused => {
                 let delay = self.latency();
-                self.input_after(delay, node, epoch, unsent);
+                self.input_after(delay, node, epoch, not_delivered);
             }
-            CommandFate::Late(delay) => {
-                self.after(delay, event);
-                self.input_after(RESPONSE_TIMEOUT_S, node, epoch, lost);
+            CommandOutcome::Late(delay) => {
+                self.schedule_after(delay, event);
+                self.input_after(RESPONSE_TIMEOUT_S, node, epoch, unknown_outcome);
             }
-            CommandFate::Served | CommandFate::Unanswered => self.send(Call {
+            CommandOutcome::Served | CommandOutcome::Unanswered => self.send(Call {
                 node,
                 to: Endpoint::Machine(machine),
                 timeout: RESPONSE_TIMEOUT_S,
                 event,
-                lost,
-                unsent,
+                unknown_outcome,
+                not_delivered,
             }),
         }
     }
 
     /// The fate that the scenario has set for the next message to this machine, or one drawn by the present conditions.
-    fn command_fate(&mut self, machine: &MachineId) -> CommandFate {
-        if let Some(fate) = self.network.next_command_fate(machine) {
-            return fate;
+    fn command_outcome(&mut self, machine: &MachineId) -> CommandOutcome {
+        if let Some(outcome) = self.network.next_command_outcome(machine) {
+            return outcome;
         }
         if self
             .network
             .machine_has(machine, MachineCondition::RefusesCommands)
             || (self.network.has(Condition::RefusedCommands) && self.is_affected())
         {
-            return CommandFate::Refused;
+            return CommandOutcome::Refused;
         }
         if self.network.has(Condition::LateCommands) && self.is_affected() {
-            return CommandFate::Late(self.rng.random_range(0.05..16.0));
+            return CommandOutcome::Late(self.rng.random_range(0.05..16.0));
         }
         if self.network.has(Condition::LostCommandResponses) && self.is_affected() {
-            return CommandFate::Unanswered;
+            return CommandOutcome::Unanswered;
         }
-        CommandFate::Served
+        CommandOutcome::Served
     }
 
     /// Draws whether a condition concerns a message.
     fn is_affected(&mut self) -> bool {
-        self.rng.random_bool(AFFECTED_PART)
+        self.rng.random_bool(AFFECTED_PROBABILITY)
     }
 }
--- a/tests/world/controllers.rs
+++ b/tests/world/controllers.rs
@@ -3,7 +3,7 @@
 use super::faults::MachineCondition;
 use super::network::Endpoint;
 use super::settings::settings;
-use super::{Event, RESTART_S, TICK_S, World, previous_version, users};
+use super::{Event, RESTART_DELAY_S, TICK_INTERVAL_S, World, previous_version, users};
 use failure_detector::Stage;
 use ochredrum::config::Config;
 use ochredrum::core::Core;
@@ -35,9 +35,9 @@
     clock_rate: f64,
     next_request: u64,
     /// Requests that it has not answered yet.
-    pub pending_requests: BTreeMap<RequestId, Asker>,
+    pub unanswered_requests: BTreeMap<RequestId, Requester>,
     /// The process is paused until then; its inputs are deferred.
-    pub frozen_until: f64,
+    pub paused_until: f64,
     /// Inputs that arrived while it was paused.
     pub deferred_inputs: Vec<Input>,
 }
@@ -51,22 +51,22 @@
             started: 0.0,
             clock_rate: 1.0 + (index as f64 - 1.0) * CLOCK_DRIFT,
             next_request: 0,
-            pending_requests: BTreeMap::new(),
-            frozen_until: 0.0,
+            unanswered_requests: BTreeMap::new(),
+            paused_until: 0.0,
             deferred_inputs: Vec::new(),
         }
     }
 }
 
 /// The sender of a request to a controller.
-pub enum Asker {
+pub enum Requester {
     /// A user.
     User {
         /// The job, unless the request concerns none that was submitted as usual.
         job: Option<usize>,
         kind: users::RequestKind,
         /// When the request was sent.
-        asked: f64,
+        sent_at: f64,
     },
     /// A worker that sent a heartbeat.
     Worker {
@@ -104,35 +104,35 @@
         }
         controller.epoch += 1;
         controller.started = self.now;
-        controller.frozen_until = 0.0;
+        controller.paused_until = 0.0;
         controller.deferred_inputs.clear();
         controller.core = Some(Core::new(config, seed));
         let epoch = controller.epoch;
-        self.note(format!("n{node} starts"));
-        self.at(self.now, Event::Tick { node, epoch });
+        self.log_event(format!("n{node} starts"));
+        self.schedule_at(self.now, Event::Tick { node, epoch });
     }
 
     /// Ends the process of a controller, which is restarted after this many seconds.
-    pub(super) fn crash(&mut self, node: usize, back_after: f64) {
+    pub(super) fn crash(&mut self, node: usize, restart_delay_s: f64) {
         if self.nodes[node].core.take().is_some() {
             self.nodes[node].epoch += 1;
             // Users see their connections break.
-            for (_, asker) in std::mem::take(&mut self.nodes[node].pending_requests) {
-                if let Asker::User { job, kind, asked } = asker {
-                    self.after(
+            for (_, requester) in std::mem::take(&mut self.nodes[node].unanswered_requests) {
+                if let Requester::User { job, kind, sent_at } = requester {
+                    self.schedule_after(
                         0.0,
                         Event::UserAnswer {
                             job,
                             kind,
-                            asked,
+                            sent_at,
                             answer: None,
                         },
                     );
                 }
             }
-            self.crashed = self.now;
-            self.note(format!("n{node} crashes"));
-            self.after(back_after, Event::Restart { node });
+            self.last_crash_at = self.now;
+            self.log_event(format!("n{node} crashes"));
+            self.schedule_after(restart_delay_s, Event::Restart { node });
         }
     }
 
@@ -145,10 +145,10 @@
             ""
         };
         let previous = self.previous_version_nodes.len();
-        self.note(format!(
+        self.log_event(format!(
             "n{node}{leads} is upgraded, {previous} of the previous version are left"
         ));
-        self.crash(node, RESTART_S);
+        self.crash(node, RESTART_DELAY_S);
     }
 
     /// One turn of a controller without input.
@@ -156,7 +156,7 @@
         if self.nodes[node].epoch == epoch && self.nodes[node].core.is_some() {
             self.step(node, Vec::new());
             self.replay_to_new_leader();
-            self.after(TICK_S, Event::Tick { node, epoch });
+            self.schedule_after(TICK_INTERVAL_S, Event::Tick { node, epoch });
             self.pause_if_slow(node, epoch);
         }
     }
@@ -185,7 +185,7 @@
         for (machine, heartbeat) in std::mem::take(&mut self.replay_buffer) {
             for node in 0..self.nodes.len() {
                 let (machine, heartbeat) = (machine.clone(), heartbeat.clone());
-                self.after(
+                self.schedule_after(
                     REPLAY_DELAY_S,
                     Event::Heartbeat {
                         machine,
@@ -212,7 +212,7 @@
     pub fn is_suspected(&self, node: usize) -> bool {
         let name = ControllerName::from(format!("n{node}"));
         let others = (0..self.nodes.len()).filter(|other| *other != node);
-        let mut running = others.filter(|other| self.now >= self.nodes[*other].frozen_until);
+        let mut running = others.filter(|other| self.now >= self.nodes[*other].paused_until);
         running.any(|other| {
             let core = self.nodes[other].core.as_ref();
             core.is_some_and(|core| core.sibling_stage(&name) != Stage::Alive)
@@ -220,7 +220,7 @@
     }
 
     /// Whether a controller other than `node` may start all tasks of a team.
-    pub fn is_settled(&self, team: &str, node: usize) -> bool {
+    pub fn is_reconciled_by_another(&self, team: &str, node: usize) -> bool {
         let others = (0..self.nodes.len()).filter(|other| *other != node);
         let mut cores = others.filter_map(|other| Some((other, self.nodes[other].core.as_ref()?)));
         cores.any(|(other, core)| {
@@ -231,19 +231,19 @@
     }
 
     /// A request reaches a controller.
-    pub(super) fn ask_node(&mut self, node: usize, asker: Asker, input: Input) {
+    pub(super) fn deliver_request(&mut self, node: usize, requester: Requester, input: Input) {
         if self.nodes[node].core.is_none() {
-            return self.answer_asker(node, asker, None, None);
+            return self.send_answer(node, requester, None, None);
         }
         let controller = &mut self.nodes[node];
         if self.previous_version_nodes.contains(&node) && !previous_version::can_read(&input) {
-            return self.answer_asker(node, asker, None, None);
+            return self.send_answer(node, requester, None, None);
         }
         controller.next_request += 1;
         let request = RequestId(controller.next_request);
-        controller.pending_requests.insert(request, asker);
+        controller.unanswered_requests.insert(request, requester);
         let input = match input {
-            Input::User(_, what) => Input::User(request, what),
+            Input::User(_, user_request) => Input::User(request, user_request),
             Input::Heartbeat(_, heartbeat) => Input::Heartbeat(request, heartbeat),
             Input::Mesh(_, message) => Input::Mesh(request, message),
             other => other,
@@ -252,16 +252,16 @@
     }
 
     /// Sends an answer back to the sender of a request, if the network lets it pass; `None` for a broken connection.
-    pub(super) fn answer_asker(
+    pub(super) fn send_answer(
         &mut self,
         node: usize,
-        asker: Asker,
+        requester: Requester,
         answer: Option<Answer>,
         mesh: Option<MeshReply>,
     ) {
         let delay = self.latency();
-        match asker {
-            Asker::User { job, kind, asked } => {
+        match requester {
+            Requester::User { job, kind, sent_at } => {
                 // Answers after the timeout reach no user.
                 let poll = matches!(
                     kind,
@@ -272,18 +272,18 @@
                 } else {
                     SUBMIT_TIMEOUT_S
                 };
-                let answer = answer.filter(|_| self.now < asked + timeout);
-                self.after(
+                let answer = answer.filter(|_| self.now < sent_at + timeout);
+                self.schedule_after(
                     delay,
                     Event::UserAnswer {
                         job,
                         kind,
-                        asked,
+                        sent_at,
                         answer,
                     },
                 );
             }
-            Asker::Worker {
+            Requester::Worker {
                 machine,
                 number,
                 live,
@@ -297,7 +297,7 @@
                         .network
                         .machine_has(&machine, MachineCondition::InboundLost)
                 {
-                    self.after(
+                    self.schedule_after(
                         delay,
                         Event::HeartbeatResponse {
                             machine,
@@ -307,7 +307,7 @@
                     );
                 }
             }
-            Asker::Sibling { from, epoch, call } => {
+            Requester::Sibling { from, epoch, call } => {
                 if self
                     .network
                     .passes(&Endpoint::Node(node), &Endpoint::Node(from))
@@ -321,7 +321,7 @@
 
     /// A controller processes inputs, and its effects are carried out; while it is paused they are deferred.
     pub(super) fn step(&mut self, node: usize, batch: Vec<Input>) {
-        if self.now < self.nodes[node].frozen_until {
+        if self.now < self.nodes[node].paused_until {
             return self.nodes[node].deferred_inputs.extend(batch);
         }
         let now = self.clock(node);
@@ -350,7 +350,7 @@
             );
         }
         for effect in effects {
-            self.effect(node, effect);
+            self.execute_effect(node, effect);
         }
         self.check_single_owner();
     }
@@ -377,11 +377,11 @@
     /// Pauses an overloaded process after its turn.
     pub(super) fn pause_if_slow(&mut self, node: usize, epoch: u64) {
         if let Some(pause) = self.network.pause_between_turns(node)
-            && self.now >= self.nodes[node].frozen_until
+            && self.now >= self.nodes[node].paused_until
         {
             let until = self.now + pause;
-            self.nodes[node].frozen_until = self.nodes[node].frozen_until.max(until);
-            self.at(until, Event::Resume { node, epoch });
+            self.nodes[node].paused_until = self.nodes[node].paused_until.max(until);
+            self.schedule_at(until, Event::Resume { node, epoch });
         }
     }
 }
--- a/tests/world/event.rs
+++ b/tests/world/event.rs
@@ -19,18 +19,18 @@
         input: Box<Input>,
     },
     /// A request reaches the store.
-    State {
+    StoreRequest {
         node: usize,
         epoch: u64,
         call: CallId,
-        what: StoreCall,
+        request: StoreCall,
     },
     /// A request reaches the cloud's interface.
-    Cloud {
+    CloudRequest {
         node: usize,
         epoch: u64,
         call: CallId,
-        what: CloudCall,
+        request: CloudCall,
     },
     /// Direct commands reach a worker.
     DirectCommands {
@@ -41,7 +41,7 @@
         commands: DirectCommands,
     },
     /// A message between controllers arrives.
-    Mesh {
+    MeshMessage {
         from: usize,
         epoch: u64,
         call: CallId,
@@ -78,22 +78,22 @@
         kind: users::RequestKind,
     },
     /// By now no task of a cancelled job may be left.
-    CancelDue { job: usize },
+    CheckCancelledTasks { job: usize },
     /// Checks for jobs that wait although they could run.
     CheckStarvation,
     /// Checks what a scenario expects of a job by now, without which it would show nothing.
-    Expect { job: usize, what: String },
+    Expect { job: usize, expected: String },
     /// A user sends an unusual request, and more until then.
     UnusualRequest { until: f64 },
     /// The store's next limits apply from now on.
-    LimitsFall,
+    LimitsLowered,
     /// A user polls a job that was never submitted.
-    AskUnknown,
+    PollUnknownJob,
     /// An answer reaches a user; none if the connection broke or the request timed out.
     UserAnswer {
         job: Option<usize>,
         kind: users::RequestKind,
-        asked: f64,
+        sent_at: f64,
         answer: Option<Answer>,
     },
     /// A controller is started.
--- a/tests/world/faults.rs
+++ b/tests/world/faults.rs
@@ -1,40 +1,40 @@
 //! The faults that a scenario can ask for, and how they begin.
 
-use super::commands::CommandFate;
+use super::commands::CommandOutcome;
 use super::network::{ActiveFault, CutManner, Direction, Endpoint};
-use super::{Event, LEASE_S, RESTART_S, World};
+use super::{Event, LEASE_S, RESTART_DELAY_S, World};
 use ochredrum::ids::MachineId;
 use rand::Rng;
 
 /// Seconds until the cloud no longer lists a machine that died.
-const UNLISTED_AFTER_S: f64 = 30.0;
+const UNLIST_DELAY_S: f64 = 30.0;
 /// Part of the heartbeats that arrive a second time while heartbeats are duplicated.
-const DUPLICATED_PART: f64 = 0.3;
+const DUPLICATED_PROBABILITY: f64 = 0.3;
 
 /// A fault as a scenario asks for it.
 #[derive(Clone, Debug)]
 pub enum Fault {
     /// Controllers crash.
     Crash {
-        who: Endpoint,
+        target: Endpoint,
         /// Seconds until they are restarted; the default if absent.
-        back_after: Option<f64>,
+        restart_delay_s: Option<f64>,
     },
     /// All controllers are restarted, one every this many seconds.
-    RollingRestart { every: f64 },
+    RollingRestart { interval_s: f64 },
     /// A condition of the whole deployment.
     Condition { condition: Condition, seconds: f64 },
     /// A condition of one machine.
     Machine {
-        which: usize,
+        machine_index: usize,
         condition: MachineCondition,
         seconds: f64,
     },
     /// The store refuses the requests of single controllers.
-    Refuse { who: Endpoint, seconds: f64 },
+    Refuse { target: Endpoint, seconds: f64 },
     /// Controllers are cut from other participants.
     Cut {
-        who: Endpoint,
+        target: Endpoint,
         from: Endpoint,
         seconds: f64,
         manner: CutManner,
@@ -42,54 +42,54 @@
     },
     /// The process runs only once every `pause` seconds, as on an overloaded host.
     Slow {
-        who: Endpoint,
+        target: Endpoint,
         pause: f64,
         seconds: f64,
     },
     /// A machine stops with everything on it, without notice.
-    MachineDies { which: usize },
+    MachineDies { machine_index: usize },
     /// A machine and all controllers do not reach each other.
     MachineCut {
-        which: usize,
+        machine_index: usize,
         seconds: f64,
-        hold: bool,
+        hold_messages: bool,
     },
     /// A machine and one controller do not reach each other.
     MachineCutFrom {
-        which: usize,
+        machine_index: usize,
         node: usize,
         seconds: f64,
     },
     /// A spot machine receives notice that it will be taken away after this many seconds.
-    TerminationNotice { which: usize, seconds: f64 },
+    TerminationNotice { machine_index: usize, seconds: f64 },
     /// A machine executes nothing for a while, and then continues if its lease allows.
-    MachineHangs { which: usize, seconds: f64 },
+    MachineHangs { machine_index: usize, seconds: f64 },
     /// The machines of a zone reach no controller.
     ZoneCut {
         zone: String,
         seconds: f64,
-        hold: bool,
+        hold_messages: bool,
     },
     /// The process is paused while its clocks continue.
-    Freeze { who: Endpoint, seconds: f64 },
+    Pause { target: Endpoint, seconds: f64 },
     /// Something happens at the `nth` write of the shard map from now.
     AtShardMapWrite { nth: usize, fault: ShardMapFault },
     /// The fates of the next messages of direct commands to a machine, in order.
     NextCommands {
-        which: usize,
-        fates: Vec<CommandFate>,
+        machine_index: usize,
+        outcomes: Vec<CommandOutcome>,
     },
     /// Users send requests that are malformed, impossible or unusual in form.
     UnusualRequests { seconds: f64 },
     /// Controllers crash in turn and return with the present version.
     Upgrade {
-        every: f64,
+        interval_s: f64,
         order: UpgradeOrder,
         /// How many are upgraded at once.
-        together: usize,
+        batch_size: usize,
     },
     /// Controllers crash and return with the previous version.
-    Downgrade { who: Endpoint },
+    Downgrade { target: Endpoint },
 }
 
 /// A lasting condition of the whole deployment.
@@ -159,8 +159,8 @@
 }
 
 /// A cut in both directions between a machine and one or all controllers.
-fn machine_cut(machine: MachineId, from: Endpoint, hold: bool) -> ActiveFault {
-    let manner = if hold {
+fn machine_cut(machine: MachineId, from: Endpoint, hold_messages: bool) -> ActiveFault {
+    let manner = if hold_messages {
         CutManner::Held
     } else {
         CutManner::Silent
@@ -175,8 +175,8 @@
 
 impl World {
     /// The controllers that a scenario names.
-    fn controllers_of(&self, who: &Endpoint) -> Vec<usize> {
-        match who {
+    fn controllers_of(&self, target: &Endpoint) -> Vec<usize> {
+        match target {
             Endpoint::Node(node) => vec![*node],
             Endpoint::Leader => self.leader().into_iter().collect(),
             _ => (0..self.nodes.len()).collect(),
@@ -184,10 +184,10 @@
     }
 
     /// The machine that a scenario names by a number, among those that exist now.
-    fn machine_at(&self, which: usize) -> Option<MachineId> {
+    fn machine_at(&self, index: usize) -> Option<MachineId> {
         self.workers
             .keys()
-            .nth(which % self.workers.len().max(1))
+            .nth(index % self.workers.len().max(1))
             .cloned()
     }
 
@@ -205,24 +205,24 @@
     }
 
     /// Begins a fault.
-    pub(super) fn fault(&mut self, fault: Fault) {
-        self.note(format!("fault {fault:?}"));
+    pub(super) fn begin_fault(&mut self, fault: Fault) {
+        self.log_event(format!("fault {fault:?}"));
         match fault {
             Fault::Crash { .. }
             | Fault::RollingRestart { .. }
-            | Fault::Freeze { .. }
+            | Fault::Pause { .. }
             | Fault::Upgrade { .. }
-            | Fault::Downgrade { .. } => self.process_fault(fault),
+            | Fault::Downgrade { .. } => self.begin_process_fault(fault),
             Fault::MachineDies { .. }
             | Fault::TerminationNotice { .. }
             | Fault::MachineHangs { .. }
-            | Fault::NextCommands { .. } => self.machine_fault(fault),
+            | Fault::NextCommands { .. } => self.begin_machine_fault(fault),
             Fault::AtShardMapWrite { nth, fault } => {
                 self.shard_map_fault = Some((nth.max(1), fault));
             }
             Fault::UnusualRequests { seconds } => {
                 let until = self.now + seconds;
-                self.after(0.0, Event::UnusualRequest { until });
+                self.schedule_after(0.0, Event::UnusualRequest { until });
             }
             Fault::Condition { .. }
             | Fault::Machine { .. }
@@ -231,51 +231,54 @@
             | Fault::Slow { .. }
             | Fault::MachineCut { .. }
             | Fault::MachineCutFrom { .. }
-            | Fault::ZoneCut { .. } => self.lasting_fault(fault),
+            | Fault::ZoneCut { .. } => self.begin_lasting_fault(fault),
         }
     }
 
     /// Faults of controllers' processes.
-    fn process_fault(&mut self, fault: Fault) {
+    fn begin_process_fault(&mut self, fault: Fault) {
         match fault {
-            Fault::Crash { who, back_after } => {
-                for node in self.controllers_of(&who) {
-                    self.crash(node, back_after.unwrap_or(RESTART_S));
+            Fault::Crash {
+                target,
+                restart_delay_s,
+            } => {
+                for node in self.controllers_of(&target) {
+                    self.crash(node, restart_delay_s.unwrap_or(RESTART_DELAY_S));
                 }
             }
-            Fault::RollingRestart { every } => {
+            Fault::RollingRestart { interval_s } => {
                 for node in 0..self.nodes.len() {
                     let crash = Fault::Crash {
-                        who: Endpoint::Node(node),
-                        back_after: Some(RESTART_S),
+                        target: Endpoint::Node(node),
+                        restart_delay_s: Some(RESTART_DELAY_S),
                     };
-                    self.after(every * node as f64, Event::Fault(crash));
+                    self.schedule_after(interval_s * node as f64, Event::Fault(crash));
                 }
             }
-            Fault::Freeze { who, seconds } => {
-                for node in self.controllers_of(&who) {
+            Fault::Pause { target, seconds } => {
+                for node in self.controllers_of(&target) {
                     let until = self.now + seconds;
-                    self.nodes[node].frozen_until = until;
+                    self.nodes[node].paused_until = until;
                     let epoch = self.nodes[node].epoch;
-                    self.at(until, Event::Resume { node, epoch });
+                    self.schedule_at(until, Event::Resume { node, epoch });
                 }
             }
             Fault::Upgrade {
-                every,
+                interval_s,
                 order,
-                together,
+                batch_size,
             } => {
                 let nodes = self.upgrade_order(&order);
-                self.note(format!("upgrades {nodes:?}, led by {:?}", self.leader()));
+                self.log_event(format!("upgrades {nodes:?}, led by {:?}", self.leader()));
                 for (place, node) in nodes.into_iter().enumerate() {
-                    let turn = (place / together) as f64;
-                    self.after(every * turn, Event::Upgrade { node });
+                    let turn = (place / batch_size) as f64;
+                    self.schedule_after(interval_s * turn, Event::Upgrade { node });
                 }
             }
-            Fault::Downgrade { who } => {
-                for node in self.controllers_of(&who) {
+            Fault::Downgrade { target } => {
+                for node in self.controllers_of(&target) {
                     self.previous_version_nodes.insert(node);
-                    self.crash(node, RESTART_S);
+                    self.crash(node, RESTART_DELAY_S);
                 }
             }
             other => unreachable!("{other:?} is no fault of a process"),
@@ -283,31 +286,41 @@
     }
 
     /// Faults that change a machine at once.
-    fn machine_fault(&mut self, fault: Fault) {
+    fn begin_machine_fault(&mut self, fault: Fault) {
         match fault {
-            Fault::MachineDies { which } => {
-                if let Some(machine) = self.machine_at(which) {
-                    self.users.starts_on_removed += self.workers[&machine].starts;
+            Fault::MachineDies { machine_index } => {
+                if let Some(machine) = self.machine_at(machine_index) {
+                    self.users.starts_on_removed_machines += self.workers[&machine].starts;
                     self.workers.remove(&machine);
-                    self.cloud.died(&machine, self.now + UNLISTED_AFTER_S);
+                    self.cloud
+                        .stop_listing_from(&machine, self.now + UNLIST_DELAY_S);
                 }
             }
-            Fault::TerminationNotice { which, seconds } => {
-                if let Some(machine) = self.machine_at(which) {
-                    self.notice(&machine, seconds);
+            Fault::TerminationNotice {
+                machine_index,
+                seconds,
+            } => {
+                if let Some(machine) = self.machine_at(machine_index) {
+                    self.give_termination_notice(&machine, seconds);
                 }
             }
-            Fault::MachineHangs { which, seconds } => {
+            Fault::MachineHangs {
+                machine_index,
+                seconds,
+            } => {
                 let until = self.now + seconds;
-                if let Some(id) = self.machine_at(which)
+                if let Some(id) = self.machine_at(machine_index)
                     && let Some(worker) = self.workers.get_mut(&id)
                 {
                     worker.hung_until = until;
                 }
             }
-            Fault::NextCommands { which, fates } => {
-                if let Some(machine) = self.machine_at(which) {
-                    self.network.set_next_command_fates(machine, fates);
+            Fault::NextCommands {
+                machine_index,
+                outcomes,
+            } => {
+                if let Some(machine) = self.machine_at(machine_index) {
+                    self.network.set_next_command_outcomes(machine, outcomes);
                 }
             }
             other => unreachable!("{other:?} is no fault of a machine"),
@@ -315,35 +328,35 @@
     }
 
     /// Faults of the network and the services, which last for some seconds.
-    fn lasting_fault(&mut self, fault: Fault) {
+    fn begin_lasting_fault(&mut self, fault: Fault) {
         let (seconds, active) = self.active_faults(fault);
         for fault in active {
             let id = self.network.add(self.now, self.now + seconds, fault);
-            self.after(seconds, Event::FaultEnds(id));
+            self.schedule_after(seconds, Event::FaultEnds(id));
         }
     }
 
     /// What a lasting fault consists of, and how many seconds it lasts.
     fn active_faults(&self, fault: Fault) -> (f64, Vec<ActiveFault>) {
-        let machine = |which| self.machine_at(which).into_iter();
+        let machine = |index| self.machine_at(index).into_iter();
         match fault {
             Fault::Condition { condition, seconds } => {
                 (seconds, vec![ActiveFault::Condition(condition)])
             }
             Fault::Machine {
-                which,
+                machine_index,
                 condition,
                 seconds,
             } => {
-                let active = machine(which).map(|id| ActiveFault::Machine(id, condition));
+                let active = machine(machine_index).map(|id| ActiveFault::Machine(id, condition));
                 (seconds, active.collect())
             }
-            Fault::Refuse { who, seconds } => {
-                let nodes = self.controllers_of(&who).into_iter();
+            Fault::Refuse { target, seconds } => {
+                let nodes = self.controllers_of(&target).into_iter();
                 (seconds, nodes.map(ActiveFault::Refuse).collect())
             }
             Fault::Cut {
-                who,
+                target,
                 from,
                 seconds,
                 manner,
@@ -355,45 +368,47 @@
                     manner,
                     direction,
                 };
-                let nodes = self.controllers_of(&who).into_iter();
+                let nodes = self.controllers_of(&target).into_iter();
                 (seconds, nodes.map(cut).collect())
             }
             Fault::Slow {
-                who,
+                target,
                 pause,
                 seconds,
             } => {
-                let nodes = self.controllers_of(&who).into_iter();
+                let nodes = self.controllers_of(&target).into_iter();
                 let slow = nodes.map(|node| ActiveFault::Slow { node, pause });
                 (seconds, slow.collect())
             }
             Fault::MachineCut {
-                which,
+                machine_index,
                 seconds,
-                hold,
+                hold_messages,
             } => {
-                let cut = machine(which).map(|id| machine_cut(id, Endpoint::AllNodes, hold));
+                let cut = machine(machine_index)
+                    .map(|id| machine_cut(id, Endpoint::AllNodes, hold_messages));
                 (seconds, cut.collect())
             }
             Fault::MachineCutFrom {
-                which,
+                machine_index,
                 node,
                 seconds,
             } => {
-                let cut = machine(which).map(|id| machine_cut(id, Endpoint::Node(node), false));
+                let cut =
+                    machine(machine_index).map(|id| machine_cut(id, Endpoint::Node(node), false));
                 (seconds, cut.collect())
             }
             Fault::ZoneCut {
                 zone,
                 seconds,
-                hold,
+                hold_messages,
             } => {
                 let in_zone = |id: &&MachineId| {
-                    let owned = self.cloud.get(id);
-                    owned.is_some_and(|owned| owned.zone.as_str() == zone)
+                    let rented = self.cloud.get(id);
+                    rented.is_some_and(|rented| rented.zone.as_str() == zone)
                 };
                 let ids = self.workers.keys().filter(in_zone).cloned();
-                let cuts = ids.map(|id| machine_cut(id, Endpoint::AllNodes, hold));
+                let cuts = ids.map(|id| machine_cut(id, Endpoint::AllNodes, hold_messages));
                 (seconds, cuts.collect())
             }
             other => unreachable!("{other:?} does not last"),
@@ -402,7 +417,8 @@
 
     /// Seconds until a duplicate of a heartbeat arrives, if one does.
     pub(super) fn duplicate_delay(&mut self) -> Option<f64> {
-        (self.network.has(Condition::DuplicateHeartbeats) && self.rng.random_bool(DUPLICATED_PART))
-            .then(|| self.rng.random_range(0.5..LEASE_S * 2.5))
+        (self.network.has(Condition::DuplicateHeartbeats)
+            && self.rng.random_bool(DUPLICATED_PROBABILITY))
+        .then(|| self.rng.random_range(0.5..LEASE_S * 2.5))
     }
 }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -1,7 +1,6 @@
 //! A simulated fleet in virtual time around real [`Core`]s: store, cloud, workers, users and a network with faults, all
 //! by the published protocol. The rules are checked while it runs.
 
-mod allowance;
 mod calls;
 mod cloud;
 mod commands;
@@ -10,6 +9,7 @@
 mod faults;
 mod network;
 mod previous_version;
+mod rate_limiter;
 mod services;
 mod settings;
 mod start_rules;
@@ -20,9 +20,8 @@
 mod users;
 mod worker;
 
-use allowance::Allowance;
 use cloud::Cloud;
-use controllers::{Asker, Controller};
+use controllers::{Controller, Requester};
 use event::Timed;
 use network::Network;
 use ochredrum::core::Core;
@@ -32,21 +31,22 @@
 use ochredrum::wire::{Heartbeat, JobSpec};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
+use rate_limiter::RateLimiter;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use store::Store;
 use users::Users;
 use worker::Worker;
 
-pub use commands::CommandFate;
+pub use commands::CommandOutcome;
 pub use event::Event;
 pub use faults::{Condition, Fault, MachineCondition, ShardMapFault, UpgradeOrder};
 pub use network::{CutManner, Direction, Endpoint};
-use settings::features_in_run;
-pub use settings::{Limits, grants_on};
+use settings::default_features;
+pub use settings::{Limits, features_with_grants};
 
 /// Seconds between the heartbeats of a worker.
-pub const REPORT_S: f64 = 1.0;
+pub const HEARTBEAT_INTERVAL_S: f64 = 1.0;
 /// Seconds that a lease lasts.
 pub const LEASE_S: f64 = 10.0;
 /// Seconds that a gang's task waits for the others.
@@ -58,11 +58,11 @@
 /// The limit of the limited team.
 pub const GPUS_MAX: f64 = 24.0;
 /// Seconds until a crashed controller is restarted, unless a scenario says otherwise.
-const RESTART_S: f64 = 5.0;
+const RESTART_DELAY_S: f64 = 5.0;
 /// The run time of jobs that fail on every machine.
 pub const FAILS_IMMEDIATELY: f64 = -1.0;
 /// Seconds between the turns of a controller.
-const TICK_S: f64 = 0.05;
+const TICK_INTERVAL_S: f64 = 0.05;
 
 /// A simulated fleet.
 pub struct World {
@@ -82,21 +82,21 @@
     /// Notable events so far.
     pub log: Vec<String>,
     /// Counters of requests and messages.
-    pub work: Work,
+    pub counters: Counters,
     /// The limits of the store.
     pub limits: Limits,
     /// The limits of the store that apply from a later moment on.
     pub next_limits: Option<Limits>,
     /// Requests and writes that the store still accepts at this moment.
-    allowance: Allowance,
+    rate_limiter: RateLimiter,
     /// The features of all controllers but those of the previous version.
     pub features: Features,
     /// Controllers of the previous version; they are restarted with it until they are upgraded.
     pub previous_version_nodes: BTreeSet<usize>,
     /// When a fault was last seen in effect.
-    calm_since: f64,
+    last_fault_at: f64,
     /// When a controller last crashed.
-    crashed: f64,
+    last_crash_at: f64,
     /// Heartbeats recorded for replay to the next leader.
     replay_buffer: Vec<(MachineId, Heartbeat)>,
     /// The controller that led last.
@@ -107,7 +107,7 @@
 
 /// Counters of what the controllers and users have done so far.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Work {
+pub struct Counters {
     /// Requests to the store.
     pub store_requests: usize,
     /// Bytes of transactions sent to the store.
@@ -154,7 +154,7 @@
             network: Network::default(),
             violations: Vec::new(),
             log: Vec::new(),
-            work: Work::default(),
+            counters: Counters::default(),
             limits: Limits {
                 value_kb: 4.0,
                 txn_ops: 8,
@@ -162,43 +162,43 @@
                 write_rps: 25.0,
             },
             next_limits: None,
-            allowance: Allowance::default(),
-            features: features_in_run(),
+            rate_limiter: RateLimiter::default(),
+            features: default_features(),
             previous_version_nodes: BTreeSet::new(),
-            calm_since: 0.0,
-            crashed: 0.0,
+            last_fault_at: 0.0,
+            last_crash_at: 0.0,
             replay_buffer: Vec::new(),
             last_leader: None,
             shard_map_fault: None,
         };
         for node in 0..controllers {
-            world.at(0.1 * node as f64, Event::Restart { node });
+            world.schedule_at(0.1 * node as f64, Event::Restart { node });
         }
-        world.at(7.0, Event::AskUnknown);
-        world.at(5.0, Event::CheckStarvation);
+        world.schedule_at(7.0, Event::PollUnknownJob);
+        world.schedule_at(5.0, Event::CheckStarvation);
         world
     }
 
     /// Schedules an event.
-    pub fn at(&mut self, time: f64, event: Event) {
+    pub fn schedule_at(&mut self, time: f64, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse(Timed(time, self.sequence, event)));
     }
 
     /// Schedules an event this many seconds from now.
-    fn after(&mut self, delay: f64, event: Event) {
-        self.at(self.now + delay, event);
+    fn schedule_after(&mut self, delay: f64, event: Event) {
+        self.schedule_at(self.now + delay, event);
     }
 
     /// Adds a line to the log.
-    fn note(&mut self, text: String) {
+    fn log_event(&mut self, text: String) {
         self.log.push(format!("{:8.3} {text}", self.now));
     }
 
     /// Records that a rule was violated.
-    pub fn record_violation(&mut self, rule: &str, what: String) {
-        let text = format!("{rule} at {:.3}: {what}", self.now);
-        self.note(text.clone());
+    pub fn record_violation(&mut self, rule: &str, details: String) {
+        let text = format!("{rule} at {:.3}: {details}", self.now);
+        self.log_event(text.clone());
         self.violations.push(text);
     }
 
@@ -221,7 +221,7 @@
 
     fn add_machines_of(&mut self, kind: &str, count: usize, spot: bool) {
         for _ in 0..count {
-            let zone = ["a", "b"][self.cloud.count() % 2];
+            let zone = ["a", "b"][self.cloud.created_count() % 2];
             let machine = self.cloud.create(kind, zone, spot, self.now - 100.0);
             self.boot(&machine);
         }
@@ -230,7 +230,7 @@
     /// Adds a job that is submitted at a moment, and returns its number.
     pub fn add_job(&mut self, at: f64, spec: JobSpec, run_s: f64) -> usize {
         let job = self.users.add(spec, run_s);
-        self.at(at, Event::Submit { job });
+        self.schedule_at(at, Event::Submit { job });
         job
     }
 
@@ -240,7 +240,7 @@
     }
 
     /// Runs the simulation until a moment.
-    pub fn run(&mut self, until: f64) {
+    pub fn run_until(&mut self, until: f64) {
         while let Some(Reverse(Timed(time, _, _))) = self.events.peek() {
             if *time > until {
                 break;
@@ -263,18 +263,18 @@
                     self.step(node, vec![*input]);
                 }
             }
-            Event::State {
+            Event::StoreRequest {
                 node,
                 epoch,
                 call,
-                what,
-            } => self.store_request(node, epoch, call, what),
-            Event::Cloud {
+                request,
+            } => self.store_request(node, epoch, call, request),
+            Event::CloudRequest {
                 node,
                 epoch,
                 call,
-                what,
-            } => self.cloud_request(node, epoch, call, what),
+                request,
+            } => self.cloud_request(node, epoch, call, request),
             Event::DirectCommands {
                 node,
                 epoch,
@@ -284,14 +284,14 @@
             } => {
                 self.receive_direct_commands(node, epoch, call, &address, commands);
             }
-            Event::Mesh {
+            Event::MeshMessage {
                 from,
                 epoch,
                 call,
                 to,
                 message,
             } => {
-                self.ask_node(to, Asker::Sibling { from, epoch, call }, *message);
+                self.deliver_request(to, Requester::Sibling { from, epoch, call }, *message);
             }
             Event::Heartbeat {
                 machine,
@@ -300,47 +300,47 @@
                 live,
             } => {
                 let number = heartbeat.sequence;
-                let asker = Asker::Worker {
+                let requester = Requester::Worker {
                     machine,
                     number,
                     live,
                 };
-                self.ask_node(node, asker, Input::Heartbeat(RequestId(0), heartbeat));
+                self.deliver_request(node, requester, Input::Heartbeat(RequestId(0), heartbeat));
             }
             Event::HeartbeatResponse {
                 machine,
                 number,
                 answer,
             } => {
-                self.heartbeat_answered(&machine, number, answer);
+                self.receive_heartbeat_response(&machine, number, answer);
             }
             Event::WorkerTurn { machine } => self.worker_turn(&machine),
             Event::BootDone { machine } => self.boot(&machine),
-            Event::Submit { job } => self.user_asks(job, users::RequestKind::Submit),
-            Event::Cancel { job } => self.user_asks(job, users::RequestKind::Cancel),
-            Event::Poll { job } => self.user_asks(job, users::RequestKind::Poll),
+            Event::Submit { job } => self.send_user_request(job, users::RequestKind::Submit),
+            Event::Cancel { job } => self.send_user_request(job, users::RequestKind::Cancel),
+            Event::Poll { job } => self.send_user_request(job, users::RequestKind::Poll),
             Event::Probe { job, node, kind } => self.probe(job, node, kind),
-            Event::CancelDue { job } => self.cancel_due(job),
+            Event::CheckCancelledTasks { job } => self.check_cancelled_tasks(job),
             Event::CheckStarvation => self.check_starvation(),
-            Event::Expect { job, what } => self.expect(job, &what),
-            Event::AskUnknown => self.ask_unknown(),
+            Event::Expect { job, expected } => self.check_expectation(job, &expected),
+            Event::PollUnknownJob => self.poll_unknown_job(),
             Event::UserAnswer {
                 job,
                 kind,
-                asked,
+                sent_at,
                 answer,
             } => {
-                self.user_answered(job, kind, asked, answer);
+                self.receive_user_answer(job, kind, sent_at, answer);
             }
             Event::Restart { node } => self.restart(node),
             Event::Upgrade { node } => self.upgrade(node),
             Event::Resume { node, epoch } => self.resume(node, epoch),
             Event::UnusualRequest { until } => self.unusual_request(until),
-            Event::LimitsFall => {
+            Event::LimitsLowered => {
                 self.limits = self.next_limits.unwrap_or(self.limits);
-                self.note("the store lowers its limits".into());
+                self.log_event("the store lowers its limits".into());
             }
-            Event::Fault(fault) => self.fault(fault),
+            Event::Fault(fault) => self.begin_fault(fault),
             Event::FaultEnds(id) => self.network.end(id),
         }
     }
@@ -370,12 +370,12 @@
 
     /// How often a controller has become leader.
     pub fn leaderships(&self) -> usize {
-        self.store.puts_of("ochredrum/leader")
+        self.store.put_count("ochredrum/leader")
     }
 
     /// How often a team's record of grants was written.
     pub fn grant_writes(&self, team: &str) -> usize {
-        self.store.puts_of(&format!("ochredrum/quota/{team}"))
+        self.store.put_count(&format!("ochredrum/quota/{team}"))
     }
 
     /// The controller that owns a team according to the stored shard map.
@@ -394,12 +394,12 @@
     }
 
     /// The stored value of a key.
-    pub fn stored(&self, key: &str) -> Option<serde_json::Value> {
+    pub fn stored_value(&self, key: &str) -> Option<serde_json::Value> {
         self.store.values_under(key).next().cloned()
     }
 
     /// How many tasks have started so far, restarts included.
     pub fn starts(&self) -> u64 {
-        self.workers.values().map(|w| w.starts).sum::<u64>() + self.users.starts_on_removed
+        self.workers.values().map(|w| w.starts).sum::<u64>() + self.users.starts_on_removed_machines
     }
 }
--- a/tests/world/network.rs
+++ b/tests/world/network.rs
@@ -1,6 +1,6 @@
 //! The faults that are in effect, and which messages they let pass.
 
-use super::commands::CommandFate;
+use super::commands::CommandOutcome;
 use super::faults::{Condition, MachineCondition};
 use ochredrum::ids::MachineId;
 use std::collections::{BTreeMap, VecDeque};
@@ -15,7 +15,7 @@
     /// All controllers.
     AllNodes,
     /// The key-value store.
-    State,
+    Store,
     /// The cloud's interface.
     Cloud,
     /// One machine.
@@ -23,7 +23,7 @@
     /// All machines.
     Workers,
     /// The store and the sibling controllers, but not the workers.
-    StateAndSiblings,
+    StoreAndSiblings,
     /// All participants but the one that is cut off.
     Everyone,
 }
@@ -35,7 +35,7 @@
             Self::Everyone => member != other,
             Self::Workers => matches!(member, Self::Machine(_)),
             Self::AllNodes => matches!(member, Self::Node(_)),
-            Self::StateAndSiblings => matches!(member, Self::State | Self::Node(_)),
+            Self::StoreAndSiblings => matches!(member, Self::Store | Self::Node(_)),
             one => one == member,
         }
     }
@@ -98,7 +98,7 @@
     last_id: u64,
     /// When the last outage of the store began, until its end was taken.
     outage_began: Option<f64>,
-    command_fates: BTreeMap<MachineId, VecDeque<CommandFate>>,
+    command_outcomes: BTreeMap<MachineId, VecDeque<CommandOutcome>>,
 }
 
 impl Network {
@@ -119,7 +119,7 @@
     }
 
     /// Whether no fault is in effect.
-    pub fn is_calm(&self) -> bool {
+    pub fn has_no_faults(&self) -> bool {
         self.entries.is_empty()
     }
 
@@ -198,12 +198,12 @@
     }
 
     /// Sets what happens to the next messages of direct commands to a machine, in order.
-    pub fn set_next_command_fates(&mut self, machine: MachineId, fates: Vec<CommandFate>) {
-        self.command_fates.insert(machine, fates.into());
+    pub fn set_next_command_outcomes(&mut self, machine: MachineId, outcomes: Vec<CommandOutcome>) {
+        self.command_outcomes.insert(machine, outcomes.into());
     }
 
     /// What a scenario has set for the next message of direct commands to a machine.
-    pub fn next_command_fate(&mut self, machine: &MachineId) -> Option<CommandFate> {
-        self.command_fates.get_mut(machine)?.pop_front()
+    pub fn next_command_outcome(&mut self, machine: &MachineId) -> Option<CommandOutcome> {
+        self.command_outcomes.get_mut(machine)?.pop_front()
     }
 }
--- a/tests/world/allowance.rs
+++ b/tests/world/rate_limiter.rs
@@ -5,17 +5,20 @@
 
 /// Requests and writes that the store still accepts at this moment.
 #[derive(Default)]
-pub struct Allowance {
+pub struct RateLimiter {
     requests: f64,
     writes: f64,
     /// When it was last refilled.
-    filled: Option<f64>,
+    refilled_at: Option<f64>,
 }
 
-impl Allowance {
+impl RateLimiter {
     /// Whether a request is within the limits; if so it is counted.
-    pub fn take(&mut self, now: f64, limits: &Limits, call: &StoreCall) -> bool {
-        let passed = self.filled.replace(now).map_or(1.0, |filled| now - filled);
+    pub fn try_acquire(&mut self, now: f64, limits: &Limits, call: &StoreCall) -> bool {
+        let passed = self
+            .refilled_at
+            .replace(now)
+            .map_or(1.0, |filled| now - filled);
         self.requests = (self.requests + passed * limits.rps).min(limits.rps);
         self.writes = (self.writes + passed * limits.write_rps).min(limits.write_rps);
         let writes = match call {
--- a/tests/world/services.rs
+++ b/tests/world/services.rs
@@ -2,44 +2,53 @@
 
 use super::faults::{Condition, ShardMapFault};
 use super::network::Endpoint;
-use super::{Event, RESTART_S, World};
+use super::{Event, RESTART_DELAY_S, World};
 use ochredrum::core::effects::{CallId, CloudCall, CloudReply, Input, StoreCall, StoreReply};
 use ochredrum::wire::{Transaction, Write};
 use rand::Rng;
 
 impl World {
     /// A request reaches the store.
-    pub(super) fn store_request(&mut self, node: usize, epoch: u64, call: CallId, what: StoreCall) {
+    pub(super) fn store_request(
+        &mut self,
+        node: usize,
+        epoch: u64,
+        call: CallId,
+        request: StoreCall,
+    ) {
         let reply = if self.network.store_refuses(node) {
             StoreReply::Refused
         } else {
-            if !self.allowance.take(self.now, &self.limits, &what) {
-                self.work.throttled_requests += 1;
+            if !self
+                .rate_limiter
+                .try_acquire(self.now, &self.limits, &request)
+            {
+                self.counters.throttled_requests += 1;
                 return self.reply(
                     node,
                     epoch,
-                    Endpoint::State,
+                    Endpoint::Store,
                     Input::Store(call, StoreReply::Busy),
                 );
             }
-            if let StoreCall::Commit(transaction) = &what
+            if let StoreCall::Commit(transaction) = &request
                 && self.over_limits(transaction)
             {
                 let rejected = Input::Store(call, StoreReply::Rejected);
-                return self.reply(node, epoch, Endpoint::State, rejected);
+                return self.reply(node, epoch, Endpoint::Store, rejected);
             }
             let outage_ended = self.network.take_outage_end(self.now);
-            let map = writes_shard_map(&what);
-            let reply = self.store.call(self.now, what, outage_ended);
+            let map = writes_shard_map(&request);
+            let reply = self.store.call(self.now, request, outage_ended);
             if map
                 && matches!(reply, StoreReply::Committed(_))
                 && self.shard_map_fault_due(ShardMapFault::Crash)
             {
-                return self.crash(node, RESTART_S);
+                return self.crash(node, RESTART_DELAY_S);
             }
             reply
         };
-        self.reply(node, epoch, Endpoint::State, Input::Store(call, reply));
+        self.reply(node, epoch, Endpoint::Store, Input::Store(call, reply));
     }
 
     /// Whether a transaction exceeds a limit of the store. The real store would reject it every time, so the controllers
@@ -60,8 +69,9 @@
         if over {
             let (writes, preconditions) =
                 (transaction.writes.len(), transaction.preconditions.len());
-            let what = format!("{writes} writes, {preconditions} guards, value of {largest} bytes");
-            self.record_violation("over_limit", what);
+            let details =
+                format!("{writes} writes, {preconditions} guards, value of {largest} bytes");
+            self.record_violation("over_limit", details);
         }
         over
     }
@@ -84,18 +94,24 @@
     }
 
     /// Whether a transaction takes effect late, without an answer.
-    pub(super) fn late_commit(&mut self, what: &StoreCall) -> bool {
-        (writes_shard_map(what) && self.shard_map_fault_due(ShardMapFault::Late))
+    pub(super) fn takes_effect_late(&mut self, request: &StoreCall) -> bool {
+        (writes_shard_map(request) && self.shard_map_fault_due(ShardMapFault::Late))
             || (self.network.has(Condition::LateWrites) && self.rng.random_bool(0.3))
     }
 
     /// A request reaches the cloud's interface.
-    pub(super) fn cloud_request(&mut self, node: usize, epoch: u64, call: CallId, what: CloudCall) {
+    pub(super) fn cloud_request(
+        &mut self,
+        node: usize,
+        epoch: u64,
+        call: CallId,
+        request: CloudCall,
+    ) {
         if self.network.has(Condition::CloudOutage) {
             let input = Input::Cloud(call, CloudReply::Refused);
             return self.reply(node, epoch, Endpoint::Cloud, input);
         }
-        let (reply, booting) = self.cloud.call(self.now, what);
+        let (reply, booting) = self.cloud.call(self.now, request);
         for machine in booting {
             let boot = if self.network.has(Condition::FastBoots) {
                 0.3..2.0
@@ -103,21 +119,21 @@
                 6.0..14.0
             };
             let boot = self.rng.random_range(boot);
-            self.after(boot, Event::BootDone { machine });
+            self.schedule_after(boot, Event::BootDone { machine });
         }
-        for machine in self.cloud.take_deleted() {
-            self.note(format!("{machine} deleted"));
+        for machine in self.cloud.take_released() {
+            self.log_event(format!("{machine} deleted"));
             if let Some(worker) = self.workers.remove(&machine) {
-                self.users.starts_on_removed += worker.starts;
+                self.users.starts_on_removed_machines += worker.starts;
             }
         }
         self.reply(node, epoch, Endpoint::Cloud, Input::Cloud(call, reply));
     }
 }
 
-fn writes_shard_map(what: &StoreCall) -> bool {
+fn writes_shard_map(request: &StoreCall) -> bool {
     let of_map = |write: &Write| match write {
         Write::Put { key, .. } | Write::Delete { key } => key.starts_with("ochredrum/map/"),
     };
-    matches!(what, StoreCall::Commit(transaction) if transaction.writes.iter().any(of_map))
+    matches!(request, StoreCall::Commit(transaction) if transaction.writes.iter().any(of_map))
 }
--- a/tests/world/settings.rs
+++ b/tests/world/settings.rs
@@ -2,7 +2,7 @@
 
 use ochredrum::features::Features;
 
-use super::{CANCEL_S, GANG_PEER_S, GANG_WAIT_S, GPUS_MAX, LEASE_S, REPORT_S};
+use super::{CANCEL_S, GANG_PEER_S, GANG_WAIT_S, GPUS_MAX, HEARTBEAT_INTERVAL_S, LEASE_S};
 
 /// The limits of the store.
 #[derive(Clone, Copy)]
@@ -33,7 +33,7 @@
 }
 
 /// The features of the shipped file that holds team limits by grants.
-pub fn grants_on() -> Features {
+pub fn features_with_grants() -> Features {
     let Ok(features) = Features::parse(include_str!("../../deploy/features.toml")) else {
         panic!("the shipped features")
     };
@@ -41,7 +41,7 @@
 }
 
 /// The features of the file that the shipped service runs with.
-pub fn features_in_run() -> Features {
+pub fn default_features() -> Features {
     let Ok(features) = Features::parse(include_str!("../../deploy/failure-detection.toml")) else {
         panic!("the shipped features")
     };
@@ -87,7 +87,7 @@
 class = "chat"
 within_s = 10.0
 [deployment.workers]
-report_s = {REPORT_S}
+report_s = {HEARTBEAT_INTERVAL_S}
 lease_s = {LEASE_S}
 gang_wait_s = {GANG_WAIT_S}
 gang_peer_s = {GANG_PEER_S}
--- a/tests/world/start_rules.rs
+++ b/tests/world/start_rules.rs
@@ -46,8 +46,8 @@
     fn survey(&self, id: &MachineId, task: &TaskId, attempt: Attempt) -> Survey {
         let mut survey = Survey::default();
         for worker in self.workers.values() {
-            let owned = self.cloud.get(&worker.id);
-            let zone = owned.map_or("?".into(), |owned| owned.zone.to_string());
+            let rented = self.cloud.get(&worker.id);
+            let zone = rented.map_or("?".into(), |rented| rented.zone.to_string());
             for ((other, same), running) in &worker.tasks {
                 if !running.is_on_machine() {
                     continue;
@@ -86,8 +86,8 @@
         }
         self.check_place(id, task, &spec, &survey.zones);
         if let Some(needed) = self.users.unfinished_dependency(&task.job) {
-            let what = format!("{task} starts on {id}, {needed} is not done");
-            self.record_violation("too_early", what);
+            let details = format!("{task} starts on {id}, {needed} is not done");
+            self.record_violation("started_before_dependency", details);
         }
         self.check_not_cancelled(id, task);
     }
@@ -100,23 +100,23 @@
         spec: &JobSpec,
         zones: &BTreeMap<String, u32>,
     ) {
-        let Some(owned) = self.cloud.get(id) else {
+        let Some(rented) = self.cloud.get(id) else {
             return;
         };
-        let zone = owned.zone.clone();
+        let zone = rented.zone.clone();
         let half = spec.tasks.div_ceil(2);
         let wrong_type = spec
             .types
             .as_ref()
-            .is_some_and(|types| !types.contains(&owned.type_name));
-        let misplaced = (owned.spot && !spec.spot)
+            .is_some_and(|types| !types.contains(&rented.type_name));
+        let misplaced = (rented.spot && !spec.spot)
             || wrong_type
             || spec.zone.as_ref().is_some_and(|only| *only != zone)
             || (spec.one_zone && zones.len() > 1)
             || (spec.spread && zones.get(zone.as_str()).copied().unwrap_or(0) > half);
         if misplaced {
-            let what = format!("{task} on {id} in {zone}, job in {zones:?}");
-            self.record_violation("wrong_place", what);
+            let details = format!("{task} on {id} in {zone}, job in {zones:?}");
+            self.record_violation("wrong_place", details);
         }
     }
 
@@ -124,12 +124,12 @@
     fn check_not_cancelled(&mut self, id: &MachineId, task: &TaskId) {
         let reported_at = self.users.cancelled_reported_at(&task.job);
         if let Some(reported_at) = reported_at.filter(|at| *at < self.now) {
-            self.work.starts_after_cancel += 1;
+            self.counters.starts_after_cancel += 1;
             // Without faults, what was in flight then has been stopped by now. A machine that hung executes what had
             // reached it once it continues (command_faults day 28).
             let hung_until = self.workers.get(id).map_or(0.0, |worker| worker.hung_until);
             let executed_by = reported_at.max(hung_until) + IN_FLIGHT_S;
-            if self.has_been_calm(reported_at, LEASE_S * 2.0) && self.now > executed_by {
+            if self.was_fault_free(reported_at, LEASE_S * 2.0) && self.now > executed_by {
                 self.record_violation("started_cancelled", format!("{task} starts on {id}"));
             }
         }
@@ -139,8 +139,8 @@
     }
 
     /// Whether no fault was in effect from `before` seconds before a moment until now.
-    fn has_been_calm(&self, since: f64, before: f64) -> bool {
-        self.network.is_calm() && self.calm_since.max(self.crashed) < since - before
+    fn was_fault_free(&self, since: f64, before: f64) -> bool {
+        self.network.has_no_faults() && self.last_fault_at.max(self.last_crash_at) < since - before
     }
 
     fn usage(&self, worker: &Worker) -> Usage {
@@ -173,11 +173,11 @@
             return false;
         }
         self.workers.values().any(|worker| {
-            let Some(owned) = self.cloud.get(&worker.id) else {
+            let Some(rented) = self.cloud.get(&worker.id) else {
                 return false;
             };
-            (spec.spot || !owned.spot)
-                && spec.zone.as_ref().is_none_or(|zone| *zone == owned.zone)
+            (spec.spot || !rented.spot)
+                && spec.zone.as_ref().is_none_or(|zone| *zone == rented.zone)
                 && self
                     .usage(worker)
                     .leaves_room(spec, &self.cloud.type_of(&worker.id))
@@ -185,7 +185,7 @@
     }
 
     /// Tasks of a job that are on machines.
-    pub(super) fn tasks_on(&self, job: &JobId) -> usize {
+    pub(super) fn tasks_on_machines(&self, job: &JobId) -> usize {
         let tasks = self.workers.values().flat_map(|worker| &worker.tasks);
         tasks
             .filter(|((task, _), running)| task.job == *job && running.is_on_machine())
--- a/tests/world/store.rs
+++ b/tests/world/store.rs
@@ -166,7 +166,7 @@
         dead_code,
         reason = "one of the two test binaries that share this file does not use it"
     )]
-    pub fn puts_of(&self, key: &str) -> usize {
+    pub fn put_count(&self, key: &str) -> usize {
         self.log
             .iter()
             .filter(|change| change.put_key.as_deref() == Some(key))
--- a/tests/world/tasks.rs
+++ b/tests/world/tasks.rs
@@ -15,7 +15,7 @@
 
 /// One attempt of a task on a worker.
 #[derive(Clone, Debug)]
-pub struct Running {
+pub struct RunningTask {
     /// What the worker reports of it.
     pub state: TaskState,
     /// Why it exited, once it has.
@@ -23,10 +23,10 @@
     /// Whether it saved a checkpoint when it was stopped.
     pub checkpointed: bool,
     /// When the present state ends by itself.
-    until: f64,
+    state_ends_at: f64,
 }
 
-impl Running {
+impl RunningTask {
     /// Whether it is on its machine as the protocol defines it: from when it has its image until it exits.
     pub fn is_on_machine(&self) -> bool {
         matches!(
@@ -43,7 +43,7 @@
     fn exit(&mut self, why: ExitReason) {
         self.state = TaskState::Exited;
         self.exit = Some(why);
-        self.until = f64::INFINITY;
+        self.state_ends_at = f64::INFINITY;
     }
 
     /// Stops it; with enough time it saves a checkpoint first.
@@ -53,7 +53,7 @@
         let saves = checkpoint_interval_s > 0.0 && grace_s >= checkpoint_write_s;
         if saves && self.state == TaskState::Running {
             self.state = TaskState::Checkpointing;
-            self.until = now + checkpoint_write_s;
+            self.state_ends_at = now + checkpoint_write_s;
         } else if self.state != TaskState::Checkpointing || grace_s == 0.0 {
             self.exit(ExitReason::Stopped);
         }
@@ -86,7 +86,7 @@
         match command {
             Command::Start { task, attempt } => match TaskId::parse(&task) {
                 Some(task) => self.execute_start(id, task, attempt),
-                None => self.record_violation("bad_order", format!("start of {task:?}")),
+                None => self.record_violation("invalid_command", format!("start of {task:?}")),
             },
             Command::Stop {
                 task,
@@ -102,7 +102,7 @@
                     && let Some(worker) = self.workers.get_mut(id)
                 {
                     let key = (task, attempt);
-                    if worker.tasks.get(&key).is_some_and(Running::has_exited) {
+                    if worker.tasks.get(&key).is_some_and(RunningTask::has_exited) {
                         worker.tasks.remove(&key);
                     }
                 }
@@ -128,7 +128,7 @@
     fn execute_start(&mut self, id: &MachineId, task: TaskId, attempt: Attempt) {
         let now = self.now;
         let Some(spec) = self.users.spec(&task.job).cloned() else {
-            return self.record_violation("bad_order", format!("start of unknown {task}"));
+            return self.record_violation("invalid_command", format!("start of unknown {task}"));
         };
         let fetch_gb_per_s = self.cloud.type_of(id).fetch_gb_per_s;
         let Some(worker) = self.workers.get_mut(id) else {
@@ -146,17 +146,17 @@
         } else {
             spec.image_gb / fetch_gb_per_s
         };
-        let mut running = Running {
+        let mut running = RunningTask {
             state: TaskState::Fetching,
             exit: None,
             checkpointed: false,
-            until: now + fetch_s,
+            state_ends_at: now + fetch_s,
         };
         if busy {
             running.exit(ExitReason::Busy);
         } else if full {
             running.exit(ExitReason::NoRoom);
-            self.note(format!("{id} has no room for {task}"));
+            self.log_event(format!("{id} has no room for {task}"));
         }
         if let Some(worker) = self.workers.get_mut(id) {
             worker.tasks.insert((task, attempt), running);
@@ -172,7 +172,7 @@
         let due: Vec<(TaskId, Attempt)> = worker
             .tasks
             .iter()
-            .filter(|(_, running)| !running.has_exited() && running.until <= now)
+            .filter(|(_, running)| !running.has_exited() && running.state_ends_at <= now)
             .map(|(key, _)| key.clone())
             .collect();
         for (task, attempt) in due {
@@ -198,7 +198,7 @@
             TaskState::Waiting if fails => running.exit(ExitReason::Error),
             TaskState::Fetching => {
                 running.state = TaskState::Waiting;
-                running.until = self.now;
+                running.state_ends_at = self.now;
                 let image = spec.image.to_string();
                 if !worker.images.contains(&image) {
                     worker.images.push(image);
@@ -242,13 +242,13 @@
             return;
         };
         if waits {
-            if now > running.until + GANG_WAIT_S {
+            if now > running.state_ends_at + GANG_WAIT_S {
                 running.exit(ExitReason::GangIncomplete);
             }
             return;
         }
         running.state = TaskState::Running;
-        running.until = if spec.kind == JobKind::Service {
+        running.state_ends_at = if spec.kind == JobKind::Service {
             f64::INFINITY
         } else {
             now + run_s
@@ -289,7 +289,7 @@
         let Some(worker) = self.workers.get(id) else {
             return;
         };
-        let lost_peers = |((task, attempt), running): &(&(TaskId, Attempt), &Running)| {
+        let lost_peers = |((task, attempt), running): &(&(TaskId, Attempt), &RunningTask)| {
             let Some(spec) = self.users.spec(&task.job) else {
                 return false;
             };
@@ -298,7 +298,7 @@
                 && running.state == TaskState::Running
                 && !self.users.has_finished_task(&task.job)
                 && !self.gang_is_complete(task, *attempt, spec.tasks)
-                && running.until > now + GANG_PEER_S
+                && running.state_ends_at > now + GANG_PEER_S
         };
         let incomplete: Vec<(TaskId, Attempt)> = worker
             .tasks
--- a/tests/world/unusual_requests.rs
+++ b/tests/world/unusual_requests.rs
@@ -2,7 +2,7 @@
 //! were never accepted, are the job itself, or are hundreds.
 
 use super::users::RequestKind;
-use super::{Asker, Event, World};
+use super::{Event, Requester, World};
 use ochredrum::core::effects::{Input, RequestId, UserRequest};
 use ochredrum::ids::JobId;
 use ochredrum::wire::{JobSpec, encode, parse_submission};
@@ -10,9 +10,9 @@
 use serde_json::{Value, json};
 
 /// How often such a request is sent.
-const EVERY_S: f64 = 0.7;
+const UNUSUAL_REQUEST_INTERVAL_S: f64 = 0.7;
 /// The required fields of a submission.
-const REQUIRED: [&str; 17] = [
+const REQUIRED_FIELDS: [&str; 17] = [
     "nameId",
     "herd",
     "crew",
@@ -48,7 +48,7 @@
 }
 
 /// A valid submission.
-fn plain(id: &JobId) -> Value {
+fn valid_submission(id: &JobId) -> Value {
     json!({"nameId": id, "herd": "batch", "crew": "red", "shape": "sweep", "urgency": "standard",
         "beats": 2, "cores": 4.0, "cards": 2.0, "memGb": 16.0, "pressing": "img", "sizeGb": 8.0,
         "breeds": null, "yard": null, "samePlace": false, "apart": false, "loaners": false,
@@ -56,8 +56,8 @@
 }
 
 /// A malformed submission; `choice` is below [`MALFORMED_FORMS`].
-fn malformed(id: &JobId, choice: i32, field: &str) -> Value {
-    let mut body = plain(id);
+fn malformed_submission(id: &JobId, choice: i32, field: &str) -> Value {
+    let mut body = valid_submission(id);
     match choice {
         0 => {
             body.as_object_mut().map(|body| body.remove(field));
@@ -70,8 +70,8 @@
 }
 
 /// A well-formed submission that cannot be accepted; `choice` is below [`IMPOSSIBLE_FORMS`].
-fn impossible(id: &JobId, choice: i32) -> Value {
-    let mut body = plain(id);
+fn impossible_submission(id: &JobId, choice: i32) -> Value {
+    let mut body = valid_submission(id);
     match choice {
         0 => body["awaits"] = json!(["req-899999"]),
         1 => body["awaits"] = json!([id]),
@@ -85,8 +85,8 @@
 }
 
 /// A valid submission that names jobs which are done five hundred times.
-fn repeating_dependencies(id: &JobId, done: &[JobId]) -> Value {
-    let mut body = plain(id);
+fn submission_with_repeated_dependencies(id: &JobId, done: &[JobId]) -> Value {
+    let mut body = valid_submission(id);
     let dependencies: Vec<&JobId> = done.iter().cycle().take(500).collect();
     body["awaits"] = json!(dependencies);
     body
@@ -98,20 +98,20 @@
         if self.now > until {
             return;
         }
-        self.after(EVERY_S, Event::UnusualRequest { until });
-        let id = self.users.next_unusual_id();
+        self.schedule_after(UNUSUAL_REQUEST_INTERVAL_S, Event::UnusualRequest { until });
+        let id = self.users.create_unusual_job_id();
         let done = self.users.done_arrays();
-        let field = REQUIRED[self.rng.random_range(0..REQUIRED.len())];
+        let field = REQUIRED_FIELDS[self.rng.random_range(0..REQUIRED_FIELDS.len())];
         let forms = MALFORMED_FORMS + IMPOSSIBLE_FORMS + 1;
         let choice = self.rng.random_range(0..forms);
         if choice < MALFORMED_FORMS {
-            let body = malformed(&id, choice, field);
+            let body = malformed_submission(&id, choice, field);
             self.send_unusual(&body, ExpectedOutcome::Malformed);
         } else if choice < MALFORMED_FORMS + IMPOSSIBLE_FORMS {
-            let body = impossible(&id, choice - MALFORMED_FORMS);
+            let body = impossible_submission(&id, choice - MALFORMED_FORMS);
             self.send_unusual(&body, ExpectedOutcome::Refused);
         } else if !done.is_empty() {
-            let body = repeating_dependencies(&id, &done);
+            let body = submission_with_repeated_dependencies(&id, &done);
             self.send_unusual(&body, ExpectedOutcome::Accepted);
         }
     }
@@ -120,27 +120,33 @@
     fn send_unusual(&mut self, body: &Value, expected: ExpectedOutcome) {
         let parsed = parse_submission(&encode(body));
         let malformed = matches!(expected, ExpectedOutcome::Malformed);
-        self.work.unusual_requests += 1;
+        self.counters.unusual_requests += 1;
         let Ok((id, spec)) = parsed else {
             if !malformed {
-                self.record_violation("odd_refused", format!("{body} is called malformed"));
+                self.record_violation(
+                    "valid_submission_refused",
+                    format!("{body} is called malformed"),
+                );
             }
             return;
         };
         if malformed {
-            return self.record_violation("odd_accepted", format!("{body} is taken for a job"));
+            return self.record_violation(
+                "malformed_submission_accepted",
+                format!("{body} is taken for a job"),
+            );
         }
         match expected {
             ExpectedOutcome::Accepted => self.submit_unusual(spec),
             _ => {
                 let node = self.rng.random_range(0..self.nodes.len());
-                let asker = Asker::User {
+                let requester = Requester::User {
                     job: None,
                     kind: RequestKind::Unusual,
-                    asked: self.now,
+                    sent_at: self.now,
                 };
-                let what = UserRequest::Submit(id, Box::new(spec));
-                self.ask_node(node, asker, Input::User(RequestId(0), what));
+                let request = UserRequest::Submit(id, Box::new(spec));
+                self.deliver_request(node, requester, Input::User(RequestId(0), request));
             }
         }
     }
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -1,7 +1,7 @@
 //! Users: their jobs, the requests that they send, and what they were told.
 
 use super::faults::Condition;
-use super::{Asker, CANCEL_S, Event, World};
+use super::{CANCEL_S, Event, Requester, World};
 use ochredrum::core::effects::{Input, RequestId, UserRequest};
 use ochredrum::ids::{JobId, TaskId};
 use ochredrum::wire::{JobKind, JobSpec};
@@ -58,9 +58,9 @@
 #[derive(Default)]
 pub struct Users {
     pub(super) jobs: Vec<User>,
-    unusual_ids: u32,
+    unusual_id_count: u32,
     /// Starts on machines that no longer exist.
-    pub starts_on_removed: u64,
+    pub starts_on_removed_machines: u64,
 }
 
 impl Users {
@@ -89,9 +89,9 @@
     }
 
     /// A job id that no other user uses.
-    pub fn next_unusual_id(&mut self) -> JobId {
-        self.unusual_ids += 1;
-        JobId::from(format!("req-7{:05}", self.unusual_ids))
+    pub fn create_unusual_job_id(&mut self) -> JobId {
+        self.unusual_id_count += 1;
+        JobId::from(format!("req-7{:05}", self.unusual_id_count))
     }
 
     /// Array jobs that are done, on which others may depend and which can no longer be cancelled.
@@ -207,19 +207,19 @@
 
 impl World {
     /// A user sends a request to any controller.
-    pub(super) fn user_asks(&mut self, job: usize, kind: RequestKind) {
-        self.user_asks_at(job, kind, None);
+    pub(super) fn send_user_request(&mut self, job: usize, kind: RequestKind) {
+        self.send_user_request_to(job, kind, None);
     }
 
     /// A user sends a request to one controller.
     pub(super) fn probe(&mut self, job: usize, node: usize, kind: RequestKind) {
-        self.user_asks_at(job, kind, Some(node));
+        self.send_user_request_to(job, kind, Some(node));
     }
 
-    fn user_asks_at(&mut self, job: usize, kind: RequestKind, node: Option<usize>) {
+    fn send_user_request_to(&mut self, job: usize, kind: RequestKind, node: Option<usize>) {
         let user = &mut self.users.jobs[job];
         let id = user.id.clone();
-        let what = match kind {
+        let request = match kind {
             RequestKind::Submit => UserRequest::Submit(id, Box::new(user.spec.clone())),
             RequestKind::Poll | RequestKind::ProbePoll => UserRequest::Poll(id),
             RequestKind::ProbeSubmit | RequestKind::Unusual => {
@@ -231,14 +231,14 @@
             }
         };
         let node = node.unwrap_or_else(|| self.rng.random_range(0..self.nodes.len()));
-        self.ask_node(
+        self.deliver_request(
             node,
-            Asker::User {
+            Requester::User {
                 job: Some(job),
                 kind,
-                asked: self.now,
+                sent_at: self.now,
             },
-            Input::User(RequestId(0), what),
+            Input::User(RequestId(0), request),
         );
     }
 
@@ -254,7 +254,7 @@
                 (0.003, RequestKind::ProbeSubmit),
                 (0.02, RequestKind::ProbePoll),
             ] {
-                self.after(delay, Event::Probe { job, node, kind });
+                self.schedule_after(delay, Event::Probe { job, node, kind });
             }
         }
     }
@@ -267,20 +267,20 @@
         let ended = |user: &User| user.id == *id && user.has_finished();
         if let Some(job) = self.users.jobs.iter().position(ended) {
             let delay = self.rng.random_range(0.0..1.0);
-            self.after(delay, Event::Cancel { job });
+            self.schedule_after(delay, Event::Cancel { job });
         }
     }
 
     /// Polls a job that was never submitted, again and again.
-    pub(super) fn ask_unknown(&mut self) {
+    pub(super) fn poll_unknown_job(&mut self) {
         let node = self.rng.random_range(0..self.nodes.len());
-        let what = UserRequest::Poll("req-999999".into());
-        let asker = Asker::User {
+        let request = UserRequest::Poll("req-999999".into());
+        let requester = Requester::User {
             job: None,
             kind: RequestKind::Poll,
-            asked: self.now,
+            sent_at: self.now,
         };
-        self.ask_node(node, asker, Input::User(RequestId(0), what));
-        self.after(7.0, Event::AskUnknown);
+        self.deliver_request(node, requester, Input::User(RequestId(0), request));
+        self.schedule_after(7.0, Event::PollUnknownJob);
     }
 }
--- a/tests/world/worker.rs
+++ b/tests/world/worker.rs
@@ -3,8 +3,8 @@
 use super::cloud::Cloud;
 use super::faults::{Condition, MachineCondition};
 use super::network::{CutManner, Endpoint};
-use super::tasks::Running;
-use super::{Event, LEASE_S, REPORT_S, World};
+use super::tasks::RunningTask;
+use super::{Event, HEARTBEAT_INTERVAL_S, LEASE_S, World};
 use ochredrum::core::effects::{Answer, Body, CallId, CloudCall, Input, WorkerReply};
 use ochredrum::ids::{Attempt, FencingToken, MachineId, TaskId};
 use ochredrum::wire::{DirectCommands, Heartbeat, HeartbeatResponse, MachineIds, ReportedTask};
@@ -14,15 +14,15 @@
 /// How long a worker waits for the answer to a heartbeat.
 const ANSWER_TIMEOUT_S: f64 = 4.0;
 /// How long a worker waits before it reports to the next controller.
-const RETRY_S: f64 = 1.0;
+const RETRY_DELAY_S: f64 = 1.0;
 /// A change is reported this long after the heartbeat before, at the earliest.
-const CHANGE_REPORT_S: f64 = 0.5;
+const MIN_CHANGE_REPORT_INTERVAL_S: f64 = 0.5;
 /// How often a worker checks its lease and its tasks.
-const TURN_S: f64 = 0.1;
+const TURN_INTERVAL_S: f64 = 0.1;
 /// Seconds from the end of a cut until the messages that it held are delivered.
 const HELD_DELIVERY_S: f64 = 0.01;
 /// Part of the heartbeats that are recorded for replay.
-const RECORDED_PART: f64 = 0.3;
+const RECORDED_PROBABILITY: f64 = 0.3;
 /// What a worker reports whose machine the cloud no longer has.
 const DEFAULT_TYPE: &str = "g8";
 const DEFAULT_ZONE: &str = "a";
@@ -35,7 +35,7 @@
     sequence: u64,
     token: FencingToken,
     /// When the last answered heartbeat was sent, or the session began.
-    renewed: f64,
+    lease_renewed_at: f64,
     /// The controller that it reports to.
     node: usize,
     /// Sequence number and moment of the heartbeat that has no answer yet.
@@ -46,13 +46,13 @@
     pub changed: bool,
     token_changed_at: f64,
     /// When its machine is taken away, after a termination notice.
-    leaves_at: Option<f64>,
+    terminates_at: Option<f64>,
     /// Cached images.
     pub images: Vec<String>,
     /// It executes nothing until then.
     pub hung_until: f64,
     /// Attempts of tasks that it has been told to start and not yet to forget.
-    pub tasks: BTreeMap<(TaskId, Attempt), Running>,
+    pub tasks: BTreeMap<(TaskId, Attempt), RunningTask>,
     /// Tasks that have started on it.
     pub starts: u64,
 }
@@ -61,7 +61,7 @@
     /// Its next heartbeat.
     fn heartbeat(&mut self, now: f64, cloud: &Cloud) -> Heartbeat {
         self.sequence += 1;
-        let owned = cloud.get(&self.id);
+        let rented = cloud.get(&self.id);
         let tasks = self
             .tasks
             .iter()
@@ -75,13 +75,13 @@
         Heartbeat {
             machine: self.id.clone(),
             address: self.id.to_string(),
-            type_name: owned.map_or(DEFAULT_TYPE.into(), |o| o.type_name.clone()),
-            zone: owned.map_or(DEFAULT_ZONE.into(), |o| o.zone.clone()),
-            spot: owned.is_some_and(|o| o.spot),
+            type_name: rented.map_or(DEFAULT_TYPE.into(), |o| o.type_name.clone()),
+            zone: rented.map_or(DEFAULT_ZONE.into(), |o| o.zone.clone()),
+            spot: rented.is_some_and(|o| o.spot),
             agent_epoch: self.agent_epoch,
             sequence: self.sequence,
             token: self.token,
-            reclaim_notice_s: self.leaves_at.map(|at| at - now),
+            reclaim_notice_s: self.terminates_at.map(|at| at - now),
             tasks: tasks.collect(),
         }
     }
@@ -89,27 +89,27 @@
     /// Reports to the next controller after a pause.
     fn try_next_controller(&mut self, now: f64, controllers: usize) {
         self.node = (self.node + 1) % controllers;
-        self.next_heartbeat = now + RETRY_S;
+        self.next_heartbeat = now + RETRY_DELAY_S;
     }
 
     /// Ends its session: all tasks are gone, and the next heartbeat begins a new one.
     fn begin_session(&mut self, now: f64) {
         self.tasks.clear();
         self.agent_epoch += 1;
-        self.renewed = now;
+        self.lease_renewed_at = now;
         self.changed = true;
     }
 
     /// Whether its next heartbeat is due. Changes are reported sooner.
     fn heartbeat_is_due(&self, now: f64) -> bool {
-        let urgent = self.changed && now >= self.last_heartbeat + CHANGE_REPORT_S;
+        let urgent = self.changed && now >= self.last_heartbeat + MIN_CHANGE_REPORT_INTERVAL_S;
         self.in_flight.is_none() && (now >= self.next_heartbeat || urgent)
     }
 
     /// Takes a newer fencing token from an answered heartbeat.
     ///
     /// A new token is reported soon, but only once in half a lease.
-    fn take_token(&mut self, now: f64, token: FencingToken) {
+    fn update_token(&mut self, now: f64, token: FencingToken) {
         if token > self.token {
             self.token = token;
             if now - self.token_changed_at > LEASE_S / 2.0 {
@@ -137,20 +137,20 @@
         if self.cloud.get(machine).is_none() {
             return;
         }
-        self.cloud.up(machine, self.now);
+        self.cloud.mark_running(machine, self.now);
         let worker = Worker {
             id: machine.clone(),
             agent_epoch: 1,
             sequence: 0,
             token: FencingToken(0),
-            renewed: self.now,
+            lease_renewed_at: self.now,
             node: self.rng.random_range(0..self.nodes.len()),
             in_flight: None,
             next_heartbeat: self.now,
             last_heartbeat: self.now,
             changed: false,
             token_changed_at: f64::NEG_INFINITY,
-            leaves_at: None,
+            terminates_at: None,
             images: Vec::new(),
             hung_until: 0.0,
             tasks: BTreeMap::new(),
@@ -162,14 +162,14 @@
 
     fn schedule_turn(&mut self, id: &MachineId, delay: f64) {
         let machine = id.clone();
-        self.after(delay, Event::WorkerTurn { machine });
+        self.schedule_after(delay, Event::WorkerTurn { machine });
     }
 
     /// A machine receives notice that it will be taken away.
-    pub(super) fn notice(&mut self, machine: &MachineId, seconds: f64) {
+    pub(super) fn give_termination_notice(&mut self, machine: &MachineId, seconds: f64) {
         let now = self.now;
         if let Some(worker) = self.workers.get_mut(machine) {
-            worker.leaves_at = Some(now + seconds);
+            worker.terminates_at = Some(now + seconds);
             worker.changed = true;
         }
     }
@@ -180,14 +180,14 @@
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
-        if worker.leaves_at.is_some_and(|at| now >= at) {
+        if worker.terminates_at.is_some_and(|at| now >= at) {
             return self.remove_worker(id);
         }
-        if now - worker.renewed > LEASE_S {
+        if now - worker.lease_renewed_at > LEASE_S {
             // A worker that hangs past its lease could not have continued: its tasks do not count as lost.
             if now >= worker.hung_until {
                 let lost = worker.tasks.values().filter(|task| task.is_on_machine());
-                self.work.lost_with_leases += lost.count();
+                self.counters.lost_with_leases += lost.count();
             }
             worker.begin_session(now);
         }
@@ -196,20 +196,20 @@
             self.report_if_due(id);
         }
         if self.workers.contains_key(id) {
-            self.schedule_turn(id, TURN_S);
+            self.schedule_turn(id, TURN_INTERVAL_S);
         }
     }
 
     /// The machine of a worker is taken away after its notice.
     fn remove_worker(&mut self, id: &MachineId) {
         if let Some(worker) = self.workers.remove(id) {
-            self.users.starts_on_removed += worker.starts;
+            self.users.starts_on_removed_machines += worker.starts;
         }
         let machines = vec![id.clone()];
         let release = CloudCall::Release(MachineIds { machines });
         self.cloud.call(self.now, release);
         // The worker is removed already.
-        self.cloud.take_deleted();
+        self.cloud.take_released();
     }
 
     /// Sends a heartbeat if it is due, after giving up one that was not answered in time.
@@ -226,7 +226,7 @@
         if worker.heartbeat_is_due(now) {
             worker.changed = false;
             worker.last_heartbeat = now;
-            worker.next_heartbeat = now + REPORT_S * self.rng.random_range(0.75..1.25);
+            worker.next_heartbeat = now + HEARTBEAT_INTERVAL_S * self.rng.random_range(0.75..1.25);
             let heartbeat = worker.heartbeat(now, &self.cloud);
             let node = worker.node;
             worker.in_flight = Some((heartbeat.sequence, now));
@@ -242,7 +242,9 @@
             heartbeat: heartbeat.clone(),
             live,
         };
-        if self.network.has(Condition::ReplayToNextLeader) && self.rng.random_bool(RECORDED_PART) {
+        if self.network.has(Condition::ReplayToNextLeader)
+            && self.rng.random_bool(RECORDED_PROBABILITY)
+        {
             self.replay_buffer.push((id.clone(), heartbeat.clone()));
         }
         if self
@@ -252,20 +254,20 @@
             return;
         }
         if let Some(delay) = self.duplicate_delay() {
-            self.after(delay, event(&heartbeat, false));
+            self.schedule_after(delay, event(&heartbeat, false));
         }
         if self.network.passes(&me, &to) {
             let delay = self.latency();
-            self.after(delay, event(&heartbeat, true));
+            self.schedule_after(delay, event(&heartbeat, true));
             return;
         }
         if let Some(end) = self.network.held_until(&me, &to) {
-            self.at(end + HELD_DELIVERY_S, event(&heartbeat, false));
+            self.schedule_at(end + HELD_DELIVERY_S, event(&heartbeat, false));
         }
         if let Some(CutManner::Refused | CutManner::Reset) = self.network.cut_manner(&me, &to) {
             let (machine, number) = (id.clone(), heartbeat.sequence);
             let delay = self.latency();
-            self.after(
+            self.schedule_after(
                 delay,
                 Event::HeartbeatResponse {
                     machine,
@@ -277,7 +279,7 @@
     }
 
     /// A heartbeat is answered. Only the answer to the heartbeat in flight counts, and only in time.
-    pub(super) fn heartbeat_answered(
+    pub(super) fn receive_heartbeat_response(
         &mut self,
         id: &MachineId,
         number: u64,
@@ -298,7 +300,7 @@
                 status: 200,
                 body: Body::HeartbeatResponse(response),
                 ..
-            }) => self.take_response(id, sent, response),
+            }) => self.handle_response(id, sent, response),
             Some(Answer {
                 status: 421,
                 body: Body::Value(body),
@@ -313,17 +315,17 @@
     }
 
     /// An answered heartbeat renews the lease from the moment when it was sent, and its commands are executed.
-    fn take_response(&mut self, id: &MachineId, sent: f64, response: HeartbeatResponse) {
+    fn handle_response(&mut self, id: &MachineId, sent: f64, response: HeartbeatResponse) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(id) else {
             return;
         };
         // Answers to heartbeats of an earlier session are dropped.
-        if response.token < worker.token || sent < worker.renewed {
+        if response.token < worker.token || sent < worker.lease_renewed_at {
             return;
         }
-        worker.take_token(now, response.token);
-        worker.renewed = sent;
+        worker.update_token(now, response.token);
+        worker.lease_renewed_at = sent;
         for command in response.commands {
             self.execute(id, command);
         }
@@ -348,8 +350,11 @@
         };
         if now < worker.hung_until {
             // Executed when it continues, whether or not the sender still waits.
-            let (until, address) = (worker.hung_until + TURN_S * 1.5, address.to_owned());
-            return self.at(
+            let (until, address) = (
+                worker.hung_until + TURN_INTERVAL_S * 1.5,
+                address.to_owned(),
+            );
+            return self.schedule_at(
                 until,
                 Event::DirectCommands {
                     node,
