--- a/src/core/scheduling/forecast.rs
+++ b/src/core/scheduling/forecast.rs
@@ -98,7 +98,7 @@
 
     /// The jobs expected to arrive during one boot. For each class with a wait objective these are its latest
     /// jobs, as many as arrived per boot time on average.
-    pub fn expected_jobs(&self, config: &Config, boot_s: Time, now: Time) -> Vec<Rc<JobSpec>> {
+    pub fn expected_arrivals(&self, config: &Config, boot_s: Time, now: Time) -> Vec<Rc<JobSpec>> {
         let window_s = boot_s * HISTORY_BOOT_TIMES;
         let mut classes: BTreeMap<&str, Vec<&Rc<JobSpec>>> = BTreeMap::new();
         for Arrival { at, spec } in self.arrivals.iter().rev() {
--- a/src/core/scheduling/packing.rs
+++ b/src/core/scheduling/packing.rs
@@ -231,7 +231,7 @@
                 .any(|machine_type| machine_type.name == offer.type_name && machine_type.gpus > 0.0)
         };
         match kind {
-            _ if task.avoids_stranding_gpus && has_gpus() => false,
+            _ if task.must_keep_free_gpus_usable && has_gpus() => false,
             PlacementKind::Ordinary
             | PlacementKind::Opportunistic {
                 is_starved: true, ..
@@ -247,7 +247,7 @@
     need: Resources,
     avoided: &'a BTreeSet<MachineId>,
     urgency: Option<Priority>,
-    avoids_stranding_gpus: bool,
+    must_keep_free_gpus_usable: bool,
 }
 
 impl<'a> PlannedTask<'a> {
@@ -257,7 +257,7 @@
             need: Resources::of(&tasks.spec),
             avoided: &tasks.avoided,
             urgency: tasks.urgency,
-            avoids_stranding_gpus: tasks.avoids_stranding_gpus,
+            must_keep_free_gpus_usable: tasks.must_keep_free_gpus_usable,
         }
     }
 
@@ -274,7 +274,7 @@
 
     /// The candidate's free resources that the task may use.
     fn usable_resources(&self, candidate: &PackingCandidate) -> Resources {
-        if self.avoids_stranding_gpus {
+        if self.must_keep_free_gpus_usable {
             candidate.free.without_share_of_free_gpus(&candidate.total)
         } else {
             candidate.free
--- a/src/core/scheduling/packing/candidate.rs
+++ b/src/core/scheduling/packing/candidate.rs
@@ -24,32 +24,32 @@
     pub urgency: Option<Priority>,
     /// Whether the tasks avoid stranding GPUs. Such tasks do not use the CPUs and memory that free GPUs need,
     /// and no machines with GPUs are rented for them.
-    pub avoids_stranding_gpus: bool,
+    pub must_keep_free_gpus_usable: bool,
 }
 
 impl TaskDemand {
     /// Tasks of a job that is only forecast. The job has no tasks on any machine.
-    pub fn expected(types: &[MachineType], spec: Rc<JobSpec>, count: u32) -> Self {
-        let avoids_stranding_gpus = fits_without_gpus(types, &spec);
+    pub fn forecast(types: &[MachineType], spec: Rc<JobSpec>, count: u32) -> Self {
+        let must_keep_free_gpus_usable = fits_without_gpus(types, &spec);
         Self {
             spec,
             count,
             tasks_in_zone: BTreeMap::new(),
             avoided: BTreeSet::new(),
             urgency: None,
-            avoids_stranding_gpus,
+            must_keep_free_gpus_usable,
         }
     }
 
     /// Tasks of a job that are queued.
-    pub fn queued(job: &Job, count: u32, avoids_stranding_gpus: bool) -> Self {
+    pub fn queued(job: &Job, count: u32, must_keep_free_gpus_usable: bool) -> Self {
         Self {
             spec: job.spec.clone(),
             count,
             tasks_in_zone: job.zones.clone(),
             avoided: job.failures.avoided_machines().cloned().unwrap_or_default(),
             urgency: Some(job.priority),
-            avoids_stranding_gpus,
+            must_keep_free_gpus_usable,
         }
     }
 }
--- a/src/core/scheduling/packing/tests.rs
+++ b/src/core/scheduling/packing/tests.rs
@@ -43,7 +43,7 @@
         );
         let tasks = TaskDemand {
             avoided,
-            ..TaskDemand::expected(&types, service("chat", "x", 1.0), 1)
+            ..TaskDemand::forecast(&types, service("chat", "x", 1.0), 1)
         };
         plan.place(tasks, &mut demand);
         demand.machines_wanted()
@@ -60,7 +60,7 @@
         let mut plan = Plan::new(&types, &unavailable, Vec::new(), 4000);
         let mut demand = CapacityDemand::default();
         plan.place(
-            TaskDemand::expected(&types, service("chat", "x", 1.0), tasks),
+            TaskDemand::forecast(&types, service("chat", "x", 1.0), tasks),
             &mut demand,
         );
         demand.machines_wanted()
@@ -85,7 +85,7 @@
     let (mut demand, mut rentals) = (CapacityDemand::default(), 5);
     let mut job = (*service("chat", "x", 1.0)).clone();
     (job.spread, job.spot, job.tasks) = (true, true, 4);
-    let tasks = TaskDemand::expected(&types, job.into(), 4);
+    let tasks = TaskDemand::forecast(&types, job.into(), 4);
     plan.place_opportunistic(tasks, false, &mut rentals, &mut demand);
     assert_eq!(
         demand.machines_wanted(),
@@ -122,7 +122,7 @@
             Plan::new(types, unavailable, vec![candidate], 10),
             CapacityDemand::default(),
         );
-        plan.place(TaskDemand::expected(types, job.clone(), 1), &mut demand);
+        plan.place(TaskDemand::forecast(types, job.clone(), 1), &mut demand);
         demand.machine_demands
     };
     let none_unavailable = BTreeSet::new();
--- a/src/core/shard/capacity_planning.rs
+++ b/src/core/shard/capacity_planning.rs
@@ -139,15 +139,15 @@
         for tasks in work.ordinary {
             plan.place(tasks, demand);
         }
-        let soon_ready = self.soon_ready_jobs(store, usage, types, now);
-        let nothing_soon_ready = soon_ready.demands.is_empty();
-        for (machine, released) in &soon_ready.released {
+        let upcoming_dependents = self.upcoming_dependents(store, usage, types, now);
+        let has_no_upcoming_dependents = upcoming_dependents.demands.is_empty();
+        for (machine, released) in &upcoming_dependents.released {
             plan.add_released(machine, released);
         }
-        for tasks in soon_ready.demands {
+        for tasks in upcoming_dependents.demands {
             plan.place(tasks, demand);
         }
-        if demand.machine_demands.is_empty() && demand.queued == 0.0 && nothing_soon_ready {
+        if demand.machine_demands.is_empty() && demand.queued == 0.0 && has_no_upcoming_dependents {
             self.consolidate(plan.candidates(), catalog, now);
         }
         self.plan_opportunistic(&mut plan, work.opportunistic, types, demand);
@@ -218,9 +218,9 @@
             let need = job.need();
             let count = usage.tasks_within_limit(team_limits, &need, job.waiting().len());
             usage.add_tasks(&team_limits.name, &need, count);
-            let avoids_stranding_gpus = self.avoids_stranding_gpus(&id, catalog, now);
+            let must_keep_free_gpus_usable = self.must_keep_free_gpus_usable(&id, catalog, now);
             let count = u32::try_from(count).unwrap_or(u32::MAX);
-            let tasks = TaskDemand::queued(job, count, avoids_stranding_gpus);
+            let tasks = TaskDemand::queued(job, count, must_keep_free_gpus_usable);
             if job.is_opportunistic(&self.config) {
                 work.opportunistic.push(OpportunisticDemand {
                     job: id,
@@ -232,9 +232,9 @@
             }
         }
         let boot_s = longest_boot_s(types);
-        for spec in self.forecast.expected_jobs(&self.config, boot_s, now) {
+        for spec in self.forecast.expected_arrivals(&self.config, boot_s, now) {
             let count = spec.tasks;
-            work.ordinary.push(TaskDemand::expected(types, spec, count));
+            work.ordinary.push(TaskDemand::forecast(types, spec, count));
         }
         work
     }
--- a/src/core/shard/mod.rs
+++ b/src/core/shard/mod.rs
@@ -21,8 +21,8 @@
 pub mod round;
 pub mod shard_log;
 pub mod sibling_updates;
-pub mod soon_ready;
 pub mod tracking;
+pub mod upcoming_dependents;
 pub mod usage;
 
 use crate::config::Config;
--- a/src/core/shard/opportunistic/tests.rs
+++ b/src/core/shard/opportunistic/tests.rs
@@ -45,7 +45,7 @@
     if starved {
         rental_budget = rental_budget.max(1);
     }
-    let tasks = TaskDemand::expected(&types, spec.clone(), spec.tasks);
+    let tasks = TaskDemand::forecast(&types, spec.clone(), spec.tasks);
     plan.place_opportunistic(tasks, starved, &mut rental_budget, &mut demand);
     demand
 }
@@ -147,13 +147,13 @@
         CapacityDemand::default(),
     );
     plan.place(
-        TaskDemand::expected(&types, service("chat", "x", 1.0), 2),
+        TaskDemand::forecast(&types, service("chat", "x", 1.0), 2),
         &mut demand,
     );
     assert_eq!(demand.machines_wanted(), 0);
     // Further opportunistic tasks may not use the same resources.
     plan.reserve_opportunistic();
-    let tasks = TaskDemand::expected(&types, opportunistic_array(30.0), 1);
+    let tasks = TaskDemand::forecast(&types, opportunistic_array(30.0), 1);
     plan.place_opportunistic(tasks, false, &mut 1, &mut demand);
     assert_eq!(demand.machines_wanted(), 1);
 }
--- a/src/core/shard/preemption.rs
+++ b/src/core/shard/preemption.rs
@@ -35,8 +35,8 @@
     pub(crate) job: &'a JobId,
     /// Number of tasks without a machine.
     pub(crate) tasks: usize,
-    /// See [`Shard::avoids_stranding_gpus`].
-    pub(crate) avoids_stranding_gpus: bool,
+    /// See [`Shard::must_keep_free_gpus_usable`].
+    pub(crate) must_keep_free_gpus_usable: bool,
 }
 
 /// Chooses the attempts to stop for tasks that found no machine. The resources that the stops will release
@@ -93,7 +93,7 @@
     /// Other teams that use more than their guaranteed quota. Empty if the job itself is beyond its team's
     /// guarantee.
     teams_beyond_guarantee: Vec<&'a Team>,
-    avoids_stranding_gpus: bool,
+    must_keep_free_gpus_usable: bool,
     now: Time,
 }
 
@@ -116,7 +116,7 @@
             job,
             need: job.need(),
             teams_beyond_guarantee,
-            avoids_stranding_gpus: unplaced.avoids_stranding_gpus,
+            must_keep_free_gpus_usable: unplaced.must_keep_free_gpus_usable,
             now,
         })
     }
@@ -153,9 +153,9 @@
 
     /// Whether one more task could run on the machine if the machine were empty.
     fn is_eligible(&self, snapshot: &MachineSnapshot, tasks_in_zone: &BTreeMap<Zone, u32>) -> bool {
-        let would_strand_gpus = self.avoids_stranding_gpus && snapshot.total.gpus > 0.0;
+        let is_excluded_gpu_machine = self.must_keep_free_gpus_usable && snapshot.total.gpus > 0.0;
         !snapshot.is_reserved()
-            && !would_strand_gpus
+            && !is_excluded_gpu_machine
             && snapshot.total.holds(&self.need)
             && snapshot.is_allowed_for(&self.job.spec)
             && self.job.zone_allows(&snapshot.zone, tasks_in_zone)
--- a/src/core/shard/round.rs
+++ b/src/core/shard/round.rs
@@ -29,8 +29,8 @@
 struct RoundContext {
     /// See [`Shard::expects_first_heartbeats`].
     expects_first_heartbeats: bool,
-    /// See [`Shard::avoids_stranding_gpus`].
-    avoids_stranding_gpus: bool,
+    /// See [`Shard::must_keep_free_gpus_usable`].
+    must_keep_free_gpus_usable: bool,
     now: Time,
 }
 
@@ -73,7 +73,7 @@
         for id in self.queued_jobs(usage, now) {
             let round = RoundContext {
                 expects_first_heartbeats,
-                avoids_stranding_gpus: self.avoids_stranding_gpus(&id, catalog, now),
+                must_keep_free_gpus_usable: self.must_keep_free_gpus_usable(&id, catalog, now),
                 now,
             };
             starts += self.schedule_job(&id, &mut snapshots, usage, round);
@@ -88,7 +88,12 @@
     /// need. This holds for tasks that need no GPUs and can run on machines without GPUs. It does not hold
     /// once the job has waited longer than `cancel_s` for a machine, nor for opportunistic jobs, because any
     /// other work preempts these.
-    pub(crate) fn avoids_stranding_gpus(&self, id: &JobId, catalog: &Catalog, now: Time) -> bool {
+    pub(crate) fn must_keep_free_gpus_usable(
+        &self,
+        id: &JobId,
+        catalog: &Catalog,
+        now: Time,
+    ) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
@@ -190,7 +195,7 @@
             tasks: wanted,
             is_gang: startable.is_gang,
             respects_image_reservations: !job.has_started,
-            avoids_stranding_gpus: round.avoids_stranding_gpus,
+            must_keep_free_gpus_usable: round.must_keep_free_gpus_usable,
         };
         let mut chosen = self.choose_machines(job, request, snapshots, round.now);
         if chosen.len() < wanted && !job.is_opportunistic(&self.config) {
@@ -313,7 +318,7 @@
         let unplaced_tasks = UnplacedTasks {
             job: id,
             tasks: unplaced,
-            avoids_stranding_gpus: round.avoids_stranding_gpus,
+            must_keep_free_gpus_usable: round.must_keep_free_gpus_usable,
         };
         let preemptions =
             preemption::choose_preemptions(self, &unplaced_tasks, snapshots, usage, round.now);
--- a/src/core/shard/round/machine_choice.rs
+++ b/src/core/shard/round/machine_choice.rs
@@ -27,7 +27,7 @@
     /// Whether the tasks must not use resources that are reserved for other images.
     pub(super) respects_image_reservations: bool,
     /// Whether the tasks must not use the CPUs and memory that the machine's free GPUs need.
-    pub(super) avoids_stranding_gpus: bool,
+    pub(super) must_keep_free_gpus_usable: bool,
 }
 
 /// A machine on which tasks of the job may be placed.
@@ -156,7 +156,7 @@
         let spec = &job.spec;
         let spot_only = should_use_spot_only(job, request.tasks, snapshots);
         let is_eligible = |snapshot: &MachineSnapshot| {
-            let free = snapshot.usable_resources(snapshot.free, request.avoids_stranding_gpus);
+            let free = snapshot.usable_resources(snapshot.free, request.must_keep_free_gpus_usable);
             !snapshot.is_reserved
                 && free.holds(&job.need())
                 && (snapshot.spot || !spot_only)
@@ -180,7 +180,7 @@
                 EligibleMachine {
                     index,
                     snapshot,
-                    free: snapshot.usable_resources(unreserved, request.avoids_stranding_gpus),
+                    free: snapshot.usable_resources(unreserved, request.must_keep_free_gpus_usable),
                     ready_in: self.ready_in(&snapshot.id, &spec.image, spec.image_gb, now),
                 }
             })
--- a/src/core/shard/round/snapshot.rs
+++ b/src/core/shard/round/snapshot.rs
@@ -63,9 +63,9 @@
     pub(super) fn usable_resources(
         &self,
         free: Resources,
-        avoids_stranding_gpus: bool,
+        must_keep_free_gpus_usable: bool,
     ) -> Resources {
-        if avoids_stranding_gpus {
+        if must_keep_free_gpus_usable {
             free.without_share_of_free_gpus(&self.total)
         } else {
             free
--- a/src/core/shard/soon_ready.rs
+++ b/src/core/shard/upcoming_dependents.rs
@@ -19,7 +19,7 @@
 
 /// Demand of the jobs that will soon be ready, and the resources that will be released by then.
 #[derive(Default)]
-pub(crate) struct SoonReadyJobs {
+pub(crate) struct UpcomingDependents {
     /// Tasks of these jobs that fit within their teams' limits, one entry for each job.
     pub(crate) demands: Vec<TaskDemand>,
     /// Resources that their dependencies will release, by machine; empty if there is no demand.
@@ -28,13 +28,13 @@
 
 impl Shard {
     /// The jobs that are expected to become ready within the longest boot time of any machine type.
-    pub(crate) fn soon_ready_jobs(
+    pub(crate) fn upcoming_dependents(
         &self,
         store: &StoreReplica,
         mut usage: Usage,
         types: &[MachineType],
         now: Time,
-    ) -> SoonReadyJobs {
+    ) -> UpcomingDependents {
         let ending_jobs = self.jobs_ending_by(now + longest_boot_s(types));
         let mut demands = Vec::new();
         for spec in self.jobs_ready_after(store, &ending_jobs) {
@@ -45,12 +45,12 @@
             let count = usage.tasks_within_limit(team_limits, &need, spec.tasks as usize);
             usage.add_tasks(&team_limits.name, &need, count);
             let count = u32::try_from(count).unwrap_or(u32::MAX);
-            demands.push(TaskDemand::expected(types, spec, count));
+            demands.push(TaskDemand::forecast(types, spec, count));
         }
         if demands.is_empty() {
-            return SoonReadyJobs::default();
+            return UpcomingDependents::default();
         }
-        SoonReadyJobs {
+        UpcomingDependents {
             demands,
             released: self.resources_held_by(&ending_jobs),
         }
@@ -58,7 +58,7 @@
 
     /// Jobs whose unfinished tasks are all running and expected to end by the given time.
     fn jobs_ending_by(&self, by: Time) -> BTreeSet<&JobId> {
-        let last_end = self.expected_ends();
+        let last_end = self.expected_end_times();
         let is_ending = |id: &JobId, job: &Job| {
             job.spec.kind != JobKind::Service
                 && job.waiting().is_empty()
@@ -74,7 +74,7 @@
 
     /// The time at which the last live attempt of each job is expected to end; infinity if one of its
     /// attempts has not begun to run.
-    fn expected_ends(&self) -> BTreeMap<&JobId, Time> {
+    fn expected_end_times(&self) -> BTreeMap<&JobId, Time> {
         let mut last_end: BTreeMap<&JobId, Time> = BTreeMap::new();
         for ((task, _), tracked) in self.machines.values().flat_map(|machine| &machine.attempts) {
             if tracked.exited() {
--- a/src/core/shard/soon_ready/tests.rs
+++ b/src/core/shard/upcoming_dependents/tests.rs
@@ -87,7 +87,7 @@
             .insert((TaskId { job: id, index }, Attempt(1)), tracked);
     }
 
-    fn soon_ready(&mut self, now: Time) -> SoonReadyJobs {
+    fn upcoming_dependents(&mut self, now: Time) -> UpcomingDependents {
         self.outbox.begin_step(now, 0);
         let types: Vec<_> = machine_types()
             .into_iter()
@@ -97,7 +97,7 @@
             })
             .collect();
         self.shard
-            .soon_ready_jobs(&self.store, Usage::default(), &types, now)
+            .upcoming_dependents(&self.store, Usage::default(), &types, now)
     }
 }
 
@@ -112,29 +112,29 @@
     fixture.accept(record(4, 7, &[3]), 4);
     fixture.run(1, 0, Some(0.0));
     assert!(
-        fixture.soon_ready(20.0).demands.is_empty(),
+        fixture.upcoming_dependents(20.0).demands.is_empty(),
         "one of its tasks waits"
     );
     fixture.run(1, 1, None);
     fixture.run(2, 0, Some(0.0));
     assert!(
-        fixture.soon_ready(20.0).demands.is_empty(),
+        fixture.upcoming_dependents(20.0).demands.is_empty(),
         "one of its tasks fetches its image"
     );
     fixture.run(1, 1, Some(8.0));
     assert!(
-        fixture.soon_ready(17.0).demands.is_empty(),
+        fixture.upcoming_dependents(17.0).demands.is_empty(),
         "more than a boot away"
     );
-    let soon_ready = fixture.soon_ready(18.0);
+    let upcoming_dependents = fixture.upcoming_dependents(18.0);
     assert_eq!(
-        soon_ready.demands.len(),
+        upcoming_dependents.demands.len(),
         1,
         "not the dependents of dependents"
     );
-    assert_eq!(soon_ready.demands[0].count, 5);
+    assert_eq!(upcoming_dependents.demands[0].count, 5);
     assert_eq!(
-        soon_ready.released[0].1.cpus, 3.0,
+        upcoming_dependents.released[0].1.cpus, 3.0,
         "the resources that the dependencies release"
     );
 }
@@ -148,10 +148,10 @@
     fixture.accept(record(3, 5, &[1, 2]), 3);
     fixture.run(1, 0, Some(0.0));
     fixture.run(2, 0, Some(0.0));
-    assert_eq!(fixture.soon_ready(20.0).demands.len(), 1);
+    assert_eq!(fixture.upcoming_dependents(20.0).demands.len(), 1);
     let removed_job = fixture.shard.jobs.remove(&JobId::from("req-000002"));
     assert!(
-        fixture.soon_ready(20.0).demands.is_empty(),
+        fixture.upcoming_dependents(20.0).demands.is_empty(),
         "a dependency runs in another shard"
     );
     fixture
@@ -161,7 +161,7 @@
     let (id, cancelled) = record(2, 1, &[]);
     fixture.accept((id, cancelled.to_cancelled(1)), 5);
     assert!(
-        fixture.soon_ready(20.0).demands.is_empty(),
+        fixture.upcoming_dependents(20.0).demands.is_empty(),
         "cancelled with its dependency"
     );
 }
