--- a/src/core/scheduling/forecast.rs
+++ b/src/core/scheduling/forecast.rs
@@ -11,8 +11,8 @@
 /// Arrivals are averaged over this many boot times.
 const HISTORY_BOOT_TIMES: f64 = 3.0;
 
-/// The history holds the arrivals of this many times `cancel_s` at the highest possible rate. Each arrival
-/// takes a write to the state service, so the write rate bounds the arrival rate.
+/// The history has room for all arrivals during this many periods of `cancel_s` at the highest possible rate.
+/// Each arrival takes a write to the state service, so the write rate bounds the arrival rate.
 const HISTORY_CANCEL_TIMES: f64 = 4.0;
 
 /// Recent submissions of jobs, from which demand is forecast.
@@ -96,8 +96,8 @@
         images
     }
 
-    /// The jobs expected to arrive during one boot. For each class with a wait objective these are its latest
-    /// jobs, as many as arrived per boot time on average.
+    /// The jobs that are expected to arrive during one boot. For each class with a wait objective these are
+    /// its latest jobs, as many as arrived per boot time on average.
     pub fn expected_arrivals(&self, config: &Config, boot_s: Time, now: Time) -> Vec<Rc<JobSpec>> {
         let window_s = boot_s * HISTORY_BOOT_TIMES;
         let mut classes: BTreeMap<&str, Vec<&Rc<JobSpec>>> = BTreeMap::new();
@@ -106,12 +106,12 @@
                 classes.entry(&spec.class).or_default().push(spec);
             }
         }
-        let mut expected = Vec::new();
+        let mut expected_specs = Vec::new();
         for recent in classes.values() {
             let count = arrivals_per_boot(recent.len());
-            expected.extend(recent.iter().take(count).map(|spec| (*spec).clone()));
+            expected_specs.extend(recent.iter().take(count).map(|spec| (*spec).clone()));
         }
-        expected
+        expected_specs
     }
 }
 
--- a/src/core/scheduling/packing.rs
+++ b/src/core/scheduling/packing.rs
@@ -86,19 +86,19 @@
         self.place_tasks(&tasks, PlacementKind::Ordinary, demand);
     }
 
-    /// Places tasks of an opportunistic job. Adds at most `rentals` machines to `demand` for the tasks that
-    /// do not fit, and subtracts their number from `rentals`. Unless the job is starved, these machines are
-    /// cost-effective.
+    /// Places tasks of an opportunistic job. Adds at most `rental_budget` machines to `demand` for the tasks
+    /// that do not fit, and subtracts their number from `rental_budget`. Unless the job is starved, these
+    /// machines are cost-effective.
     pub fn place_opportunistic(
         &mut self,
         tasks: TaskDemand,
         is_starved: bool,
-        rentals: &mut u32,
+        rental_budget: &mut u32,
         demand: &mut CapacityDemand,
     ) {
         let kind = PlacementKind::Opportunistic {
             is_starved,
-            rentals,
+            rental_budget,
         };
         self.place_tasks(&tasks, kind, demand);
     }
@@ -156,7 +156,7 @@
         task: &PlannedTask,
         accepts_zone: &dyn Fn(&Zone) -> bool,
     ) -> Option<&mut PackingCandidate> {
-        let leftover = |candidate: &PackingCandidate| candidate.free.minus(&task.need);
+        let remaining = |candidate: &PackingCandidate| candidate.free.minus(&task.need);
         let is_needlessly_on_demand =
             |candidate: &PackingCandidate| task.spec.spot && !candidate.offer.spot;
         self.candidates
@@ -164,12 +164,12 @@
             .iter_mut()
             .filter(|candidate| task.fits_on(candidate) && accepts_zone(&candidate.offer.zone))
             .min_by(|one, other| {
-                let (one_left, other_left) = (leftover(one), leftover(other));
+                let (one_remaining, other_remaining) = (remaining(one), remaining(other));
                 (is_needlessly_on_demand(one).cmp(&is_needlessly_on_demand(other)))
                     .then(other.is_in_use.cmp(&one.is_in_use))
                     .then(one.is_draining.cmp(&other.is_draining))
-                    .then(one_left.gpus.total_cmp(&other_left.gpus))
-                    .then(one_left.cpus.total_cmp(&other_left.cpus))
+                    .then(one_remaining.gpus.total_cmp(&other_remaining.gpus))
+                    .then(one_remaining.cpus.total_cmp(&other_remaining.cpus))
             })
     }
 
@@ -217,8 +217,8 @@
         Some(zone)
     }
 
-    /// Whether an offer that can run the task is worth renting. No GPU machine is rented for a task that
-    /// avoids stranding GPUs, and only cost-effective ones for an opportunistic job that is not starved.
+    /// Whether an offer that can run the task is worth renting. No GPU machine is rented for a task that must
+    /// keep free GPUs usable, and only cost-effective machines for an opportunistic job that is not starved.
     fn is_worthwhile(
         &self,
         offer: &MachineOffer,
@@ -290,8 +290,8 @@
     Opportunistic {
         /// Whether the job has waited so long that any machine may be rented for it.
         is_starved: bool,
-        /// Machines that may still be rented.
-        rentals: &'r mut u32,
+        /// Number of machines that may still be rented.
+        rental_budget: &'r mut u32,
     },
 }
 
@@ -313,7 +313,7 @@
     fn may_rent(&self, demand: &CapacityDemand, max_machines_wanted: u32) -> bool {
         match self {
             Self::Ordinary => demand.machines_wanted() < max_machines_wanted,
-            Self::Opportunistic { rentals, .. } => **rentals > 0,
+            Self::Opportunistic { rental_budget, .. } => **rental_budget > 0,
         }
     }
 
@@ -321,8 +321,8 @@
     fn count_rental(&mut self) -> bool {
         match self {
             Self::Ordinary => false,
-            Self::Opportunistic { rentals, .. } => {
-                **rentals -= 1;
+            Self::Opportunistic { rental_budget, .. } => {
+                **rental_budget -= 1;
                 true
             }
         }
--- a/src/core/scheduling/packing/candidate.rs
+++ b/src/core/scheduling/packing/candidate.rs
@@ -20,15 +20,16 @@
     pub tasks_in_zone: BTreeMap<Zone, u32>,
     /// Machines that the job avoids. A plan that placed tasks there would never demand another machine.
     pub avoided: BTreeSet<MachineId>,
-    /// Priority of a job that is queued; `None` if it is only forecast.
+    /// Priority of a job that is queued; `None` if the job is only expected to be queued soon.
     pub urgency: Option<Priority>,
-    /// Whether the tasks avoid stranding GPUs. Such tasks do not use the CPUs and memory that free GPUs need,
-    /// and no machines with GPUs are rented for them.
+    /// Whether the tasks must keep free GPUs usable. Such tasks do not use the CPUs and memory that belong to
+    /// a machine's free GPUs, and no machines with GPUs are rented for them.
     pub must_keep_free_gpus_usable: bool,
 }
 
 impl TaskDemand {
-    /// Tasks of a job that is only forecast. The job has no tasks on any machine.
+    /// Tasks of a job that is expected to be queued soon: it is likely to be submitted, or its dependencies
+    /// are about to end. The job has no tasks on any machine.
     pub fn forecast(types: &[MachineType], spec: Rc<JobSpec>, count: u32) -> Self {
         let must_keep_free_gpus_usable = fits_without_gpus(types, &spec);
         Self {
--- a/src/core/scheduling/placement.rs
+++ b/src/core/scheduling/placement.rs
@@ -3,8 +3,9 @@
 //! fractions of its CPUs and memory. The functions choose a candidate and change nothing.
 //!
 //! The GPUs of a machine cannot be used without its CPUs and memory, so a task without GPUs that takes
-//! these can strand the GPUs. If machines without GPUs can be rented, a GPU machine therefore offers such a
-//! task only the CPUs and memory that its free GPUs do not need ([`Resources::without_share_of_free_gpus`]).
+//! these can make free GPUs unusable. If a machine type without GPUs can hold such a task, a GPU machine
+//! therefore offers it only the CPUs and memory that do not belong to its free GPUs
+//! ([`Resources::without_share_of_free_gpus`]).
 
 use crate::core::model::resources::Resources;
 use crate::core::model::time::Time;
@@ -47,8 +48,8 @@
 pub enum LateStartPolicy {
     /// The machine that is left with the least free resources.
     BestFit,
-    /// The machine that is left with the most free resources. Further tasks with the same image can then
-    /// start in time on this machine, which has to fetch it.
+    /// The machine that is left with the most free resources. It has to fetch the image, and further
+    /// tasks with the same image can then start there without another fetch.
     WorstFit,
 }
 
@@ -81,8 +82,8 @@
         .enumerate()
         .filter(|(_, candidate)| suffices(candidate))
         .min_by(|(_, first), (_, second)| {
-            let first = Leftover::of(first, need, weights);
-            let second = Leftover::of(second, need, weights);
+            let first = RemainingResources::of(first, need, weights);
+            let second = RemainingResources::of(second, need, weights);
             if worst_fit {
                 second.total_cmp(&first)
             } else {
@@ -92,21 +93,21 @@
         .map(|(index, _)| index)
 }
 
-/// Resources that a placement would leave free on a machine, by which candidates are ordered.
-struct Leftover {
+/// The free resources that remain on a machine after the placement, by which candidates are ordered.
+struct RemainingResources {
     gpus: f64,
     /// Weighted sum of the free fractions of CPUs and memory.
     weighted_fraction: f64,
 }
 
-impl Leftover {
+impl RemainingResources {
     fn of(candidate: &Candidate, need: &Resources, weights: Weights) -> Self {
-        let left = candidate.free.minus(need);
-        let fraction = |left: f64, total: f64| if total > 0.0 { left / total } else { 0.0 };
-        let weighted_fraction = weights.cpu * fraction(left.cpus, candidate.total.cpus)
-            + weights.memory * fraction(left.memory_gb, candidate.total.memory_gb);
+        let remaining = candidate.free.minus(need);
+        let fraction = |free: f64, total: f64| if total > 0.0 { free / total } else { 0.0 };
+        let weighted_fraction = weights.cpu * fraction(remaining.cpus, candidate.total.cpus)
+            + weights.memory * fraction(remaining.memory_gb, candidate.total.memory_gb);
         Self {
-            gpus: left.gpus,
+            gpus: remaining.gpus,
             weighted_fraction,
         }
     }
--- a/src/core/scheduling/placement/tests.rs
+++ b/src/core/scheduling/placement/tests.rs
@@ -80,8 +80,8 @@
     );
 }
 
-/// Services without GPUs that take the CPUs of GPU machines strand the GPUs, and others are rented in their
-/// place. In one case a ninth of the GPUs was stranded.
+/// Services without GPUs that take the CPUs of GPU machines make the GPUs unusable, and other GPU machines
+/// are rented in their place. In one case a ninth of the GPUs was unusable.
 #[test]
 fn free_gpus_keep_their_share_of_cpus_and_memory() {
     let total = Resources {
--- a/src/core/scheduling/usage.rs
+++ b/src/core/scheduling/usage.rs
@@ -54,7 +54,7 @@
     own: QuotaUnits,
     /// The grant, which `own` must not exceed; `None` if no grant applies.
     granted: Option<Amount>,
-    /// The highest amount of the grant while other holders keep theirs; `None` if no grant applies.
+    /// The most that can be granted while other holders keep their grants; `None` if no grant applies.
     grantable: Option<Amount>,
     /// Resources of tasks that the limit allows and that wait for a larger grant.
     blocked: QuotaUnits,
@@ -88,19 +88,19 @@
         self.granted = Some(own);
         self.grantable = Some(limit.amount().minus(outstanding).max(&own));
         let (cpus, gpus) = outstanding.cpus_and_gpus();
-        let inherited = |counted: f64, granted: f64, is_limited: bool| match is_limited {
+        let count_inherited = |counted: f64, granted: f64, is_limited: bool| match is_limited {
             true if is_unknown => granted,
             true => counted.min(granted),
             false => counted,
         };
         let limited = limit.amount();
         let inherited = QuotaUnits {
-            cpus: inherited(
+            cpus: count_inherited(
                 self.total.cpus - self.own.cpus,
                 cpus,
                 limited.cpu_thousandths > 0,
             ),
-            gpus: inherited(
+            gpus: count_inherited(
                 self.total.gpus - self.own.gpus,
                 gpus,
                 limited.gpu_thousandths > 0,
--- a/src/core/shard/capacity_planning.rs
+++ b/src/core/shard/capacity_planning.rs
@@ -39,7 +39,7 @@
 const PLANS_PER_LEASE: f64 = 10.0;
 
 /// The maximum number of machines that a shard demands at once: as many as the cloud's API allows to be
-/// requested within `cancel_s`. A shard that has to grow several times over must be able to demand all
+/// requested within `cancel_s`. A shard that has to grow to several times its size must be able to demand all
 /// machines at once, because each further round of demand costs its users a boot time.
 #[expect(
     clippy::cast_possible_truncation,
--- a/src/core/shard/consolidation.rs
+++ b/src/core/shard/consolidation.rs
@@ -1,8 +1,8 @@
 //! Consolidation of service replicas. After some services have ended, the remaining replicas occupy machines
-//! that are otherwise nearly empty. If no task waits and the plan demands no machines, the replicas of one
-//! machine at a time move to machines that have their images cached, where they restart at once. The emptied
-//! machine can then run tasks that need a whole machine, or is returned to the cloud. The move is a drain,
-//! which the protocol allows.
+//! that are otherwise nearly empty. If only opportunistic tasks wait, no dependent job is about to become
+//! ready and the plan demands no machines, the replicas of one machine at a time move to machines that have
+//! their images cached, where they restart at once. The emptied machine can then run tasks that need a whole
+//! machine, or is returned to the cloud. The protocol allows such moves: they are drains of a machine.
 
 use crate::core::jobs::job::{Job, zone_allows};
 use crate::core::machines::machine::{Machine, Phase, TrackedAttempt};
@@ -126,7 +126,7 @@
         match job.spec.kind {
             JobKind::Array => Movability::RunsToCompletion,
             JobKind::Gang => Movability::Pinned,
-            // Few machines have such an image cached, and the service would lack the replica during a fetch.
+            // Few machines have such an image cached, and the replica would be down during a fetch.
             JobKind::Service if needs_cached_image(&self.config, types, &job.spec) => {
                 Movability::Pinned
             }
@@ -156,8 +156,8 @@
         let Some(source_machine) = self.machines.get(&source.id) else {
             return false;
         };
-        // Resources of opportunistic tasks do not count as free: the service would lack the replica until
-        // these tasks have stopped.
+        // Resources of opportunistic tasks do not count as free: the replica would be down until these tasks
+        // have stopped.
         let mut targets: Vec<Target> = candidates
             .iter()
             .map(|candidate| Target {
--- a/src/core/shard/opportunistic.rs
+++ b/src/core/shard/opportunistic.rs
@@ -26,8 +26,8 @@
         kept
     }
 
-    /// Stops the opportunistic tasks of a machine that is to be returned. Tasks that cannot write a
-    /// checkpoint run to completion.
+    /// Stops the tasks of a machine that is to be returned and runs only opportunistic tasks. Tasks that
+    /// cannot write a checkpoint run to completion.
     pub(crate) fn stop_opportunistic_tasks(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get(id) else {
             return;
--- a/src/core/shard/preemption.rs
+++ b/src/core/shard/preemption.rs
@@ -180,7 +180,7 @@
     }
 
     /// Whether the attempt may be preempted: it has a lower priority, or its team uses more than its
-    /// guaranteed quota. Services are never preempted for the second reason.
+    /// guaranteed quota. The second reason applies only to jobs of this shard that are not services.
     fn may_preempt(&self, task: &TaskId, tracked: &TrackedAttempt) -> bool {
         if tracked.exited() || tracked.stop.is_some() || task.job == *self.job_id {
             return false;
@@ -285,7 +285,7 @@
     };
     let run_time = tracked.started_at.map_or(0.0, |started| now - started);
     let (cost, grace_s) = match job.spec.kind {
-        // The service lacks a stopped replica until another one is running.
+        // The service runs with one replica fewer until another one is running.
         JobKind::Service => {
             let cancel_s = shard.config.deployment.workers.cancel_s;
             (run_time.min(cancel_s) + REPLICA_BASE_LOSS_S, 0.0)
--- a/src/core/shard/round.rs
+++ b/src/core/shard/round.rs
@@ -21,7 +21,8 @@
 use crate::wire::JobSpec;
 use std::rc::Rc;
 
-/// Maximum number of task starts in one round; the next round follows at once.
+/// Maximum number of tasks of one job that a round starts. A round also ends once it has started this many
+/// tasks in all; the next round then follows at once.
 const MAX_STARTS_PER_ROUND: usize = 200;
 
 /// Conditions under which a round places one job.
@@ -84,10 +85,10 @@
         }
     }
 
-    /// Whether a job's tasks must leave free the CPUs and memory that tasks on the machine's free GPUs would
-    /// need. This holds for tasks that need no GPUs and can run on machines without GPUs. It does not hold
-    /// once the job has waited longer than `cancel_s` for a machine, nor for opportunistic jobs, because any
-    /// other work preempts these.
+    /// Whether a job's tasks must leave unused the CPUs and memory without which the machine's free GPUs
+    /// could not be used. This holds for tasks that need no GPUs and can run on machines without GPUs. It does
+    /// not hold once the job has waited longer than `cancel_s` for a machine, nor for opportunistic jobs,
+    /// because any other work preempts these.
     pub(crate) fn must_keep_free_gpus_usable(
         &self,
         id: &JobId,
@@ -179,9 +180,9 @@
         })
     }
 
-    /// Chooses machines for the tasks. Resources reserved for other images are used only if the other free
-    /// resources do not suffice or if the job was interrupted. An interrupted job is down now, whereas the
-    /// tasks for which resources are reserved may never arrive.
+    /// Chooses machines for the tasks. A job that was interrupted may use resources reserved for other
+    /// images: it is down now, whereas the tasks for which resources are reserved may never arrive. Any other
+    /// job uses them only if the remaining free resources do not suffice, and never if it is opportunistic.
     fn choose_machines_for_job(
         &self,
         id: &JobId,
--- a/src/core/shard/round/machine_choice.rs
+++ b/src/core/shard/round/machine_choice.rs
@@ -11,7 +11,8 @@
 use crate::wire::{JobKind, JobSpec};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An image shares the machine's fetch rate if it is ready later than its fetch time alone times this factor.
+/// A fetch shares the machine's fetch rate with others if the image is ready later than this multiple of the
+/// time that its fetch alone would take.
 const UNSHARED_FETCH_FACTOR: f64 = 1.1;
 
 /// Number of heartbeat intervals within which a machine should send the first heartbeat to its owner.
@@ -26,7 +27,7 @@
     pub(super) is_gang: bool,
     /// Whether the tasks must not use resources that are reserved for other images.
     pub(super) respects_image_reservations: bool,
-    /// Whether the tasks must not use the CPUs and memory that the machine's free GPUs need.
+    /// See [`Shard::must_keep_free_gpus_usable`].
     pub(super) must_keep_free_gpus_usable: bool,
 }
 
@@ -73,7 +74,8 @@
         }
     }
 
-    /// Chooses machines in the zone that fits the most tasks, and the first such zone by name.
+    /// Chooses machines in the zone that fits the most tasks. Of several such zones, the first by name is
+    /// chosen.
     fn choose_in_best_zone(
         &self,
         job: &Job,
@@ -135,7 +137,8 @@
         chosen
     }
 
-    /// Seconds until the job has to start; 0 for a job that has begun, because it is interrupted now.
+    /// Seconds until the job has to start; 0 for a job that has already started, because the tasks to place
+    /// may have been interrupted.
     fn time_to_start_deadline(&self, job: &Job, now: Time) -> Time {
         if job.has_started {
             return 0.0;
--- a/src/core/shard/round/queue.rs
+++ b/src/core/shard/round/queue.rs
@@ -19,7 +19,7 @@
     /// See [`Shard::is_deferred`].
     is_deferred: bool,
     start_deadline: Time,
-    submitted: Time,
+    runnable_since: Time,
 }
 
 impl QueueRank {
@@ -28,7 +28,7 @@
             .then(self.is_beyond_guarantee.cmp(&other.is_beyond_guarantee))
             .then(self.is_deferred.cmp(&other.is_deferred))
             .then(self.start_deadline.total_cmp(&other.start_deadline))
-            .then(self.submitted.total_cmp(&other.submitted))
+            .then(self.runnable_since.total_cmp(&other.runnable_since))
     }
 }
 
@@ -37,7 +37,7 @@
     pub(crate) fn queued_jobs(&self, usage: &Usage, now: Time) -> Vec<JobId> {
         let mut queue: Vec<(QueueRank, &JobId)> = Vec::new();
         for (id, job) in &self.jobs {
-            // The constraints of such a job depend on the machines of all its tasks.
+            // Zone constraints depend on the machines of all tasks, and a gang starts only as a whole.
             let needs_all_tasks_known = job.spec.spread || job.spec.one_zone || job.is_gang();
             if job.waiting().is_empty() || (job.unreconciled_count() > 0 && needs_all_tasks_known) {
                 continue;
@@ -55,7 +55,7 @@
             is_deferred: self.is_deferred(job),
             // Jobs whose deadlines have passed get equal deadlines, so that the oldest comes first.
             start_deadline: start_deadline(&self.config, job).max(now),
-            submitted: job.runnable_since,
+            runnable_since: job.runnable_since,
         }
     }
 
@@ -86,7 +86,7 @@
         } else {
             MAX_STARTS_PER_ROUND
         };
-        let is_ready = |index: &u32| {
+        let may_start_now = |index: &u32| {
             job.retries
                 .get(index)
                 .is_none_or(|retry| retry.not_before <= now)
@@ -94,7 +94,7 @@
         job.waiting()
             .iter()
             .copied()
-            .filter(is_ready)
+            .filter(may_start_now)
             .take(max_tasks)
             .collect()
     }
--- a/src/core/shard/round/reservations.rs
+++ b/src/core/shard/round/reservations.rs
@@ -12,8 +12,9 @@
 
 impl Shard {
     /// Reserves resources on machines that have an image cached if fetching this image takes longer than a
-    /// start may take. The reservation covers as many tasks of the image as arrived recently. Without it,
-    /// best fit would place other tasks on exactly these machines.
+    /// start may take. The reservations cover as many tasks of the image as arrived recently, divided
+    /// equally among the zones, and at least one task in each zone. Without them, best fit would place other tasks on
+    /// exactly these machines.
     pub(super) fn reserve_for_cached_images(
         &self,
         snapshots: &mut [MachineSnapshot],
@@ -52,7 +53,7 @@
                 .get(&snapshot.id)
                 .is_some_and(|machine| machine.has_image(image))
         };
-        let mut holders: Vec<&mut MachineSnapshot> = snapshots
+        let mut machines_with_image: Vec<&mut MachineSnapshot> = snapshots
             .iter_mut()
             .filter(|snapshot| {
                 snapshot.zone == *zone
@@ -60,12 +61,12 @@
                     && has_image(snapshot)
             })
             .collect();
-        holders.sort_by(|one, other| one.free.gpus.total_cmp(&other.free.gpus));
-        let mut unreserved = tasks;
-        for snapshot in holders {
-            while unreserved > 0 && snapshot.free_for_image(None).holds(&need) {
+        machines_with_image.sort_by(|one, other| one.free.gpus.total_cmp(&other.free.gpus));
+        let mut remaining_tasks = tasks;
+        for snapshot in machines_with_image {
+            while remaining_tasks > 0 && snapshot.free_for_image(None).holds(&need) {
                 snapshot.reserve_for_image(image, need);
-                unreserved -= 1;
+                remaining_tasks -= 1;
             }
         }
     }
--- a/src/core/shard/round/snapshot.rs
+++ b/src/core/shard/round/snapshot.rs
@@ -58,8 +58,8 @@
             })
     }
 
-    /// The part of `free` that a task may use. A task that avoids stranding GPUs may not use the CPUs and
-    /// memory that the machine's free GPUs need.
+    /// The part of `free` that a task may use. A task that must keep free GPUs usable may not use the CPUs
+    /// and memory that belong to the machine's free GPUs.
     pub(super) fn usable_resources(
         &self,
         free: Resources,
--- a/src/core/shard/upcoming_dependents.rs
+++ b/src/core/shard/upcoming_dependents.rs
@@ -17,7 +17,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Demand of the jobs that will soon be ready, and the resources that will be released by then.
+/// Demand of the jobs that are about to become ready, and the resources that will be released by then.
 #[derive(Default)]
 pub(crate) struct UpcomingDependents {
     /// Tasks of these jobs that fit within their teams' limits, one entry for each job.
@@ -56,14 +56,15 @@
         }
     }
 
-    /// Jobs whose unfinished tasks are all running and expected to end by the given time.
+    /// Jobs, other than services, whose unfinished tasks are all running and expected to end by the given
+    /// time.
     fn jobs_ending_by(&self, by: Time) -> BTreeSet<&JobId> {
-        let last_end = self.expected_end_times();
+        let end_times = self.expected_end_times();
         let is_ending = |id: &JobId, job: &Job| {
             job.spec.kind != JobKind::Service
                 && job.waiting().is_empty()
                 && job.unreconciled_count() == 0
-                && last_end.get(id).is_none_or(|end| *end <= by)
+                && end_times.get(id).is_none_or(|end| *end <= by)
         };
         self.jobs
             .iter()
@@ -75,18 +76,18 @@
     /// The time at which the last live attempt of each job is expected to end; infinity if one of its
     /// attempts has not begun to run.
     fn expected_end_times(&self) -> BTreeMap<&JobId, Time> {
-        let mut last_end: BTreeMap<&JobId, Time> = BTreeMap::new();
+        let mut end_times: BTreeMap<&JobId, Time> = BTreeMap::new();
         for ((task, _), tracked) in self.machines.values().flat_map(|machine| &machine.attempts) {
             if tracked.exited() {
                 continue;
             }
             if let Some((id, job)) = self.jobs.get_key_value(&task.job) {
                 let started = tracked.started_at.unwrap_or(Time::INFINITY);
-                let end = last_end.entry(id).or_insert(Time::NEG_INFINITY);
+                let end = end_times.entry(id).or_insert(Time::NEG_INFINITY);
                 *end = end.max(started + job.spec.estimate_s);
             }
         }
-        last_end
+        end_times
     }
 
     /// Unfinished jobs of this shard's teams whose dependencies are all either done or in `ending_jobs`, with
