--- a/tests/world/calls.rs
+++ b/tests/world/calls.rs
@@ -1,4 +1,5 @@
-//! What controllers ask of others, and how those calls and their answers cross the network.
+//! Calls of controllers to the store, the cloud, workers and siblings, and how the network transmits them and
+//! their answers.
 
 use super::faults::Condition;
 use super::network::{CutManner, Endpoint};
@@ -10,41 +11,41 @@
 use ochredrum::ids::ControllerName;
 use rand::Rng;
 
-/// How long a controller waits for the store and for its siblings.
+/// Seconds that a controller waits for an answer of the store or of a sibling.
 const SHORT_TIMEOUT_S: f64 = LEASE_S / 12.0;
-/// How long a controller waits for the cloud.
+/// Seconds that a controller waits for an answer of the cloud.
 const CLOUD_TIMEOUT_S: f64 = LEASE_S / 3.0;
-/// An epoch that no controller has: answers that are addressed to it reach no controller.
+/// An epoch that no controller ever has. Answers addressed to it are dropped.
 pub(super) const NO_EPOCH: u64 = u64::MAX;
-/// Part of the transactions whose responses are lost while store responses get lost.
+/// Probability that the response to a transaction is lost under [`Condition::LostStoreResponses`].
 const LOST_PROBABILITY: f64 = 0.3;
-/// Seconds until a transaction takes effect whose response is lost.
+/// Seconds until a transaction whose response is lost takes effect.
 const LOST_RESPONSE_DELAY_S: f64 = 0.002;
-/// Part of the messages that are delivered later when a cut holds messages.
+/// Probability that a message affected by a cut of [`CutManner::Held`] is delivered after the cut.
 const HELD_PROBABILITY: f64 = 0.5;
 /// Seconds from the end of a cut until the messages that it held are delivered.
-const HELD_DELIVERY_S: f64 = 0.01;
-/// Part of the messages that are slow.
+pub(super) const HELD_DELIVERY_S: f64 = 0.01;
+/// Probability that a message is slow.
 const SLOW_PROBABILITY: f64 = 0.01;
 
-/// A call of a controller on its way.
+/// A call that a controller sends to another participant.
 pub(super) struct Call {
-    /// The controller that calls.
+    /// The calling controller.
     pub node: usize,
-    /// The participant that it calls.
+    /// The participant that is called.
     pub to: Endpoint,
-    /// How long the controller waits for the answer.
+    /// Seconds that the controller waits for the answer.
     pub timeout: f64,
-    /// What happens when the call arrives.
+    /// The event that delivers the call.
     pub event: Event,
-    /// The controller's input if it cannot know whether the call arrived.
+    /// The controller's input if it cannot tell whether the call was delivered.
     pub unknown_outcome: Input,
-    /// The controller's input if the call certainly did not arrive.
+    /// The controller's input if the call was certainly not delivered.
     pub not_delivered: Input,
 }
 
 impl World {
-    /// Carries out one effect of a controller.
+    /// Executes one effect that a controller has returned.
     pub(super) fn execute_effect(&mut self, node: usize, effect: Effect) {
         let epoch = self.nodes[node].epoch;
         let previous = self.previous_version_nodes.contains(&node);
@@ -102,12 +103,12 @@
         let responses_get_lost = self.network.has(Condition::LostStoreResponses);
         if commit && responses_get_lost && self.rng.random_bool(LOST_PROBABILITY) {
             self.schedule_after(LOST_RESPONSE_DELAY_S, event(NO_EPOCH));
-            return self.input_after(SHORT_TIMEOUT_S, node, epoch, unknown_outcome);
+            return self.schedule_input(SHORT_TIMEOUT_S, node, epoch, unknown_outcome);
         }
         if late {
             let delay = self.rng.random_range(1.5..LEASE_S * 1.5);
             self.schedule_after(delay, event(epoch));
-            return self.input_after(SHORT_TIMEOUT_S, node, epoch, unknown_outcome);
+            return self.schedule_input(SHORT_TIMEOUT_S, node, epoch, unknown_outcome);
         }
         self.send(Call {
             node,
@@ -143,7 +144,7 @@
         to: &ControllerName,
         message: MeshMessage,
     ) {
-        let Some(to) = index(to) else { return };
+        let Some(to) = index_in_name(to) else { return };
         let mut body = Vec::new();
         ciborium::into_writer(&message, &mut body).ok();
         self.counters.mesh_bytes += body.len();
@@ -165,8 +166,8 @@
         });
     }
 
-    /// Sends a call over the network. The caller gives up at its timeout; a cut drops the call, or holds it and
-    /// delivers it when the cut ends.
+    /// Sends a call over the network. The caller receives `unknown_outcome` at its timeout unless it was
+    /// answered before. A cut drops the call, or holds it and delivers it when the cut ends.
     pub(super) fn send(&mut self, call: Call) {
         let Call {
             node,
@@ -181,34 +182,34 @@
         if self.network.passes(&from, &to) {
             let delay = self.latency();
             self.schedule_after(delay, event);
-            return self.input_after(timeout, node, epoch, unknown_outcome);
+            return self.schedule_input(timeout, node, epoch, unknown_outcome);
         }
         match self.network.cut_manner(&from, &to) {
             Some(CutManner::Refused) => {
                 let delay = self.latency();
-                self.input_after(delay, node, epoch, not_delivered);
+                self.schedule_input(delay, node, epoch, not_delivered);
             }
             Some(CutManner::Reset) => {
                 let delay = self.latency();
-                self.input_after(delay, node, epoch, unknown_outcome);
+                self.schedule_input(delay, node, epoch, unknown_outcome);
             }
             Some(CutManner::Held) if self.rng.random_bool(HELD_PROBABILITY) => {
                 if let Some(end) = self.network.held_until(&from, &to) {
                     self.schedule_at(end + HELD_DELIVERY_S, event);
                 }
-                self.input_after(timeout, node, epoch, unknown_outcome);
+                self.schedule_input(timeout, node, epoch, unknown_outcome);
             }
-            _ => self.input_after(timeout, node, epoch, not_delivered),
+            _ => self.schedule_input(timeout, node, epoch, not_delivered),
         }
     }
 
-    /// Gives a controller an input later, unless it has crashed by then.
-    pub(super) fn input_after(&mut self, delay: f64, node: usize, epoch: u64, input: Input) {
+    /// Schedules an input for a controller. The input is dropped if the process has ended by then.
+    pub(super) fn schedule_input(&mut self, delay: f64, node: usize, epoch: u64, input: Input) {
         let input = Box::new(input);
         self.schedule_after(delay, Event::Input { node, epoch, input });
     }
 
-    /// Draws how long a message takes, in seconds.
+    /// Draws the seconds that a message takes to arrive.
     pub(super) fn latency(&mut self) -> f64 {
         if self.rng.random_bool(SLOW_PROBABILITY) {
             self.rng.random_range(0.05..0.4)
@@ -217,15 +218,16 @@
         }
     }
 
-    /// Sends the answer to a call back to its controller, if the network lets it pass.
+    /// Sends the answer to a call back to its controller, unless a cut blocks it.
     pub(super) fn reply(&mut self, node: usize, epoch: u64, from: Endpoint, input: Input) {
         if self.network.passes(&from, &Endpoint::Node(node)) {
             let delay = self.latency();
-            self.input_after(delay, node, epoch, input);
+            self.schedule_input(delay, node, epoch, input);
         }
     }
 }
 
-fn index(node: &ControllerName) -> Option<usize> {
+/// The index in a controller's name: `n2` has index 2.
+fn index_in_name(node: &ControllerName) -> Option<usize> {
     node.as_str().strip_prefix('n')?.parse().ok()
 }
--- a/tests/world/cloud.rs
+++ b/tests/world/cloud.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the cloud: machine types, rented machines, and a listing that lags behind.
+//! A simulated cloud: machine types, rented machines, and a listing that shows an earlier state.
 
 use ochredrum::core::effects::{CloudCall, CloudReply};
 use ochredrum::ids::{MachineId, MachineTypeName, Zone};
@@ -7,31 +7,35 @@
 };
 use std::collections::BTreeMap;
 
-/// Seconds by which the listing lags behind.
+/// Age of the state that a listing shows, in seconds.
 const LIST_LAG_S: f64 = 5.0;
-/// Machines that there may be at once before requests for more are refused.
+/// Number of machines from which on requests for more are refused.
 const CAPACITY: usize = 24;
 
 /// A machine that has been rented.
 pub struct RentedMachine {
-    /// Its type.
+    /// The name of its machine type.
     pub type_name: MachineTypeName,
-    /// Its zone.
+    /// The zone in which it runs.
     pub zone: Zone,
     /// Whether it is a spot instance.
     pub spot: bool,
     created: f64,
+    /// When it finished booting; `None` before.
     running: Option<f64>,
+    /// When it disappears from the listing, if its machine died.
     unlisted_from: Option<f64>,
 }
 
 /// The machines and types of the cloud.
 pub struct Cloud {
-    /// Machines with GPUs are offered in every simulation, others in some.
+    /// The offered types. The type with GPUs is always offered, the one without only in some simulations.
     types: Vec<MachineType>,
     machines: BTreeMap<MachineId, RentedMachine>,
+    /// The machines of each rental by its request id, so that a repeated request rents no more.
     rentals: BTreeMap<String, MachineIds>,
     released: Vec<MachineId>,
+    /// Number of machines that were ever created.
     created: usize,
 }
 
@@ -62,7 +66,7 @@
     }
 }
 
-/// Small and cheap; it fetches images slowly.
+/// A small, cheap type that fetches images slowly.
 fn type_without_gpus() -> MachineType {
     MachineType {
         name: "c16".into(),
@@ -78,12 +82,12 @@
 }
 
 impl Cloud {
-    /// Offers a second machine type, without GPUs.
+    /// Adds the machine type without GPUs to those on offer.
     pub fn offer_without_gpus(&mut self) {
         self.types.push(type_without_gpus());
     }
 
-    /// The type of a machine; the type with GPUs if the machine is unknown.
+    /// The type of a machine, or the type with GPUs if the machine is unknown.
     pub fn type_of(&self, machine: &MachineId) -> MachineType {
         let name = self.machines.get(machine).map(|rented| &rented.type_name);
         let machine_type = self
@@ -93,17 +97,17 @@
         machine_type.cloned().unwrap_or_else(type_with_gpus)
     }
 
-    /// Machines that were ever created.
+    /// The number of machines that were ever created.
     pub fn created_count(&self) -> usize {
         self.created
     }
 
-    /// A machine that has not been released.
+    /// A machine, unless it is unknown or was released.
     pub fn get(&self, machine: &MachineId) -> Option<&RentedMachine> {
         self.machines.get(machine)
     }
 
-    /// Creates a machine, which boots from `created` on.
+    /// Creates a machine that begins to boot at the time `created`.
     pub fn create(&mut self, type_name: &str, zone: &str, spot: bool, created: f64) -> MachineId {
         self.created += 1;
         let machine = MachineId::from(format!("m-{:06}", self.created));
@@ -119,26 +123,26 @@
         machine
     }
 
-    /// A machine has booted.
+    /// Records that a machine has booted.
     pub fn mark_running(&mut self, machine: &MachineId, now: f64) {
         if let Some(rented) = self.machines.get_mut(machine) {
             rented.running = Some(now);
         }
     }
 
-    /// A machine died: from then on it is no longer listed.
+    /// Removes a machine that died from the listing, from the given time on.
     pub fn stop_listing_from(&mut self, machine: &MachineId, unlisted_from: f64) {
         if let Some(rented) = self.machines.get_mut(machine) {
             rented.unlisted_from = Some(unlisted_from);
         }
     }
 
-    /// Machines that were released since the last call.
+    /// Returns the machines that were released since the last call.
     pub fn take_released(&mut self) -> Vec<MachineId> {
         std::mem::take(&mut self.released)
     }
 
-    /// Answers a request; also returns the machines that begin to boot.
+    /// Handles a request. Returns its reply and the machines that begin to boot.
     pub fn call(&mut self, now: f64, call: CloudCall) -> (CloudReply, Vec<MachineId>) {
         let reply = match call {
             CloudCall::Types => CloudReply::Types(MachineTypes {
@@ -154,7 +158,7 @@
         (reply, Vec::new())
     }
 
-    /// The listing as of a moment.
+    /// The listing of the machines as they were at the time `as_of`.
     fn list(&self, as_of: f64) -> MachineList {
         let is_listed = |rented: &&RentedMachine| {
             rented.created <= as_of && rented.unlisted_from.is_none_or(|from| from > as_of)
@@ -180,7 +184,7 @@
         }
     }
 
-    /// Rents machines. A repeated request is answered as the first time and rents no more.
+    /// Rents machines. A repeated request receives the first reply again and rents no more machines.
     fn rent(&mut self, now: f64, rental: Rental) -> (CloudReply, Vec<MachineId>) {
         if let Some(names) = self.rentals.get(&rental.request) {
             return (CloudReply::Rented(names.clone()), Vec::new());
--- a/tests/world/commands.rs
+++ b/tests/world/commands.rs
@@ -1,4 +1,4 @@
-//! Direct commands on their way to workers: served, refused, delayed or unanswered.
+//! Transmission of direct commands to workers: they are served, refused, delayed or unanswered.
 
 use super::calls::{Call, NO_EPOCH};
 use super::faults::{Condition, MachineCondition};
@@ -9,26 +9,26 @@
 use ochredrum::wire::DirectCommands;
 use rand::Rng;
 
-/// How long a controller waits for the response to direct commands.
+/// Seconds that a controller waits for the response to direct commands.
 const RESPONSE_TIMEOUT_S: f64 = LEASE_S / 10.0;
-/// Part of the direct commands that a condition concerns.
+/// Probability that a condition affects a message of direct commands.
 const AFFECTED_PROBABILITY: f64 = 0.4;
 
-/// What happens to one message of direct commands.
+/// The outcome of one message of direct commands.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CommandOutcome {
-    /// Executed and answered.
+    /// The commands are executed and answered.
     Served,
     /// The connection is refused at once.
     Refused,
-    /// Executed this many seconds later, without a response.
+    /// The commands are executed this many seconds later, and no response is sent.
     Late(f64),
-    /// Executed at once, but the response is lost.
+    /// The commands are executed at once, but the response is lost.
     Unanswered,
 }
 
 impl World {
-    /// A controller sends direct commands, each message on a connection of its own.
+    /// Sends direct commands of a controller to a worker. Each message has its own connection.
     pub(super) fn send_direct_commands(
         &mut self,
         node: usize,
@@ -57,11 +57,11 @@
         match outcome {
             CommandOutcome::Refused => {
                 let delay = self.latency();
-                self.input_after(delay, node, epoch, not_delivered);
+                self.schedule_input(delay, node, epoch, not_delivered);
             }
             CommandOutcome::Late(delay) => {
                 self.schedule_after(delay, event);
-                self.input_after(RESPONSE_TIMEOUT_S, node, epoch, unknown_outcome);
+                self.schedule_input(RESPONSE_TIMEOUT_S, node, epoch, unknown_outcome);
             }
             CommandOutcome::Served | CommandOutcome::Unanswered => self.send(Call {
                 node,
@@ -74,7 +74,8 @@
         }
     }
 
-    /// The fate that the scenario has set for the next message to this machine, or one drawn by the present conditions.
+    /// The outcome that the scenario has set for the next message to this machine; otherwise one that depends
+    /// on the conditions in effect.
     fn command_outcome(&mut self, machine: &MachineId) -> CommandOutcome {
         if let Some(outcome) = self.network.next_command_outcome(machine) {
             return outcome;
@@ -95,7 +96,7 @@
         CommandOutcome::Served
     }
 
-    /// Draws whether a condition concerns a message.
+    /// Draws whether a condition affects a message.
     fn is_affected(&mut self) -> bool {
         self.rng.random_bool(AFFECTED_PROBABILITY)
     }
--- a/tests/world/controllers.rs
+++ b/tests/world/controllers.rs
@@ -1,4 +1,4 @@
-//! Controllers: their processes, the requests that reach them, and the inputs that they process.
+//! Processes of controllers, the requests that they receive, and their steps.
 
 use super::faults::MachineCondition;
 use super::network::Endpoint;
@@ -13,37 +13,39 @@
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// How long users wait for the answer to a poll.
+/// Seconds that users wait for the answer to a poll.
 const POLL_TIMEOUT_S: f64 = 2.0;
-/// How long users wait for the answer to a submission or a cancellation.
+/// Seconds that users wait for the answer to a submission or a cancellation.
 const SUBMIT_TIMEOUT_S: f64 = 5.0;
-/// Difference between the rates of the clocks of neighbouring controllers.
+/// Difference between the clock rates of controllers with successive indices.
 const CLOCK_DRIFT: f64 = 0.0004;
 /// Seconds until a replayed heartbeat arrives.
 const REPLAY_DELAY_S: f64 = 0.01;
 /// The wall clock at the beginning of the simulation, in milliseconds since 1970.
 const WALL_CLOCK_START_MS: u64 = 1_700_000_000_000;
 
-/// The process of a controller, running or not.
+/// A controller and its process, which may not be running.
 pub struct Controller {
     /// The state machine; absent while the process does not run.
     pub core: Option<Core>,
-    /// Counts starts and crashes, so that what was meant for an earlier process is dropped.
+    /// Number of starts and crashes so far. Events for an earlier process have another epoch and are dropped.
     pub epoch: u64,
+    /// Virtual time of the last start.
     started: f64,
-    /// Its clock runs slightly faster or slower than virtual time.
+    /// Rate of the controller's clock relative to virtual time, slightly above or below 1.
     clock_rate: f64,
+    /// Number of the last request that it received.
     next_request: u64,
-    /// Requests that it has not answered yet.
+    /// The senders of the requests that it has not answered yet.
     pub unanswered_requests: BTreeMap<RequestId, Requester>,
-    /// The process is paused until then; its inputs are deferred.
+    /// Virtual time until which the process is paused and its inputs are deferred.
     pub paused_until: f64,
-    /// Inputs that arrived while it was paused.
+    /// Inputs that arrived while the process was paused.
     pub deferred_inputs: Vec<Input>,
 }
 
 impl Controller {
-    /// A controller that has not started yet.
+    /// Creates a controller whose process has not started.
     pub fn new(index: usize) -> Self {
         Self {
             core: None,
@@ -62,7 +64,7 @@
 pub enum Requester {
     /// A user.
     User {
-        /// The job, unless the request concerns none that was submitted as usual.
+        /// The index of the job; `None` for an unusual submission and for a poll of an unknown job.
         job: Option<usize>,
         kind: users::RequestKind,
         /// When the request was sent.
@@ -73,7 +75,7 @@
         machine: MachineId,
         /// The sequence number of the heartbeat.
         number: u64,
-        /// Whether the worker waits for the answer; duplicates have no connection.
+        /// Whether the worker waits for the answer. It does not for duplicates, which have no connection.
         live: bool,
     },
     /// Another controller.
@@ -85,14 +87,14 @@
 }
 
 impl World {
-    /// Starts the process of a controller, unless it runs already.
+    /// Starts the process of a controller unless it is already running.
     pub(super) fn restart(&mut self, node: usize) {
         let next = self
             .next_limits
             .filter(|_| !self.previous_version_nodes.contains(&node));
         let text = settings(node, self.nodes.len(), self.limits, next);
         let Ok(mut config) = Config::parse(&text) else {
-            panic!("settings of the runner")
+            panic!("the generated settings are invalid")
         };
         if !self.previous_version_nodes.contains(&node) {
             config.features = self.features.clone();
@@ -112,11 +114,11 @@
         self.schedule_at(self.now, Event::Tick { node, epoch });
     }
 
-    /// Ends the process of a controller, which is restarted after this many seconds.
+    /// Ends the process of a controller and schedules its restart.
     pub(super) fn crash(&mut self, node: usize, restart_delay_s: f64) {
         if self.nodes[node].core.take().is_some() {
             self.nodes[node].epoch += 1;
-            // Users see their connections break.
+            // Users see that their connections break.
             for (_, requester) in std::mem::take(&mut self.nodes[node].unanswered_requests) {
                 if let Requester::User { job, kind, sent_at } = requester {
                     self.schedule_after(
@@ -136,7 +138,7 @@
         }
     }
 
-    /// A controller crashes and returns with the present version.
+    /// Crashes a controller, which is restarted with the present version.
     pub(super) fn upgrade(&mut self, node: usize) {
         self.previous_version_nodes.remove(&node);
         let leads = if self.leader() == Some(node) {
@@ -151,7 +153,7 @@
         self.crash(node, RESTART_DELAY_S);
     }
 
-    /// One turn of a controller without input.
+    /// Performs a periodic step of a controller and schedules the next.
     pub(super) fn tick(&mut self, node: usize, epoch: u64) {
         if self.nodes[node].epoch == epoch && self.nodes[node].core.is_some() {
             self.step(node, Vec::new());
@@ -161,7 +163,7 @@
         }
     }
 
-    /// A paused controller continues with the inputs that were deferred.
+    /// Resumes a paused controller, which processes its deferred inputs.
     pub(super) fn resume(&mut self, node: usize, epoch: u64) {
         if self.nodes[node].epoch == epoch {
             let deferred = std::mem::take(&mut self.nodes[node].deferred_inputs);
@@ -169,12 +171,12 @@
         }
     }
 
-    /// The time that a controller's own clock shows, in seconds since its start.
+    /// The seconds since the start of a controller's process, by its own clock.
     pub(super) fn clock(&self, node: usize) -> f64 {
         (self.now - self.nodes[node].started) * self.nodes[node].clock_rate
     }
 
-    /// Recorded heartbeats reach every controller once another one leads.
+    /// Sends the recorded heartbeats to every controller once the leader has changed.
     pub(super) fn replay_to_new_leader(&mut self) {
         let leader = self.leader();
         if self.replay_buffer.is_empty() || leader.is_none() || leader == self.last_leader {
@@ -198,7 +200,7 @@
         }
     }
 
-    /// The controller that leads, if one does.
+    /// The current leader, if there is one.
     pub fn leader(&self) -> Option<usize> {
         (0..self.nodes.len()).find(|node| {
             self.nodes[*node]
@@ -219,7 +221,7 @@
         })
     }
 
-    /// Whether a controller other than `node` may start all tasks of a team.
+    /// Whether a controller other than `node` has reconciled a team, so that it may start the team's tasks.
     pub fn is_reconciled_by_another(&self, team: &str, node: usize) -> bool {
         let others = (0..self.nodes.len()).filter(|other| *other != node);
         let mut cores = others.filter_map(|other| Some((other, self.nodes[other].core.as_ref()?)));
@@ -230,7 +232,8 @@
         })
     }
 
-    /// A request reaches a controller.
+    /// Delivers a request to a controller. The connection breaks if its process does not run or cannot read
+    /// the request.
     pub(super) fn deliver_request(&mut self, node: usize, requester: Requester, input: Input) {
         if self.nodes[node].core.is_none() {
             return self.send_answer(node, requester, None, None);
@@ -251,7 +254,8 @@
         self.step(node, vec![input]);
     }
 
-    /// Sends an answer back to the sender of a request, if the network lets it pass; `None` for a broken connection.
+    /// Sends an answer back to the sender of a request, unless the network blocks it. No answer at all stands
+    /// for a broken connection.
     pub(super) fn send_answer(
         &mut self,
         node: usize,
@@ -262,12 +266,12 @@
         let delay = self.latency();
         match requester {
             Requester::User { job, kind, sent_at } => {
-                // Answers after the timeout reach no user.
-                let poll = matches!(
+                // Users ignore answers after their timeout.
+                let is_poll = matches!(
                     kind,
                     users::RequestKind::Poll | users::RequestKind::ProbePoll
                 );
-                let timeout = if poll {
+                let timeout = if is_poll {
                     POLL_TIMEOUT_S
                 } else {
                     SUBMIT_TIMEOUT_S
@@ -313,19 +317,20 @@
                     .passes(&Endpoint::Node(node), &Endpoint::Node(from))
                 {
                     let input = Input::MeshReply(call, mesh);
-                    self.input_after(delay, from, epoch, input);
+                    self.schedule_input(delay, from, epoch, input);
                 }
             }
         }
     }
 
-    /// A controller processes inputs, and its effects are carried out; while it is paused they are deferred.
+    /// Lets a controller process inputs and executes the resulting effects. While it is paused, inputs are
+    /// deferred.
     pub(super) fn step(&mut self, node: usize, batch: Vec<Input>) {
         if self.now < self.nodes[node].paused_until {
             return self.nodes[node].deferred_inputs.extend(batch);
         }
         let now = self.clock(node);
-        let wall = WALL_CLOCK_START_MS + (self.now * 1e3) as u64;
+        let wall_ms = WALL_CLOCK_START_MS + (self.now * 1e3) as u64;
         let previous = self.previous_version_nodes.contains(&node);
         let batch = if previous {
             batch
@@ -340,10 +345,11 @@
         };
         let span = tracing::info_span!("", n = node, t = self.now);
         let before = core.starts_held_back();
-        let effects = span.in_scope(|| core.step(now, wall, batch));
+        let effects = span.in_scope(|| core.step(now, wall_ms, batch));
         let start_withheld = core.starts_held_back() > before;
         if start_withheld {
-            // The last guard kept the rule, but no start should reach it.
+            // The core's last check prevented the duplicate start, but no start should get as far as that
+            // check.
             self.record_violation(
                 "start_held_back",
                 format!("n{node} was about to start a task twice"),
@@ -355,7 +361,7 @@
         self.check_single_owner();
     }
 
-    /// Checks that no two controllers may start tasks of the same team.
+    /// Checks that at most one controller may start tasks of each team.
     pub(super) fn check_single_owner(&mut self) {
         let mut owners: BTreeMap<String, usize> = BTreeMap::new();
         for node in 0..self.nodes.len() {
@@ -374,7 +380,7 @@
         }
     }
 
-    /// Pauses an overloaded process after its turn.
+    /// Pauses a slow process after its step.
     pub(super) fn pause_if_slow(&mut self, node: usize, epoch: u64) {
         if let Some(pause) = self.network.pause_between_turns(node)
             && self.now >= self.nodes[node].paused_until
--- a/tests/world/event.rs
+++ b/tests/world/event.rs
@@ -1,4 +1,4 @@
-//! The events of a simulation, in the order of virtual time.
+//! The events of a simulation and their order in virtual time.
 
 use super::faults::Fault;
 use super::users;
@@ -6,11 +6,11 @@
 use ochredrum::ids::MachineId;
 use ochredrum::wire::{DirectCommands, Heartbeat};
 
-/// What happens at a moment.
+/// An event of the simulation.
 ///
-/// Events that name a controller with an `epoch` are dropped if that process no longer runs.
+/// An event with an `epoch` concerns one process of a controller and is dropped once that process has ended.
 pub enum Event {
-    /// A controller gets a turn without input.
+    /// A controller performs a periodic step without input.
     Tick { node: usize, epoch: u64 },
     /// A controller receives an input.
     Input {
@@ -40,7 +40,7 @@
         address: String,
         commands: DirectCommands,
     },
-    /// A message between controllers arrives.
+    /// A message reaches a sibling controller.
     MeshMessage {
         from: usize,
         epoch: u64,
@@ -48,14 +48,15 @@
         to: usize,
         message: Box<Input>,
     },
-    /// A heartbeat reaches a controller; `live` if its worker waits for the answer.
+    /// A heartbeat reaches a controller. `live` is false for a copy, whose sender does not wait for an
+    /// answer.
     Heartbeat {
         machine: MachineId,
         node: usize,
         heartbeat: Heartbeat,
         live: bool,
     },
-    /// The answer to a heartbeat reaches its worker; none if the connection broke.
+    /// A worker receives the answer to a heartbeat, or `None` if the connection broke.
     HeartbeatResponse {
         machine: MachineId,
         number: u64,
@@ -71,36 +72,37 @@
     Cancel { job: usize },
     /// A user polls a job.
     Poll { job: usize },
-    /// A poll or a repeated submission at one controller, which no other request follows.
+    /// A user sends one controller an extra poll or submission, which schedules no further request.
     Probe {
         job: usize,
         node: usize,
         kind: users::RequestKind,
     },
-    /// By now no task of a cancelled job may be left.
+    /// Checks that all tasks of a cancelled job have ended.
     CheckCancelledTasks { job: usize },
     /// Checks for jobs that wait although they could run.
     CheckStarvation,
-    /// Checks what a scenario expects of a job by now, without which it would show nothing.
+    /// Checks the state that the scenario expects a job to be in. Otherwise the
+    /// scenario's faults do not interact as intended.
     Expect { job: usize, expected: String },
-    /// A user sends an unusual request, and more until then.
+    /// A user sends an unusual request; further ones follow until the time `until`.
     UnusualRequest { until: f64 },
-    /// The store's next limits apply from now on.
+    /// The store begins to enforce its announced limits.
     LimitsLowered,
     /// A user polls a job that was never submitted.
     PollUnknownJob,
-    /// An answer reaches a user; none if the connection broke or the request timed out.
+    /// A user receives an answer, or `None` if the connection broke or the request timed out.
     UserAnswer {
         job: Option<usize>,
         kind: users::RequestKind,
         sent_at: f64,
         answer: Option<Answer>,
     },
-    /// A controller is started.
+    /// A controller is started if it does not run.
     Restart { node: usize },
-    /// A controller crashes and returns with the present version.
+    /// A controller is stopped and restarted with the present version.
     Upgrade { node: usize },
-    /// A paused controller continues.
+    /// A paused controller resumes.
     Resume { node: usize, epoch: u64 },
     /// A fault begins.
     Fault(Fault),
@@ -108,7 +110,8 @@
     FaultEnds(u64),
 }
 
-/// An event with its moment and its sequence number, which orders events of the same moment.
+/// Time, sequence number and content of a scheduled event. Events of the same time are ordered by sequence
+/// number.
 pub struct Timed(pub f64, pub u64, pub Event);
 
 impl PartialEq for Timed {
--- a/tests/world/faults.rs
+++ b/tests/world/faults.rs
@@ -1,4 +1,4 @@
-//! The faults that a scenario can ask for, and how they begin.
+//! The faults that scenarios can inject, and how each begins.
 
 use super::commands::CommandOutcome;
 use super::network::{ActiveFault, CutManner, Direction, Endpoint};
@@ -6,21 +6,22 @@
 use ochredrum::ids::MachineId;
 use rand::Rng;
 
-/// Seconds until the cloud no longer lists a machine that died.
+/// Seconds after the death of a machine until the cloud stops listing it.
 const UNLIST_DELAY_S: f64 = 30.0;
-/// Part of the heartbeats that arrive a second time while heartbeats are duplicated.
+/// Probability that a heartbeat is delivered twice under [`Condition::DuplicateHeartbeats`].
 const DUPLICATED_PROBABILITY: f64 = 0.3;
 
-/// A fault as a scenario asks for it.
+/// A fault as specified by a scenario. A `machine_index` is an index into the running workers, modulo their
+/// number.
 #[derive(Clone, Debug)]
 pub enum Fault {
     /// Controllers crash.
     Crash {
         target: Endpoint,
-        /// Seconds until they are restarted; the default if absent.
+        /// Seconds until they are restarted; `RESTART_DELAY_S` if absent.
         restart_delay_s: Option<f64>,
     },
-    /// All controllers are restarted, one every this many seconds.
+    /// All controllers are restarted one after another, at this interval.
     RollingRestart { interval_s: f64 },
     /// A condition of the whole deployment.
     Condition { condition: Condition, seconds: f64 },
@@ -32,7 +33,7 @@
     },
     /// The store refuses the requests of single controllers.
     Refuse { target: Endpoint, seconds: f64 },
-    /// Controllers are cut from other participants.
+    /// Messages between controllers and other participants are blocked.
     Cut {
         target: Endpoint,
         from: Endpoint,
@@ -40,55 +41,55 @@
         manner: CutManner,
         direction: Direction,
     },
-    /// The process runs only once every `pause` seconds, as on an overloaded host.
+    /// Controllers run only once every `pause` seconds, as on an overloaded host.
     Slow {
         target: Endpoint,
         pause: f64,
         seconds: f64,
     },
-    /// A machine stops with everything on it, without notice.
+    /// A machine and all tasks on it stop without notice.
     MachineDies { machine_index: usize },
-    /// A machine and all controllers do not reach each other.
+    /// Messages between a machine and all controllers are blocked.
     MachineCut {
         machine_index: usize,
         seconds: f64,
         hold_messages: bool,
     },
-    /// A machine and one controller do not reach each other.
+    /// Messages between a machine and one controller are blocked.
     MachineCutFrom {
         machine_index: usize,
         node: usize,
         seconds: f64,
     },
-    /// A spot machine receives notice that it will be taken away after this many seconds.
+    /// A machine receives notice that the cloud will terminate it after this many seconds.
     TerminationNotice { machine_index: usize, seconds: f64 },
-    /// A machine executes nothing for a while, and then continues if its lease allows.
+    /// A machine executes nothing for a while. It loses its tasks if its lease expires meanwhile.
     MachineHangs { machine_index: usize, seconds: f64 },
-    /// The machines of a zone reach no controller.
+    /// Messages between the machines of a zone and all controllers are blocked.
     ZoneCut {
         zone: String,
         seconds: f64,
         hold_messages: bool,
     },
-    /// The process is paused while its clocks continue.
+    /// The processes of controllers are paused while their clocks continue.
     Pause { target: Endpoint, seconds: f64 },
-    /// Something happens at the `nth` write of the shard map from now.
+    /// A fault occurs at the `nth` write of the shard map from now.
     AtShardMapWrite { nth: usize, fault: ShardMapFault },
-    /// The fates of the next messages of direct commands to a machine, in order.
+    /// Sets the outcomes of the next messages of direct commands to a machine, in order.
     NextCommands {
         machine_index: usize,
         outcomes: Vec<CommandOutcome>,
     },
     /// Users send requests that are malformed, impossible or unusual in form.
     UnusualRequests { seconds: f64 },
-    /// Controllers crash in turn and return with the present version.
+    /// Controllers crash in batches and are restarted with the present version.
     Upgrade {
         interval_s: f64,
         order: UpgradeOrder,
-        /// How many are upgraded at once.
+        /// Number of controllers that are upgraded at once.
         batch_size: usize,
     },
-    /// Controllers crash and return with the previous version.
+    /// Controllers crash and are restarted with the previous version.
     Downgrade { target: Endpoint },
 }
 
@@ -103,19 +104,20 @@
     LateWrites,
     /// Some transactions take effect at once, but their responses are lost.
     LostStoreResponses,
-    /// Some heartbeats arrive again, from seconds to well over a lease later.
+    /// Some heartbeats arrive a second time, from half a second to two and a half lease durations later.
     DuplicateHeartbeats,
-    /// Copies of heartbeats are recorded until another controller leads, and then reach every controller.
+    /// Copies of heartbeats are recorded and sent to every controller once the leader changes.
     ReplayToNextLeader,
-    /// Some direct commands are refused at once, whatever machine they are for.
+    /// Some direct commands to any machine are refused at once.
     RefusedCommands,
     /// Some direct commands get no answer and take effect later, perhaps after newer ones.
     LateCommands,
     /// Some direct commands take effect at once, but their responses are lost.
     LostCommandResponses,
-    /// New machines have booted within two seconds.
+    /// New machines boot within two seconds.
     FastBoots,
-    /// Users poll all controllers, and repeat their submissions, right after any answer that they received.
+    /// Users poll all controllers and repeat their submissions right after an acceptance or a final state was
+    /// reported.
     LinearizabilityProbes,
     /// Some jobs are cancelled at the moment of their completion.
     CancelAtCompletion,
@@ -137,28 +139,28 @@
 /// The order in which controllers are upgraded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UpgradeOrder {
-    /// By number.
+    /// By index.
     Ascending,
-    /// By number, the last one first.
+    /// By index, the last one first.
     Descending,
     /// The controller that leads when the upgrade begins comes first.
     LeaderFirst,
     /// The controller that leads when the upgrade begins comes last.
     LeaderLast,
-    /// As listed.
+    /// In the listed order, which may omit controllers.
     Listed(Vec<usize>),
 }
 
-/// What happens at a write of the shard map.
+/// A fault at a write of the shard map.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShardMapFault {
-    /// The writer crashes after the write took effect, before it receives the response.
+    /// The writer crashes after the write took effect and before it receives the response.
     Crash,
     /// The write gets no answer and takes effect late, perhaps after newer ones.
     Late,
 }
 
-/// A cut in both directions between a machine and one or all controllers.
+/// Blocks messages in both directions between a machine and one or all controllers.
 fn machine_cut(machine: MachineId, from: Endpoint, hold_messages: bool) -> ActiveFault {
     let manner = if hold_messages {
         CutManner::Held
@@ -174,7 +176,7 @@
 }
 
 impl World {
-    /// The controllers that a scenario names.
+    /// The indices of the controllers that a fault targets.
     fn controllers_of(&self, target: &Endpoint) -> Vec<usize> {
         match target {
             Endpoint::Node(node) => vec![*node],
@@ -183,7 +185,7 @@
         }
     }
 
-    /// The machine that a scenario names by a number, among those that exist now.
+    /// The running worker's machine at an index, modulo the number of workers.
     fn machine_at(&self, index: usize) -> Option<MachineId> {
         self.workers
             .keys()
@@ -191,6 +193,7 @@
             .cloned()
     }
 
+    /// The indices of the controllers in the order of their upgrade.
     fn upgrade_order(&self, order: &UpgradeOrder) -> Vec<usize> {
         let mut nodes: Vec<usize> = (0..self.nodes.len()).collect();
         let leader = self.leader();
@@ -235,7 +238,7 @@
         }
     }
 
-    /// Faults of controllers' processes.
+    /// Begins a fault of controllers' processes.
     fn begin_process_fault(&mut self, fault: Fault) {
         match fault {
             Fault::Crash {
@@ -281,11 +284,11 @@
                     self.crash(node, RESTART_DELAY_S);
                 }
             }
-            other => unreachable!("{other:?} is no fault of a process"),
+            other => unreachable!("{other:?} is not a fault of a process"),
         }
     }
 
-    /// Faults that change a machine at once.
+    /// Begins a fault that changes a machine at once.
     fn begin_machine_fault(&mut self, fault: Fault) {
         match fault {
             Fault::MachineDies { machine_index } => {
@@ -323,11 +326,11 @@
                     self.network.set_next_command_outcomes(machine, outcomes);
                 }
             }
-            other => unreachable!("{other:?} is no fault of a machine"),
+            other => unreachable!("{other:?} is not a fault of a machine"),
         }
     }
 
-    /// Faults of the network and the services, which last for some seconds.
+    /// Begins a fault that lasts for some seconds.
     fn begin_lasting_fault(&mut self, fault: Fault) {
         let (seconds, active) = self.active_faults(fault);
         for fault in active {
@@ -336,7 +339,7 @@
         }
     }
 
-    /// What a lasting fault consists of, and how many seconds it lasts.
+    /// The duration in seconds of a lasting fault, and the active faults of which it consists.
     fn active_faults(&self, fault: Fault) -> (f64, Vec<ActiveFault>) {
         let machine = |index| self.machine_at(index).into_iter();
         match fault {
@@ -411,11 +414,11 @@
                 let cuts = ids.map(|id| machine_cut(id, Endpoint::AllNodes, hold_messages));
                 (seconds, cuts.collect())
             }
-            other => unreachable!("{other:?} does not last"),
+            other => unreachable!("{other:?} is not a lasting fault"),
         }
     }
 
-    /// Seconds until a duplicate of a heartbeat arrives, if one does.
+    /// Draws the seconds until a duplicate of a heartbeat arrives; `None` if it is not duplicated.
     pub(super) fn duplicate_delay(&mut self) -> Option<f64> {
         (self.network.has(Condition::DuplicateHeartbeats)
             && self.rng.random_bool(DUPLICATED_PROBABILITY))
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -1,5 +1,6 @@
-//! A simulated fleet in virtual time around real [`Core`]s: store, cloud, workers, users and a network with faults, all
-//! by the published protocol. The rules are checked while it runs.
+//! A simulated fleet in virtual time. Real [`Core`]s run against a simulated store, cloud, network, workers
+//! and users, which follow the published protocol. The simulation checks the service's guarantees while it
+//! runs.
 
 mod calls;
 mod cloud;
@@ -49,25 +50,26 @@
 pub const HEARTBEAT_INTERVAL_S: f64 = 1.0;
 /// Seconds that a lease lasts.
 pub const LEASE_S: f64 = 10.0;
-/// Seconds that a gang's task waits for the others.
+/// Seconds that a task of a gang waits for the other tasks to start.
 pub const GANG_WAIT_S: f64 = 30.0;
-/// Seconds within which a gang's task notices that another one was lost.
+/// Seconds within which a running task of a gang detects that another task of the gang was lost.
 pub const GANG_PEER_S: f64 = 4.0;
-/// Seconds within which no task of a cancelled job may be left.
+/// Seconds after a cancellation is reported within which all tasks of the job must have ended.
 pub const CANCEL_S: f64 = 30.0;
-/// The limit of the limited team.
+/// Maximum number of GPUs that the team `blue` may use at once.
 pub const GPUS_MAX: f64 = 24.0;
 /// Seconds until a crashed controller is restarted, unless a scenario says otherwise.
 const RESTART_DELAY_S: f64 = 5.0;
-/// The run time of jobs that fail on every machine.
+/// Marker in place of a run time: the tasks of the job fail as soon as they would run, on every machine.
 pub const FAILS_IMMEDIATELY: f64 = -1.0;
-/// Seconds between the turns of a controller.
+/// Seconds between the periodic steps of a controller.
 const TICK_INTERVAL_S: f64 = 0.05;
 
 /// A simulated fleet.
 pub struct World {
     /// Virtual time in seconds.
     pub now: f64,
+    /// Sequence number of the event that was scheduled last.
     sequence: u64,
     events: BinaryHeap<Reverse<Timed>>,
     rng: StdRng,
@@ -77,68 +79,70 @@
     workers: BTreeMap<MachineId, Worker>,
     users: Users,
     network: Network,
-    /// Violations of rules so far, each beginning with the name of its rule.
+    /// Violations found so far; each text begins with the name of the violated rule.
     pub violations: Vec<String>,
-    /// Notable events so far.
+    /// Log lines, each of which begins with the virtual time.
     pub log: Vec<String>,
-    /// Counters of requests and messages.
+    /// Counters of requests, messages and task starts.
     pub counters: Counters,
-    /// The limits of the store.
+    /// The limits that the store enforces now.
     pub limits: Limits,
-    /// The limits of the store that apply from a later moment on.
+    /// The limits that the store enforces after [`Event::LimitsLowered`]. The settings announce them.
     pub next_limits: Option<Limits>,
-    /// Requests and writes that the store still accepts at this moment.
+    /// The rate limits of the store.
     rate_limiter: RateLimiter,
-    /// The features of all controllers but those of the previous version.
+    /// The features with which controllers of the present version start.
     pub features: Features,
-    /// Controllers of the previous version; they are restarted with it until they are upgraded.
+    /// Controllers that run the previous version. They keep it across restarts until they are upgraded.
     pub previous_version_nodes: BTreeSet<usize>,
-    /// When a fault was last seen in effect.
+    /// When a starvation check last found a fault in effect, or a controller down or paused.
     last_fault_at: f64,
     /// When a controller last crashed.
     last_crash_at: f64,
     /// Heartbeats recorded for replay to the next leader.
     replay_buffer: Vec<(MachineId, Heartbeat)>,
-    /// The controller that led last.
+    /// The last controller that was found to be the leader.
     last_leader: Option<usize>,
-    /// The fault at a write of the shard map, and how many writes are left until then.
+    /// The fault to inject at a later write of the shard map, with the number of writes until then, that one
+    /// included.
     shard_map_fault: Option<(usize, ShardMapFault)>,
 }
 
-/// Counters of what the controllers and users have done so far.
+/// Counters of the activity of controllers, workers and users so far.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counters {
-    /// Requests to the store.
+    /// Requests that controllers sent to the store.
     pub store_requests: usize,
     /// Bytes of transactions sent to the store.
     pub store_bytes_written: usize,
-    /// Requests that the store refused for its rate limits.
+    /// Requests that the store answered with `Busy` because of its rate limits.
     pub throttled_requests: usize,
-    /// Unusual requests of users.
+    /// Submissions of unusual form or content.
     pub unusual_requests: usize,
-    /// Starts of tasks after a user was told that their job is cancelled.
+    /// Task starts after the user was told that the job is cancelled.
     pub starts_after_cancel: usize,
-    /// Bytes of messages between controllers.
+    /// Total bytes of messages between controllers.
     pub mesh_bytes: usize,
     /// Bytes of the largest message between controllers.
     pub largest_message: usize,
-    /// Messages of direct commands.
+    /// Messages of direct commands that controllers sent to workers.
     pub commands: usize,
-    /// Tasks that were lost because the leases of their workers expired, without workers that hung.
+    /// Tasks lost because the lease of their worker expired. Workers that were hung at the time are not
+    /// counted.
     pub lost_with_leases: usize,
 }
 
-/// Work inside the controllers.
+/// Work done by the running controllers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CoreWork {
-    /// Attempts and jobs that were visited because of an event.
+    /// Attempts and jobs that were examined because of an event.
     pub visits: u64,
-    /// Rounds of placement, each of which visits a whole shard.
+    /// Placement rounds, each of which examines a whole shard.
     pub placement_rounds: u64,
 }
 
 impl World {
-    /// A world with this many controllers, none of which has started yet.
+    /// Creates a simulation whose controllers start one after another, 0.1 s apart.
     pub fn new(seed: u64, controllers: usize) -> Self {
         let nodes = (0..controllers).map(Controller::new);
         let mut world = Self {
@@ -179,7 +183,7 @@
         world
     }
 
-    /// Schedules an event.
+    /// Schedules an event at a virtual time.
     pub fn schedule_at(&mut self, time: f64, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse(Timed(time, self.sequence, event)));
@@ -190,7 +194,7 @@
         self.schedule_at(self.now + delay, event);
     }
 
-    /// Adds a line to the log.
+    /// Adds a line with the current virtual time to the log.
     fn log_event(&mut self, text: String) {
         self.log.push(format!("{:8.3} {text}", self.now));
     }
@@ -202,18 +206,18 @@
         self.violations.push(text);
     }
 
-    /// Removes the violations of one rule, where a test stops before the rule can hold.
+    /// Removes the violations of one rule. Tests use it when they stop before the rule can hold.
     pub fn ignore_violations_of(&mut self, rule: &str) {
         self.violations
             .retain(|violation| !violation.starts_with(rule));
     }
 
-    /// Adds machines with GPUs that have booted.
+    /// Adds booted machines with GPUs, of type `g8`.
     pub fn add_machines(&mut self, count: usize, spot: bool) {
         self.add_machines_of("g8", count, spot);
     }
 
-    /// Adds machines without GPUs that have booted; the cloud offers more of them.
+    /// Adds booted machines without GPUs, of type `c16`, and lets the cloud offer that type.
     pub fn add_machines_without_gpus(&mut self, count: usize) {
         self.cloud.offer_without_gpus();
         self.add_machines_of("c16", count, false);
@@ -227,7 +231,7 @@
         }
     }
 
-    /// Adds a job that is submitted at a moment, and returns its number.
+    /// Adds a job that is submitted at the time `at`, and returns its index.
     pub fn add_job(&mut self, at: f64, spec: JobSpec, run_s: f64) -> usize {
         let job = self.users.add(spec, run_s);
         self.schedule_at(at, Event::Submit { job });
@@ -239,7 +243,7 @@
         self.users.starts_of(job)
     }
 
-    /// Runs the simulation until a moment.
+    /// Handles all events up to and including the time `until`.
     pub fn run_until(&mut self, until: f64) {
         while let Some(Reverse(Timed(time, _, _))) = self.events.peek() {
             if *time > until {
@@ -345,19 +349,19 @@
         }
     }
 
-    /// Checks that every request was served, once all faults are over.
+    /// Records a violation for every job that was not served. To be called after all faults have ended.
     pub fn check_served(&mut self) {
         for (id, problem) in self.unserved() {
             self.record_violation("not_served", format!("{id}: {problem}"));
         }
     }
 
-    /// The id of a job.
+    /// The id of the job with this index.
     pub fn job_id(&self, job: usize) -> JobId {
         self.users.id(job)
     }
 
-    /// The work inside all running controllers so far.
+    /// The sum of the work counters of all running controllers. A restart resets those of its controller.
     pub fn core_work(&self) -> CoreWork {
         let cores = self.nodes.iter().filter_map(|node| node.core.as_ref());
         let mut sum = CoreWork::default();
@@ -368,12 +372,12 @@
         sum
     }
 
-    /// How often a controller has become leader.
+    /// How many times the leader's key was written, that is, how many times a controller became leader.
     pub fn leaderships(&self) -> usize {
         self.store.put_count("ochredrum/leader")
     }
 
-    /// How often a team's record of grants was written.
+    /// How many times the stored record of a team's grants was written.
     pub fn grant_writes(&self, team: &str) -> usize {
         self.store.put_count(&format!("ochredrum/quota/{team}"))
     }
@@ -393,13 +397,17 @@
         owner["o"]["n"].as_str().map(str::to_owned)
     }
 
-    /// The stored value of a key.
+    /// The value of the first stored key that begins with `key`.
     pub fn stored_value(&self, key: &str) -> Option<serde_json::Value> {
         self.store.values_under(key).next().cloned()
     }
 
-    /// How many tasks have started so far, restarts included.
+    /// The number of task starts on all machines so far, restarts included.
     pub fn starts(&self) -> u64 {
-        self.workers.values().map(|w| w.starts).sum::<u64>() + self.users.starts_on_removed_machines
+        self.workers
+            .values()
+            .map(|worker| worker.starts)
+            .sum::<u64>()
+            + self.users.starts_on_removed_machines
     }
 }
--- a/tests/world/network.rs
+++ b/tests/world/network.rs
@@ -1,4 +1,4 @@
-//! The faults that are in effect, and which messages they let pass.
+//! The faults in effect and the messages that they block.
 
 use super::commands::CommandOutcome;
 use super::faults::{Condition, MachineCondition};
@@ -8,7 +8,7 @@
 /// A participant of the network, or a group of them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Endpoint {
-    /// A controller by its number.
+    /// The controller with this index.
     Node(usize),
     /// The controller that leads when the fault begins.
     Leader,
@@ -18,13 +18,13 @@
     Store,
     /// The cloud's interface.
     Cloud,
-    /// One machine.
+    /// The worker on this machine.
     Machine(MachineId),
-    /// All machines.
+    /// The workers on all machines.
     Workers,
     /// The store and the sibling controllers, but not the workers.
     StoreAndSiblings,
-    /// All participants but the one that is cut off.
+    /// All participants except the one that is cut off.
     Everyone,
 }
 
@@ -41,12 +41,12 @@
     }
 }
 
-/// What happens to a message that a cut concerns.
+/// How a cut treats the messages that it affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CutManner {
-    /// It is lost, and its sender waits until its timeout.
+    /// The message is lost, and the sender waits until its timeout.
     Silent,
-    /// Some are delivered when the cut ends.
+    /// Some messages are delivered when the cut ends; the others are lost.
     Held,
     /// The connection is refused at once.
     Refused,
@@ -54,14 +54,14 @@
     Reset,
 }
 
-/// Which messages a cut concerns, seen from the participant that is cut off.
+/// The messages that a cut affects, relative to the participant that is cut off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// What it sends and what is sent to it.
+    /// Messages in both directions.
     Both,
-    /// What it sends.
+    /// Messages that it sends.
     Outgoing,
-    /// What is sent to it.
+    /// Messages that are sent to it.
     Incoming,
 }
 
@@ -85,24 +85,26 @@
     Slow { node: usize, pause: f64 },
 }
 
+/// A fault in effect with the id and the time of its end.
 struct Entry {
     id: u64,
     until: f64,
     fault: ActiveFault,
 }
 
-/// The faults in effect.
+/// The faults in effect and the outcomes set for coming direct commands.
 #[derive(Default)]
 pub struct Network {
     entries: Vec<Entry>,
     last_id: u64,
-    /// When the last outage of the store began, until its end was taken.
+    /// When the last outage of the store began; `None` once [`Network::take_outage_end`] has returned its
+    /// end.
     outage_began: Option<f64>,
     command_outcomes: BTreeMap<MachineId, VecDeque<CommandOutcome>>,
 }
 
 impl Network {
-    /// Adds a fault that begins now and returns the id by which it is ended.
+    /// Adds a fault that begins now and returns its id for [`Network::end`].
     pub fn add(&mut self, now: f64, until: f64, fault: ActiveFault) -> u64 {
         if fault == ActiveFault::Condition(Condition::Outage) {
             self.outage_began = Some(now);
@@ -137,7 +139,7 @@
         self.is_active(&ActiveFault::Machine(machine.clone(), condition))
     }
 
-    /// The first cut that concerns a message, with its end.
+    /// The end and manner of the first cut that affects a message.
     fn cut_between(&self, from: &Endpoint, to: &Endpoint) -> Option<(f64, CutManner)> {
         self.entries.iter().find_map(|entry| {
             let ActiveFault::Cut {
@@ -157,12 +159,12 @@
         })
     }
 
-    /// Whether no cut concerns a message.
+    /// Whether no cut affects a message.
     pub fn passes(&self, from: &Endpoint, to: &Endpoint) -> bool {
         self.cut_between(from, to).is_none()
     }
 
-    /// When a message that is sent now will be delivered, if a cut holds it.
+    /// When the cut ends that holds a message sent now; `None` if no cut holds it.
     pub fn held_until(&self, from: &Endpoint, to: &Endpoint) -> Option<f64> {
         let held = self
             .cut_between(from, to)
@@ -170,12 +172,12 @@
         held.map(|(until, _)| until)
     }
 
-    /// The manner of the cut that concerns a message, if there is one.
+    /// How a message is treated by the cut that affects it; `None` if there is no such cut.
     pub fn cut_manner(&self, from: &Endpoint, to: &Endpoint) -> Option<CutManner> {
         self.cut_between(from, to).map(|(_, manner)| manner)
     }
 
-    /// Seconds between the turns of a controller that is slow.
+    /// Seconds between the steps of a slow controller; `None` if it is not slow.
     pub fn pause_between_turns(&self, node: usize) -> Option<f64> {
         self.entries.iter().find_map(|entry| match entry.fault {
             ActiveFault::Slow { node: slow, pause } if slow == node => Some(pause),
@@ -188,7 +190,8 @@
         self.has(Condition::Outage) || self.is_active(&ActiveFault::Refuse(node))
     }
 
-    /// Whether an outage of the store has ended since the last call. Every lease then has its full duration again.
+    /// Returns `now` on the first call after an outage of the store has ended, otherwise `None`. The store
+    /// then extends every lease to its full duration.
     pub fn take_outage_end(&mut self, now: f64) -> Option<f64> {
         if self.has(Condition::Outage) {
             None
@@ -197,12 +200,12 @@
         }
     }
 
-    /// Sets what happens to the next messages of direct commands to a machine, in order.
+    /// Sets the outcomes of the next messages of direct commands to a machine, in order.
     pub fn set_next_command_outcomes(&mut self, machine: MachineId, outcomes: Vec<CommandOutcome>) {
         self.command_outcomes.insert(machine, outcomes.into());
     }
 
-    /// What a scenario has set for the next message of direct commands to a machine.
+    /// Removes and returns the outcome that is set for the next message of direct commands to a machine.
     pub fn next_command_outcome(&mut self, machine: &MachineId) -> Option<CommandOutcome> {
         self.command_outcomes.get_mut(machine)?.pop_front()
     }
--- a/tests/world/previous_version.rs
+++ b/tests/world/previous_version.rs
@@ -1,6 +1,6 @@
-//! Controllers of the previous version, as far as others can observe them: they neither read nor write nor send what
-//! that version does not know. The core is the present one, so faults of the previous version that have been fixed
-//! since do not show; see also `tests/compatibility.rs`.
+//! Emulates controllers of the previous version: removes the fields and messages that version does not know
+//! from all that they read, write and send. They run the present core, so faults that were fixed since the
+//! previous version do not occur. `tests/compatibility.rs` checks the formats.
 
 use ochredrum::core::effects::{Input, StoreCall, StoreReply};
 use ochredrum::core::messages::mesh::{MeshMessage, MeshReply};
@@ -8,7 +8,7 @@
 use serde_json::Value;
 
 /// Fields of a job's record that the previous version does not know.
-const NEW_FIELDS: [&str; 3] = ["jd", "e", "x"];
+const NEW_JOB_FIELDS: [&str; 3] = ["jd", "e", "x"];
 /// Fields of a process's record that the previous version does not know.
 const NEW_PROCESS_FIELDS: [&str; 2] = ["consents", "claims"];
 
@@ -16,7 +16,7 @@
 fn strip(key: &str, value: &mut Value) {
     let Value::Object(record) = value else { return };
     if key.starts_with("ochredrum/job/") {
-        NEW_FIELDS
+        NEW_JOB_FIELDS
             .iter()
             .for_each(|field| drop(record.remove(*field)));
     } else if key.starts_with("ochredrum/node/") {
@@ -28,7 +28,7 @@
     }
 }
 
-/// What a controller of the previous version reads of an input.
+/// Removes from an input the fields that a controller of the previous version does not read.
 pub fn strip_input(mut input: Input) -> Input {
     match &mut input {
         Input::Store(_, StoreReply::Listing(listing)) => {
@@ -50,7 +50,7 @@
     input
 }
 
-/// Whether a controller of the previous version can read a message at all.
+/// Whether a controller of the previous version can read a request.
 pub fn can_read(input: &Input) -> bool {
     !matches!(
         input,
@@ -61,7 +61,7 @@
     )
 }
 
-/// What a controller of the previous version writes to the store.
+/// Removes from a request to the store the fields that the previous version does not write.
 pub fn strip_write(mut call: StoreCall) -> StoreCall {
     if let StoreCall::Commit(transaction) = &mut call {
         for write in &mut transaction.writes {
@@ -73,7 +73,7 @@
     call
 }
 
-/// Removes what the previous version does not send in a message.
+/// Removes from a message the fields that the previous version does not send.
 pub fn strip_message(message: &mut MeshMessage) {
     if let MeshMessage::Hello(hello) = message {
         hello.final_states_after = None;
@@ -85,7 +85,7 @@
     }
 }
 
-/// Removes what the previous version does not send in a reply.
+/// Removes from a reply the fields that the previous version does not send.
 pub fn strip_reply(reply: &mut MeshReply) {
     if let MeshReply::Hello(reply) = reply {
         reply.final_states = None;
--- a/tests/world/rate_limiter.rs
+++ b/tests/world/rate_limiter.rs
@@ -1,26 +1,26 @@
-//! The rate limits of the store for requests and for writes, each with a burst of one second.
+//! The rate limits of the store: a token bucket each for requests and for writes, with a burst of one second.
 
 use super::Limits;
 use ochredrum::core::effects::StoreCall;
 
-/// Requests and writes that the store still accepts at this moment.
+/// Token buckets for requests and writes.
 #[derive(Default)]
 pub struct RateLimiter {
     requests: f64,
     writes: f64,
-    /// When it was last refilled.
+    /// When tokens were last added; `None` before the first request.
     refilled_at: Option<f64>,
 }
 
 impl RateLimiter {
-    /// Whether a request is within the limits; if so it is counted.
+    /// Takes the tokens that a request needs and returns whether there were enough. If not, none are taken.
     pub fn try_acquire(&mut self, now: f64, limits: &Limits, call: &StoreCall) -> bool {
-        let passed = self
+        let elapsed = self
             .refilled_at
             .replace(now)
-            .map_or(1.0, |filled| now - filled);
-        self.requests = (self.requests + passed * limits.rps).min(limits.rps);
-        self.writes = (self.writes + passed * limits.write_rps).min(limits.write_rps);
+            .map_or(1.0, |refilled_at| now - refilled_at);
+        self.requests = (self.requests + elapsed * limits.rps).min(limits.rps);
+        self.writes = (self.writes + elapsed * limits.write_rps).min(limits.write_rps);
         let writes = match call {
             StoreCall::Commit(transaction) => transaction.writes.len() as f64,
             _ => 0.0,
--- a/tests/world/services.rs
+++ b/tests/world/services.rs
@@ -1,4 +1,4 @@
-//! The store and the cloud as controllers reach them: limits, outages and faults at single writes.
+//! Delivery of requests to the store and the cloud, with limits, outages and faults at single writes.
 
 use super::faults::{Condition, ShardMapFault};
 use super::network::Endpoint;
@@ -8,7 +8,7 @@
 use rand::Rng;
 
 impl World {
-    /// A request reaches the store.
+    /// Delivers a request to the store, which refuses, throttles, rejects or executes it.
     pub(super) fn store_request(
         &mut self,
         node: usize,
@@ -38,9 +38,9 @@
                 return self.reply(node, epoch, Endpoint::Store, rejected);
             }
             let outage_ended = self.network.take_outage_end(self.now);
-            let map = writes_shard_map(&request);
+            let is_map_write = writes_shard_map(&request);
             let reply = self.store.call(self.now, request, outage_ended);
-            if map
+            if is_map_write
                 && matches!(reply, StoreReply::Committed(_))
                 && self.shard_map_fault_due(ShardMapFault::Crash)
             {
@@ -51,8 +51,8 @@
         self.reply(node, epoch, Endpoint::Store, Input::Store(call, reply));
     }
 
-    /// Whether a transaction exceeds a limit of the store. The real store would reject it every time, so the controllers
-    /// must not send it.
+    /// Whether a transaction exceeds a limit of the store, which is recorded as a violation. The real store
+    /// would reject such a transaction every time, so controllers must not send it.
     fn over_limits(&mut self, transaction: &Transaction) -> bool {
         let largest = transaction
             .writes
@@ -70,13 +70,13 @@
             let (writes, preconditions) =
                 (transaction.writes.len(), transaction.preconditions.len());
             let details =
-                format!("{writes} writes, {preconditions} guards, value of {largest} bytes");
+                format!("{writes} writes, {preconditions} preconditions, value of {largest} bytes");
             self.record_violation("over_limit", details);
         }
         over
     }
 
-    /// Counts a write of the shard map and returns whether it is the one at which this fault happens.
+    /// Counts a write of the shard map and returns whether the fault occurs at this one.
     fn shard_map_fault_due(&mut self, fault: ShardMapFault) -> bool {
         let Some((left, _)) = self
             .shard_map_fault
@@ -93,13 +93,13 @@
         due
     }
 
-    /// Whether a transaction takes effect late, without an answer.
+    /// Whether a transaction takes effect late and without an answer.
     pub(super) fn takes_effect_late(&mut self, request: &StoreCall) -> bool {
         (writes_shard_map(request) && self.shard_map_fault_due(ShardMapFault::Late))
             || (self.network.has(Condition::LateWrites) && self.rng.random_bool(0.3))
     }
 
-    /// A request reaches the cloud's interface.
+    /// Delivers a request to the cloud's interface.
     pub(super) fn cloud_request(
         &mut self,
         node: usize,
@@ -122,7 +122,7 @@
             self.schedule_after(boot, Event::BootDone { machine });
         }
         for machine in self.cloud.take_released() {
-            self.log_event(format!("{machine} deleted"));
+            self.log_event(format!("{machine} released"));
             if let Some(worker) = self.workers.remove(&machine) {
                 self.users.starts_on_removed_machines += worker.starts;
             }
@@ -131,6 +131,7 @@
     }
 }
 
+/// Whether a request writes or deletes a key of the shard map.
 fn writes_shard_map(request: &StoreCall) -> bool {
     let of_map = |write: &Write| match write {
         Write::Put { key, .. } | Write::Delete { key } => key.starts_with("ochredrum/map/"),
--- a/tests/world/settings.rs
+++ b/tests/world/settings.rs
@@ -32,24 +32,24 @@
     }
 }
 
-/// The features of the shipped file that holds team limits by grants.
+/// The features in `deploy/features.toml`, which enforce team limits by grants.
 pub fn features_with_grants() -> Features {
     let Ok(features) = Features::parse(include_str!("../../deploy/features.toml")) else {
-        panic!("the shipped features")
+        panic!("deploy/features.toml is invalid")
     };
     features
 }
 
-/// The features of the file that the shipped service runs with.
+/// The features in `deploy/failure-detection.toml`, with which the service is deployed.
 pub fn default_features() -> Features {
     let Ok(features) = Features::parse(include_str!("../../deploy/failure-detection.toml")) else {
-        panic!("the shipped features")
+        panic!("deploy/failure-detection.toml is invalid")
     };
     features
 }
 
-/// The settings file of one controller. `next` are the limits of the store that will apply later, if this version
-/// reads them.
+/// The settings file of one controller. `next` holds announced limits of the store, absent for versions that
+/// cannot read them.
 pub fn settings(index: usize, nodes: usize, limits: Limits, next: Option<Limits>) -> String {
     let state = limits.settings("deployment.state");
     let next = next
--- a/tests/world/start_rules.rs
+++ b/tests/world/start_rules.rs
@@ -1,4 +1,4 @@
-//! The rules that are checked when a task starts, and whether a job could start.
+//! Checks of the rules that apply when a task starts, and of whether a job has room to start.
 
 use super::worker::Worker;
 use super::{GPUS_MAX, LEASE_S, World};
@@ -6,17 +6,17 @@
 use ochredrum::wire::{JobKind, JobSpec, MachineType};
 use std::collections::BTreeMap;
 
-/// A start that was in flight when its job was cancelled has been executed within this many seconds.
+/// Seconds within which a start that was in flight when its job was cancelled has been executed.
 const IN_FLIGHT_S: f64 = 1.5;
 /// The team whose GPUs are limited to [`GPUS_MAX`].
 const LIMITED_TEAM: &str = "blue";
-/// Tolerance in comparisons of GPUs.
+/// Tolerance in comparisons of GPU counts, which are sums of floating-point numbers.
 const GPU_TOLERANCE: f64 = 1e-6;
 
-/// What is on the machines of the fleet when a task starts.
+/// The tasks on all machines at the start of a task, as far as they concern that task.
 #[derive(Default)]
 struct Survey {
-    /// Another machine, or another attempt, on which the same task is.
+    /// A machine that has another attempt of the same task, or another machine that has the task at all.
     duplicate_on: Option<MachineId>,
     /// GPUs that the limited team uses.
     limited_gpus: f64,
@@ -24,7 +24,7 @@
     zones: BTreeMap<String, u32>,
 }
 
-/// What the tasks of a worker that have not exited use.
+/// Resources that the tasks of a worker use, without tasks that have exited.
 #[derive(Default)]
 struct Usage {
     gpus: f64,
@@ -34,7 +34,7 @@
 }
 
 impl Usage {
-    /// Whether one more task fits on a machine.
+    /// Whether one more task of a job fits on the machine.
     fn leaves_room(&self, spec: &JobSpec, machine_type: &MachineType) -> bool {
         self.gpus + spec.gpus <= machine_type.gpus
             && self.cpus + spec.cpus <= machine_type.cpus
@@ -43,6 +43,7 @@
 }
 
 impl World {
+    /// Collects the tasks on all machines that concern the start of an attempt on machine `id`.
     fn survey(&self, id: &MachineId, task: &TaskId, attempt: Attempt) -> Survey {
         let mut survey = Survey::default();
         for worker in self.workers.values() {
@@ -68,7 +69,7 @@
         survey
     }
 
-    /// Checks the rules about a task that starts: it has its image from now on.
+    /// Checks the rules that apply when a task starts, that is, when its image has been fetched.
     pub(super) fn check_start(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) {
         let Some(spec) = self.users.spec(&task.job).cloned() else {
             return;
@@ -92,7 +93,7 @@
         self.check_not_cancelled(id, task);
     }
 
-    /// A task starts only on a machine, and in a zone, that its job allows.
+    /// Checks that a task starts on a machine, and in a zone, that its job allows.
     fn check_place(
         &mut self,
         id: &MachineId,
@@ -120,13 +121,13 @@
         }
     }
 
-    /// No task of a cancelled job starts, but for starts that were in flight when its user was told.
+    /// Checks that no task of a cancelled job starts, except for starts in flight when the user was told.
     fn check_not_cancelled(&mut self, id: &MachineId, task: &TaskId) {
         let reported_at = self.users.cancelled_reported_at(&task.job);
         if let Some(reported_at) = reported_at.filter(|at| *at < self.now) {
             self.counters.starts_after_cancel += 1;
-            // Without faults, what was in flight then has been stopped by now. A machine that hung executes what had
-            // reached it once it continues (command_faults day 28).
+            // Without faults, starts in flight at that time have been stopped by now. A machine that hung
+            // executes the commands it had received once it continues (command_faults day 28).
             let hung_until = self.workers.get(id).map_or(0.0, |worker| worker.hung_until);
             let executed_by = reported_at.max(hung_until) + IN_FLIGHT_S;
             if self.was_fault_free(reported_at, LEASE_S * 2.0) && self.now > executed_by {
@@ -138,11 +139,12 @@
         }
     }
 
-    /// Whether no fault was in effect from `before` seconds before a moment until now.
+    /// Whether no fault was in effect from `before` seconds before the time `since` until now.
     fn was_fault_free(&self, since: f64, before: f64) -> bool {
         self.network.has_no_faults() && self.last_fault_at.max(self.last_crash_at) < since - before
     }
 
+    /// The resources in use on a worker's machine.
     fn usage(&self, worker: &Worker) -> Usage {
         let occupying = worker
             .tasks
@@ -161,8 +163,8 @@
         })
     }
 
-    /// Whether some machine could run one task of a job, within its team's limit. Jobs whose tasks restrict one
-    /// another's places, or need more than one machine at once, are left out.
+    /// Whether some machine could run one task of a job within its team's limit. Always false for gangs and
+    /// for jobs with placement constraints among their tasks, for which one machine with room proves nothing.
     pub(super) fn has_room(&self, spec: &JobSpec) -> bool {
         if spec.kind == JobKind::Gang || spec.one_zone || spec.spread {
             return false;
@@ -184,7 +186,7 @@
         })
     }
 
-    /// Tasks of a job that are on machines.
+    /// The number of tasks of a job that are on machines.
     pub(super) fn tasks_on_machines(&self, job: &JobId) -> usize {
         let tasks = self.workers.values().flat_map(|worker| &worker.tasks);
         tasks
--- a/tests/world/store.rs
+++ b/tests/world/store.rs
@@ -1,29 +1,35 @@
-//! A stand-in for the key-value store: versions, preconditions, leases and a change log.
+//! A simulated key-value store with versions, preconditions, leases and a change log.
 
 use ochredrum::core::effects::{StoreCall, StoreReply};
 use ochredrum::wire::{Change, Changes, Entry, Listing, Transaction, Write};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// A stored value.
+/// The value of a key with its version and the lease that it is attached to, if any.
 struct Key {
     value: Value,
     version: u64,
     lease: Option<u64>,
 }
 
-/// A lease that holds keys.
+/// A lease. The keys attached to it are deleted when it expires.
 struct Lease {
+    /// Duration in seconds that a renewal restores.
     ttl: f64,
+    /// When it expires unless it is renewed.
     ends: f64,
 }
 
-/// Entries in one page of a listing: few, so that controllers have to read several pages.
+/// Maximum number of entries in one page of a listing. It is small, so that controllers have to read several
+/// pages.
 const DEFAULT_PAGE_SIZE: usize = 20;
 
+/// Maximum length of a value as JSON, in bytes. Controllers must not write longer values.
+const MAX_VALUE_BYTES: usize = 4096;
+
 /// The key-value store.
 pub struct Store {
-    /// Entries in one page of a listing at most.
+    /// Maximum number of entries in one page of a listing.
     pub page_size: usize,
     keys: BTreeMap<String, Key>,
     leases: BTreeMap<u64, Lease>,
@@ -46,7 +52,7 @@
 }
 
 impl Store {
-    /// Answers a request. If an outage has ended at `outage_ended`, all leases have their full duration again from then
+    /// Handles a request. If `outage_ended` is given, every lease first gets its full duration from that time
     /// on.
     pub fn call(&mut self, now: f64, call: StoreCall, outage_ended: Option<f64>) -> StoreReply {
         if let Some(end) = outage_ended {
@@ -89,7 +95,7 @@
         }
     }
 
-    /// One page of the keys with a prefix, after `from`.
+    /// One page of the entries with a prefix whose keys are greater than `from`.
     fn list(&self, prefix: &str, from: Option<String>) -> Listing {
         let after = |key: &String| from.as_ref().is_none_or(|from| key > from);
         let all = self
@@ -118,7 +124,7 @@
             let key = change.put_key.as_ref().or(change.deleted_key.as_ref());
             change.version > from && key.is_some_and(|key| key.starts_with(prefix))
         };
-        // The log is ordered by version; a long one is not read from its beginning.
+        // The log is ordered by version, so a binary search finds the first newer change.
         let newer = self.log.partition_point(|change| change.version <= from);
         let events = self.log[newer..].iter().filter(matches).cloned().collect();
         Changes {
@@ -161,7 +167,7 @@
             .map(|(_, key)| &key.value)
     }
 
-    /// How often a key was written.
+    /// How many times a key was written, deletions not included.
     #[allow(
         dead_code,
         reason = "one of the two test binaries that share this file does not use it"
@@ -173,20 +179,21 @@
             .count()
     }
 
+    /// Removes the leases that have expired, and deletes their keys.
     fn expire(&mut self, now: f64) {
         let ended: Vec<u64> = self
             .leases
             .iter()
-            .filter(|(_, l)| l.ends < now)
+            .filter(|(_, lease)| lease.ends < now)
             .map(|(id, _)| *id)
             .collect();
         for id in ended {
             self.leases.remove(&id);
-            let hangs = |k: &Key| k.lease == Some(id);
+            let is_attached = |key: &Key| key.lease == Some(id);
             let gone: Vec<String> = self
                 .keys
                 .iter()
-                .filter(|(_, k)| hangs(k))
+                .filter(|(_, key)| is_attached(key))
                 .map(|(key, _)| key.clone())
                 .collect();
             if !gone.is_empty() {
@@ -198,13 +205,14 @@
         }
     }
 
+    /// Applies one write at the current revision and adds it to the change log.
     fn write(&mut self, write: Write) {
         let version = self.revision;
         let change = match write {
             Write::Put { key, value, lease } => {
                 assert!(
-                    value.to_string().len() <= 4096,
-                    "value of {key} over the limit"
+                    value.to_string().len() <= MAX_VALUE_BYTES,
+                    "value of {key} exceeds {MAX_VALUE_BYTES} bytes"
                 );
                 self.keys.insert(
                     key.clone(),
--- a/tests/world/tasks.rs
+++ b/tests/world/tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks on workers: they fetch their image, run, save checkpoints and exit.
+//! Execution of tasks on workers: fetching the image, running, saving checkpoints and exiting.
 
 use super::cloud::Cloud;
 use super::faults::MachineCondition;
@@ -8,7 +8,7 @@
 use ochredrum::ids::{Attempt, JobId, MachineId, TaskId};
 use ochredrum::wire::{Command, ExitReason, JobKind, JobSpec, TaskState};
 
-/// How long a worker takes to prepare an image that it has cached.
+/// Seconds that a worker needs to prepare a cached image.
 const CACHED_FETCH_S: f64 = 0.05;
 /// Tolerance in comparisons of resources, which are sums of floating-point numbers.
 const RESOURCE_TOLERANCE: f64 = 1e-6;
@@ -16,18 +16,19 @@
 /// One attempt of a task on a worker.
 #[derive(Clone, Debug)]
 pub struct RunningTask {
-    /// What the worker reports of it.
+    /// The state that the worker reports.
     pub state: TaskState,
-    /// Why it exited, once it has.
+    /// Why it exited; `None` before it has.
     pub exit: Option<ExitReason>,
     /// Whether it saved a checkpoint when it was stopped.
     pub checkpointed: bool,
-    /// When the present state ends by itself.
+    /// When the present state ends unless a command ends it earlier. While the task waits: when the wait
+    /// began.
     state_ends_at: f64,
 }
 
 impl RunningTask {
-    /// Whether it is on its machine as the protocol defines it: from when it has its image until it exits.
+    /// Whether it is on its machine in the sense of the protocol: it has its image and has not exited.
     pub fn is_on_machine(&self) -> bool {
         matches!(
             self.state,
@@ -35,7 +36,7 @@
         )
     }
 
-    /// Whether it occupies resources of its machine.
+    /// Whether it has exited. Until then it occupies resources of its machine.
     pub fn has_exited(&self) -> bool {
         self.state == TaskState::Exited
     }
@@ -46,7 +47,7 @@
         self.state_ends_at = f64::INFINITY;
     }
 
-    /// Stops it; with enough time it saves a checkpoint first.
+    /// Stops the task. If the grace period is long enough, it saves a checkpoint first.
     fn stop(&mut self, now: f64, grace_s: f64, spec: Option<&JobSpec>) {
         let checkpoint_interval_s = spec.map_or(0.0, |spec| spec.checkpoint_interval_s);
         let checkpoint_write_s = spec.map_or(0.0, |spec| spec.checkpoint_write_s);
@@ -81,7 +82,7 @@
 }
 
 impl World {
-    /// A worker executes one command.
+    /// Executes one command on a worker.
     pub(super) fn execute(&mut self, id: &MachineId, command: Command) {
         match command {
             Command::Start { task, attempt } => match TaskId::parse(&task) {
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Lets the tasks of a worker proceed whose present state has ended.
+    /// Moves the tasks of a worker whose present state has ended to their next state.
     pub(super) fn advance_tasks(&mut self, id: &MachineId) {
         let now = self.now;
         let Some(worker) = self.workers.get(id) else {
@@ -224,7 +225,8 @@
         }
     }
 
-    /// A task that has its image runs. A gang's task first waits for the others, and exits if it waits too long.
+    /// Runs a task that has its image. A task of a gang first waits for the other tasks and exits if that
+    /// takes too long.
     fn leave_waiting(
         &mut self,
         id: &MachineId,
@@ -255,7 +257,7 @@
         };
     }
 
-    /// Whether all tasks of an attempt of a gang are on machines.
+    /// Whether all tasks of a gang's attempt are on machines.
     fn gang_is_complete(&self, task: &TaskId, attempt: Attempt, tasks: u32) -> bool {
         let all = self.workers.values().flat_map(|worker| &worker.tasks);
         let ready = all.filter(|((other, same), running)| {
@@ -264,7 +266,7 @@
         ready.count() >= tasks as usize
     }
 
-    /// A gang's tasks complete together.
+    /// Completes all tasks of a gang's attempt together.
     fn complete_gang(&mut self, job: &JobId, attempt: Attempt, tasks: u32) {
         for index in 0..tasks {
             let task = TaskId {
@@ -283,7 +285,7 @@
         }
     }
 
-    /// Running gang tasks on a worker exit when another task of their attempt has been lost.
+    /// Ends the running gang tasks on a worker that have lost another task of their attempt.
     fn exit_incomplete_gangs(&mut self, id: &MachineId) {
         let now = self.now;
         let Some(worker) = self.workers.get(id) else {
--- a/tests/world/unusual_requests.rs
+++ b/tests/world/unusual_requests.rs
@@ -1,5 +1,6 @@
-//! Unusual requests, as bodies on the wire: fields that are missing, null or of the wrong type, and dependencies that
-//! were never accepted, are the job itself, or are hundreds.
+//! Submissions with unusual bodies: fields that are missing, null or of the wrong type, impossible resource
+//! demands, and dependencies that were never accepted, that are the job itself, or that number in the
+//! hundreds.
 
 use super::users::RequestKind;
 use super::{Event, Requester, World};
@@ -9,7 +10,7 @@
 use rand::Rng;
 use serde_json::{Value, json};
 
-/// How often such a request is sent.
+/// Seconds between unusual requests.
 const UNUSUAL_REQUEST_INTERVAL_S: f64 = 0.7;
 /// The required fields of a submission.
 const REQUIRED_FIELDS: [&str; 17] = [
@@ -32,22 +33,22 @@
     "markS",
 ];
 
-/// Ways in which a submission can be malformed.
+/// Number of variants of malformed submissions.
 const MALFORMED_FORMS: i32 = 4;
-/// Ways in which a well-formed submission can be impossible.
+/// Number of variants of well-formed submissions that cannot be accepted.
 const IMPOSSIBLE_FORMS: i32 = 4;
 
-/// What has to happen to an unusual request.
+/// The outcome that an unusual submission must have.
 enum ExpectedOutcome {
-    /// Refused with status 400, because it is no job.
+    /// Its body cannot be parsed as a submission, which a controller answers with status 400.
     Malformed,
-    /// Well formed, but not accepted.
+    /// It is well formed, but no controller may accept it.
     Refused,
-    /// Accepted, because only its form is unusual.
+    /// It is accepted, because only its form is unusual.
     Accepted,
 }
 
-/// A valid submission.
+/// The body of a valid submission.
 fn valid_submission(id: &JobId) -> Value {
     json!({"nameId": id, "herd": "batch", "crew": "red", "shape": "sweep", "urgency": "standard",
         "beats": 2, "cores": 4.0, "cards": 2.0, "memGb": 16.0, "pressing": "img", "sizeGb": 8.0,
@@ -55,7 +56,7 @@
         "expectS": 5.0, "markEveryS": 0.0, "markS": 0.0, "dueS": null})
 }
 
-/// A malformed submission; `choice` is below [`MALFORMED_FORMS`].
+/// A malformed submission. `choice` selects the variant and is below [`MALFORMED_FORMS`].
 fn malformed_submission(id: &JobId, choice: i32, field: &str) -> Value {
     let mut body = valid_submission(id);
     match choice {
@@ -69,7 +70,8 @@
     body
 }
 
-/// A well-formed submission that cannot be accepted; `choice` is below [`IMPOSSIBLE_FORMS`].
+/// A well-formed submission that cannot be accepted. `choice` selects the variant and is below
+/// [`IMPOSSIBLE_FORMS`].
 fn impossible_submission(id: &JobId, choice: i32) -> Value {
     let mut body = valid_submission(id);
     match choice {
@@ -84,7 +86,7 @@
     body
 }
 
-/// A valid submission that names jobs which are done five hundred times.
+/// A valid submission whose 500 dependencies repeat jobs that are done.
 fn submission_with_repeated_dependencies(id: &JobId, done: &[JobId]) -> Value {
     let mut body = valid_submission(id);
     let dependencies: Vec<&JobId> = done.iter().cycle().take(500).collect();
@@ -93,7 +95,7 @@
 }
 
 impl World {
-    /// Sends one unusual request and schedules the next.
+    /// Sends one unusual request and schedules the next, until the time `until`.
     pub(super) fn unusual_request(&mut self, until: f64) {
         if self.now > until {
             return;
@@ -116,7 +118,8 @@
         }
     }
 
-    /// Reads a body as a controller does, and submits it if it is well formed.
+    /// Parses a body as a controller does, checks the outcome, and submits the job if the body is well
+    /// formed.
     fn send_unusual(&mut self, body: &Value, expected: ExpectedOutcome) {
         let parsed = parse_submission(&encode(body));
         let malformed = matches!(expected, ExpectedOutcome::Malformed);
@@ -125,7 +128,7 @@
             if !malformed {
                 self.record_violation(
                     "valid_submission_refused",
-                    format!("{body} is called malformed"),
+                    format!("{body} is refused as malformed"),
                 );
             }
             return;
@@ -133,7 +136,7 @@
         if malformed {
             return self.record_violation(
                 "malformed_submission_accepted",
-                format!("{body} is taken for a job"),
+                format!("{body} is parsed as a job"),
             );
         }
         match expected {
@@ -151,6 +154,7 @@
         }
     }
 
+    /// Adds a user who submits the job and follows it to its end.
     fn submit_unusual(&mut self, spec: JobSpec) {
         let run_s = self.rng.random_range(1.0..4.0);
         self.add_job(self.now, spec, run_s);
--- a/tests/world/user_checks.rs
+++ b/tests/world/user_checks.rs
@@ -1,4 +1,4 @@
-//! What users were told is checked against what has happened.
+//! Checks of the answers that users receive against the state of the simulation.
 
 use super::users::RequestKind;
 use super::{CANCEL_S, Event, World};
@@ -6,19 +6,19 @@
 use ochredrum::ids::JobId;
 use ochredrum::wire::JobKind;
 
-/// How long a job may wait without faults beside a machine that has room for it.
+/// Seconds that a job may wait while no fault is in effect and a machine has room for it.
 const STARVATION_S: f64 = 90.0;
-/// How often waiting jobs are checked.
+/// Seconds between checks of waiting jobs.
 const STARVATION_CHECK_INTERVAL_S: f64 = 5.0;
-/// How often users poll a job that has not ended.
+/// Seconds between polls of a job that has not ended.
 const POLL_INTERVAL_S: f64 = 5.0;
-/// How often users poll a job that has ended.
+/// Seconds between polls of a job that has ended.
 const POLL_INTERVAL_AFTER_END_S: f64 = 20.0;
-/// A job must have been answered for within this time at the end of a simulation.
+/// Maximum age in seconds of the last answer about a job at the end of a simulation.
 const MAX_UNANSWERED_S: f64 = 75.0;
 
 impl World {
-    /// A user receives an answer, or sees that there will be none.
+    /// Handles the answer to a user's request, or its absence, and schedules the user's next request.
     pub(super) fn receive_user_answer(
         &mut self,
         job: Option<usize>,
@@ -67,10 +67,10 @@
         }
     }
 
-    /// Checks a status that a user was told.
+    /// Checks a job status that was reported to a user.
     ///
-    /// A request that was sent before something was told may still be answered without it: answers to overlapping
-    /// requests arrive in any order (random day 1026).
+    /// Answers to overlapping requests arrive in any order, so a request that was sent before an earlier
+    /// report may still receive an older status (random day 1026).
     fn check_reported_status(&mut self, job: usize, kind: RequestKind, sent_at: f64, status: &str) {
         let user = &self.users.jobs[job];
         let id = user.id.clone();
@@ -88,7 +88,7 @@
         if matches!(kind, RequestKind::ProbePoll | RequestKind::ProbeSubmit) {
             return;
         }
-        // Users may poll at any later time, only less often.
+        // Users continue to poll a job that has ended, but less often.
         let delay = if has_ended {
             POLL_INTERVAL_AFTER_END_S
         } else {
@@ -100,6 +100,7 @@
         }
     }
 
+    /// Checks a report that a job is done.
     fn check_reported_done(&mut self, job: usize) {
         let now = self.now;
         let user = &mut self.users.jobs[job];
@@ -108,17 +109,18 @@
         let was_cancelled = user.cancelled_reported_at.is_some();
         user.done_reported_at = user.done_reported_at.or(Some(now));
         if unfinished {
-            self.record_violation("not_done", format!("{id} is called done"));
+            self.record_violation("not_done", format!("{id} is reported done"));
         }
         if was_cancelled {
-            // Both are final: the order of the requests does not matter.
+            // Both states are final, so the order of the requests does not matter.
             self.record_violation(
                 "final_state_changed",
-                format!("{id} was cancelled, is called done"),
+                format!("{id} was cancelled, is reported done"),
             );
         }
     }
 
+    /// Checks a report that a job is cancelled.
     fn check_reported_cancelled(&mut self, job: usize) {
         let now = self.now;
         let id = self.users.id(job);
@@ -128,32 +130,32 @@
         let first = user.cancelled_reported_at.is_none();
         user.cancelled_reported_at = user.cancelled_reported_at.or(Some(now));
         if !cancel_requested || was_done {
-            self.record_violation("final_state_changed", format!("{id} is called cancelled"));
+            self.record_violation("final_state_changed", format!("{id} is reported cancelled"));
         }
         if first {
             self.schedule_after(CANCEL_S + 0.01, Event::CheckCancelledTasks { job });
         }
     }
 
-    /// A job that has not ended, as far as the answer says.
+    /// Checks a report that a job has not ended.
     fn check_reported_active(&mut self, job: usize, sent_at: f64, status: &str) {
         let user = &self.users.jobs[job];
         let id = user.id.clone();
         let ended = user.done_reported_at.or(user.cancelled_reported_at);
         let dependency_cancelled = self.users.dependency_cancelled_at(&id);
         if ended.is_some_and(|ended| ended < sent_at) {
-            self.record_violation("final_state_changed", format!("{id} is called {status}"));
+            self.record_violation("final_state_changed", format!("{id} is reported {status}"));
         }
         if dependency_cancelled.is_some_and(|at| sent_at > at + CANCEL_S) {
             self.record_violation(
                 "dependent_not_cancelled",
-                format!("{id} is called {status}"),
+                format!("{id} is reported {status}"),
             );
         }
     }
 
-    /// Checks, `cancel_s` after its user was told of the cancellation, that no task of a job is left. This does not
-    /// wait for a poll, because in an outage polls may go unanswered.
+    /// Checks, `cancel_s` after the user was told of the cancellation, that no task of the job is left. The
+    /// check does not wait for a poll, because polls may be unanswered during an outage.
     pub(super) fn check_cancelled_tasks(&mut self, job: usize) {
         let id = self.users.jobs[job].id.clone();
         let left = self.tasks_on_machines(&id);
@@ -162,8 +164,8 @@
         }
     }
 
-    /// Checks that, without faults, no job is left waiting while a suitable machine has room and its team is below
-    /// its limit.
+    /// Checks that, while no fault is in effect, no job is left waiting although a suitable machine has room
+    /// and the team is below its limit.
     pub(super) fn check_starvation(&mut self) {
         let now = self.now;
         let all_up = self
@@ -188,13 +190,14 @@
             *since = if waits { since.or(Some(now)) } else { None };
             if since.is_some_and(|since| now > since + STARVATION_S) {
                 *since = None;
-                self.record_violation("starved", format!("{id} waits beside a machine with room"));
+                self.record_violation("starved", format!("{id} waits although a machine has room"));
             }
         }
         self.schedule_after(STARVATION_CHECK_INTERVAL_S, Event::CheckStarvation);
     }
 
-    /// Checks what a scenario expects of a job at this moment; otherwise its faults do not interact as intended.
+    /// Checks that a job is in the state that the scenario expects. Otherwise the scenario's faults
+    /// do not interact as intended.
     pub(super) fn check_expectation(&mut self, job: usize, expected: &str) {
         let user = &self.users.jobs[job];
         let id = user.id.clone();
@@ -204,36 +207,41 @@
             "done" => user.done_reported_at.is_some(),
             "running" => self.tasks_on_machines(&id) > 0,
             "idle" => self.tasks_on_machines(&id) == 0,
-            // Each of its tasks has started once at most.
+            // Each of its tasks has started at most once.
             "undisturbed" => user.starts <= user.spec.tasks,
-            other => panic!("expect {other:?}?"),
+            other => panic!("unknown expectation {other:?}"),
         };
         if !met {
             self.record_violation("expectation_not_met", format!("{id} is not {expected}"));
         }
     }
 
-    /// Jobs that are not as their users may expect once all faults are over, with the reason.
+    /// Jobs that are not in the state that their users may expect after all faults have ended, with the
+    /// reason.
     pub(super) fn unserved(&self) -> Vec<(JobId, String)> {
         let mut unserved = Vec::new();
         for user in &self.users.jobs {
-            let on = self.tasks_on_machines(&user.id);
+            let on_machines = self.tasks_on_machines(&user.id);
             let problem = if self.now > user.last_answered + MAX_UNANSWERED_S && user.accepted {
-                Some("no controller answers for it".to_owned())
+                Some("no controller answers requests about it".to_owned())
             } else if !user.accepted {
                 Some("not accepted".to_owned())
             } else if self.users.dependency_cancelled_at(&user.id).is_some()
                 && user.cancelled_reported_at.is_none()
             {
-                Some("what it needs is cancelled, and it is not".to_owned())
+                Some("a dependency is cancelled, but the job is not".to_owned())
             } else if user.cancelled_reported_at.is_some() {
-                (on > 0).then(|| format!("cancelled, {on} tasks on machines"))
+                (on_machines > 0).then(|| format!("cancelled, {on_machines} tasks on machines"))
             } else if user.spec.kind == JobKind::Service {
-                (on < user.spec.tasks as usize).then(|| format!("{on} of {} up", user.spec.tasks))
+                (on_machines < user.spec.tasks as usize)
+                    .then(|| format!("{on_machines} of {} tasks on machines", user.spec.tasks))
             } else {
-                user.done_reported_at
-                    .is_none()
-                    .then(|| format!("{} done, {on} on machines", user.finished.len()))
+                user.done_reported_at.is_none().then(|| {
+                    format!(
+                        "{} tasks finished, {on_machines} on machines",
+                        user.finished.len()
+                    )
+                })
             };
             unserved.extend(problem.map(|problem| (user.id.clone(), problem)));
         }
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -1,4 +1,4 @@
-//! Users: their jobs, the requests that they send, and what they were told.
+//! Users, their jobs, the requests that they send, and the job states reported to them.
 
 use super::faults::Condition;
 use super::{CANCEL_S, Event, Requester, World};
@@ -8,18 +8,18 @@
 use rand::Rng;
 use std::collections::BTreeSet;
 
-/// What a user asks for.
+/// The kind of a user's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
-    /// Submits a job, repeated until it is accepted.
+    /// Submits a job. Repeated until the job is accepted.
     Submit,
-    /// Polls a job, again and again.
+    /// Polls a job. Repeated until the end of the simulation.
     Poll,
-    /// Cancels a job, repeated until it is answered.
+    /// Cancels a job. Repeated until it is answered.
     Cancel,
-    /// A poll beside the usual ones, which no other request follows.
+    /// An extra poll, which schedules no further request.
     ProbePoll,
-    /// A repeated submission beside the usual ones, which no other request follows.
+    /// An extra repetition of the submission, which schedules no further request.
     ProbeSubmit,
     /// An unusual submission that must not be accepted.
     Unusual,
@@ -39,16 +39,16 @@
     pub cancelled_reported_at: Option<f64>,
     /// When a request about the job was last answered.
     pub last_answered: f64,
-    /// Tasks that have finished.
+    /// Indices of the tasks that have finished.
     pub finished: BTreeSet<u32>,
-    /// How many of its tasks have started, restarts included.
+    /// Number of task starts, restarts included.
     pub starts: u32,
-    /// Since when the job waits although it could run.
+    /// Since when the job has been waiting although it could run; `None` if it is not.
     pub waiting_since: Option<f64>,
 }
 
 impl User {
-    /// Whether all tasks have finished.
+    /// Whether all tasks of the job have finished.
     pub fn has_finished(&self) -> bool {
         self.finished.len() as u32 == self.spec.tasks
     }
@@ -59,12 +59,12 @@
 pub struct Users {
     pub(super) jobs: Vec<User>,
     unusual_id_count: u32,
-    /// Starts on machines that no longer exist.
+    /// Number of task starts on machines that no longer exist.
     pub starts_on_removed_machines: u64,
 }
 
 impl Users {
-    /// Adds a user with a job and returns the number of the job.
+    /// Adds a user with a job and returns the index of the job.
     pub fn add(&mut self, spec: JobSpec, run_s: f64) -> usize {
         let id = JobId::from(format!("req-{:06}", self.jobs.len() + 1));
         self.jobs.push(User {
@@ -88,13 +88,13 @@
         self.jobs[job].starts
     }
 
-    /// A job id that no other user uses.
+    /// Creates a job id that no other submission uses.
     pub fn create_unusual_job_id(&mut self) -> JobId {
         self.unusual_id_count += 1;
         JobId::from(format!("req-7{:05}", self.unusual_id_count))
     }
 
-    /// Array jobs that are done, on which others may depend and which can no longer be cancelled.
+    /// Array jobs that are done. Other jobs may depend on them, and they can no longer be cancelled.
     pub fn done_arrays(&self) -> Vec<JobId> {
         let done = self
             .jobs
@@ -110,29 +110,30 @@
         self.find(id).and_then(|job| job.cancelled_reported_at)
     }
 
-    /// The user of a job.
+    /// The user who has submitted the job with this id.
     fn find(&self, id: &JobId) -> Option<&User> {
         self.jobs.iter().find(|job| job.id == *id)
     }
 
-    /// The id of a job.
+    /// The id of the job with this index.
     pub fn id(&self, job: usize) -> JobId {
         self.jobs[job].id.clone()
     }
 
-    /// What was submitted.
+    /// The submitted specification of a job.
     pub fn spec(&self, id: &JobId) -> Option<&JobSpec> {
         self.find(id).map(|job| &job.spec)
     }
 
-    /// Seconds that a task runs. The result of a finished task is kept: when started again it ends at once.
+    /// Seconds that a task runs. The result of a finished task is kept, so it ends at once if it is started
+    /// again.
     pub fn run_s(&self, task: &TaskId) -> f64 {
         let job = self.find(&task.job);
-        job.map_or(0.0, |j| {
-            if j.finished.contains(&task.index) {
+        job.map_or(0.0, |job| {
+            if job.finished.contains(&task.index) {
                 0.0
             } else {
-                j.run_s
+                job.run_s
             }
         })
     }
@@ -156,10 +157,10 @@
         self.find(id).is_some_and(|job| !job.finished.is_empty())
     }
 
-    /// Whether the user was told of the cancellation so long ago that no task may be left.
+    /// Whether the user was told of the cancellation more than `cancel_s` ago, so that no task may be left.
     pub fn cancelled_for_long(&self, id: &JobId, now: f64) -> bool {
-        let told = self.find(id).and_then(|job| job.cancelled_reported_at);
-        told.is_some_and(|at| now > at + CANCEL_S)
+        let reported_at = self.find(id).and_then(|job| job.cancelled_reported_at);
+        reported_at.is_some_and(|at| now > at + CANCEL_S)
     }
 
     /// The users of a job and of all its direct and indirect dependencies, the job itself first.
@@ -186,14 +187,14 @@
 
     /// When a user was first told that the job or one of its dependencies is cancelled.
     pub(super) fn dependency_cancelled_at(&self, id: &JobId) -> Option<f64> {
-        let told = self
+        let reported_at = self
             .with_dependencies(id)
             .into_iter()
             .filter_map(|user| user.cancelled_reported_at);
-        told.min_by(f64::total_cmp)
+        reported_at.min_by(f64::total_cmp)
     }
 
-    /// A dependency of a job that has not finished, if there is one: the job may not start.
+    /// A direct or indirect dependency that has not finished, if there is one. The job may not start before.
     pub fn unfinished_dependency(&self, id: &JobId) -> Option<JobId> {
         let done = |user: &&&User| user.has_finished();
         let needed = self.with_dependencies(id);
@@ -206,16 +207,17 @@
 }
 
 impl World {
-    /// A user sends a request to any controller.
+    /// Sends a user's request to a random controller.
     pub(super) fn send_user_request(&mut self, job: usize, kind: RequestKind) {
         self.send_user_request_to(job, kind, None);
     }
 
-    /// A user sends a request to one controller.
+    /// Sends a user's request to the given controller.
     pub(super) fn probe(&mut self, job: usize, node: usize, kind: RequestKind) {
         self.send_user_request_to(job, kind, Some(node));
     }
 
+    /// Sends a user's request to the given controller, or to a random one.
     fn send_user_request_to(&mut self, job: usize, kind: RequestKind, node: Option<usize>) {
         let user = &mut self.users.jobs[job];
         let id = user.id.clone();
@@ -242,8 +244,8 @@
         );
     }
 
-    /// Sends polls and repeated submissions to all controllers within milliseconds, right after a user was told
-    /// something.
+    /// Sends polls and repeated submissions to all controllers within milliseconds of a report to a user, if
+    /// the condition for it is in effect.
     pub(super) fn probe_all_controllers(&mut self, job: usize) {
         if !self.network.has(Condition::LinearizabilityProbes) {
             return;
@@ -259,7 +261,7 @@
         }
     }
 
-    /// Lets some users cancel a job at the moment of its completion.
+    /// Lets some users cancel a job within a second of its completion, if the condition for it is in effect.
     pub(super) fn cancel_at_completion(&mut self, id: &JobId) {
         if !self.network.has(Condition::CancelAtCompletion) || !self.rng.random_bool(0.5) {
             return;
@@ -271,7 +273,7 @@
         }
     }
 
-    /// Polls a job that was never submitted, again and again.
+    /// Polls a job that was never submitted, and schedules the next such poll.
     pub(super) fn poll_unknown_job(&mut self) {
         let node = self.rng.random_range(0..self.nodes.len());
         let request = UserRequest::Poll("req-999999".into());
--- a/tests/world/worker.rs
+++ b/tests/world/worker.rs
@@ -1,5 +1,6 @@
-//! Workers: heartbeats, leases, sessions and fencing tokens as the protocol defines them.
+//! Simulated workers, which implement the protocol's heartbeats, leases, sessions and fencing tokens.
 
+use super::calls::HELD_DELIVERY_S;
 use super::cloud::Cloud;
 use super::faults::{Condition, MachineCondition};
 use super::network::{CutManner, Endpoint};
@@ -11,54 +12,57 @@
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// How long a worker waits for the answer to a heartbeat.
+/// Seconds that a worker waits for the answer to a heartbeat.
 const ANSWER_TIMEOUT_S: f64 = 4.0;
-/// How long a worker waits before it reports to the next controller.
+/// Seconds that a worker waits before it sends a heartbeat to the next controller.
 const RETRY_DELAY_S: f64 = 1.0;
-/// A change is reported this long after the heartbeat before, at the earliest.
+/// Minimum number of seconds between a heartbeat and the next one that reports a change.
 const MIN_CHANGE_REPORT_INTERVAL_S: f64 = 0.5;
-/// How often a worker checks its lease and its tasks.
+/// Seconds between a worker's checks of its lease and its tasks.
 const TURN_INTERVAL_S: f64 = 0.1;
-/// Seconds from the end of a cut until the messages that it held are delivered.
-const HELD_DELIVERY_S: f64 = 0.01;
-/// Part of the heartbeats that are recorded for replay.
+/// Probability that a heartbeat is recorded under [`Condition::ReplayToNextLeader`].
 const RECORDED_PROBABILITY: f64 = 0.3;
-/// What a worker reports whose machine the cloud no longer has.
+/// The machine type in a heartbeat if the cloud no longer has the machine.
 const DEFAULT_TYPE: &str = "g8";
+/// The zone in a heartbeat if the cloud no longer has the machine.
 const DEFAULT_ZONE: &str = "a";
 
-/// A worker on its machine.
+/// The worker process on one machine.
 pub struct Worker {
-    /// Its machine.
+    /// The machine on which it runs.
     pub id: MachineId,
+    /// Number of its session; a new session begins when its lease expires.
     agent_epoch: u64,
+    /// Sequence number of its last heartbeat.
     sequence: u64,
+    /// The newest fencing token that it has received.
     token: FencingToken,
-    /// When the last answered heartbeat was sent, or the session began.
+    /// When the last answered heartbeat was sent, or when the session began if that was later.
     lease_renewed_at: f64,
-    /// The controller that it reports to.
+    /// Index of the controller to which it sends heartbeats.
     node: usize,
-    /// Sequence number and moment of the heartbeat that has no answer yet.
+    /// Sequence number and sending time of the heartbeat whose answer it waits for.
     in_flight: Option<(u64, f64)>,
     next_heartbeat: f64,
     last_heartbeat: f64,
-    /// Whether there is something that the last heartbeat did not report.
+    /// Whether its state has changed since the last heartbeat.
     pub changed: bool,
+    /// When a new token last caused an early heartbeat.
     token_changed_at: f64,
-    /// When its machine is taken away, after a termination notice.
+    /// When the cloud terminates its machine, after a termination notice.
     terminates_at: Option<f64>,
-    /// Cached images.
+    /// Images that it has cached.
     pub images: Vec<String>,
-    /// It executes nothing until then.
+    /// Virtual time until which it hangs and executes nothing.
     pub hung_until: f64,
-    /// Attempts of tasks that it has been told to start and not yet to forget.
+    /// Attempts that it was commanded to start and has not yet been commanded to forget.
     pub tasks: BTreeMap<(TaskId, Attempt), RunningTask>,
-    /// Tasks that have started on it.
+    /// Number of task starts on it.
     pub starts: u64,
 }
 
 impl Worker {
-    /// Its next heartbeat.
+    /// Creates its next heartbeat.
     fn heartbeat(&mut self, now: f64, cloud: &Cloud) -> Heartbeat {
         self.sequence += 1;
         let rented = cloud.get(&self.id);
@@ -75,9 +79,9 @@
         Heartbeat {
             machine: self.id.clone(),
             address: self.id.to_string(),
-            type_name: rented.map_or(DEFAULT_TYPE.into(), |o| o.type_name.clone()),
-            zone: rented.map_or(DEFAULT_ZONE.into(), |o| o.zone.clone()),
-            spot: rented.is_some_and(|o| o.spot),
+            type_name: rented.map_or(DEFAULT_TYPE.into(), |rented| rented.type_name.clone()),
+            zone: rented.map_or(DEFAULT_ZONE.into(), |rented| rented.zone.clone()),
+            spot: rented.is_some_and(|rented| rented.spot),
             agent_epoch: self.agent_epoch,
             sequence: self.sequence,
             token: self.token,
@@ -86,13 +90,13 @@
         }
     }
 
-    /// Reports to the next controller after a pause.
+    /// Switches to the next controller and postpones the next heartbeat.
     fn try_next_controller(&mut self, now: f64, controllers: usize) {
         self.node = (self.node + 1) % controllers;
         self.next_heartbeat = now + RETRY_DELAY_S;
     }
 
-    /// Ends its session: all tasks are gone, and the next heartbeat begins a new one.
+    /// Ends the session, in which all tasks are lost, and begins a new one.
     fn begin_session(&mut self, now: f64) {
         self.tasks.clear();
         self.agent_epoch += 1;
@@ -100,15 +104,15 @@
         self.changed = true;
     }
 
-    /// Whether its next heartbeat is due. Changes are reported sooner.
+    /// Whether its next heartbeat is due. Changes make it due earlier.
     fn heartbeat_is_due(&self, now: f64) -> bool {
         let urgent = self.changed && now >= self.last_heartbeat + MIN_CHANGE_REPORT_INTERVAL_S;
         self.in_flight.is_none() && (now >= self.next_heartbeat || urgent)
     }
 
-    /// Takes a newer fencing token from an answered heartbeat.
+    /// Adopts a newer fencing token from the answer to a heartbeat.
     ///
-    /// A new token is reported soon, but only once in half a lease.
+    /// A new token is reported early, but at most once in half a lease duration.
     fn update_token(&mut self, now: f64, token: FencingToken) {
         if token > self.token {
             self.token = token;
@@ -119,7 +123,8 @@
         }
     }
 
-    /// Follows a redirect to the controller that owns it, or tries the next one if it is there already.
+    /// Follows a redirect to the controller that owns the machine, or tries the next controller if no other
+    /// is named.
     fn follow_redirect(&mut self, now: f64, owner: Option<usize>, controllers: usize) {
         match owner.filter(|owner| *owner != self.node) {
             Some(owner) => {
@@ -165,7 +170,7 @@
         self.schedule_after(delay, Event::WorkerTurn { machine });
     }
 
-    /// A machine receives notice that it will be taken away.
+    /// Notifies a machine that the cloud will terminate it in this many seconds.
     pub(super) fn give_termination_notice(&mut self, machine: &MachineId, seconds: f64) {
         let now = self.now;
         if let Some(worker) = self.workers.get_mut(machine) {
@@ -174,7 +179,7 @@
         }
     }
 
-    /// One turn of a worker: it checks its lease, its tasks and its heartbeats.
+    /// Performs a periodic check of a worker's lease, tasks and heartbeats.
     pub(super) fn worker_turn(&mut self, id: &MachineId) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(id) else {
@@ -184,7 +189,7 @@
             return self.remove_worker(id);
         }
         if now - worker.lease_renewed_at > LEASE_S {
-            // A worker that hangs past its lease could not have continued: its tasks do not count as lost.
+            // A worker that hangs past its lease could not have continued, so its tasks do not count as lost.
             if now >= worker.hung_until {
                 let lost = worker.tasks.values().filter(|task| task.is_on_machine());
                 self.counters.lost_with_leases += lost.count();
@@ -200,7 +205,7 @@
         }
     }
 
-    /// The machine of a worker is taken away after its notice.
+    /// Terminates the machine of a worker when its termination notice is over.
     fn remove_worker(&mut self, id: &MachineId) {
         if let Some(worker) = self.workers.remove(id) {
             self.users.starts_on_removed_machines += worker.starts;
@@ -208,11 +213,11 @@
         let machines = vec![id.clone()];
         let release = CloudCall::Release(MachineIds { machines });
         self.cloud.call(self.now, release);
-        // The worker is removed already.
+        // The worker was already removed above.
         self.cloud.take_released();
     }
 
-    /// Sends a heartbeat if it is due, after giving up one that was not answered in time.
+    /// Gives up a heartbeat that was not answered in time, then sends the next one if it is due.
     fn report_if_due(&mut self, id: &MachineId) {
         let (now, controllers) = (self.now, self.nodes.len());
         let Some(worker) = self.workers.get_mut(id) else {
@@ -278,7 +283,8 @@
         }
     }
 
-    /// A heartbeat is answered. Only the answer to the heartbeat in flight counts, and only in time.
+    /// Handles the answer to a heartbeat. Only an answer to the heartbeat in flight that arrives in time
+    /// counts.
     pub(super) fn receive_heartbeat_response(
         &mut self,
         id: &MachineId,
@@ -306,15 +312,18 @@
                 body: Body::Value(body),
                 ..
             }) => {
-                let named = body["conductor"].as_str().and_then(|n| n.strip_prefix('n'));
-                let owner = named.and_then(|n| n.parse::<usize>().ok());
+                let named = body["conductor"]
+                    .as_str()
+                    .and_then(|name| name.strip_prefix('n'));
+                let owner = named.and_then(|index| index.parse::<usize>().ok());
                 worker.follow_redirect(now, owner, controllers);
             }
             _ => worker.try_next_controller(now, controllers),
         }
     }
 
-    /// An answered heartbeat renews the lease from the moment when it was sent, and its commands are executed.
+    /// Renews the lease from the time at which the heartbeat was sent, and executes the commands in the
+    /// response.
     fn handle_response(&mut self, id: &MachineId, sent: f64, response: HeartbeatResponse) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(id) else {
@@ -331,7 +340,7 @@
         }
     }
 
-    /// Direct commands reach a worker, which fences those with an old token or of another session.
+    /// Delivers direct commands to a worker, which rejects those with an old token or for another session.
     pub(super) fn receive_direct_commands(
         &mut self,
         node: usize,
@@ -349,7 +358,7 @@
             return;
         };
         if now < worker.hung_until {
-            // Executed when it continues, whether or not the sender still waits.
+            // They are executed when the worker continues, whether or not the sender still waits.
             let (until, address) = (
                 worker.hung_until + TURN_INTERVAL_S * 1.5,
                 address.to_owned(),
