--- a/src/core/scheduling/forecast.rs
+++ b/src/core/scheduling/forecast.rs
@@ -1,4 +1,4 @@
-//! Forecasts the jobs that are likely to be submitted soon from recent submissions.
+//! Forecasts, from recent submissions, the jobs that are likely to be submitted soon.
 
 use crate::config::Config;
 use crate::core::model::time::Time;
--- a/src/core/shard/preemption.rs
+++ b/src/core/shard/preemption.rs
@@ -199,7 +199,8 @@
     }
 
     /// The attempts to stop on a machine so that one more task fits, those with the least lost work first.
-    /// `None` if the task does not fit even then. `free` are the resources that pending stops leave free.
+    /// `None` if the task does not fit even then. `free` are the resources that are free once all
+    /// attempts with a pending stop have ended.
     fn cheapest_victims(&self, machine: &Machine, mut free: Resources) -> Option<Vec<Victim>> {
         let mut candidates = self.candidate_victims(machine);
         candidates.sort_by(|one, other| one.cost.total_cmp(&other.cost));
--- a/src/core/shard/round.rs
+++ b/src/core/shard/round.rs
@@ -86,9 +86,9 @@
     }
 
     /// Whether a job's tasks must leave unused the CPUs and memory without which the machine's free GPUs
-    /// could not be used. This holds for tasks that need no GPUs and can run on machines without GPUs. It does
-    /// not hold once the job has waited longer than `cancel_s` for a machine, nor for opportunistic jobs,
-    /// because any other work preempts these.
+    /// could not be used. This holds for tasks that need no GPUs and can run on machines without GPUs. It
+    /// does not hold once the job has waited longer than `cancel_s` for a machine, nor for opportunistic
+    /// jobs, because any other work preempts these.
     pub(crate) fn must_keep_free_gpus_usable(
         &self,
         id: &JobId,
--- a/src/core/shard/round/reservations.rs
+++ b/src/core/shard/round/reservations.rs
@@ -13,8 +13,8 @@
 impl Shard {
     /// Reserves resources on machines that have an image cached if fetching this image takes longer than a
     /// start may take. The reservations cover as many tasks of the image as arrived recently, divided
-    /// equally among the zones, and at least one task in each zone. Without them, best fit would place other tasks on
-    /// exactly these machines.
+    /// equally among the zones, and at least one task in each zone. Without them, best fit would place other
+    /// tasks on exactly these machines.
     pub(super) fn reserve_for_cached_images(
         &self,
         snapshots: &mut [MachineSnapshot],
