--- a/tests/failures/measure.rs
+++ b/tests/failures/measure.rs
@@ -1,60 +1,61 @@
-//! Simulates one failure of a shard's owner and measures when what follows takes place.
+//! Simulates the failure of a shard's owner and measures the times until suspicion, failover and recovery.
 
-use crate::script::{default_job, play};
+use crate::script::{default_job, run_scenario};
 use crate::world::{CutManner, Direction, Endpoint, Event, Fault, World};
 use ochredrum::wire::{JobKind, JobSpec};
 
-/// When the failure begins at the earliest.
-const FAILS_AT: f64 = 40.0;
-/// Seeds spread its beginning evenly over this time, within which the lease of every key is renewed.
-const PHASES_S: f64 = 4.0;
-/// Beginnings within that time.
+/// Earliest time of the failure, in seconds.
+const EARLIEST_FAILURE_S: f64 = 40.0;
+/// Seeds spread the time of the failure evenly over this many seconds, within which the lease of every key is
+/// renewed.
+const PHASE_RANGE_S: f64 = 4.0;
+/// Number of different times of the failure.
 const PHASES: u64 = 20;
 /// Coprime to the number of phases, so that consecutive seeds are far apart.
 const PHASE_STRIDE: u64 = 7;
-/// How long a failure is followed.
-const FOLLOWED_S: f64 = 45.0;
-/// How often the simulation is inspected.
+/// Seconds after the failure during which the simulation is inspected.
+const OBSERVATION_S: f64 = 45.0;
+/// Seconds between two inspections of the simulation.
 const STEP_S: f64 = 0.05;
-/// The key of a controller survives failures that are shorter than this.
-const KEY_LASTS_S: f64 = 4.0;
-/// How long crashed controllers stay away, and how long cuts last.
-const LASTS_S: f64 = 40.0;
+/// The key of a controller does not expire during failures that are shorter than this.
+const KEY_EXPIRY_S: f64 = 4.0;
+/// Seconds until a crashed controller is restarted, and duration of cuts, refusals and slowness.
+const FAULT_DURATION_S: f64 = 40.0;
 /// Seconds after the failure when another job of the failed controller's shard is submitted.
-const SUBMITTED_AFTER_S: f64 = 0.5;
+const SUBMIT_DELAY_S: f64 = 0.5;
 
 /// A kind of failure of one controller.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Failure {
-    /// Crashes.
+    /// The process crashes and stays away until its shard has failed over.
     Crashes,
-    /// Crashes, and is restarted after this many seconds.
+    /// The process crashes and is restarted after this many seconds.
     Restarts(f64),
-    /// Is paused for this many seconds while its clocks continue.
+    /// The process is paused for this many seconds while its clocks continue.
     Paused(f64),
-    /// Is cut from all workers.
+    /// The controller is cut from all workers.
     CutFromWorkers(CutManner),
-    /// Is refused by the store, unlike the others.
-    RefusedAlone,
-    /// Is cut from the store and its siblings.
-    CutFromStateAndSiblings,
-    /// What it sends, or what is sent to it, is lost.
+    /// The store refuses this controller and serves the others.
+    RefusedByStore,
+    /// The controller is cut from the store and its siblings.
+    CutFromStoreAndSiblings,
+    /// All messages from the controller, or all messages to it, are lost.
     OneDirection(Direction),
-    /// It runs only once every this many seconds.
+    /// The process runs only once in each period of this many seconds.
     Slow(f64),
 }
 
 impl Failure {
-    /// Whether it lasts long enough for the shard to fail over.
+    /// Whether the failure makes the shard fail over.
     pub fn causes_failover(self) -> bool {
         match self {
-            Self::Restarts(seconds) | Self::Paused(seconds) => seconds >= KEY_LASTS_S,
+            Self::Restarts(seconds) | Self::Paused(seconds) => seconds >= KEY_EXPIRY_S,
             Self::Slow(_) => false,
             _ => true,
         }
     }
 
-    /// Whether workers that report to it wait for an answer until their timeout.
+    /// Whether workers that report to the controller wait for an answer until their timeout.
     pub fn keeps_workers_waiting(self) -> bool {
         matches!(
             self,
@@ -62,7 +63,7 @@
         )
     }
 
-    /// Schedules it for a controller.
+    /// Schedules the failure of a controller.
     pub fn schedule(self, world: &mut World, at: f64, node: usize) {
         let who = Endpoint::Node(node);
         let cut = |from: Endpoint, manner: CutManner, direction: Direction| {
@@ -70,7 +71,7 @@
             Fault::Cut {
                 who,
                 from,
-                seconds: LASTS_S,
+                seconds: FAULT_DURATION_S,
                 manner,
                 direction,
             }
@@ -78,7 +79,7 @@
         let fault = match self {
             Self::Crashes => Fault::Crash {
                 who,
-                back_after: Some(LASTS_S),
+                back_after: Some(FAULT_DURATION_S),
             },
             Self::Restarts(seconds) => Fault::Crash {
                 who,
@@ -86,11 +87,11 @@
             },
             Self::Paused(seconds) => Fault::Freeze { who, seconds },
             Self::CutFromWorkers(manner) => cut(Endpoint::Workers, manner, Direction::Both),
-            Self::RefusedAlone => Fault::Refuse {
+            Self::RefusedByStore => Fault::Refuse {
                 who,
-                seconds: LASTS_S,
+                seconds: FAULT_DURATION_S,
             },
-            Self::CutFromStateAndSiblings => cut(
+            Self::CutFromStoreAndSiblings => cut(
                 Endpoint::StateAndSiblings,
                 CutManner::Silent,
                 Direction::Both,
@@ -99,44 +100,49 @@
             Self::Slow(pause) => Fault::Slow {
                 who,
                 pause,
-                seconds: LASTS_S,
+                seconds: FAULT_DURATION_S,
             },
         };
         world.at(at, Event::Fault(fault));
     }
 }
 
-/// Seconds from the failure until something took place, if it did, and what was lost.
+/// Seconds from the failure to each step of the failover, `None` for a step that did not take place, and the
+/// losses.
 #[derive(Clone, Debug, Default)]
-pub struct Measured {
-    /// Another controller suspects the failed one.
+pub struct FailoverMeasurement {
+    /// Another controller suspected the failed one.
     pub suspected: Option<f64>,
-    /// The key of the failed process was removed, or belongs to another process.
+    /// The key of the failed process was removed or came to belong to another process.
     pub released: Option<f64>,
-    /// The stored shard map names another owner.
+    /// The stored shard map named another owner.
     pub failed_over: Option<f64>,
-    /// Another process may start all tasks of the shard, because it knows what runs.
+    /// Another process knew all running tasks of the shard, so that it might start any task.
     pub settled: Option<f64>,
-    /// A job of the shard that was submitted half a second after the failure has started.
+    /// A job of the shard started that was submitted half a second after the failure.
     pub started: Option<f64>,
-    /// Tasks that were lost with the leases of workers.
-    pub lost: usize,
-    /// Rules that were violated.
+    /// Number of tasks that were lost because leases of workers expired.
+    pub lost_tasks: usize,
+    /// Invariants that were violated.
     pub violations: Vec<String>,
 }
 
-/// A day on which services and arrays of two teams run.
-fn day(seed: u64, controllers: usize) -> String {
+/// A scenario in which services and arrays of two teams run.
+fn scenario(seed: u64, controllers: usize) -> String {
     format!(
         "seed {seed}\ncontrollers {controllers}\nmachines 16\nat 2 job service 20 spread\n\
          at 3 job array 12 run=300\nat 4 job service 4 team=blue\nat 10 cloud_outage 200\n"
     )
 }
 
-/// The simulation just before the failure, and the moment of the failure.
-pub fn before_failure(seed: u64, controllers: usize) -> (World, f64) {
-    let fails_at = FAILS_AT + (seed * PHASE_STRIDE % PHASES) as f64 / PHASES as f64 * PHASES_S;
-    let mut world = play(&format!("{}until {fails_at}\n", day(seed, controllers)));
+/// Runs the simulation up to the failure and returns it with the time of the failure.
+pub fn simulate_until_failure(seed: u64, controllers: usize) -> (World, f64) {
+    let fails_at =
+        EARLIEST_FAILURE_S + (seed * PHASE_STRIDE % PHASES) as f64 / PHASES as f64 * PHASE_RANGE_S;
+    let mut world = run_scenario(&format!(
+        "{}until {fails_at}\n",
+        scenario(seed, controllers)
+    ));
     world.ignore_violations_of("not_served");
     (world, fails_at)
 }
@@ -149,18 +155,18 @@
     owner.expect("a team has an owner by now")
 }
 
-/// Measures what follows the failure of `node`.
-pub fn follow(world: &mut World, fails_at: f64, node: usize) -> Measured {
+/// Runs the simulation on and measures the failover after the failure of `node` at `fails_at`.
+pub fn measure_failover(world: &mut World, fails_at: f64, node: usize) -> FailoverMeasurement {
     let key = format!("ochredrum/node/n{node}");
     let (process, owner) = (world.stored(&key), world.owner_of("red"));
-    let before = world.work.lost_with_leases;
-    let mut measured = Measured::default();
+    let lost_before = world.work.lost_with_leases;
+    let mut measured = FailoverMeasurement::default();
     let later = JobSpec {
         gpus: 1.0,
         ..default_job(JobKind::Service, 2)
     };
-    let later = world.add_job(fails_at + SUBMITTED_AFTER_S, later, 0.0);
-    while world.now < fails_at + FOLLOWED_S {
+    let later = world.add_job(fails_at + SUBMIT_DELAY_S, later, 0.0);
+    while world.now < fails_at + OBSERVATION_S {
         world.run(world.now + STEP_S);
         let since = Some(world.now - fails_at);
         if measured.suspected.is_none() && world.is_suspected(node) {
@@ -182,12 +188,12 @@
             measured.started = since;
         }
     }
-    measured.lost = world.work.lost_with_leases - before;
+    measured.lost_tasks = world.work.lost_with_leases - lost_before;
     measured.violations = world.violations.clone();
     measured
 }
 
-/// Whether two values of a controller's key belong to the same process. Other fields may change.
+/// Whether two values of a controller's key belong to the same process: they have the same lease.
 fn same_process(a: &Option<serde_json::Value>, b: &Option<serde_json::Value>) -> bool {
     let lease = |value: &Option<serde_json::Value>| value.as_ref().map(|v| v["lease"].clone());
     lease(a) == lease(b)
--- a/tests/failures/mod.rs
+++ b/tests/failures/mod.rs
@@ -1,5 +1,5 @@
-//! What a failed controller costs: how soon it is suspected and its shard fails over, and how many tasks are lost with
-//! the leases of workers on healthy machines.
+//! Cost of a failed controller: the time until it is suspected and its shard fails over, and the number of
+//! tasks that are lost because leases of workers on healthy machines expire.
 
 mod load;
 mod measure;
--- a/tests/failures/table.rs
+++ b/tests/failures/table.rs
@@ -1,10 +1,12 @@
-//! Each kind of failure of the owner of the busiest shard.
+//! Failures of the owner of the busiest shard: one measurement for each kind, printed as a table.
 
-use super::measure::{Failure, Measured, before_failure, busiest_owner, follow};
-use crate::days::seed_range;
+use super::measure::{
+    FailoverMeasurement, Failure, busiest_owner, measure_failover, simulate_until_failure,
+};
+use crate::generated::seed_range;
 use crate::world::{CutManner, Direction};
 
-/// All kinds that are measured, by name.
+/// The failures that are measured, with their names in the table.
 const FAILURES: [(&str, Failure); 15] = [
     ("crashes", Failure::Crashes),
     ("crashes, back after 0.3 s", Failure::Restarts(0.3)),
@@ -25,23 +27,23 @@
         "cut from workers, reset",
         Failure::CutFromWorkers(CutManner::Reset),
     ),
-    ("refused alone", Failure::RefusedAlone),
+    ("refused by the store", Failure::RefusedByStore),
     (
-        "cut from state and siblings",
-        Failure::CutFromStateAndSiblings,
+        "cut from store and siblings",
+        Failure::CutFromStoreAndSiblings,
     ),
     ("outgoing cut", Failure::OneDirection(Direction::Outgoing)),
     ("incoming cut", Failure::OneDirection(Direction::Incoming)),
     ("four times slower", Failure::Slow(0.2)),
 ];
 
-/// The seeds that are measured: few in CI, others by hand with `FAILURE_SEEDS=first-last`.
+/// The seeds that are measured: a few by default, others with `FAILURE_SEEDS=first-last`.
 pub fn seeds() -> std::ops::RangeInclusive<u64> {
     seed_range("FAILURE_SEEDS", "1-2")
 }
 
-/// Median and maximum of the times that were measured, and how many of all runs have one.
-fn spread(times: impl Iterator<Item = Option<f64>>) -> String {
+/// Formats the median and maximum of the measured times, and the number of runs that have one if not all do.
+fn format_times(times: impl Iterator<Item = Option<f64>>) -> String {
     let all: Vec<Option<f64>> = times.collect();
     let mut times: Vec<f64> = all.iter().flatten().copied().collect();
     if times.is_empty() {
@@ -49,20 +51,21 @@
     }
     times.sort_by(f64::total_cmp);
     let (median, largest) = (times[times.len() / 2], times[times.len() - 1]);
-    let part = if times.len() < all.len() {
+    let share = if times.len() < all.len() {
         format!(" ({}/{})", times.len(), all.len())
     } else {
         String::new()
     };
-    format!("{median:.1} / {largest:.1}{part}")
+    format!("{median:.1} / {largest:.1}{share}")
 }
 
-/// One row of the table.
-fn row(name: &str, controllers: usize, measured: &[Measured]) -> String {
-    let of = |time: fn(&Measured) -> Option<f64>| spread(measured.iter().map(time));
-    let lost: Vec<usize> = measured.iter().map(|m| m.lost).collect();
+/// Formats one row of the table.
+fn format_row(name: &str, controllers: usize, measured: &[FailoverMeasurement]) -> String {
+    let of =
+        |time: fn(&FailoverMeasurement) -> Option<f64>| format_times(measured.iter().map(time));
+    let lost: Vec<usize> = measured.iter().map(|m| m.lost_tasks).collect();
     format!(
-        "| {name} | {controllers} | {} | {} | {} | {} | {} | {} of {} plays, {} tasks |",
+        "| {name} | {controllers} | {} | {} | {} | {} | {} | {} of {} runs, {} tasks |",
         of(|m| m.suspected),
         of(|m| m.released),
         of(|m| m.failed_over),
@@ -74,53 +77,51 @@
     )
 }
 
-/// Seconds within which the shard map names another owner of a shard that has to fail over. A silent cut from the workers
-/// takes longest: they wait 4 s for an answer before they report to another controller.
-const FAILOVER_WITHIN_S: f64 = 8.0;
-/// Seconds from then until the new owner may start all tasks of the shard: three heartbeat intervals.
-const SETTLED_WITHIN_S: f64 = 3.0;
+/// Largest time from a failure to the shard map that names another owner. A silent cut from the workers takes
+/// longest: they wait 4 s for an answer before they report to another controller.
+const MAX_FAILOVER_S: f64 = 8.0;
+/// Largest time from then until the new owner may start all tasks of the shard: three heartbeat intervals.
+const MAX_SETTLING_S: f64 = 3.0;
 
-/// What took place too late, or should not have.
-fn too_late(failure: Failure, measured: &Measured) -> Option<String> {
-    if measured.lost > 0 {
+/// Describes lost tasks, or a step of the failover that was late or did not take place.
+fn failover_problem(failure: Failure, measured: &FailoverMeasurement) -> Option<String> {
+    if measured.lost_tasks > 0 {
         return Some(format!(
-            "{} tasks ended with the leases of well machines",
-            measured.lost
+            "{} tasks ended with the leases of healthy machines",
+            measured.lost_tasks
         ));
     }
     if !failure.causes_failover() {
         return None;
     }
-    let Some(failed_over) = measured.failed_over.filter(|at| *at <= FAILOVER_WITHIN_S) else {
+    let Some(failed_over) = measured.failed_over.filter(|at| *at <= MAX_FAILOVER_S) else {
         return Some(format!("failed over after {:?} s", measured.failed_over));
     };
     let settled = measured
         .settled
-        .filter(|at| *at <= failed_over + SETTLED_WITHIN_S);
+        .filter(|at| *at <= failed_over + MAX_SETTLING_S);
     settled
         .is_none()
         .then(|| format!("settled after {:?} s", measured.settled))
 }
 
 #[test]
-fn each_kind_of_failure_of_one_controller() {
+fn no_failure_of_one_controller_loses_tasks_or_delays_failover() {
     let mut violations = Vec::new();
     for controllers in [3, 5] {
         for (name, failure) in FAILURES {
             let measured = seeds().map(|seed| {
-                let (mut world, fails_at) = before_failure(seed, controllers);
+                let (mut world, fails_at) = simulate_until_failure(seed, controllers);
                 let owner = busiest_owner(&world);
                 failure.schedule(&mut world, fails_at, owner);
-                follow(&mut world, fails_at, owner)
+                measure_failover(&mut world, fails_at, owner)
             });
-            let measured: Vec<Measured> = measured.collect();
-            println!("{}", row(name, controllers, &measured));
+            let measured: Vec<FailoverMeasurement> = measured.collect();
+            println!("{}", format_row(name, controllers, &measured));
             for (seed, measured) in seeds().zip(&measured) {
-                violations.extend(
-                    too_late(failure, measured).map(|late| {
-                        format!("{name}, {controllers} controllers, seed {seed}: {late}")
-                    }),
-                );
+                violations.extend(failover_problem(failure, measured).map(|problem| {
+                    format!("{name}, {controllers} controllers, seed {seed}: {problem}")
+                }));
             }
             let rules = measured.iter().flat_map(|m| &m.violations);
             violations.extend(rules.map(|rule| format!("{name}, {controllers}: {rule}")));
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,7 +1,7 @@
-//! Simulated fleets in virtual time: the scenarios in `tests/scenarios/` (grammar: `script/scenario.pest`), days
-//! generated from a seed, and measurements of load and failover.
+//! Simulations of fleets in virtual time: the scenarios in `tests/scenarios/` (grammar:
+//! `script/scenario.pest`), scenarios that are generated from a seed, and measurements of load and failover.
 //!
-//! The rules are checked while a simulation runs; at its end every request must have been served.
+//! Invariants are checked while a simulation runs. At its end every request must have been served.
 
 #![allow(
     clippy::cast_possible_truncation,
@@ -9,11 +9,11 @@
     clippy::min_ident_chars,
     clippy::too_many_lines,
     clippy::unwrap_used,
-    reason = "a test fails by panicking, and states a whole case in one place"
+    reason = "a test fails by panicking, and describes its whole case in one function"
 )]
 
-mod days;
 mod failures;
+mod generated;
 mod script;
 mod simulation;
 mod world;
--- a/tests/script/faults.rs
+++ b/tests/script/faults.rs
@@ -1,4 +1,4 @@
-//! Faults as scenarios describe them.
+//! Reads the faults of scenarios.
 
 use super::number;
 use crate::world::{
@@ -9,20 +9,20 @@
 fn endpoint(word: &str) -> Endpoint {
     match word {
         "leader" => Endpoint::Leader,
-        "all" => Endpoint::AllNodes,
-        "state" => Endpoint::State,
+        "controllers" => Endpoint::AllNodes,
+        "store" => Endpoint::State,
         "cloud" => Endpoint::Cloud,
         "workers" => Endpoint::Workers,
-        "state+siblings" => Endpoint::StateAndSiblings,
+        "store+siblings" => Endpoint::StateAndSiblings,
         "everyone" => Endpoint::Everyone,
         node => match node.strip_prefix('n').and_then(|n| n.parse().ok()) {
             Some(node) => Endpoint::Node(node),
-            None => panic!("which endpoint is {word:?}?"),
+            None => panic!("unknown endpoint {word:?}"),
         },
     }
 }
 
-/// `last_first`, `leader_first`, `leader_last` or a list such as `2,0,1`; otherwise by number.
+/// Reads `last_first`, `leader_first`, `leader_last` or a list such as `2,0,1`. An absent order is ascending.
 fn upgrade_order(word: &str) -> UpgradeOrder {
     match word {
         "" => UpgradeOrder::Ascending,
@@ -36,29 +36,30 @@
     }
 }
 
-/// `served`, `refused`, `unanswered` or `late=S`.
+/// Reads `served`, `refused`, `unanswered` or `late=SECONDS`.
 fn command_fate(word: &str) -> CommandFate {
     match word.split_once('=') {
         Some(("late", seconds)) => CommandFate::Late(number(Some(&seconds))),
         None if word == "served" => CommandFate::Served,
         None if word == "refused" => CommandFate::Refused,
         None if word == "unanswered" => CommandFate::Unanswered,
-        _ => panic!("fate {word:?}?"),
+        _ => panic!("unknown fate of a command: {word:?}"),
     }
 }
 
-/// `hold`, `refused` or `reset`; otherwise messages are lost silently.
+/// Reads `hold`, `refused` or `reset`. Without any of them, messages are lost silently.
 fn cut_manner(words: &[&str]) -> CutManner {
     match words.iter().find(|word| !matches!(**word, "in" | "out")) {
         None => CutManner::Silent,
         Some(&"hold") => CutManner::Held,
         Some(&"refused") => CutManner::Refused,
         Some(&"reset") => CutManner::Reset,
-        Some(other) => panic!("manner {other:?}?"),
+        Some(other) => panic!("unknown manner of a cut: {other:?}"),
     }
 }
 
-/// `in`: what is sent to the participant that is cut off; `out`: what it sends; otherwise both.
+/// Reads the direction of a cut: `in` is traffic to the participant that is cut off, `out` is traffic from
+/// it. Without either, the cut concerns both.
 fn direction(words: &[&str]) -> Direction {
     match words.iter().find(|word| matches!(**word, "in" | "out")) {
         Some(&"in") => Direction::Incoming,
@@ -67,40 +68,44 @@
     }
 }
 
-/// The words after the name of a fault.
+/// The words after the name of a fault, by their position. An absent word is empty.
 struct Arguments<'a>(&'a [&'a str]);
 
 impl Arguments<'_> {
-    fn word(&self, place: usize) -> &str {
-        self.0.get(place).copied().unwrap_or("")
+    fn word(&self, position: usize) -> &str {
+        self.0.get(position).copied().unwrap_or("")
     }
 
-    fn number(&self, place: usize) -> f64 {
-        number(self.0.get(place))
+    fn number(&self, position: usize) -> f64 {
+        number(self.0.get(position))
     }
 
     /// The number of a machine or controller, or a count.
-    fn index(&self, place: usize) -> usize {
-        self.number(place) as usize
+    fn index(&self, position: usize) -> usize {
+        self.number(position) as usize
     }
 
-    fn endpoint(&self, place: usize) -> Endpoint {
-        endpoint(self.word(place))
+    fn endpoint(&self, position: usize) -> Endpoint {
+        endpoint(self.word(position))
     }
 
-    fn from(&self, place: usize) -> &[&str] {
-        self.0.get(place..).unwrap_or(&[])
+    fn all_from(&self, position: usize) -> &[&str] {
+        self.0.get(position..).unwrap_or(&[])
     }
 
-    fn holds_messages(&self, place: usize) -> bool {
-        self.word(place) == "hold"
+    fn holds_messages(&self, position: usize) -> bool {
+        self.word(position) == "hold"
     }
 }
 
-/// Reads a fault from its words; the grammar has accepted them.
+/// Reads a fault from its words.
+///
+/// # Panics
+///
+/// If the words are not a fault by the grammar.
 pub fn fault(words: &[&str]) -> Fault {
     let (name, arguments) = (words[0], Arguments(&words[1..]));
-    if let Some(condition) = condition(name) {
+    if let Some(condition) = deployment_condition(name) {
         let seconds = arguments.number(0);
         return Fault::Condition { condition, seconds };
     }
@@ -114,12 +119,12 @@
     process_fault(name, &arguments)
         .or_else(|| machine_fault(name, &arguments))
         .or_else(|| service_fault(name, &arguments))
-        .unwrap_or_else(|| panic!("fault {name:?}?"))
+        .unwrap_or_else(|| panic!("unknown fault {name:?}"))
 }
 
-fn condition(name: &str) -> Option<Condition> {
+fn deployment_condition(name: &str) -> Option<Condition> {
     Some(match name {
-        "outage" => Condition::Outage,
+        "store_outage" => Condition::Outage,
         "cloud_outage" => Condition::CloudOutage,
         "late_writes" => Condition::LateWrites,
         "lost_store_responses" => Condition::LostStoreResponses,
@@ -145,7 +150,7 @@
     })
 }
 
-/// Faults of controllers' processes.
+/// Reads a fault of controllers' processes.
 fn process_fault(name: &str, arguments: &Arguments) -> Option<Fault> {
     Some(match name {
         "crash" => Fault::Crash {
@@ -155,7 +160,7 @@
         "rolling_restart" => Fault::RollingRestart {
             every: arguments.number(0),
         },
-        "freeze" => Fault::Freeze {
+        "pause" => Fault::Freeze {
             who: arguments.endpoint(0),
             seconds: arguments.number(1),
         },
@@ -176,7 +181,7 @@
     })
 }
 
-/// Faults of machines.
+/// Reads a fault of single machines.
 fn machine_fault(name: &str, arguments: &Arguments) -> Option<Fault> {
     Some(match name {
         "machine_dies" => Fault::MachineDies {
@@ -208,7 +213,7 @@
         "next_commands" => Fault::NextCommands {
             which: arguments.index(0),
             fates: arguments
-                .from(1)
+                .all_from(1)
                 .iter()
                 .map(|word| command_fate(word))
                 .collect(),
@@ -217,10 +222,10 @@
     })
 }
 
-/// Faults of the store, of the network between controllers and others, and of users.
+/// Reads a fault of the store, of the network between controllers and others, or of users.
 fn service_fault(name: &str, arguments: &Arguments) -> Option<Fault> {
     Some(match name {
-        "refuse" => Fault::Refuse {
+        "store_refuses" => Fault::Refuse {
             who: arguments.endpoint(0),
             seconds: arguments.number(1),
         },
@@ -228,8 +233,8 @@
             who: arguments.endpoint(0),
             from: arguments.endpoint(1),
             seconds: arguments.number(2),
-            manner: cut_manner(arguments.from(3)),
-            direction: direction(arguments.from(3)),
+            manner: cut_manner(arguments.all_from(3)),
+            direction: direction(arguments.all_from(3)),
         },
         "crash_at_map_write" => Fault::AtShardMapWrite {
             nth: arguments.index(0),
--- a/tests/script/jobs.rs
+++ b/tests/script/jobs.rs
@@ -1,14 +1,14 @@
-//! Jobs as scenarios describe them.
+//! Reads the jobs of scenarios.
 
 use super::number;
 use crate::world::FAILS_IMMEDIATELY;
 use ochredrum::ids::{Image, Team};
 use ochredrum::wire::{JobKind, JobSpec, Priority};
 
-/// How long tasks run, in seconds, unless a scenario says otherwise.
+/// Seconds that a task runs if the scenario does not set `run`.
 const DEFAULT_RUN_S: f64 = 20.0;
 
-/// A job of team red of this many tasks, each with two GPUs.
+/// A job of team `red` with this many tasks, each with two GPUs.
 pub fn default_job(kind: JobKind, tasks: u32) -> JobSpec {
     JobSpec {
         class: if kind == JobKind::Service {
@@ -44,13 +44,13 @@
 
 /// Reads the words after `job` and returns the job and the seconds that each of its tasks runs.
 ///
-/// `array|gang|service TASKS [run=S] [gpus=N] [team=blue] [after=1,2] [spot] [spread] [broken] …`
+/// `array|gang|service TASKS [run=S] [gpus=N] [team=blue] [after=1,2] [spot] [spread] [always_fails] …`
 pub fn job(words: &[&str]) -> (JobSpec, f64) {
     let kind = match words[0] {
         "array" => JobKind::Array,
         "gang" => JobKind::Gang,
         "service" => JobKind::Service,
-        other => panic!("kind {other:?}?"),
+        other => panic!("unknown kind of job {other:?}"),
     };
     let mut job = default_job(kind, number(words.get(1)) as u32);
     let mut run_s = DEFAULT_RUN_S;
@@ -66,7 +66,7 @@
                 job.types = Some(std::iter::once("g8".into()).chain(names).collect());
             }
             Some(("team", name)) => job.team = name.into(),
-            Some(("due", s)) => job.deadline_s = Some(number(Some(&s))),
+            Some(("deadline", s)) => job.deadline_s = Some(number(Some(&s))),
             // Jobs are numbered in the order of the scenario's lines.
             Some(("after", list)) => {
                 let ids = list.split(',').map(|n| number(Some(&n)));
@@ -75,11 +75,11 @@
             Some(("zone", name)) => job.zone = Some(name.into()),
             None if *word == "spot" => job.spot = true,
             None if *word == "spread" => job.spread = true,
-            None if *word == "onezone" => job.one_zone = true,
-            None if *word == "broken" => run_s = FAILS_IMMEDIATELY,
+            None if *word == "one_zone" => job.one_zone = true,
+            None if *word == "always_fails" => run_s = FAILS_IMMEDIATELY,
             None if *word == "low" => job.priority = Priority::Low,
             None if *word == "high" => job.priority = Priority::High,
-            _ => panic!("job option {word:?}?"),
+            _ => panic!("unknown option of a job: {word:?}"),
         }
     }
     (job, run_s)
--- a/tests/script/mod.rs
+++ b/tests/script/mod.rs
@@ -1,4 +1,5 @@
-//! Reads scenarios and runs them. The grammar is in `scenario.pest`; text outside it is rejected with line and column.
+//! Reads scenarios and runs them. The grammar is in `scenario.pest`; text outside it is rejected with line
+//! and column.
 
 mod faults;
 mod jobs;
@@ -14,15 +15,19 @@
     assert_no_reports, assert_no_violations, report, report_with_grants, reports_of_both_runs,
 };
 
-/// Controllers unless a scenario says otherwise.
+/// Number of controllers if the scenario does not set it.
 const DEFAULT_CONTROLLERS: usize = 3;
 
-/// The grammar of scenarios.
+/// Parser generated from the grammar of scenarios.
 #[derive(pest_derive::Parser)]
 #[grammar = "../tests/script/scenario.pest"]
 struct ScenarioParser;
 
-/// The words of each statement.
+/// Parses a scenario into the words of each statement.
+///
+/// # Errors
+///
+/// If the text does not match the grammar, with the line and column.
 pub fn statements(text: &str) -> Result<Vec<Vec<&str>>, Box<pest::error::Error<Rule>>> {
     let scenario = ScenarioParser::parse(Rule::scenario, text)?;
     let statements = scenario
@@ -51,19 +56,19 @@
 fn number(word: Option<&&str>) -> f64 {
     match word.and_then(|w| w.parse().ok()) {
         Some(number) => number,
-        None => panic!("a number is missing: {word:?}"),
+        None => panic!("expected a number, found {word:?}"),
     }
 }
 
 /// Prints the controllers' logs if `SCENARIO_LOG` is set.
-fn show_log_if_asked() {
+fn print_log_if_requested() {
     if std::env::var_os("SCENARIO_LOG").is_some() {
         let debug = tracing_subscriber::fmt().with_max_level(tracing::Level::DEBUG);
         debug.without_time().with_ansi(false).try_init().ok();
     }
 }
 
-/// The number after the first statement of this name.
+/// The value of the first setting with this name.
 fn setting(lines: &[Vec<&str>], name: &str) -> Option<f64> {
     let line = lines.iter().find(|words| words[0] == name);
     line.map(|words| number(words.get(1)))
@@ -73,12 +78,12 @@
 ///
 /// # Panics
 ///
-/// If the text is no scenario by the grammar.
-pub fn play(text: &str) -> World {
-    show_log_if_asked();
+/// If the text does not match the grammar.
+pub fn run_scenario(text: &str) -> World {
+    print_log_if_requested();
     let lines = match statements(text) {
         Ok(lines) => lines,
-        Err(error) => panic!("no scenario:\n{error}"),
+        Err(error) => panic!("invalid scenario:\n{error}"),
     };
     let seed = setting(&lines, "seed").map_or(1, |seed| seed as u64);
     let controllers = setting(&lines, "controllers").map_or(DEFAULT_CONTROLLERS, |n| n as usize);
@@ -94,14 +99,14 @@
     }
     world.check_served();
     if world.starts() == 0 {
-        world.record_violation("nothing_ran", "no task was started".into());
+        world.record_violation("no_task_started", "no task was started".into());
     }
     world
 }
 
-/// Applies a statement about the deployment.
+/// Applies a setting of the deployment.
 fn apply_setting(world: &mut World, controllers: usize, words: &[&str]) {
-    let value = |place: usize| number(words.get(place));
+    let value = |position: usize| number(words.get(position));
     match words[0] {
         "limits" => {
             world.limits.value_kb = value(1);
@@ -121,13 +126,14 @@
         "machines" => world.add_machines(value(1) as usize, false),
         "without_gpus" => world.add_machines_without_gpus(value(1) as usize),
         "spot" => world.add_machines(value(1) as usize, true),
-        other => panic!("statement {other:?}?"),
+        other => panic!("unknown setting {other:?}"),
     }
 }
 
-/// Schedules what a statement `at` a moment asks for. `jobs` holds the jobs of the scenario by number.
+/// Schedules the event of a statement `at`. `jobs` holds the jobs that the scenario has defined so far, in
+/// order.
 fn schedule(world: &mut World, jobs: &mut Vec<usize>, at: f64, words: &[&str]) {
-    let job_named = |jobs: &[usize]| jobs[number(words.get(1)) as usize - 1];
+    let job_with_number = |jobs: &[usize]| jobs[number(words.get(1)) as usize - 1];
     match words[0] {
         "job" => {
             let (spec, run_s) = job(&words[1..]);
@@ -136,18 +142,18 @@
         "cancel" => world.at(
             at,
             Event::Cancel {
-                job: job_named(jobs),
+                job: job_with_number(jobs),
             },
         ),
         "expect" => {
-            let (job, what) = (job_named(jobs), words[2].to_owned());
+            let (job, what) = (job_with_number(jobs), words[2].to_owned());
             world.at(at, Event::Expect { job, what });
         }
-        "limits_fall" => world.at(at, Event::LimitsFall),
+        "lower_limits" => world.at(at, Event::LimitsFall),
         "submit_again" => world.at(
             at,
             Event::Submit {
-                job: job_named(jobs),
+                job: job_with_number(jobs),
             },
         ),
         _ => world.at(at, Event::Fault(fault(words))),
--- a/tests/script/report.rs
+++ b/tests/script/report.rs
@@ -1,12 +1,12 @@
-//! Reports of the rules that a simulation violated.
+//! Reports of the invariants that a simulation violated.
 
-use super::play;
+use super::run_scenario;
 use crate::world::World;
 
-/// Lines of the log that a report shows.
+/// Number of log lines at the end of a report.
 const LOG_LINES: usize = 60;
 
-/// The violations of a simulation and the end of its log; `None` if no rule was violated.
+/// The violations of a simulation and the end of its log; `None` if no invariant was violated.
 pub fn report(name: &str, world: &World) -> Option<String> {
     if world.violations.is_empty() {
         return None;
@@ -19,24 +19,24 @@
     ))
 }
 
-/// Runs the same day with team limits held by grants and reports its violations.
+/// Runs a scenario with team limits held by grants and reports its violations.
 ///
-/// Times differ slightly from the run without grants, so an expectation of the scenario need not be met at its
-/// moment. All other rules have to hold.
-pub fn report_with_grants(name: &str, day: &str) -> Option<String> {
-    let mut world = play(&format!("grants\n{day}"));
+/// Times differ slightly from the run without grants, so an expectation of the scenario need not be met at
+/// its moment. All other invariants must hold.
+pub fn report_with_grants(name: &str, scenario: &str) -> Option<String> {
+    let mut world = run_scenario(&format!("grants\n{scenario}"));
     world.ignore_violations_of("expectation_not_met");
     report(&format!("{name}, with grants"), &world)
 }
 
-/// Runs a day without and with grants and reports the violations of both runs.
-pub fn reports_of_both_runs(name: &str, day: &str) -> Vec<String> {
-    let without_grants = report(name, &play(day));
-    let with_grants = report_with_grants(name, day);
+/// Runs a scenario without and with grants and reports the violations of both runs.
+pub fn reports_of_both_runs(name: &str, scenario: &str) -> Vec<String> {
+    let without_grants = report(name, &run_scenario(scenario));
+    let with_grants = report_with_grants(name, scenario);
     without_grants.into_iter().chain(with_grants).collect()
 }
 
-/// Fails the test if the simulation violated a rule.
+/// Fails the test if the simulation violated an invariant.
 pub fn assert_no_violations(name: &str, world: &World) {
     if let Some(report) = report(name, world) {
         panic!("{report}");
--- a/tests/simulation/load.rs
+++ b/tests/simulation/load.rs
@@ -1,22 +1,26 @@
-//! What load costs: requests to the store, traffic between controllers, and work inside them.
+//! Cost of load: requests to the store, traffic between controllers, and work inside them.
 
-use crate::script::{assert_no_violations, default_job, play};
+use crate::script::{assert_no_violations, default_job, run_scenario};
 use crate::world::{CoreWork, LEASE_S, Work};
 use ochredrum::wire::{JobKind, JobSpec};
 
-/// When the lowered rate limits of the store take effect, requests are throttled and all leases are still renewed.
+/// When the lowered rate limits of the store take effect, requests are throttled and all leases are still
+/// renewed.
 #[test]
 fn lease_renewals_have_priority_when_requests_are_throttled() {
-    let mut day = "seed 3\ncontrollers 5\nnext_limits 0.8 2 40 6\nmachines 12\n".to_owned();
+    let mut scenario = "seed 3\ncontrollers 5\nnext_limits 0.8 2 40 6\nmachines 12\n".to_owned();
     for job in 1..=120 {
-        day += &format!(
+        scenario += &format!(
             "at {} job array 1 run=2 gpus=1\n",
             20.0 + f64::from(job) / 20.0
         );
     }
-    let world = play(&(day + "at 15 limits_fall\nat 18 linearizability_probes 30\nuntil 160\n"));
-    assert_no_violations("rate", &world);
-    // The limits take effect and are respected: without pacing 3,639 requests of this day were throttled.
+    let world = run_scenario(
+        &(scenario + "at 15 lower_limits\nat 18 linearizability_probes 30\nuntil 160\n"),
+    );
+    assert_no_violations("lowered rate limits", &world);
+    // The limits take effect and are respected. Without pacing, 3,639 requests of this scenario were
+    // throttled.
     assert!(
         (20..1200).contains(&world.work.throttled_requests),
         "{:?}",
@@ -25,22 +29,24 @@
     assert_eq!(world.leaderships(), 1, "the first leader kept its lease");
 }
 
-/// One-task jobs, four a second for two minutes, a quarter of them cancelled within seconds, while the leader crashes
-/// and the store has an outage.
+/// One-task jobs, four a second for two minutes, a quarter of them cancelled within seconds, while the leader
+/// crashes and the store has an outage.
 #[test]
-fn a_flood_of_one_task_jobs_is_served() {
-    let mut day = "seed 6\nmachines 16\nat 60 crash leader 2\nat 80 outage 6\n".to_owned();
+fn many_one_task_jobs_are_served_during_faults() {
+    let mut scenario =
+        "seed 6\nmachines 16\nat 60 crash leader 2\nat 80 store_outage 6\n".to_owned();
     for job in 1..=480 {
         let at = 5.0 + f64::from(job) / 4.0;
-        day += &format!("at {at} job array 1 run={} gpus=1\n", 1 + job % 7);
+        scenario += &format!("at {at} job array 1 run={} gpus=1\n", 1 + job % 7);
         if job % 4 == 0 {
-            day += &format!("at {} cancel {job}\n", at + f64::from(job % 5));
+            scenario += &format!("at {} cancel {job}\n", at + f64::from(job % 5));
         }
     }
-    day += "at 4 linearizability_probes 130\nat 4 cancel_at_completion 130\nuntil 240\n";
-    let world = play(&day);
-    assert_no_violations("flood", &world);
-    // A job is written when created, when done or cancelled, and perhaps in between; the rest is leases and reads.
+    scenario += "at 4 linearizability_probes 130\nat 4 cancel_at_completion 130\nuntil 240\n";
+    let world = run_scenario(&scenario);
+    assert_no_violations("many one-task jobs", &world);
+    // A job is written when created, when done or cancelled, and perhaps in between; the rest is leases and
+    // reads.
     assert!(
         world.work.store_bytes_written / 480 < 1500,
         "{:?}",
@@ -48,13 +54,13 @@
     );
 }
 
-/// What ten more tasks cost on a fleet of this many machines, most of which run two replicas.
+/// Measures the cost of ten more tasks on a fleet of this many machines, most of which run two replicas.
 fn cost_of_ten_tasks(machines: usize) -> Work {
     let text = format!(
         "controllers 5\nmachines {machines}\nat 2 job service {} gpus=3\nuntil 40",
         machines * 2 - 4
     );
-    let mut world = play(&text);
+    let mut world = run_scenario(&text);
     let before = world.work;
     for _ in 0..5 {
         world.add_job(world.now + 1.0, default_job(JobKind::Service, 2), 0.0);
@@ -71,10 +77,10 @@
     }
 }
 
-/// The same change costs the same store requests on a fleet four times as large. What controllers send one another
-/// grows with the fleet at most, because the state of a shard is sent whole.
+/// The same change costs the same number of store requests on a fleet four times as large. Traffic between
+/// controllers grows at most in proportion to the fleet, because the state of a shard is sent whole.
 #[test]
-fn cost_follows_the_change_and_not_the_fleet() {
+fn store_requests_for_a_change_do_not_grow_with_the_fleet() {
     let (small, large) = (cost_of_ten_tasks(275), cost_of_ten_tasks(1100));
     println!("{small:?}\n{large:?}");
     assert!(small.store_requests > 0 && small.commands > 0 && small.mesh_bytes > 0);
@@ -91,25 +97,25 @@
     assert!(growth(|work| work.commands) <= 1.5, "{small:?} {large:?}");
 }
 
-/// What the jobs of [`cost_of_dependencies`] cost.
+/// Cost of the jobs of [`cost_of_dependencies`].
 #[derive(Debug)]
 struct DependencyCost {
     work: CoreWork,
     seconds: f64,
 }
 
-/// What three hundred dependents of one job and two chains of a hundred jobs cost on a fleet of this many machines,
-/// most of which run two replicas.
+/// Measures the cost of three hundred dependents of one job and two chains of a hundred jobs on a fleet of
+/// this many machines, most of which run two replicas.
 fn cost_of_dependencies(machines: usize) -> DependencyCost {
     let replicas = machines * 2 - 60;
     let text =
         format!("controllers 5\nmachines {machines}\nat 2 job service {replicas} gpus=3\nuntil 40");
-    let mut world = play(&text);
+    let mut world = run_scenario(&text);
     assert!(world.violations.is_empty(), "{:?}", world.violations);
-    let (began, before) = (world.now, world.core_work());
+    let (began_at, before) = (world.now, world.core_work());
     let mut small = default_job(JobKind::Array, 1);
     small.gpus = 1.0;
-    let root = world.add_job(began + 0.1, small.clone(), 4.0);
+    let root = world.add_job(began_at + 0.1, small.clone(), 4.0);
     let mut chain_ends = [root, root];
     for number in 0..500 {
         let in_chain = number >= 300;
@@ -122,12 +128,12 @@
             dependencies: vec![world.job_id(dependency)],
             ..small.clone()
         };
-        let added = world.add_job(began + 1.0 + number as f64 * 0.05, job, 1.0);
+        let added = world.add_job(began_at + 1.0 + number as f64 * 0.05, job, 1.0);
         if in_chain {
             chain_ends[number % 2] = added;
         }
     }
-    world.run(began + 400.0);
+    world.run(began_at + 400.0);
     world.check_served();
     assert!(world.violations.is_empty(), "{:?}", world.violations);
     let after = world.core_work();
@@ -136,14 +142,14 @@
             visits: after.visits - before.visits,
             placement_rounds: after.placement_rounds - before.placement_rounds,
         },
-        seconds: world.now - began,
+        seconds: world.now - began_at,
     }
 }
 
-/// An event of a job costs in proportion to that job and its tasks, not to the fleet or to the number of waiting
-/// jobs. Rounds of placement, which visit the whole shard, are bounded by time.
+/// An event of a job costs in proportion to that job and its tasks, not to the fleet or to the number of
+/// waiting jobs. Rounds of placement, which visit the whole shard, are bounded by time.
 #[test]
-fn dependencies_cost_what_they_change() {
+fn cost_of_dependencies_does_not_grow_with_the_fleet() {
     let (small, large) = (cost_of_dependencies(240), cost_of_dependencies(1100));
     println!("{small:?} {large:?}");
     let (visits, more_visits) = (small.work.visits as f64, large.work.visits as f64);
@@ -159,8 +165,9 @@
     }
 }
 
-/// A fleet of four thousand machines, most of which run two replicas, loses the controller that owns them all.
-/// Everything is taken over, and requests and messages stay within the limits of the services.
+/// A fleet of four thousand machines, most of which run two replicas, loses the controller that owns them
+/// all. Another controller takes over all of them, and requests and messages stay within the limits of the
+/// services.
 #[test]
 fn four_thousand_machines_survive_a_crash_of_their_owner() {
     let machines = 4000;
@@ -169,11 +176,11 @@
          at 20 crash n1 20\nat 21 job service 20 gpus=3\nuntil 20\n",
         machines * 2 - 60
     );
-    let mut world = play(&text);
+    let mut world = run_scenario(&text);
     world.ignore_violations_of("not_served");
     let before = world.work;
-    let began = world.now;
-    world.run(began + 40.0);
+    let began_at = world.now;
+    world.run(began_at + 40.0);
     world.check_served();
     assert!(
         world.violations.is_empty(),
@@ -182,10 +189,10 @@
     );
     let work = world.work;
     println!("{before:?}\n{work:?}");
-    let each_second = (work.store_requests - before.store_requests) as f64 / 40.0;
+    let requests_per_s = (work.store_requests - before.store_requests) as f64 / 40.0;
     assert!(
-        each_second < world.limits.rps,
-        "{each_second} requests a second"
+        requests_per_s < world.limits.rps,
+        "{requests_per_s} requests per second"
     );
     let throttled = work.throttled_requests - before.throttled_requests;
     assert!(
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -1,7 +1,7 @@
-//! Tests that run whole simulations, by subject.
+//! Tests that simulate a whole deployment.
 
 mod failover;
-mod generated_days;
+mod generated_scenarios;
 mod grants;
 mod load;
 mod machine_types;
--- a/tests/world/start_rules.rs
+++ b/tests/world/start_rules.rs
@@ -126,7 +126,7 @@
         if let Some(reported_at) = reported_at.filter(|at| *at < self.now) {
             self.work.starts_after_cancel += 1;
             // Without faults, what was in flight then has been stopped by now. A machine that hung executes what had
-            // reached it once it continues (command_faults day 28).
+            // reached it once it continues (command_faults scenario 28).
             let hung_until = self.workers.get(id).map_or(0.0, |worker| worker.hung_until);
             let executed_by = reported_at.max(hung_until) + IN_FLIGHT_S;
             if self.has_been_calm(reported_at, LEASE_S * 2.0) && self.now > executed_by {
--- a/tests/world/user_checks.rs
+++ b/tests/world/user_checks.rs
@@ -70,7 +70,7 @@
     /// Checks a status that a user was told.
     ///
     /// A request that was sent before something was told may still be answered without it: answers to overlapping
-    /// requests arrive in any order (random day 1026).
+    /// requests arrive in any order (random scenario 1026).
     fn check_told(&mut self, job: usize, kind: RequestKind, asked: f64, status: &str) {
         let user = &self.users.jobs[job];
         let id = user.id.clone();
@@ -199,7 +199,7 @@
             "running" => self.tasks_on(&id) > 0,
             "idle" => self.tasks_on(&id) == 0,
             // Each of its tasks has started once at most.
-            "undisturbed" => user.starts <= user.spec.tasks,
+            "without_restarts" => user.starts <= user.spec.tasks,
             other => panic!("expect {other:?}?"),
         };
         if !met {
