--- a/src/core/controller/user_requests.rs
+++ b/src/core/controller/user_requests.rs
@@ -137,7 +137,11 @@
             .any(|dependency| self.store.is_cancelled(dependency));
         // The record is created as cancelled, so that polls return this status.
         let write = match is_dependency_cancelled {
-            true => put(&key, &record.cancelled_unstarted(self.outbox.wall_ms), None),
+            true => put(
+                &key,
+                &record.to_cancelled_unstarted(self.outbox.wall_ms),
+                None,
+            ),
             false => write,
         };
         request.create_sent = true;
@@ -277,8 +281,8 @@
         let id = request.operation.job();
         let (key, wall_ms) = (job_key(id), self.outbox.wall_ms);
         let record = match self.store.has_cancelled_dependency(id) {
-            true => job.record.cancelled_unstarted(wall_ms),
-            false => job.record.cancelled(wall_ms),
+            true => job.record.to_cancelled_unstarted(wall_ms),
+            false => job.record.to_cancelled(wall_ms),
         };
         let write = put(&key, &record, None);
         self.commit_or_wait(request, key, job.version, write);
--- a/tests/failures/measure.rs
+++ b/tests/failures/measure.rs
@@ -65,11 +65,11 @@
 
     /// Schedules the failure of a controller.
     pub fn schedule(self, world: &mut World, at: f64, node: usize) {
-        let who = Endpoint::Node(node);
+        let target = Endpoint::Node(node);
         let cut = |from: Endpoint, manner: CutManner, direction: Direction| {
-            let who = Endpoint::Node(node);
+            let target = Endpoint::Node(node);
             Fault::Cut {
-                who,
+                target,
                 from,
                 seconds: FAULT_DURATION_S,
                 manner,
@@ -78,32 +78,32 @@
         };
         let fault = match self {
             Self::Crashes => Fault::Crash {
-                who,
-                back_after: Some(FAULT_DURATION_S),
+                target,
+                restart_delay_s: Some(FAULT_DURATION_S),
             },
             Self::Restarts(seconds) => Fault::Crash {
-                who,
-                back_after: Some(seconds),
+                target,
+                restart_delay_s: Some(seconds),
             },
-            Self::Paused(seconds) => Fault::Freeze { who, seconds },
+            Self::Paused(seconds) => Fault::Pause { target, seconds },
             Self::CutFromWorkers(manner) => cut(Endpoint::Workers, manner, Direction::Both),
             Self::RefusedByStore => Fault::Refuse {
-                who,
+                target,
                 seconds: FAULT_DURATION_S,
             },
             Self::CutFromStoreAndSiblings => cut(
-                Endpoint::StateAndSiblings,
+                Endpoint::StoreAndSiblings,
                 CutManner::Silent,
                 Direction::Both,
             ),
             Self::OneDirection(direction) => cut(Endpoint::Everyone, CutManner::Silent, direction),
             Self::Slow(pause) => Fault::Slow {
-                who,
+                target,
                 pause,
                 seconds: FAULT_DURATION_S,
             },
         };
-        world.at(at, Event::Fault(fault));
+        world.schedule_at(at, Event::Fault(fault));
     }
 }
 
@@ -118,7 +118,7 @@
     /// The stored shard map named another owner.
     pub failed_over: Option<f64>,
     /// Another process knew all running tasks of the shard, so that it might start any task.
-    pub settled: Option<f64>,
+    pub reconciled: Option<f64>,
     /// A job of the shard started that was submitted half a second after the failure.
     pub started: Option<f64>,
     /// Number of tasks that were lost because leases of workers expired.
@@ -158,8 +158,8 @@
 /// Runs the simulation on and measures the failover after the failure of `node` at `fails_at`.
 pub fn measure_failover(world: &mut World, fails_at: f64, node: usize) -> FailoverMeasurement {
     let key = format!("ochredrum/node/n{node}");
-    let (process, owner) = (world.stored(&key), world.owner_of("red"));
-    let lost_before = world.work.lost_with_leases;
+    let (process, owner) = (world.stored_value(&key), world.owner_of("red"));
+    let lost_before = world.counters.lost_with_leases;
     let mut measured = FailoverMeasurement::default();
     let later = JobSpec {
         gpus: 1.0,
@@ -167,28 +167,28 @@
     };
     let later = world.add_job(fails_at + SUBMIT_DELAY_S, later, 0.0);
     while world.now < fails_at + OBSERVATION_S {
-        world.run(world.now + STEP_S);
+        world.run_until(world.now + STEP_S);
         let since = Some(world.now - fails_at);
         if measured.suspected.is_none() && world.is_suspected(node) {
             measured.suspected = since;
         }
-        if measured.released.is_none() && !same_process(&world.stored(&key), &process) {
+        if measured.released.is_none() && !same_process(&world.stored_value(&key), &process) {
             measured.released = since;
         }
         if measured.failed_over.is_none() && world.owner_of("red") != owner {
             measured.failed_over = since;
         }
-        if measured.settled.is_none()
+        if measured.reconciled.is_none()
             && measured.failed_over.is_some()
-            && world.is_settled("red", node)
+            && world.is_reconciled_by_another("red", node)
         {
-            measured.settled = since;
+            measured.reconciled = since;
         }
         if measured.started.is_none() && world.starts_of(later) > 0 {
             measured.started = since;
         }
     }
-    measured.lost_tasks = world.work.lost_with_leases - lost_before;
+    measured.lost_tasks = world.counters.lost_with_leases - lost_before;
     measured.violations = world.violations.clone();
     measured
 }
--- a/tests/failures/table.rs
+++ b/tests/failures/table.rs
@@ -69,7 +69,7 @@
         of(|m| m.suspected),
         of(|m| m.released),
         of(|m| m.failed_over),
-        of(|m| m.settled),
+        of(|m| m.reconciled),
         of(|m| m.started),
         lost.iter().filter(|lost| **lost > 0).count(),
         lost.len(),
@@ -81,7 +81,7 @@
 /// longest: they wait 4 s for an answer before they report to another controller.
 const MAX_FAILOVER_S: f64 = 8.0;
 /// Largest time from then until the new owner may start all tasks of the shard: three heartbeat intervals.
-const MAX_SETTLING_S: f64 = 3.0;
+const MAX_RECONCILIATION_S: f64 = 3.0;
 
 /// Describes lost tasks, or a step of the failover that was late or did not take place.
 fn failover_problem(failure: Failure, measured: &FailoverMeasurement) -> Option<String> {
@@ -97,12 +97,12 @@
     let Some(failed_over) = measured.failed_over.filter(|at| *at <= MAX_FAILOVER_S) else {
         return Some(format!("failed over after {:?} s", measured.failed_over));
     };
-    let settled = measured
-        .settled
-        .filter(|at| *at <= failed_over + MAX_SETTLING_S);
-    settled
+    let reconciled = measured
+        .reconciled
+        .filter(|at| *at <= failed_over + MAX_RECONCILIATION_S);
+    reconciled
         .is_none()
-        .then(|| format!("settled after {:?} s", measured.settled))
+        .then(|| format!("reconciled after {:?} s", measured.reconciled))
 }
 
 #[test]
--- a/tests/simulation/grants.rs
+++ b/tests/simulation/grants.rs
@@ -41,7 +41,7 @@
     world.ignore_violations_of("not_served");
     let last_job = 3;
     while world.starts_of(last_job) == 0 && world.now < crashed_at + 120.0 {
-        world.run(world.now + 0.05);
+        world.run_until(world.now + 0.05);
     }
     assert!(world.violations.is_empty(), "{:?}", world.violations);
     world.now - crashed_at
--- a/tests/simulation/machine_types.rs
+++ b/tests/simulation/machine_types.rs
@@ -16,7 +16,7 @@
         16,
         "some GPU tasks wait for another machine"
     );
-    world.run(60.0);
+    world.run_until(60.0);
     assert_eq!(world.starts_of(0), 24);
     world.check_served();
     assert_no_violations("two machine types", &world);
--- a/tests/world/tasks.rs
+++ b/tests/world/tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks on workers: they fetch their image, run, save checkpoints and exit.
+//! Execution of tasks on workers: fetching the image, running, saving checkpoints and exiting.
 
 use super::cloud::Cloud;
 use super::faults::MachineCondition;
@@ -8,26 +8,27 @@
 use ochredrum::ids::{Attempt, JobId, MachineId, TaskId};
 use ochredrum::wire::{Command, ExitReason, JobKind, JobSpec, TaskState};
 
-/// How long a worker takes to prepare an image that it has cached.
+/// Seconds that a worker needs to prepare a cached image.
 const CACHED_FETCH_S: f64 = 0.05;
 /// Tolerance in comparisons of resources, which are sums of floating-point numbers.
 const RESOURCE_TOLERANCE: f64 = 1e-6;
 
 /// One attempt of a task on a worker.
 #[derive(Clone, Debug)]
-pub struct Running {
-    /// What the worker reports of it.
+pub struct RunningTask {
+    /// The state that the worker reports.
     pub state: TaskState,
-    /// Why it exited, once it has.
+    /// Why it exited; `None` before it has.
     pub exit: Option<ExitReason>,
     /// Whether it saved a checkpoint when it was stopped.
     pub checkpointed: bool,
-    /// When the present state ends by itself.
-    until: f64,
+    /// When the present state ends unless a command ends it earlier. While the task waits: when the wait
+    /// began.
+    state_ends_at: f64,
 }
 
-impl Running {
-    /// Whether it is on its machine as the protocol defines it: from when it has its image until it exits.
+impl RunningTask {
+    /// Whether it is on its machine in the sense of the protocol: it has its image and has not exited.
     pub fn is_on_machine(&self) -> bool {
         matches!(
             self.state,
@@ -35,7 +36,7 @@
         )
     }
 
-    /// Whether it occupies resources of its machine.
+    /// Whether it has exited. Until then it occupies resources of its machine.
     pub fn has_exited(&self) -> bool {
         self.state == TaskState::Exited
     }
@@ -43,17 +44,17 @@
     fn exit(&mut self, why: ExitReason) {
         self.state = TaskState::Exited;
         self.exit = Some(why);
-        self.until = f64::INFINITY;
+        self.state_ends_at = f64::INFINITY;
     }
 
-    /// Stops it; with enough time it saves a checkpoint first.
+    /// Stops the task. If the grace period is long enough, it saves a checkpoint first.
     fn stop(&mut self, now: f64, grace_s: f64, spec: Option<&JobSpec>) {
         let checkpoint_interval_s = spec.map_or(0.0, |spec| spec.checkpoint_interval_s);
         let checkpoint_write_s = spec.map_or(0.0, |spec| spec.checkpoint_write_s);
         let saves = checkpoint_interval_s > 0.0 && grace_s >= checkpoint_write_s;
         if saves && self.state == TaskState::Running {
             self.state = TaskState::Checkpointing;
-            self.until = now + checkpoint_write_s;
+            self.state_ends_at = now + checkpoint_write_s;
         } else if self.state != TaskState::Checkpointing || grace_s == 0.0 {
             self.exit(ExitReason::Stopped);
         }
@@ -81,12 +82,12 @@
 }
 
 impl World {
-    /// A worker executes one command.
+    /// Executes one command on a worker.
     pub(super) fn execute(&mut self, id: &MachineId, command: Command) {
         match command {
             Command::Start { task, attempt } => match TaskId::parse(&task) {
                 Some(task) => self.execute_start(id, task, attempt),
-                None => self.record_violation("bad_order", format!("start of {task:?}")),
+                None => self.record_violation("invalid_command", format!("start of {task:?}")),
             },
             Command::Stop {
                 task,
@@ -102,7 +103,7 @@
                     && let Some(worker) = self.workers.get_mut(id)
                 {
                     let key = (task, attempt);
-                    if worker.tasks.get(&key).is_some_and(Running::has_exited) {
+                    if worker.tasks.get(&key).is_some_and(RunningTask::has_exited) {
                         worker.tasks.remove(&key);
                     }
                 }
@@ -128,7 +129,7 @@
     fn execute_start(&mut self, id: &MachineId, task: TaskId, attempt: Attempt) {
         let now = self.now;
         let Some(spec) = self.users.spec(&task.job).cloned() else {
-            return self.record_violation("bad_order", format!("start of unknown {task}"));
+            return self.record_violation("invalid_command", format!("start of unknown {task}"));
         };
         let fetch_gb_per_s = self.cloud.type_of(id).fetch_gb_per_s;
         let Some(worker) = self.workers.get_mut(id) else {
@@ -146,24 +147,24 @@
         } else {
             spec.image_gb / fetch_gb_per_s
         };
-        let mut running = Running {
+        let mut running = RunningTask {
             state: TaskState::Fetching,
             exit: None,
             checkpointed: false,
-            until: now + fetch_s,
+            state_ends_at: now + fetch_s,
         };
         if busy {
             running.exit(ExitReason::Busy);
         } else if full {
             running.exit(ExitReason::NoRoom);
-            self.note(format!("{id} has no room for {task}"));
+            self.log_event(format!("{id} has no room for {task}"));
         }
         if let Some(worker) = self.workers.get_mut(id) {
             worker.tasks.insert((task, attempt), running);
         }
     }
 
-    /// Lets the tasks of a worker proceed whose present state has ended.
+    /// Moves the tasks of a worker whose present state has ended to their next state.
     pub(super) fn advance_tasks(&mut self, id: &MachineId) {
         let now = self.now;
         let Some(worker) = self.workers.get(id) else {
@@ -172,7 +173,7 @@
         let due: Vec<(TaskId, Attempt)> = worker
             .tasks
             .iter()
-            .filter(|(_, running)| !running.has_exited() && running.until <= now)
+            .filter(|(_, running)| !running.has_exited() && running.state_ends_at <= now)
             .map(|(key, _)| key.clone())
             .collect();
         for (task, attempt) in due {
@@ -198,7 +199,7 @@
             TaskState::Waiting if fails => running.exit(ExitReason::Error),
             TaskState::Fetching => {
                 running.state = TaskState::Waiting;
-                running.until = self.now;
+                running.state_ends_at = self.now;
                 let image = spec.image.to_string();
                 if !worker.images.contains(&image) {
                     worker.images.push(image);
@@ -224,7 +225,8 @@
         }
     }
 
-    /// A task that has its image runs. A gang's task first waits for the others, and exits if it waits too long.
+    /// Runs a task that has its image. A task of a gang first waits for the other tasks and exits if that
+    /// takes too long.
     fn leave_waiting(
         &mut self,
         id: &MachineId,
@@ -242,20 +244,20 @@
             return;
         };
         if waits {
-            if now > running.until + GANG_WAIT_S {
+            if now > running.state_ends_at + GANG_WAIT_S {
                 running.exit(ExitReason::GangIncomplete);
             }
             return;
         }
         running.state = TaskState::Running;
-        running.until = if spec.kind == JobKind::Service {
+        running.state_ends_at = if spec.kind == JobKind::Service {
             f64::INFINITY
         } else {
             now + run_s
         };
     }
 
-    /// Whether all tasks of an attempt of a gang are on machines.
+    /// Whether all tasks of a gang's attempt are on machines.
     fn gang_is_complete(&self, task: &TaskId, attempt: Attempt, tasks: u32) -> bool {
         let all = self.workers.values().flat_map(|worker| &worker.tasks);
         let ready = all.filter(|((other, same), running)| {
@@ -264,7 +266,7 @@
         ready.count() >= tasks as usize
     }
 
-    /// A gang's tasks complete together.
+    /// Completes all tasks of a gang's attempt together.
     fn complete_gang(&mut self, job: &JobId, attempt: Attempt, tasks: u32) {
         for index in 0..tasks {
             let task = TaskId {
@@ -283,13 +285,13 @@
         }
     }
 
-    /// Running gang tasks on a worker exit when another task of their attempt has been lost.
+    /// Ends the running gang tasks on a worker that have lost another task of their attempt.
     fn exit_incomplete_gangs(&mut self, id: &MachineId) {
         let now = self.now;
         let Some(worker) = self.workers.get(id) else {
             return;
         };
-        let lost_peers = |((task, attempt), running): &(&(TaskId, Attempt), &Running)| {
+        let lost_peers = |((task, attempt), running): &(&(TaskId, Attempt), &RunningTask)| {
             let Some(spec) = self.users.spec(&task.job) else {
                 return false;
             };
@@ -298,7 +300,7 @@
                 && running.state == TaskState::Running
                 && !self.users.has_finished_task(&task.job)
                 && !self.gang_is_complete(task, *attempt, spec.tasks)
-                && running.until > now + GANG_PEER_S
+                && running.state_ends_at > now + GANG_PEER_S
         };
         let incomplete: Vec<(TaskId, Attempt)> = worker
             .tasks
--- a/tests/world/unusual_requests.rs
+++ b/tests/world/unusual_requests.rs
@@ -1,18 +1,19 @@
-//! Unusual requests, as bodies on the wire: fields that are missing, null or of the wrong type, and dependencies that
-//! were never accepted, are the job itself, or are hundreds.
+//! Submissions with unusual bodies: fields that are missing, null or of the wrong type, impossible resource
+//! demands, and dependencies that were never accepted, that are the job itself, or that number in the
+//! hundreds.
 
 use super::users::RequestKind;
-use super::{Asker, Event, World};
+use super::{Event, Requester, World};
 use ochredrum::core::effects::{Input, RequestId, UserRequest};
 use ochredrum::ids::JobId;
 use ochredrum::wire::{JobSpec, encode, parse_submission};
 use rand::Rng;
 use serde_json::{Value, json};
 
-/// How often such a request is sent.
-const EVERY_S: f64 = 0.7;
+/// Seconds between unusual requests.
+const UNUSUAL_REQUEST_INTERVAL_S: f64 = 0.7;
 /// The required fields of a submission.
-const REQUIRED: [&str; 17] = [
+const REQUIRED_FIELDS: [&str; 17] = [
     "nameId",
     "herd",
     "crew",
@@ -32,32 +33,32 @@
     "markS",
 ];
 
-/// Ways in which a submission can be malformed.
+/// Number of variants of malformed submissions.
 const MALFORMED_FORMS: i32 = 4;
-/// Ways in which a well-formed submission can be impossible.
+/// Number of variants of well-formed submissions that cannot be accepted.
 const IMPOSSIBLE_FORMS: i32 = 4;
 
-/// What has to happen to an unusual request.
+/// The outcome that an unusual submission must have.
 enum ExpectedOutcome {
-    /// Refused with status 400, because it is no job.
+    /// Its body cannot be parsed as a submission, which a controller answers with status 400.
     Malformed,
-    /// Well formed, but not accepted.
+    /// It is well formed, but no controller may accept it.
     Refused,
-    /// Accepted, because only its form is unusual.
+    /// It is accepted, because only its form is unusual.
     Accepted,
 }
 
-/// A valid submission.
-fn plain(id: &JobId) -> Value {
+/// The body of a valid submission.
+fn valid_submission(id: &JobId) -> Value {
     json!({"nameId": id, "herd": "batch", "crew": "red", "shape": "sweep", "urgency": "standard",
         "beats": 2, "cores": 4.0, "cards": 2.0, "memGb": 16.0, "pressing": "img", "sizeGb": 8.0,
         "breeds": null, "yard": null, "samePlace": false, "apart": false, "loaners": false,
         "expectS": 5.0, "markEveryS": 0.0, "markS": 0.0, "dueS": null})
 }
 
-/// A malformed submission; `choice` is below [`MALFORMED_FORMS`].
-fn malformed(id: &JobId, choice: i32, field: &str) -> Value {
-    let mut body = plain(id);
+/// A malformed submission. `choice` selects the variant and is below [`MALFORMED_FORMS`].
+fn malformed_submission(id: &JobId, choice: i32, field: &str) -> Value {
+    let mut body = valid_submission(id);
     match choice {
         0 => {
             body.as_object_mut().map(|body| body.remove(field));
@@ -69,9 +70,10 @@
     body
 }
 
-/// A well-formed submission that cannot be accepted; `choice` is below [`IMPOSSIBLE_FORMS`].
-fn impossible(id: &JobId, choice: i32) -> Value {
-    let mut body = plain(id);
+/// A well-formed submission that cannot be accepted. `choice` selects the variant and is below
+/// [`IMPOSSIBLE_FORMS`].
+fn impossible_submission(id: &JobId, choice: i32) -> Value {
+    let mut body = valid_submission(id);
     match choice {
         0 => body["awaits"] = json!(["req-899999"]),
         1 => body["awaits"] = json!([id]),
@@ -84,67 +86,75 @@
     body
 }
 
-/// A valid submission that names jobs which are done five hundred times.
-fn repeating_dependencies(id: &JobId, done: &[JobId]) -> Value {
-    let mut body = plain(id);
+/// A valid submission whose 500 dependencies repeat jobs that are done.
+fn submission_with_repeated_dependencies(id: &JobId, done: &[JobId]) -> Value {
+    let mut body = valid_submission(id);
     let dependencies: Vec<&JobId> = done.iter().cycle().take(500).collect();
     body["awaits"] = json!(dependencies);
     body
 }
 
 impl World {
-    /// Sends one unusual request and schedules the next.
+    /// Sends one unusual request and schedules the next, until the time `until`.
     pub(super) fn unusual_request(&mut self, until: f64) {
         if self.now > until {
             return;
         }
-        self.after(EVERY_S, Event::UnusualRequest { until });
-        let id = self.users.next_unusual_id();
+        self.schedule_after(UNUSUAL_REQUEST_INTERVAL_S, Event::UnusualRequest { until });
+        let id = self.users.create_unusual_job_id();
         let done = self.users.done_arrays();
-        let field = REQUIRED[self.rng.random_range(0..REQUIRED.len())];
+        let field = REQUIRED_FIELDS[self.rng.random_range(0..REQUIRED_FIELDS.len())];
         let forms = MALFORMED_FORMS + IMPOSSIBLE_FORMS + 1;
         let choice = self.rng.random_range(0..forms);
         if choice < MALFORMED_FORMS {
-            let body = malformed(&id, choice, field);
+            let body = malformed_submission(&id, choice, field);
             self.send_unusual(&body, ExpectedOutcome::Malformed);
         } else if choice < MALFORMED_FORMS + IMPOSSIBLE_FORMS {
-            let body = impossible(&id, choice - MALFORMED_FORMS);
+            let body = impossible_submission(&id, choice - MALFORMED_FORMS);
             self.send_unusual(&body, ExpectedOutcome::Refused);
         } else if !done.is_empty() {
-            let body = repeating_dependencies(&id, &done);
+            let body = submission_with_repeated_dependencies(&id, &done);
             self.send_unusual(&body, ExpectedOutcome::Accepted);
         }
     }
 
-    /// Reads a body as a controller does, and submits it if it is well formed.
+    /// Parses a body as a controller does, checks the outcome, and submits the job if the body is well
+    /// formed.
     fn send_unusual(&mut self, body: &Value, expected: ExpectedOutcome) {
         let parsed = parse_submission(&encode(body));
         let malformed = matches!(expected, ExpectedOutcome::Malformed);
-        self.work.unusual_requests += 1;
+        self.counters.unusual_requests += 1;
         let Ok((id, spec)) = parsed else {
             if !malformed {
-                self.record_violation("odd_refused", format!("{body} is called malformed"));
+                self.record_violation(
+                    "valid_submission_refused",
+                    format!("{body} is refused as malformed"),
+                );
             }
             return;
         };
         if malformed {
-            return self.record_violation("odd_accepted", format!("{body} is taken for a job"));
+            return self.record_violation(
+                "malformed_submission_accepted",
+                format!("{body} is parsed as a job"),
+            );
         }
         match expected {
             ExpectedOutcome::Accepted => self.submit_unusual(spec),
             _ => {
                 let node = self.rng.random_range(0..self.nodes.len());
-                let asker = Asker::User {
+                let requester = Requester::User {
                     job: None,
                     kind: RequestKind::Unusual,
-                    asked: self.now,
+                    sent_at: self.now,
                 };
-                let what = UserRequest::Submit(id, Box::new(spec));
-                self.ask_node(node, asker, Input::User(RequestId(0), what));
+                let request = UserRequest::Submit(id, Box::new(spec));
+                self.deliver_request(node, requester, Input::User(RequestId(0), request));
             }
         }
     }
 
+    /// Adds a user who submits the job and follows it to its end.
     fn submit_unusual(&mut self, spec: JobSpec) {
         let run_s = self.rng.random_range(1.0..4.0);
         self.add_job(self.now, spec, run_s);
