--- a/src/core/leader/assignment.rs
+++ b/src/core/leader/assignment.rs
@@ -13,11 +13,11 @@
     /// that it gains during one call of [`Leader::advance`], which keeps the map small. Returns None if no
     /// tokens are left: nothing is assigned then until the leader key is claimed again.
     pub(super) fn new_owner(&mut self, process: &ProcessId) -> Option<ShardOwner> {
-        let token = match self.turn_tokens.get(process) {
+        let token = match self.issued_tokens.get(process) {
             Some(token) => *token,
             None => {
                 let token = self.editor.next_token()?;
-                self.turn_tokens.insert(process.clone(), token);
+                self.issued_tokens.insert(process.clone(), token);
                 token
             }
         };
@@ -59,13 +59,13 @@
 
     /// Number of teams that the controller owns.
     pub(super) fn team_count(&self, node: &ControllerName) -> usize {
-        let owners = self.editor.owners().teams.values();
+        let owners = self.editor.shard_map().teams.values();
         owners.filter(|owner| owner.node == *node).count()
     }
 
     /// Whether the shard map lists this controller as the machine's owner.
     pub(super) fn owns_machine(&self, node: &ControllerName, id: &MachineId) -> bool {
-        let owner = self.editor.owners().machines.get(id);
+        let owner = self.editor.shard_map().machines.get(id);
         owner.is_some_and(|owner| owner.node == *node)
     }
 
@@ -97,7 +97,7 @@
         let mut counts: BTreeMap<ControllerName, MachineCount> = with_teams
             .map(|node| (node.clone(), MachineCount::default()))
             .collect();
-        for (id, owner) in &self.editor.owners().machines {
+        for (id, owner) in &self.editor.shard_map().machines {
             if let Some(count) = counts.get_mut(&owner.node) {
                 match self.cloud.offer_of(id) {
                     Some(offer) => count.add(offer),
@@ -120,13 +120,13 @@
                 continue;
             };
             for (id, token) in machines {
-                let owner = self.editor.owners().machines.get(&id);
+                let owner = self.editor.shard_map().machines.get(&id);
                 if owner.is_some_and(|owner| owner.process() == process && owner.token == token) {
                     self.assign_machine(&id, &process, None);
                 }
             }
             for team in teams {
-                let owner = self.editor.owners().teams.get(&team);
+                let owner = self.editor.shard_map().teams.get(&team);
                 if owner.is_some_and(|owner| owner.process() == process) {
                     self.assign_team(&team, &process);
                 }
--- a/src/core/leader/claims.rs
+++ b/src/core/leader/claims.rs
@@ -13,12 +13,13 @@
     /// fencing token has changed since, or if its owner has failed: failover reassigns the machines of failed
     /// owners.
     pub(super) fn serve_claims(&mut self, store: &StoreReplica, live: &LiveProcesses, now: Time) {
-        let claim_s = self.config.deployment.workers.lease_s * CLAIM_VALIDITY_LEASES;
-        self.claimed.retain(|_, since| now - *since < claim_s);
+        let claim_validity_s = self.config.deployment.workers.lease_s * CLAIM_VALIDITY_LEASES;
+        self.claimed_machines
+            .retain(|_, since| now - *since < claim_validity_s);
         for (node, process) in store.nodes() {
             let claimant = ProcessId::new(node.clone(), process.record.incarnation);
             for claim in &process.record.claims {
-                let Some(owner) = self.editor.owners().machines.get(&claim.machine) else {
+                let Some(owner) = self.editor.shard_map().machines.get(&claim.machine) else {
                     continue;
                 };
                 let previous_owner = owner.process();
@@ -33,7 +34,7 @@
                     "claimed machine reassigned to the controller that receives its heartbeats"
                 );
                 self.assign_machine(&claim.machine, &claimant, Some(previous_owner));
-                self.claimed.insert(claim.machine.clone(), now);
+                self.claimed_machines.insert(claim.machine.clone(), now);
             }
         }
     }
--- a/src/core/leader/cloud_requests.rs
+++ b/src/core/leader/cloud_requests.rs
@@ -141,12 +141,12 @@
     }
 
     /// The pending machines that are expected to send a heartbeat in time.
-    pub(super) fn expected(
+    pub(super) fn expected_machines(
         &self,
         catalog: &Catalog,
         now: Time,
     ) -> impl Iterator<Item = &PendingMachine> {
-        self.pending.expected(catalog, now)
+        self.pending.expected_machines(catalog, now)
     }
 
     /// Whether the machine is queued to be returned or its release is in flight.
@@ -161,7 +161,7 @@
 
     /// Queues the return of rented machines that have sent no heartbeat for several boot times.
     pub(super) fn queue_overdue_releases(&mut self, catalog: &Catalog, now: Time) {
-        for id in self.pending.overdue(catalog, now) {
+        for id in self.pending.overdue_machines(catalog, now) {
             if self.pending_releases.insert(id.clone()) {
                 tracing::info!(machine = %id, "rented machine sent no heartbeat in time and is returned");
             }
@@ -273,13 +273,13 @@
         now >= self.pause_until && self.call_rate.take(now)
     }
 
-    /// Handles the reply to a request; `owners` is the shard map.
+    /// Handles the reply to a request; `shard_map` is the present one.
     pub(super) fn handle_reply(
         &mut self,
         outbox: &mut Outbox,
         operation: CloudOperation,
         reply: CloudReply,
-        owners: &ShardMap,
+        shard_map: &ShardMap,
     ) {
         let now = outbox.now;
         if matches!(reply, CloudReply::Refused | CloudReply::Unknown) {
@@ -291,7 +291,7 @@
             | CloudOperation::Release { token, .. }
                 if token != self.key_version => {}
             CloudOperation::List { listed, .. } => {
-                self.handle_list_page(outbox, listed, reply, owners)
+                self.handle_list_page(outbox, listed, reply, shard_map)
             }
             CloudOperation::Rent { request, .. } => {
                 self.rental_in_flight = false;
@@ -312,7 +312,7 @@
         outbox: &mut Outbox,
         mut listed: Vec<ListedMachine>,
         reply: CloudReply,
-        owners: &ShardMap,
+        shard_map: &ShardMap,
     ) {
         self.list_in_flight = false;
         let CloudReply::List(page) = reply else {
@@ -323,12 +323,12 @@
         if more && listed.len() < MAX_LISTED_MACHINES {
             self.send_list_page(outbox, listed);
         } else {
-            self.apply_list(listed, owners, outbox.now);
+            self.apply_list(listed, shard_map, outbox.now);
         }
     }
 
     /// Records the kinds of the listed machines and which of them are pending; queues failed ones for return.
-    fn apply_list(&mut self, list: Vec<ListedMachine>, owners: &ShardMap, now: Time) {
+    fn apply_list(&mut self, list: Vec<ListedMachine>, shard_map: &ShardMap, now: Time) {
         for listed in list {
             let id = listed.machine;
             let offer = MachineOffer {
@@ -338,10 +338,11 @@
             };
             if listed.state == MachineState::Failed {
                 self.pending_releases.insert(id);
-            } else if listed.state == MachineState::Booting && !owners.machines.contains_key(&id) {
+            } else if listed.state == MachineState::Booting && !shard_map.machines.contains_key(&id)
+            {
                 let pending = PendingMachine {
                     offer,
-                    rented: now - listed.age_s,
+                    rented_at: now - listed.age_s,
                     node: None,
                 };
                 self.pending.add_listed(id, pending);
@@ -378,7 +379,7 @@
                 for (id, node) in names.machines.into_iter().zip(request.nodes) {
                     let pending = PendingMachine {
                         offer: offer.clone(),
-                        rented: now,
+                        rented_at: now,
                         node: Some(node),
                     };
                     self.pending.add(id, pending);
--- a/src/core/leader/failover.rs
+++ b/src/core/leader/failover.rs
@@ -66,7 +66,7 @@
 
     /// Assigns each configured team without an owner to the controller with the fewest teams.
     fn assign_unowned_teams(&mut self, live: &LiveProcesses, peers: &Peers) {
-        let owned = &self.editor.owners().teams;
+        let owned = &self.editor.shard_map().teams;
         let configured = self.config.deployment.teams.iter().map(|team| &team.name);
         let unowned = configured.filter(|team| !owned.contains_key(*team));
         for team in unowned.cloned().collect::<Vec<Team>>() {
@@ -78,7 +78,7 @@
 
     /// Processes that own teams or machines and are no longer registered in the store.
     fn failed_owners(&self, live: &LiveProcesses) -> BTreeSet<ProcessId> {
-        let owners = self.editor.owners().owning_processes().into_iter();
+        let owners = self.editor.shard_map().owning_processes().into_iter();
         owners.filter(|process| !live.contains(process)).collect()
     }
 
@@ -103,7 +103,7 @@
         unresponsive: &UnresponsiveMachines,
         live: &LiveProcesses,
     ) {
-        let owners = self.editor.owners();
+        let owners = self.editor.shard_map();
         let of_failed = |owner: &ShardOwner| owner.is_process(&failed.node, failed.incarnation);
         let teams = owners.teams.iter().filter(|(_, owner)| of_failed(owner));
         let teams: Vec<Team> = teams.map(|(team, _)| team.clone()).collect();
--- a/src/core/leader/grants.rs
+++ b/src/core/leader/grants.rs
@@ -26,7 +26,7 @@
     /// Records for each team without an entry that grants are respected since its present owner's token,
     /// provided that the owner respects them.
     pub(super) fn record_grants_kept_since(&mut self) {
-        let owners = self.editor.owners();
+        let owners = self.editor.shard_map();
         let unrecorded = owners.teams.iter().filter(|(team, owner)| {
             !owners.grants_kept_since.contains_key(*team) && self.keeps_grants(owner)
         });
--- a/src/core/leader/machine_transfers.rs
+++ b/src/core/leader/machine_transfers.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeSet;
 
 /// Interval between two transfers of machines in use, in worker leases.
-const URGENT_MOVE_INTERVAL_LEASES: f64 = 0.25;
+const URGENT_TRANSFER_INTERVAL_LEASES: f64 = 0.25;
 
 impl Leader {
     /// Transfers machines to the shards that lack some; demands of opportunistic work are served last.
@@ -108,12 +108,14 @@
     ) -> Option<SpareMachine> {
         let urgency = demand.urgency.filter(|_| !demand.opportunistic)?;
         let mut on_demand = demand.any_of.iter().filter(|offer| !offer.spot);
-        if now < self.next_urgent_move || !on_demand.all(|offer| self.cloud.is_unavailable(offer)) {
+        if now < self.next_urgent_transfer
+            || !on_demand.all(|offer| self.cloud.is_unavailable(offer))
+        {
             return None;
         }
         let found = self.machine_with_most_free_gpus(demand, to, urgency)?;
-        self.next_urgent_move =
-            now + self.config.deployment.workers.lease_s * URGENT_MOVE_INTERVAL_LEASES;
+        self.next_urgent_transfer =
+            now + self.config.deployment.workers.lease_s * URGENT_TRANSFER_INTERVAL_LEASES;
         Some(found)
     }
 
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -53,7 +53,7 @@
     map_writer: MapWriter,
     /// Fencing tokens issued during the current call of [`Leader::advance`], by the process that received
     /// each.
-    turn_tokens: BTreeMap<ProcessId, FencingToken>,
+    issued_tokens: BTreeMap<ProcessId, FencingToken>,
     /// The latest report of each controller on the machines that its shard lacks or can spare.
     demands: BTreeMap<ControllerName, CapacityDemand>,
     /// Machines that have sent a heartbeat and are not in the shard map yet.
@@ -63,9 +63,9 @@
     /// When the next periodic rebalancing is due.
     next_rebalance: Time,
     /// When each machine was reassigned after a claim; such a machine can't reach its former owner.
-    claimed: BTreeMap<MachineId, Time>,
+    claimed_machines: BTreeMap<MachineId, Time>,
     /// Earliest time at which the next machine in use may be transferred for queued tasks.
-    next_urgent_move: Time,
+    next_urgent_transfer: Time,
     cloud: CloudRequests,
     zone_contact: ZoneContact,
     /// When rentals and returns are next planned.
@@ -79,20 +79,20 @@
     pub fn new(config: &Rc<Config>, key_version: Version, store: &StoreReplica, now: Time) -> Self {
         let value_kb = config.deployment.state.value_kb;
         let editor = ShardMapEditor::new(key_version, store.map_chunks(), value_kb);
-        let fresh_deployment = editor.owners().teams.is_empty();
+        let fresh_deployment = editor.shard_map().teams.is_empty();
         Self {
             config: config.clone(),
             key_version,
             leading_since: now,
             editor,
             map_writer: MapWriter::new(config, store, now),
-            turn_tokens: BTreeMap::new(),
+            issued_tokens: BTreeMap::new(),
             demands: BTreeMap::new(),
             unassigned_machines: BTreeMap::new(),
             grant_keepers: BTreeSet::new(),
             next_rebalance: now,
-            claimed: BTreeMap::new(),
-            next_urgent_move: now,
+            claimed_machines: BTreeMap::new(),
+            next_urgent_transfer: now,
             cloud: CloudRequests::new(config, key_version, now, fresh_deployment),
             zone_contact: ZoneContact::default(),
             next_scaling_plan: now,
@@ -133,7 +133,7 @@
 
     /// Queues the sender of a heartbeat for assignment, unless the shard map already lists it.
     pub fn add_unassigned_machine(&mut self, heartbeat: &Heartbeat) {
-        let machines = &self.editor.owners().machines;
+        let machines = &self.editor.shard_map().machines;
         if !machines.contains_key(&heartbeat.machine) {
             let offer = MachineOffer {
                 type_name: heartbeat.type_name.clone(),
@@ -156,7 +156,7 @@
         unresponsive: &UnresponsiveMachines,
     ) {
         let now = outbox.now;
-        self.turn_tokens.clear();
+        self.issued_tokens.clear();
         let live = LiveProcesses::registered_in(store);
         self.demands.retain(|node, _| live.has_node(node));
         if self.map_writer.may_write(outbox) && !live.is_empty() {
@@ -182,7 +182,7 @@
     /// so that the shards start equal, but at most for one ownership lease.
     fn may_assign(&self, live: &LiveProcesses, ownership: &OwnershipLease, now: Time) -> bool {
         live.count() >= self.config.controller_count()
-            || !self.editor.owners().teams.is_empty()
+            || !self.editor.shard_map().teams.is_empty()
             || now > self.leading_since + ownership.ttl()
     }
 
--- a/src/core/leader/pending_machines.rs
+++ b/src/core/leader/pending_machines.rs
@@ -24,7 +24,7 @@
     /// The offer under which it was rented.
     pub(super) offer: MachineOffer,
     /// When it was rented; derived from its age if it is known only from the cloud's list.
-    pub(super) rented: Time,
+    pub(super) rented_at: Time,
     /// The controller for which it was rented; None if it is known only from the cloud's list.
     pub(super) node: Option<ControllerName>,
 }
@@ -52,9 +52,13 @@
     }
 
     /// Machines that are so late that they should be returned.
-    pub(super) fn overdue(&self, catalog: &Catalog, now: Time) -> impl Iterator<Item = &MachineId> {
+    pub(super) fn overdue_machines(
+        &self,
+        catalog: &Catalog,
+        now: Time,
+    ) -> impl Iterator<Item = &MachineId> {
         let overdue = move |pending: &PendingMachine| {
-            now - pending.rented > catalog.boot_s(&pending.offer.type_name) * OVERDUE_BOOT_TIMES
+            now - pending.rented_at > catalog.boot_s(&pending.offer.type_name) * OVERDUE_BOOT_TIMES
         };
         let machines = self.machines.iter();
         machines
@@ -63,12 +67,12 @@
     }
 
     /// Machines that count as future capacity: all except the late ones that are replaced.
-    pub(super) fn expected(
+    pub(super) fn expected_machines(
         &self,
         catalog: &Catalog,
         now: Time,
     ) -> impl Iterator<Item = &PendingMachine> {
-        let replaced = self.replaced(catalog, now);
+        let replaced = self.machines_to_replace(catalog, now);
         let machines = self.machines.iter();
         machines
             .filter(move |(id, _)| !replaced.contains(*id))
@@ -78,17 +82,17 @@
     /// Late machines that no longer count as expected, so that others are rented in their place. Some
     /// machines never become ready, and tasks would wait for them for several boot times. A replaced machine
     /// that does send a heartbeat is used or returned like any other.
-    fn replaced(&self, catalog: &Catalog, now: Time) -> BTreeSet<MachineId> {
+    fn machines_to_replace(&self, catalog: &Catalog, now: Time) -> BTreeSet<MachineId> {
         let is_late = |pending: &PendingMachine| {
-            now - pending.rented > catalog.boot_s(&pending.offer.type_name) * LATE_BOOT_TIMES
+            now - pending.rented_at > catalog.boot_s(&pending.offer.type_name) * LATE_BOOT_TIMES
         };
         let machines = self.machines.iter();
         let mut late: Vec<(&MachineId, Time)> = machines
             .filter(|(_, pending)| is_late(pending))
-            .map(|(id, pending)| (id, pending.rented))
+            .map(|(id, pending)| (id, pending.rented_at))
             .collect();
         late.sort_by(|(_, one), (_, other)| one.total_cmp(other));
-        let replaced = late.iter().take(replaced_count(late.len()));
+        let replaced = late.iter().take(count_to_replace(late.len()));
         replaced.map(|(id, _)| (*id).clone()).collect()
     }
 }
@@ -98,7 +102,7 @@
     clippy::cast_possible_truncation,
     reason = "a rounded fraction of a count fits into the type of the count"
 )]
-fn replaced_count(late: usize) -> usize {
+fn count_to_replace(late: usize) -> usize {
     let part = (late as f64 * REPLACED_FRACTION).ceil() as usize;
     part.max(MIN_REPLACED_MACHINES)
 }
--- a/src/core/leader/rebalance.rs
+++ b/src/core/leader/rebalance.rs
@@ -49,7 +49,7 @@
     /// learns which tasks run on which machines.
     fn team_without_queue(&self, node: &ControllerName) -> Option<Team> {
         let demand = self.demands.get(node)?;
-        let mut teams = self.editor.owners().teams.iter();
+        let mut teams = self.editor.shard_map().teams.iter();
         let last = teams.rfind(|(team, owner)| {
             owner.node == *node && demand.teams_without_queue.contains(team)
         });
@@ -61,10 +61,10 @@
     fn redistribute_teamless_shards(&mut self, live: &LiveProcesses) {
         let with_teams = live.nodes().filter(|node| self.team_count(node) > 0);
         let with_teams: Vec<&ControllerName> = with_teams.collect();
-        let machines = self.editor.owners().machines.iter();
+        let machines = self.editor.shard_map().machines.iter();
         let teamless: Vec<(MachineId, ControllerName)> = machines
             .filter(|(_, owner)| live.has_node(&owner.node) && self.team_count(&owner.node) == 0)
-            .filter(|(id, _)| !self.claimed.contains_key(*id))
+            .filter(|(id, _)| !self.claimed_machines.contains_key(*id))
             .map(|(id, owner)| (id.clone(), owner.node.clone()))
             .collect();
         for ((id, from), to) in teamless.iter().zip(with_teams.into_iter().cycle()) {
--- a/src/core/leader/scaling.rs
+++ b/src/core/leader/scaling.rs
@@ -56,7 +56,7 @@
         reply: CloudReply,
     ) {
         self.cloud
-            .handle_reply(outbox, operation, reply, self.editor.owners());
+            .handle_reply(outbox, operation, reply, self.editor.shard_map());
     }
 
     /// Marks all offers in unreachable zones as unavailable, as if the cloud had no capacity there.
@@ -93,7 +93,7 @@
         unresponsive: &UnresponsiveMachines,
     ) -> BTreeMap<Zone, ZoneMachines> {
         let mut zones: BTreeMap<Zone, ZoneMachines> = BTreeMap::new();
-        for (id, owner) in &self.editor.owners().machines {
+        for (id, owner) in &self.editor.shard_map().machines {
             let Some(offer) = self.cloud.offer_of(id) else {
                 continue;
             };
@@ -129,26 +129,28 @@
             let zone = &pending.offer.zone;
             !self.zone_contact.is_unreachable(zone)
         };
-        let expected: Vec<&PendingMachine> = self
+        let expected_machines: Vec<&PendingMachine> = self
             .cloud
-            .expected(catalog, now)
+            .expected_machines(catalog, now)
             .filter(is_reachable)
             .collect();
         // Expected machines that were rented for an unknown shard, or that their shard no longer needs, count
         // for the first shard that lacks machines.
-        let unassigned = expected.iter().filter(|pending| pending.node.is_none());
-        let mut unassigned = u32::try_from(unassigned.count()).unwrap_or(u32::MAX);
+        let for_any_shard = expected_machines
+            .iter()
+            .filter(|pending| pending.node.is_none());
+        let mut for_any_shard = u32::try_from(for_any_shard.count()).unwrap_or(u32::MAX);
         let mut shortages: BTreeMap<MachineOffer, Vec<Shortage>> = BTreeMap::new();
         for node in live.nodes() {
             let Some(demand) = self.demands.get(node) else {
                 continue;
             };
-            let mut expected = expected_for(node, &expected);
-            let lacking = subtract_expected(&demand.machine_demands, &mut expected);
-            unassigned += expected.values().sum::<u32>();
+            let mut expected_counts = count_expected_for(node, &expected_machines);
+            let lacking = subtract_expected(&demand.machine_demands, &mut expected_counts);
+            for_any_shard += expected_counts.values().sum::<u32>();
             for (offer, count) in lacking {
-                let served = count.min(unassigned);
-                unassigned -= served;
+                let served = count.min(for_any_shard);
+                for_any_shard -= served;
                 if count > served && !self.cloud.is_unavailable(offer) {
                     let shortage = Shortage {
                         node: node.clone(),
@@ -163,12 +165,12 @@
 }
 
 /// Counts the expected machines that were rented for this controller, by kind.
-fn expected_for<'machines>(
+fn count_expected_for<'machines>(
     node: &ControllerName,
-    expected: &[&'machines PendingMachine],
+    expected_machines: &[&'machines PendingMachine],
 ) -> BTreeMap<&'machines MachineOffer, u32> {
     let mut by_kind = BTreeMap::new();
-    for pending in expected {
+    for pending in expected_machines {
         if pending.node.as_ref() == Some(node) {
             *by_kind.entry(&pending.offer).or_default() += 1;
         }
@@ -177,18 +179,18 @@
 }
 
 /// Number of machines of each kind that are lacking beyond the expected ones. Expected machines of any
-/// acceptable kind serve a demand; they are subtracted from `expected`.
+/// acceptable kind serve a demand; they are subtracted from `expected_counts`.
 fn subtract_expected<'demands>(
     demands: &'demands [MachineDemand],
-    expected: &mut BTreeMap<&MachineOffer, u32>,
+    expected_counts: &mut BTreeMap<&MachineOffer, u32>,
 ) -> BTreeMap<&'demands MachineOffer, u32> {
     let mut lacking = BTreeMap::new();
     for demand in demands {
         let mut count = demand.count;
         for kind in std::iter::once(&demand.offer).chain(&demand.any_of) {
-            if let Some(expected) = expected.get_mut(kind) {
-                let served = count.min(*expected);
-                *expected -= served;
+            if let Some(remaining) = expected_counts.get_mut(kind) {
+                let served = count.min(*remaining);
+                *remaining -= served;
                 count -= served;
             }
         }
@@ -201,11 +203,11 @@
 /// controller gets some machines if the cloud has too few.
 fn nodes_round_robin(shortages: &[Shortage]) -> Vec<ControllerName> {
     let counts = shortages.iter().map(|shortage| shortage.count);
-    let turns = 0..counts.max().unwrap_or(0);
-    let in_turn = turns.flat_map(|turn| {
+    let rounds = 0..counts.max().unwrap_or(0);
+    let in_turn = rounds.flat_map(|round| {
         shortages
             .iter()
-            .filter(move |shortage| shortage.count > turn)
+            .filter(move |shortage| shortage.count > round)
     });
     in_turn.map(|shortage| shortage.node.clone()).collect()
 }
--- a/src/core/leader/shard_map_editor.rs
+++ b/src/core/leader/shard_map_editor.rs
@@ -17,22 +17,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Number of low bits of a fencing token; they count the changes under one version of the leader key.
-const CHANGE_BITS: u32 = 16;
+const TOKEN_COUNT_BITS: u32 = 16;
 
 /// Fraction of the tokens of one leader key version after which the key is claimed again, long before they
 /// run out.
-const EXHAUSTED_FRACTION: f64 = 0.5;
+const RECLAIM_KEY_FRACTION: f64 = 0.5;
 
 /// Most bytes that a machine takes in a stored value, including an owner record that no other machine shares.
 const MACHINE_BYTES: f64 = 150.0;
 
 /// The shard map with the leader's changes, and the stored values that have to be rewritten for them.
 pub struct ShardMapEditor {
-    owners: ShardMap,
+    shard_map: ShardMap,
     /// Version of the leader key; the high bits of new fencing tokens.
     leader_version: Version,
     /// Number of fencing tokens issued so far; the low bits of the last one.
-    changes: u64,
+    issued_tokens: u64,
     chunks: MachineChunks,
     /// Whether the value that lists the teams has to be rewritten.
     teams_dirty: bool,
@@ -76,9 +76,9 @@
             }
         }
         Self {
-            owners: ShardMap::read(stored.values().map(|chunk| &chunk.record)),
+            shard_map: ShardMap::read(stored.values().map(|chunk| &chunk.record)),
             leader_version,
-            changes: 0,
+            issued_tokens: 0,
             chunks,
             teams_dirty: false,
             dirty_chunks,
@@ -88,39 +88,39 @@
     /// Replaces the working copy by the stored map; the numbering of fencing tokens continues.
     pub fn reload(&mut self, stored: &BTreeMap<String, Versioned<ShardMapChunk>>, value_kb: f64) {
         *self = Self {
-            changes: self.changes,
+            issued_tokens: self.issued_tokens,
             ..Self::new(self.leader_version, stored, value_kb)
         };
     }
 
     /// The owners of all teams and machines, including unwritten changes.
-    pub fn owners(&self) -> &ShardMap {
-        &self.owners
+    pub fn shard_map(&self) -> &ShardMap {
+        &self.shard_map
     }
 
     /// Issues an unused fencing token; None if none are left under this version of the leader key.
     pub fn next_token(&mut self) -> Option<FencingToken> {
-        self.changes += 1;
-        (self.changes < 1 << CHANGE_BITS).then_some(FencingToken(
-            (self.leader_version << CHANGE_BITS) | self.changes,
+        self.issued_tokens += 1;
+        (self.issued_tokens < 1 << TOKEN_COUNT_BITS).then_some(FencingToken(
+            (self.leader_version << TOKEN_COUNT_BITS) | self.issued_tokens,
         ))
     }
 
     /// Whether so many fencing tokens are used that the leader key should be claimed again.
     pub fn tokens_running_low(&self) -> bool {
-        self.changes as f64 > f64::from(1 << CHANGE_BITS) * EXHAUSTED_FRACTION
+        self.issued_tokens as f64 > f64::from(1 << TOKEN_COUNT_BITS) * RECLAIM_KEY_FRACTION
     }
 
     /// Sets the owner of a team.
     pub fn set_team(&mut self, team: &Team, owner: ShardOwner) {
-        self.owners.teams.insert(team.clone(), owner);
+        self.shard_map.teams.insert(team.clone(), owner);
         self.teams_dirty = true;
     }
 
     /// Sets the token since which every owner of a team has respected its grants; None if there is no such
     /// token.
     pub fn set_grants_kept_since(&mut self, team: &Team, since: Option<FencingToken>) {
-        let kept_since = &mut self.owners.grants_kept_since;
+        let kept_since = &mut self.shard_map.grants_kept_since;
         let before = match since {
             Some(since) => kept_since.insert(team.clone(), since),
             None => kept_since.remove(team),
@@ -136,7 +136,7 @@
         owner: &ShardOwner,
         keeps_grants: bool,
     ) {
-        let before = self.owners.grants_kept_since.get(team).copied();
+        let before = self.shard_map.grants_kept_since.get(team).copied();
         let since = keeps_grants.then(|| before.unwrap_or(owner.token));
         self.set_grants_kept_since(team, since);
     }
@@ -144,14 +144,14 @@
     /// Sets the owner of a machine.
     pub fn set_machine(&mut self, id: &MachineId, owner: ShardOwner) {
         let chunk = self.chunks.find_or_assign_chunk(id);
-        self.owners.machines.insert(id.clone(), owner);
+        self.shard_map.machines.insert(id.clone(), owner);
         self.dirty_chunks.insert(chunk);
     }
 
     /// Removes a machine from the map, if it is listed.
     pub fn remove_machine(&mut self, id: &MachineId) {
         if let Some(chunk) = self.chunks.remove(id) {
-            self.owners.machines.remove(id);
+            self.shard_map.machines.remove(id);
             self.dirty_chunks.insert(chunk);
         }
     }
@@ -184,12 +184,12 @@
     /// Builds the value that lists the teams.
     fn teams_value(&self) -> ShardMapChunk {
         let mut shards = BTreeMap::new();
-        for (team, owner) in &self.owners.teams {
+        for (team, owner) in &self.shard_map.teams {
             entry_for(&mut shards, owner).teams.push(team.clone());
         }
         ShardMapChunk {
             shards: shards.into_values().collect(),
-            grants_kept_since: self.owners.grants_kept_since.clone(),
+            grants_kept_since: self.shard_map.grants_kept_since.clone(),
         }
     }
 
@@ -197,7 +197,7 @@
     fn machines_value(&self, chunk: usize) -> ShardMapChunk {
         let mut shards = BTreeMap::new();
         for id in self.chunks.machines_in(chunk) {
-            if let Some(owner) = self.owners.machines.get(id) {
+            if let Some(owner) = self.shard_map.machines.get(id) {
                 entry_for(&mut shards, owner).machines.push(id.clone());
             }
         }
--- a/src/core/leader/shard_map_editor/tests.rs
+++ b/src/core/leader/shard_map_editor/tests.rs
@@ -37,10 +37,10 @@
         "written only on change"
     );
     let mut next = ShardMapEditor::new(1 << 21, &stored, 4.0);
-    assert_eq!(next.owners().machines, editor.owners().machines);
-    assert_eq!(next.owners().teams, editor.owners().teams);
+    assert_eq!(next.shard_map().machines, editor.shard_map().machines);
+    assert_eq!(next.shard_map().teams, editor.shard_map().teams);
     let highest = editor
-        .owners()
+        .shard_map()
         .machines
         .values()
         .map(|owner| owner.token)
@@ -71,7 +71,7 @@
             );
         }
         let read = ShardMapEditor::new(1 << 23, &lowered, 2.0);
-        assert_eq!(read.owners().machines.len(), 200);
+        assert_eq!(read.shard_map().machines.len(), 200);
         let (machines, entries) = read.chunks.counts();
         assert_eq!(machines, entries);
     }
--- a/src/core/membership/ownership/consents.rs
+++ b/src/core/membership/ownership/consents.rs
@@ -69,13 +69,14 @@
     /// Consents to the failover of a process, and returns true, unless an extension that this controller
     /// granted to the process may still be valid.
     pub fn try_consent(&mut self, process: &ProcessId, now: Time) -> bool {
-        let has_no_vote = if *process == self.process() {
+        let has_no_valid_extension = if *process == self.process() {
             // This controller's own vote counts towards its ownership for as long as the ownership lasts.
             !self.holds_lease(now)
         } else {
             self.extensions.has_none_granted_to(&process.node, now)
         };
-        let can_consent = has_no_vote && self.extensions.predecessors_have_expired(now);
+        let can_consent =
+            has_no_valid_extension && self.extensions.predecessor_extensions_have_expired(now);
         if can_consent {
             self.consents.given.insert(process.clone());
         }
@@ -163,14 +164,14 @@
     }
 
     /// Discards the requests for consent that concern none of these processes.
-    pub fn retain_consent_requests(&mut self, ended: &BTreeSet<ProcessId>) {
+    pub fn retain_consent_requests(&mut self, failed: &BTreeSet<ProcessId>) {
         let consents = &mut self.consents;
         consents
             .requests
-            .retain(|process, _| ended.contains(process));
+            .retain(|process, _| failed.contains(process));
         consents
             .unregistered_since
-            .retain(|process, _| ended.contains(process));
+            .retain(|process, _| failed.contains(process));
     }
 
     /// Returns the processes to whose failover this process's key must state consent.
--- a/src/core/membership/ownership/extensions.rs
+++ b/src/core/membership/ownership/extensions.rs
@@ -55,7 +55,7 @@
 
     /// Returns whether all extensions that an earlier process of this controller may have granted have
     /// expired. `now` counts from the start of this process.
-    pub(super) fn predecessors_have_expired(&self, now: Time) -> bool {
+    pub(super) fn predecessor_extensions_have_expired(&self, now: Time) -> bool {
         now > self.duration
     }
 }
@@ -82,7 +82,7 @@
         // includes that vote, so none is requested once this controller has consented to its own failover.
         self.lease_id().is_some()
             && now - self.renewed_at > self.ttl * REQUEST_TTLS
-            && self.extensions.predecessors_have_expired(now)
+            && self.extensions.predecessor_extensions_have_expired(now)
             && !self.consents.includes(&self.process())
     }
 
@@ -99,7 +99,7 @@
         let is_granted = is_registered
             && store_is_silent
             && !self.consents.includes(process)
-            && self.extensions.predecessors_have_expired(now);
+            && self.extensions.predecessor_extensions_have_expired(now);
         if is_granted {
             let until = now + self.extensions.duration * (1.0 + MAX_CLOCK_DRIFT);
             self.extensions
--- a/src/core/shard/grants/tests.rs
+++ b/src/core/shard/grants/tests.rs
@@ -516,7 +516,7 @@
         map.update_grants_kept_since(&team, &owner, *keeps_grants);
         map.set_team(&team, owner);
         kept_since.push(
-            map.owners()
+            map.shard_map()
                 .grants_kept_since
                 .get(&team)
                 .map(|token| token.0),
