--- a/src/core/controller/acquired_machines.rs
+++ b/src/core/controller/acquired_machines.rs
@@ -17,7 +17,7 @@
         if !self.config.features.acts_on_failures() {
             return shard.uninspected_machines.clear();
         }
-        let limit = shard.max_direct_commands();
+        let limit = shard.max_direct_messages();
         while self.outbox.pending_worker_calls() < limit
             && let Some(machine_id) = shard.uninspected_machines.pop_first()
         {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -135,7 +135,10 @@
     /// Returns the numbers of examined attempts and jobs, and of placement rounds, so far. The shard's
     /// computing time is proportional to them.
     pub fn work_counts(&self) -> (u64, u64) {
-        self.shard.as_ref().map(Shard::work).unwrap_or_default()
+        self.shard
+            .as_ref()
+            .map(Shard::work_counts)
+            .unwrap_or_default()
     }
 
     /// Returns the number of starts so far that were held back because another attempt of the task may still
@@ -194,7 +197,7 @@
             // No worker sends heartbeats to this controller, so their absence is no evidence of a failure.
             self.peers.record_worker_contact(now);
         }
-        if shard.take_sync_soon() {
+        if shard.take_sibling_update_request() {
             self.peers.send_hellos_soon(now);
         }
     }
--- a/src/core/shard/capacity_planning.rs
+++ b/src/core/shard/capacity_planning.rs
@@ -97,7 +97,7 @@
         self.plan_capacity(outbox, store, catalog, &mut demand);
         self.report_machines_needing_attention(&mut demand, now);
         demand.teams_out_of_attempts = self.teams_short_of_attempts();
-        self.sync_soon |= demand.machine_demands != self.demand.machine_demands;
+        self.sibling_update_requested |= demand.machine_demands != self.demand.machine_demands;
         self.demand = demand;
     }
 
--- a/src/core/shard/commands.rs
+++ b/src/core/shard/commands.rs
@@ -103,7 +103,7 @@
     }
 
     /// Maximum number of direct messages in flight.
-    pub(crate) fn max_direct_commands(&self) -> usize {
+    pub(crate) fn max_direct_messages(&self) -> usize {
         let sockets = self.config.deployment.limits.fd_limit as f64;
         #[expect(
             clippy::cast_possible_truncation,
@@ -115,7 +115,7 @@
 
     /// Sends unsent commands in direct messages, up to the maximum number in flight.
     pub(crate) fn send_direct_commands(&mut self, outbox: &mut Outbox) {
-        let limit = self.max_direct_commands();
+        let limit = self.max_direct_messages();
         while outbox.pending_worker_calls() < limit
             && let Some(machine_id) = self.unsent_commands.pop_first()
         {
@@ -130,7 +130,7 @@
         };
         if !machine.is_owned {
             // The machine's owner has to send the commands and learns of them from the next update.
-            self.sync_soon = true;
+            self.sibling_update_requested = true;
             return;
         }
         if !machine.token_confirmed || machine.unreachable || machine.needs_new_token {
--- a/src/core/shard/lease_expiry.rs
+++ b/src/core/shard/lease_expiry.rs
@@ -87,7 +87,7 @@
         );
         machine.end_epoch();
         self.starts_in_flight.discard_all(machine_id);
-        self.sync_soon = true;
+        self.sibling_update_requested = true;
         self.drop_attempts(machine_id, now);
     }
 
--- a/src/core/shard/mod.rs
+++ b/src/core/shard/mod.rs
@@ -114,7 +114,7 @@
     /// Siblings that have asked for observations of the owned machines.
     pub(crate) listeners: BTreeSet<ControllerName>,
     /// Whether siblings need an update before the next regular exchange.
-    pub(crate) sync_soon: bool,
+    pub(crate) sibling_update_requested: bool,
     /// When the last heartbeat of any worker arrived.
     pub(crate) last_heartbeat: Time,
     /// Whether the process was paused and has not yet read the changes made in the meantime.
@@ -157,7 +157,7 @@
             refused_offers: BTreeSet::new(),
             image_hints,
             listeners: BTreeSet::new(),
-            sync_soon: false,
+            sibling_update_requested: false,
             last_heartbeat: Time::NEG_INFINITY,
             catching_up: false,
         }
@@ -242,7 +242,7 @@
 
     /// Numbers of examined attempts and jobs, and of placement rounds, so far. The shard's computing time is
     /// proportional to them.
-    pub fn work(&self) -> (u64, u64) {
+    pub fn work_counts(&self) -> (u64, u64) {
         (self.visits, self.rounds)
     }
 
--- a/src/core/shard/sibling_updates.rs
+++ b/src/core/shard/sibling_updates.rs
@@ -36,8 +36,8 @@
 
 impl Shard {
     /// Returns whether siblings need an update before the next regular exchange, and clears the request.
-    pub(crate) fn take_sync_soon(&mut self) -> bool {
-        std::mem::take(&mut self.sync_soon)
+    pub(crate) fn take_sibling_update_request(&mut self) -> bool {
+        std::mem::take(&mut self.sibling_update_requested)
     }
 
     /// Creates this shard's update for the sibling `node`. `refused` contains the offers that the cloud
@@ -145,7 +145,7 @@
         mut update: PeerUpdate,
     ) {
         if update.wants_observations {
-            self.sync_soon |= self.listeners.insert(from.clone());
+            self.sibling_update_requested |= self.listeners.insert(from.clone());
         } else {
             self.listeners.remove(from);
         }
--- a/src/core/shard/tracking.rs
+++ b/src/core/shard/tracking.rs
@@ -79,7 +79,8 @@
         if machine.unresponsive {
             // Siblings rely on the machine no longer being answered under its current token.
             machine.needs_new_token = true;
-            self.sync_soon |= self.demand.request_new_token(&machine.id, machine.token);
+            self.sibling_update_requested |=
+                self.demand.request_new_token(&machine.id, machine.token);
             return Some(Answer::unavailable());
         }
         machine.last_answered = now;
@@ -136,7 +137,7 @@
         let newly_confirmed = !std::mem::replace(&mut machine.token_confirmed, true);
         if newly_confirmed {
             machine.idle_since = now;
-            self.sync_soon = true;
+            self.sibling_update_requested = true;
             self.changed_since_round = true;
         }
         machine.unreachable = false;
@@ -244,7 +245,7 @@
             }
             // If another controller owns the job's team, that controller handles the attempt. If the job is
             // not known yet, the attempt is reconciled once the job is.
-            self.sync_soon |= changed && !job_is_finished;
+            self.sibling_update_requested |= changed && !job_is_finished;
             return;
         }
         self.reconcile_with_job(machine_id, &key);
