--- a/tests/world/start_rules.rs
+++ b/tests/world/start_rules.rs
@@ -127,7 +127,7 @@
         if let Some(reported_at) = reported_at.filter(|at| *at < self.now) {
             self.counters.starts_after_cancel += 1;
             // Without faults, starts in flight at that time have been stopped by now. A machine that hung
-            // executes the commands it had received once it continues (command_faults day 28).
+            // executes the commands it had received once it continues (command_faults scenario 28).
             let hung_until = self.workers.get(id).map_or(0.0, |worker| worker.hung_until);
             let executed_by = reported_at.max(hung_until) + IN_FLIGHT_S;
             if self.was_fault_free(reported_at, LEASE_S * 2.0) && self.now > executed_by {
--- a/tests/world/user_checks.rs
+++ b/tests/world/user_checks.rs
@@ -70,7 +70,7 @@
     /// Checks a job status that was reported to a user.
     ///
     /// Answers to overlapping requests arrive in any order, so a request that was sent before an earlier
-    /// report may still receive an older status (random day 1026).
+    /// report may still receive an older status (random scenario 1026).
     fn check_reported_status(&mut self, job: usize, kind: RequestKind, sent_at: f64, status: &str) {
         let user = &self.users.jobs[job];
         let id = user.id.clone();
@@ -208,7 +208,7 @@
             "running" => self.tasks_on_machines(&id) > 0,
             "idle" => self.tasks_on_machines(&id) == 0,
             // Each of its tasks has started at most once.
-            "undisturbed" => user.starts <= user.spec.tasks,
+            "without_restarts" => user.starts <= user.spec.tasks,
             other => panic!("unknown expectation {other:?}"),
         };
         if !met {
