--- a/src/core/shard/commands.rs
+++ b/src/core/shard/commands.rs
@@ -16,8 +16,8 @@
 use crate::wire::{DirectCommands, Heartbeat};
 use std::collections::BTreeSet;
 
-/// Maximum number of direct messages in flight, per socket of the process's limit. Further commands wait for
-/// the next heartbeat of their machine or until another direct message was answered.
+/// Maximum number of direct messages in flight, per socket that the process may open. Further commands wait
+/// for the next heartbeat of their machine or until another direct message is answered.
 const DIRECT_MESSAGES_PER_SOCKET: f64 = 0.15;
 
 /// Number of unanswered direct messages at which a machine gets a new token, which voids them. This bounds
@@ -102,7 +102,7 @@
             .collect()
     }
 
-    /// Maximum number of direct messages in flight.
+    /// Returns the maximum number of direct messages in flight, which follows from the limit on sockets.
     pub(crate) fn max_direct_messages(&self) -> usize {
         let sockets = self.config.deployment.limits.fd_limit as f64;
         #[expect(
@@ -174,13 +174,13 @@
                 self.drop_unsent_starts(machine_id, unsent, now);
             }
             WorkerReply::Unknown => {
-                let given_up = self
+                let unanswered = self
                     .starts_in_flight
                     .record_unknown_outcome(machine_id, call);
                 let machine = self.machines.get_mut(machine_id);
                 if let Some(machine) = machine.filter(|machine| machine.is_owned) {
                     machine.unreachable = true;
-                    machine.needs_new_token |= given_up >= MAX_UNANSWERED_MESSAGES;
+                    machine.needs_new_token |= unanswered >= MAX_UNANSWERED_MESSAGES;
                 }
             }
         }
--- a/src/core/shard/grants.rs
+++ b/src/core/shard/grants.rs
@@ -31,10 +31,10 @@
 pub struct TeamGrant {
     holder: Holder,
     /// The fencing token since which all owners have kept to their grants; `None` until the shard map has
-    /// named one. It is kept if the map no longer names one, as a process that has worked under a grant does
-    /// so for as long as it owns the team.
+    /// named one. It is kept if the map no longer names one, because a process that has worked under a grant
+    /// continues to do so for as long as it owns the team.
     grants_kept_since: Option<FencingToken>,
-    /// The team must not have a record, because it has no limit or because the store rejects the record.
+    /// Whether the team must not have a record, because it has no limit or because the store rejected one.
     is_record_disabled: bool,
     /// The version of the record at the last read: 0 if there was no record, `None` before the first read.
     seen_version: Option<Version>,
@@ -108,9 +108,9 @@
 
     /// Proposes the next change of the record if one is needed and allowed at this time.
     fn propose_change(&mut self, now: Time, demand: &Demand) -> Option<Proposal> {
-        let may_create_record = self.grants_kept_since.is_some() || self.holder.ledger().is_some();
+        let may_write_record = self.grants_kept_since.is_some() || self.holder.ledger().is_some();
         let is_undecided = self.basis == QuotaBasis::Undecided;
-        if is_undecided || self.is_record_disabled || !may_create_record || now < self.write_after {
+        if is_undecided || self.is_record_disabled || !may_write_record || now < self.write_after {
             return None;
         }
         self.holder.propose(now, demand)
@@ -191,7 +191,7 @@
         team.grant.as_mut()?.propose_change(now, &demand)
     }
 
-    /// Reduces the grants of lost teams to what tasks that were started here may still use.
+    /// Reduces the grants of lost teams to the resources that tasks started here may still use.
     pub(crate) fn release_grants(
         &mut self,
         outbox: &mut Outbox,
@@ -327,7 +327,7 @@
                 tracing::error!(
                     team = %written.team,
                     bytes = written.write.value_bytes(),
-                    "store rejected a quota grant record: the team continues without grants"
+                    "store rejected a quota grant record: any existing record is deleted, then the team continues without grants"
                 );
                 grant.is_record_disabled = true;
             }
--- a/src/core/shard/lease_expiry.rs
+++ b/src/core/shard/lease_expiry.rs
@@ -7,9 +7,9 @@
 use crate::core::store::replica::StoreReplica;
 use crate::ids::MachineId;
 
-/// Time without heartbeats after which a machine is declared unresponsive, in leases. It leaves a worker that
-/// cannot reach its owner enough time to find another controller, which relays its heartbeats: one heartbeat
-/// interval, 4 s without an answer and a pause of 1 s.
+/// Time without heartbeats after which a machine is declared unresponsive, in durations of a worker's lease.
+/// Within this time, a worker that cannot reach its owner can find another controller, which relays its
+/// heartbeats: this takes one heartbeat interval, 4 s without an answer and a pause of 1 s.
 const UNRESPONSIVE_AFTER_LEASES: f64 = 0.7;
 
 /// Margin added to a lease for message delays, in heartbeat intervals.
@@ -25,9 +25,11 @@
 
     /// Declares machines unresponsive that have sent no heartbeat for [`UNRESPONSIVE_AFTER_LEASES`]. They are
     /// no longer answered under their current tokens. Their next owners can therefore count the leases from
-    /// the last answers instead of from the change of owner. No machine is declared unresponsive while this
-    /// process receives no heartbeats at all or was paused, because the fault is then its own, nor while its
-    /// store replica is outdated, because it could not get new tokens for the machines.
+    /// the last answers instead of from the change of owner.
+    ///
+    /// No machine is declared unresponsive while this process receives no heartbeats at all or is catching up
+    /// after a pause, because the fault may then be its own. The same holds while its store replica is
+    /// outdated, because it could not get new tokens for the machines.
     pub(crate) fn declare_unresponsive(&mut self, store: &StoreReplica, now: Time) {
         let workers = &self.config.deployment.workers;
         let receives_nothing = now > self.last_heartbeat + workers.report_s;
@@ -57,8 +59,9 @@
     }
 
     /// Marks machines as empty whose leases must have expired without another process answering them. Only a
-    /// shard map that was read after the expiry proves this. Otherwise a process that acts on lease
-    /// extensions, or that reads the store slowly, could mark a machine as empty that a sibling now owns.
+    /// shard map that was read after the expiry proves this. Without this condition, a process whose ownership
+    /// lease was extended by siblings, or that reads the store slowly, could mark a machine as empty that a
+    /// sibling now owns.
     pub(crate) fn expire_machines(&mut self, store: &StoreReplica, now: Time) {
         let lease = self.max_lease_s();
         let expired: Vec<MachineId> = self
--- a/src/core/shard/mod.rs
+++ b/src/core/shard/mod.rs
@@ -48,11 +48,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Interval between checks of machines for changes that no message triggers, such as an expired lease. In
-/// leases of a worker.
+/// Interval between checks of machines for changes that no message triggers, such as an expired lease. The
+/// unit is the duration of a worker's lease.
 const MACHINE_CHECK_INTERVAL_LEASES: f64 = 0.005;
 
-/// Shortest interval between placement rounds, in leases of a worker.
+/// Shortest interval between placement rounds, in durations of a worker's lease.
 const MIN_ROUND_INTERVAL_LEASES: f64 = 0.0025;
 
 /// Time after which a placement round runs even if nothing has changed, in heartbeat intervals.
@@ -98,7 +98,7 @@
     last_round: Time,
     /// Limits the rate of writes to the store that record the progress of jobs.
     pub(crate) record_rate: TokenBucket,
-    /// Numbers of completed and running tasks of each job, for status requests.
+    /// Numbers of done and running tasks of each job, for status requests.
     pub(crate) task_counts: BTreeMap<JobId, (u32, u32)>,
     /// When `task_counts` was computed.
     pub(crate) task_counts_at: Time,
@@ -113,7 +113,7 @@
     pub(crate) image_hints: ImageHints,
     /// Siblings that have asked for observations of the owned machines.
     pub(crate) listeners: BTreeSet<ControllerName>,
-    /// Whether siblings need an update before the next regular exchange.
+    /// Whether siblings need an update before the next regular exchange of updates.
     pub(crate) sibling_update_requested: bool,
     /// When the last heartbeat of any worker arrived.
     pub(crate) last_heartbeat: Time,
@@ -175,7 +175,7 @@
         let now = outbox.now;
         self.apply_map_changes(outbox, store, unresponsive);
         self.read_grant_records(store);
-        self.follow_job_records(store, now, outbox.wall_ms);
+        self.apply_changed_job_records(store, now, outbox.wall_ms);
         self.check_machines(store, catalog, now);
         self.reconcile_teams(store);
         self.record_progress(outbox);
@@ -187,7 +187,7 @@
     }
 
     /// Applies the job records that have changed in the store.
-    fn follow_job_records(&mut self, store: &mut StoreReplica, now: Time, wall_ms: u64) {
+    fn apply_changed_job_records(&mut self, store: &mut StoreReplica, now: Time, wall_ms: u64) {
         for id in store.take_changed_jobs() {
             if let Some(stored) = store.job(&id) {
                 let (record, version) = (stored.record.clone(), stored.version);
@@ -240,8 +240,8 @@
         self.write_grants(outbox, store, &usage);
     }
 
-    /// Numbers of examined attempts and jobs, and of placement rounds, so far. The shard's computing time is
-    /// proportional to them.
+    /// Returns the number of examined attempts and jobs, and the number of placement rounds, so far. The
+    /// shard's computing time is proportional to them.
     pub fn work_counts(&self) -> (u64, u64) {
         (self.visits, self.rounds)
     }
@@ -267,8 +267,8 @@
             .count()
     }
 
-    /// Records that a sibling has relayed a heartbeat of this machine, so its worker cannot reach this
-    /// controller.
+    /// Records that a sibling has relayed a heartbeat of this machine, whose worker therefore cannot reach
+    /// this controller.
     pub(crate) fn record_relayed_heartbeat(&mut self, id: &MachineId, now: Time) {
         if let Some(machine) = self.machines.get_mut(id) {
             machine.last_relayed = now;
--- a/src/core/shard/owned_jobs.rs
+++ b/src/core/shard/owned_jobs.rs
@@ -115,7 +115,7 @@
     }
 
     /// Sets a job's deadline to the earliest among its own and those of its dependents, and raises its
-    /// priority to the highest of its dependents'.
+    /// priority to the highest of its dependents'. Attempts of a job with dependents are not opportunistic.
     fn update_urgency(&mut self, store: &StoreReplica, id: &JobId, (now, wall_ms): (Time, u64)) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
--- a/src/core/shard/owned_jobs/attempts.rs
+++ b/src/core/shard/owned_jobs/attempts.rs
@@ -102,7 +102,7 @@
             })
     }
 
-    /// Returns the indexes of the job's tasks that have an attempt that has not exited.
+    /// Returns the indexes of the job's tasks with an attempt that has not exited.
     pub(in crate::core::shard) fn tasks_on_machines(&mut self, id: &JobId) -> BTreeSet<u32> {
         let mut tasks = BTreeSet::new();
         self.for_each_attempt(id, |location, tracked| {
--- a/src/core/shard/owned_jobs/running_counts.rs
+++ b/src/core/shard/owned_jobs/running_counts.rs
@@ -1,4 +1,5 @@
-//! Counts of done and running tasks of each job, for display.
+//! Counts of done and running tasks of each job, for display. A task counts as running once its image is on
+//! its machine.
 
 use crate::core::machines::machine::Phase;
 use crate::core::model::time::Time;
@@ -6,7 +7,7 @@
 use crate::ids::JobId;
 use crate::wire::TaskState;
 
-/// How often tasks are counted within the duration of a worker lease.
+/// Number of counts within the duration of a worker's lease.
 const COUNTS_PER_LEASE: f64 = 20.0;
 
 impl Shard {
@@ -46,7 +47,7 @@
             if is_running
                 && tracked
                     .started_at
-                    .is_some_and(|began| now - began >= proof_s)
+                    .is_some_and(|started| now - started >= proof_s)
             {
                 job.failures.record_long_run();
             }
--- a/src/core/shard/progress_records.rs
+++ b/src/core/shard/progress_records.rs
@@ -29,10 +29,10 @@
 /// for the last write that was added and for the preconditions.
 const FULL_TRANSACTION_BYTES: usize = BODY_LIMIT / 2;
 
-/// Average delay before a retry after a conflict, in seconds.
+/// Average delay before a write is retried after a conflict, in seconds.
 const CONFLICT_PAUSE_S: Time = 0.1;
 
-/// Average delay before a retry when the outcome is unknown or the write was not executed, in seconds.
+/// Average delay before a write is retried if it was not executed or its outcome is unknown, in seconds.
 const FAILURE_PAUSE_S: Time = 0.3;
 
 /// Queues of jobs with unrecorded progress or completion. Completed jobs come first. A job may be queued more
@@ -306,13 +306,13 @@
                 tracing::error!(
                     job = %id,
                     bytes,
-                    "store rejected a job record: the job continues, records of this size are not retried"
+                    "store rejected a job record: the job continues, records of this size or larger are not written"
                 );
                 job.refused_bytes = job.refused_bytes.min(bytes);
             }
             _ => {
-                // The job was cancelled meanwhile, or the outcome is unknown. The store is read again before
-                // the retry.
+                // The job was cancelled meanwhile, the write was not executed, or its outcome is unknown. The
+                // retry needs the current record, so a read of the store is requested.
                 store.request_read();
                 let pause = if *reply == StoreReply::Conflict {
                     CONFLICT_PAUSE_S
--- a/src/core/shard/reconciliation.rs
+++ b/src/core/shard/reconciliation.rs
@@ -9,14 +9,14 @@
     /// Reconciles the teams whose machines are all reconciled. Tasks of such a team that no heartbeat has
     /// shown are not running.
     pub(crate) fn reconcile_teams(&mut self, store: &StoreReplica) {
-        self.remove_reconciled_machines(store);
+        self.update_unreconciled_machines(store);
         for incomplete_gang in self.reconcile_jobs() {
             self.stop_incomplete_gang(&incomplete_gang);
         }
     }
 
-    /// Removes reconciled and deleted machines from the lists of the teams that wait for them.
-    fn remove_reconciled_machines(&mut self, store: &StoreReplica) {
+    /// Removes reconciled and deleted machines from the sets of machines that teams wait for.
+    fn update_unreconciled_machines(&mut self, store: &StoreReplica) {
         let machines = &self.machines;
         let mapped_machines = &store.shard_map().machines;
         let is_reconciled = |id: &MachineId| {
--- a/src/core/shard/shard_log.rs
+++ b/src/core/shard/shard_log.rs
@@ -62,7 +62,7 @@
                 free_cpus = machines.free.cpus.round(),
                 free_gpus = machines.free.gpus.round(),
                 free_memory_gb = machines.free.memory_gb.round(),
-                "machines of a type"
+                "owned machines of one machine offer"
             );
         }
     }
--- a/src/core/shard/sibling_updates.rs
+++ b/src/core/shard/sibling_updates.rs
@@ -35,7 +35,8 @@
 }
 
 impl Shard {
-    /// Returns whether siblings need an update before the next regular exchange, and clears the request.
+    /// Returns whether siblings need an update before the next regular exchange of updates, and clears the
+    /// request for it.
     pub(crate) fn take_sibling_update_request(&mut self) -> bool {
         std::mem::take(&mut self.sibling_update_requested)
     }
@@ -190,7 +191,7 @@
     }
 
     /// Applies the observation of a sibling's reconciled machine: of the teams that the update covers, only
-    /// the observed tasks may run on it. Without an observation, none of them does.
+    /// the observed tasks may run on it. Without an observation, no task of these teams does.
     fn apply_observation(
         &mut self,
         outbox: &mut Outbox,
--- a/src/core/shard/tracking.rs
+++ b/src/core/shard/tracking.rs
@@ -1,10 +1,10 @@
 //! Reconciles the machines' heartbeats with the attempts and jobs known to this process.
 //!
-//! An attempt may be on a machine from the moment its start is issued. It is tracked until the machine
-//! reports its end or is known to be empty, and as long as its start may still arrive
-//! ([`crate::core::machines::starts_in_flight`]). A machine is known to be empty when its agent epoch has
-//! advanced, when its deletion was confirmed, or when its lease must have expired since its last answered
-//! heartbeat ([`crate::core::shard::lease_expiry`]).
+//! An attempt may be on a machine from the moment its start is issued. It is tracked until the machine's
+//! heartbeats no longer show it or the machine is known to be empty. It stays tracked beyond that for as long
+//! as its start may still arrive ([`crate::core::machines::starts_in_flight`]). A machine is known to be empty
+//! when its agent epoch has advanced, when its deletion was confirmed, or when its lease must have expired
+//! since its last answered heartbeat ([`crate::core::shard::lease_expiry`]).
 
 mod attempt_end;
 mod cordon;
@@ -25,8 +25,8 @@
 use crate::wire::{Command, ExitReason, Heartbeat, HeartbeatResponse, ReportedTask, TaskState};
 use std::collections::BTreeSet;
 
-/// Number of heartbeats without an attempt, although earlier responses carried its start, after which the
-/// attempt is considered absent.
+/// Number of heartbeats that do not show an issued attempt, after which it is considered absent. The
+/// responses to the earlier ones carried its start.
 const MISSED_HEARTBEATS_UNTIL_ABSENT: u32 = 3;
 
 /// As [`MISSED_HEARTBEATS_UNTIL_ABSENT`], for an attempt whose stop was requested.
@@ -85,9 +85,10 @@
         }
         machine.last_answered = now;
         machine.known_empty = false;
-        // Until a heartbeat has shown the token, the response carries the token and only stops for finished
-        // jobs. The heartbeat must be answered, because the answer keeps the machine's tasks alive. A machine
-        // whose owner changes repeatedly might otherwise never receive those stops.
+        // Until a heartbeat has shown the token, the response carries the token and no commands other than
+        // stops for finished jobs. The heartbeat must be answered, because the answer keeps the machine's
+        // tasks alive. Without these stops, tasks of finished jobs might never end on a machine whose owner
+        // changes repeatedly.
         let commands = if machine.token_confirmed {
             let channel = CommandChannel::HeartbeatResponse;
             let batch = machine.commands(&self.starts_in_flight, channel);
@@ -146,8 +147,8 @@
     }
 
     /// Drops the attempts of the previous agent epoch when the worker has begun a new one. Those attempts
-    /// have ended, and the worker executes no command that was sent in that epoch. If the worker's lease had
-    /// expired, responses may not reach the worker, so it has to show a new token.
+    /// have ended, and the worker executes no command that was sent in that epoch. The worker's lease may have
+    /// expired because responses do not reach it, so a machine that had confirmed its token needs a new one.
     fn drop_attempts_of_earlier_epoch(&mut self, machine_id: &MachineId, now: Time) {
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
--- a/src/core/shard/tracking/attempt_end.rs
+++ b/src/core/shard/tracking/attempt_end.rs
@@ -13,7 +13,8 @@
 /// Delay before a start that a machine refused is retried, in heartbeat intervals.
 const REFUSED_START_RETRY_HEARTBEATS: f64 = 0.5;
 
-/// Retry delay in seconds after this many failures: 1 s after the first, doubled with each further failure.
+/// Retry delay in seconds after this many failures: 1 s after the first, doubled with each further failure
+/// up to [`MAX_BACKOFF_FAILURES`].
 fn backoff_s(failures: u32) -> Time {
     2f64.powi(failures.min(MAX_BACKOFF_FAILURES) as i32 - 1)
 }
@@ -87,9 +88,9 @@
         }
     }
 
-    /// Updates the task that was placed in a lost attempt. The task waits, unless another attempt of it may
-    /// still be on a machine: it is then placed in that attempt, because no new one may start until a surplus
-    /// attempt has ended.
+    /// Updates the task that was placed in a lost attempt, and stops the rest of its gang. If another attempt
+    /// of the task may still be on a machine, the task is placed in that attempt, because no new attempt may
+    /// start before that one has ended. Otherwise the task waits.
     fn handle_lost_attempt(&mut self, machine_id: &MachineId, task: &TaskId, attempt: Attempt) {
         let other = self.find_live_attempt(task);
         let Some(job) = self.jobs.get_mut(&task.job) else {
--- a/src/core/shard/tracking/cordon.rs
+++ b/src/core/shard/tracking/cordon.rs
@@ -1,11 +1,11 @@
-//! Cordons machines on which several jobs fail that fail on no other machine.
+//! Cordons machines that seem faulty: several jobs have failed on the machine and on no other.
 
 use crate::core::model::time::Time;
 use crate::core::shard::Shard;
 use crate::ids::{JobId, MachineId, TaskId};
 use std::collections::BTreeSet;
 
-/// Duration for which a faulty machine is cordoned, in leases of a worker.
+/// Duration for which a faulty machine is cordoned, in durations of a worker's lease.
 const CORDON_DURATION_LEASES: f64 = 20.0;
 
 /// Number of jobs that must have failed on a machine, and on no other, before the machine is considered
@@ -46,8 +46,8 @@
         self.uncordon_if_not_faulty(&failed_on, now);
     }
 
-    /// Cordons a machine on which several jobs failed that failed on no other machine. A job that was
-    /// submitted with a mistake fails on every machine, so it says nothing about a particular machine.
+    /// Cordons the machine if several jobs have failed on it and on no other machine. A job that was submitted
+    /// with a mistake fails on every machine, so it says nothing about a particular machine.
     fn cordon_if_faulty(&mut self, machine_id: &MachineId, now: Time) {
         let jobs = &self.jobs;
         let Some(machine) = self.machines.get_mut(machine_id) else {
--- a/src/core/shard/tracking/tests.rs
+++ b/src/core/shard/tracking/tests.rs
@@ -252,7 +252,8 @@
     assert!(machine.needs_new_token, "a new token voids the start");
 }
 
-/// As above, with heartbeats that do not show the task while the earlier message is in flight.
+/// Two messages with the same start are in flight, and heartbeats do not show the task. Neither these
+/// heartbeats nor the failure to send the later message proves that the attempt is absent.
 #[test]
 fn attempt_missing_from_heartbeats_is_kept_while_its_start_is_in_flight() {
     let mut fixture = Fixture::new();
--- a/src/core/shard/usage.rs
+++ b/src/core/shard/usage.rs
@@ -9,7 +9,7 @@
 
 /// Time after which no task of a cancelled job can be left, in multiples of `cancel_s`: one for the tasks to
 /// stop, and one for clock differences and transactions that the store executes late.
-const CANCEL_TIMES_PER_CANCELLED_JOB: f64 = 2.0;
+const CANCELLED_JOB_LIFETIME_PER_CANCEL_S: f64 = 2.0;
 
 /// Milliseconds per second.
 const MS_PER_S: f64 = 1e3;
@@ -31,7 +31,7 @@
         usage
     }
 
-    /// Adds the attempts on all machines that have not exited.
+    /// Adds all attempts that have not exited.
     fn add_attempts(&self, usage: &mut Usage) {
         let mut has_attempt_of_unknown_team = false;
         let attempts = self.machines.values().flat_map(|machine| &machine.attempts);
@@ -78,7 +78,7 @@
         if unreconciled.is_empty() {
             return;
         }
-        let tracked = self.counted_tasks_of_cancelled_jobs();
+        let counted_tasks = self.counted_tasks_of_ended_jobs();
         let recently_cancelled_ms = wall_ms.saturating_sub(self.cancelled_job_lifetime_ms());
         for (name, team) in unreconciled {
             let since = CancelledSince {
@@ -90,9 +90,9 @@
             }
             let cancelled = store.cancelled_since(since);
             for (id, job) in cancelled.filter(|(_, job)| job.team == *name) {
-                let known = tracked.get(id).map_or(0, BTreeSet::len);
-                let known = u32::try_from(known).unwrap_or(u32::MAX);
-                let tasks = f64::from(job.tasks.saturating_sub(known));
+                let counted = counted_tasks.get(id).map_or(0, BTreeSet::len);
+                let counted = u32::try_from(counted).unwrap_or(u32::MAX);
+                let tasks = f64::from(job.tasks.saturating_sub(counted));
                 usage.add_inherited(name, job.need.cpus * tasks, job.need.gpus * tasks);
             }
         }
@@ -105,11 +105,12 @@
         reason = "a product of positive settings; the cast saturates"
     )]
     fn cancelled_job_lifetime_ms(&self) -> u64 {
-        (self.config.deployment.workers.cancel_s * CANCEL_TIMES_PER_CANCELLED_JOB * MS_PER_S) as u64
+        (self.config.deployment.workers.cancel_s * CANCELLED_JOB_LIFETIME_PER_CANCEL_S * MS_PER_S)
+            as u64
     }
 
     /// Returns the tasks of ended jobs that [`Self::add_attempts`] counts.
-    fn counted_tasks_of_cancelled_jobs(&self) -> BTreeMap<&JobId, BTreeSet<u32>> {
+    fn counted_tasks_of_ended_jobs(&self) -> BTreeMap<&JobId, BTreeSet<u32>> {
         let mut tasks: BTreeMap<&JobId, BTreeSet<u32>> = BTreeMap::new();
         let attempts = self.machines.values().flat_map(|machine| &machine.attempts);
         for ((task, _), tracked) in attempts {
