--- a/src/core/shard/preemption.rs
+++ b/src/core/shard/preemption.rs
@@ -35,8 +35,8 @@
     pub(crate) job: &'a JobId,
     /// Number of tasks without a machine.
     pub(crate) tasks: usize,
-    /// See [`Shard::avoids_stranding_gpus`].
-    pub(crate) avoids_stranding_gpus: bool,
+    /// See [`Shard::must_keep_free_gpus_usable`].
+    pub(crate) must_keep_free_gpus_usable: bool,
 }
 
 /// Chooses the attempts to stop for tasks that found no machine. The resources that the stops will release
@@ -93,7 +93,7 @@
     /// Other teams that use more than their guaranteed quota. Empty if the job itself is beyond its team's
     /// guarantee.
     teams_beyond_guarantee: Vec<&'a Team>,
-    avoids_stranding_gpus: bool,
+    must_keep_free_gpus_usable: bool,
     now: Time,
 }
 
@@ -116,7 +116,7 @@
             job,
             need: job.need(),
             teams_beyond_guarantee,
-            avoids_stranding_gpus: unplaced.avoids_stranding_gpus,
+            must_keep_free_gpus_usable: unplaced.must_keep_free_gpus_usable,
             now,
         })
     }
@@ -153,9 +153,9 @@
 
     /// Whether one more task could run on the machine if the machine were empty.
     fn is_eligible(&self, snapshot: &MachineSnapshot, tasks_in_zone: &BTreeMap<Zone, u32>) -> bool {
-        let would_strand_gpus = self.avoids_stranding_gpus && snapshot.total.gpus > 0.0;
+        let is_excluded_gpu_machine = self.must_keep_free_gpus_usable && snapshot.total.gpus > 0.0;
         !snapshot.is_reserved()
-            && !would_strand_gpus
+            && !is_excluded_gpu_machine
             && snapshot.total.holds(&self.need)
             && snapshot.is_allowed_for(&self.job.spec)
             && self.job.zone_allows(&snapshot.zone, tasks_in_zone)
@@ -180,7 +180,7 @@
     }
 
     /// Whether the attempt may be preempted: it has a lower priority, or its team uses more than its
-    /// guaranteed quota. Services are never preempted for the second reason.
+    /// guaranteed quota. The second reason applies only to jobs of this shard that are not services.
     fn may_preempt(&self, task: &TaskId, tracked: &TrackedAttempt) -> bool {
         if tracked.exited() || tracked.stop.is_some() || task.job == *self.job_id {
             return false;
@@ -199,7 +199,8 @@
     }
 
     /// The attempts to stop on a machine so that one more task fits, those with the least lost work first.
-    /// `None` if the task does not fit even then. `free` are the resources that pending stops leave free.
+    /// `None` if the task does not fit even then. `free` are the resources that are free once all
+    /// attempts with a pending stop have ended.
     fn cheapest_victims(&self, machine: &Machine, mut free: Resources) -> Option<Vec<Victim>> {
         let mut candidates = self.candidate_victims(machine);
         candidates.sort_by(|one, other| one.cost.total_cmp(&other.cost));
@@ -285,7 +286,7 @@
     };
     let run_time = tracked.started_at.map_or(0.0, |started| now - started);
     let (cost, grace_s) = match job.spec.kind {
-        // The service lacks a stopped replica until another one is running.
+        // The service runs with one replica fewer until another one is running.
         JobKind::Service => {
             let cancel_s = shard.config.deployment.workers.cancel_s;
             (run_time.min(cancel_s) + REPLICA_BASE_LOSS_S, 0.0)
--- a/src/core/shard/round.rs
+++ b/src/core/shard/round.rs
@@ -21,7 +21,8 @@
 use crate::wire::JobSpec;
 use std::rc::Rc;
 
-/// Maximum number of task starts in one round; the next round follows at once.
+/// Maximum number of tasks of one job that a round starts. A round also ends once it has started this many
+/// tasks in all; the next round then follows at once.
 const MAX_STARTS_PER_ROUND: usize = 200;
 
 /// Conditions under which a round places one job.
@@ -29,8 +30,8 @@
 struct RoundContext {
     /// See [`Shard::expects_first_heartbeats`].
     expects_first_heartbeats: bool,
-    /// See [`Shard::avoids_stranding_gpus`].
-    avoids_stranding_gpus: bool,
+    /// See [`Shard::must_keep_free_gpus_usable`].
+    must_keep_free_gpus_usable: bool,
     now: Time,
 }
 
@@ -73,7 +74,7 @@
         for id in self.queued_jobs(usage, now) {
             let round = RoundContext {
                 expects_first_heartbeats,
-                avoids_stranding_gpus: self.avoids_stranding_gpus(&id, catalog, now),
+                must_keep_free_gpus_usable: self.must_keep_free_gpus_usable(&id, catalog, now),
                 now,
             };
             starts += self.schedule_job(&id, &mut snapshots, usage, round);
@@ -84,11 +85,16 @@
         }
     }
 
-    /// Whether a job's tasks must leave free the CPUs and memory that tasks on the machine's free GPUs would
-    /// need. This holds for tasks that need no GPUs and can run on machines without GPUs. It does not hold
-    /// once the job has waited longer than `cancel_s` for a machine, nor for opportunistic jobs, because any
-    /// other work preempts these.
-    pub(crate) fn avoids_stranding_gpus(&self, id: &JobId, catalog: &Catalog, now: Time) -> bool {
+    /// Whether a job's tasks must leave unused the CPUs and memory without which the machine's free GPUs
+    /// could not be used. This holds for tasks that need no GPUs and can run on machines without GPUs. It
+    /// does not hold once the job has waited longer than `cancel_s` for a machine, nor for opportunistic
+    /// jobs, because any other work preempts these.
+    pub(crate) fn must_keep_free_gpus_usable(
+        &self,
+        id: &JobId,
+        catalog: &Catalog,
+        now: Time,
+    ) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
@@ -174,9 +180,9 @@
         })
     }
 
-    /// Chooses machines for the tasks. Resources reserved for other images are used only if the other free
-    /// resources do not suffice or if the job was interrupted. An interrupted job is down now, whereas the
-    /// tasks for which resources are reserved may never arrive.
+    /// Chooses machines for the tasks. A job that was interrupted may use resources reserved for other
+    /// images: it is down now, whereas the tasks for which resources are reserved may never arrive. Any other
+    /// job uses them only if the remaining free resources do not suffice, and never if it is opportunistic.
     fn choose_machines_for_job(
         &self,
         id: &JobId,
@@ -190,7 +196,7 @@
             tasks: wanted,
             is_gang: startable.is_gang,
             respects_image_reservations: !job.has_started,
-            avoids_stranding_gpus: round.avoids_stranding_gpus,
+            must_keep_free_gpus_usable: round.must_keep_free_gpus_usable,
         };
         let mut chosen = self.choose_machines(job, request, snapshots, round.now);
         if chosen.len() < wanted && !job.is_opportunistic(&self.config) {
@@ -313,7 +319,7 @@
         let unplaced_tasks = UnplacedTasks {
             job: id,
             tasks: unplaced,
-            avoids_stranding_gpus: round.avoids_stranding_gpus,
+            must_keep_free_gpus_usable: round.must_keep_free_gpus_usable,
         };
         let preemptions =
             preemption::choose_preemptions(self, &unplaced_tasks, snapshots, usage, round.now);
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -1,7 +1,7 @@
-//! A simulated fleet in virtual time around real [`Core`]s: store, cloud, workers, users and a network with faults, all
-//! by the published protocol. The rules are checked while it runs.
+//! A simulated fleet in virtual time. Real [`Core`]s run against a simulated store, cloud, network, workers
+//! and users, which follow the published protocol. The simulation checks the service's guarantees while it
+//! runs.
 
-mod allowance;
 mod calls;
 mod cloud;
 mod commands;
@@ -10,6 +10,7 @@
 mod faults;
 mod network;
 mod previous_version;
+mod rate_limiter;
 mod services;
 mod settings;
 mod start_rules;
@@ -20,9 +21,8 @@
 mod users;
 mod worker;
 
-use allowance::Allowance;
 use cloud::Cloud;
-use controllers::{Asker, Controller};
+use controllers::{Controller, Requester};
 use event::Timed;
 use network::Network;
 use ochredrum::core::Core;
@@ -32,42 +32,44 @@
 use ochredrum::wire::{Heartbeat, JobSpec};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
+use rate_limiter::RateLimiter;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use store::Store;
 use users::Users;
 use worker::Worker;
 
-pub use commands::CommandFate;
+pub use commands::CommandOutcome;
 pub use event::Event;
 pub use faults::{Condition, Fault, MachineCondition, ShardMapFault, UpgradeOrder};
 pub use network::{CutManner, Direction, Endpoint};
-use settings::features_in_run;
-pub use settings::{Limits, grants_on};
+use settings::default_features;
+pub use settings::{Limits, features_with_grants};
 
 /// Seconds between the heartbeats of a worker.
-pub const REPORT_S: f64 = 1.0;
+pub const HEARTBEAT_INTERVAL_S: f64 = 1.0;
 /// Seconds that a lease lasts.
 pub const LEASE_S: f64 = 10.0;
-/// Seconds that a gang's task waits for the others.
+/// Seconds that a task of a gang waits for the other tasks to start.
 pub const GANG_WAIT_S: f64 = 30.0;
-/// Seconds within which a gang's task notices that another one was lost.
+/// Seconds within which a running task of a gang detects that another task of the gang was lost.
 pub const GANG_PEER_S: f64 = 4.0;
-/// Seconds within which no task of a cancelled job may be left.
+/// Seconds after a cancellation is reported within which all tasks of the job must have ended.
 pub const CANCEL_S: f64 = 30.0;
-/// The limit of the limited team.
+/// Maximum number of GPUs that the team `blue` may use at once.
 pub const GPUS_MAX: f64 = 24.0;
 /// Seconds until a crashed controller is restarted, unless a scenario says otherwise.
-const RESTART_S: f64 = 5.0;
-/// The run time of jobs that fail on every machine.
+const RESTART_DELAY_S: f64 = 5.0;
+/// Marker in place of a run time: the tasks of the job fail as soon as they would run, on every machine.
 pub const FAILS_IMMEDIATELY: f64 = -1.0;
-/// Seconds between the turns of a controller.
-const TICK_S: f64 = 0.05;
+/// Seconds between the periodic steps of a controller.
+const TICK_INTERVAL_S: f64 = 0.05;
 
 /// A simulated fleet.
 pub struct World {
     /// Virtual time in seconds.
     pub now: f64,
+    /// Sequence number of the event that was scheduled last.
     sequence: u64,
     events: BinaryHeap<Reverse<Timed>>,
     rng: StdRng,
@@ -77,68 +79,70 @@
     workers: BTreeMap<MachineId, Worker>,
     users: Users,
     network: Network,
-    /// Violations of rules so far, each beginning with the name of its rule.
+    /// Violations found so far; each text begins with the name of the violated rule.
     pub violations: Vec<String>,
-    /// Notable events so far.
+    /// Log lines, each of which begins with the virtual time.
     pub log: Vec<String>,
-    /// Counters of requests and messages.
-    pub work: Work,
-    /// The limits of the store.
+    /// Counters of requests, messages and task starts.
+    pub counters: Counters,
+    /// The limits that the store enforces now.
     pub limits: Limits,
-    /// The limits of the store that apply from a later moment on.
+    /// The limits that the store enforces after [`Event::LimitsLowered`]. The settings announce them.
     pub next_limits: Option<Limits>,
-    /// Requests and writes that the store still accepts at this moment.
-    allowance: Allowance,
-    /// The features of all controllers but those of the previous version.
+    /// The rate limits of the store.
+    rate_limiter: RateLimiter,
+    /// The features with which controllers of the present version start.
     pub features: Features,
-    /// Controllers of the previous version; they are restarted with it until they are upgraded.
+    /// Controllers that run the previous version. They keep it across restarts until they are upgraded.
     pub previous_version_nodes: BTreeSet<usize>,
-    /// When a fault was last seen in effect.
-    calm_since: f64,
+    /// When a starvation check last found a fault in effect, or a controller down or paused.
+    last_fault_at: f64,
     /// When a controller last crashed.
-    crashed: f64,
+    last_crash_at: f64,
     /// Heartbeats recorded for replay to the next leader.
     replay_buffer: Vec<(MachineId, Heartbeat)>,
-    /// The controller that led last.
+    /// The last controller that was found to be the leader.
     last_leader: Option<usize>,
-    /// The fault at a write of the shard map, and how many writes are left until then.
+    /// The fault to inject at a later write of the shard map, with the number of writes until then, that one
+    /// included.
     shard_map_fault: Option<(usize, ShardMapFault)>,
 }
 
-/// Counters of what the controllers and users have done so far.
+/// Counters of the activity of controllers, workers and users so far.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Work {
-    /// Requests to the store.
+pub struct Counters {
+    /// Requests that controllers sent to the store.
     pub store_requests: usize,
     /// Bytes of transactions sent to the store.
     pub store_bytes_written: usize,
-    /// Requests that the store refused for its rate limits.
+    /// Requests that the store answered with `Busy` because of its rate limits.
     pub throttled_requests: usize,
-    /// Unusual requests of users.
+    /// Submissions of unusual form or content.
     pub unusual_requests: usize,
-    /// Starts of tasks after a user was told that their job is cancelled.
+    /// Task starts after the user was told that the job is cancelled.
     pub starts_after_cancel: usize,
-    /// Bytes of messages between controllers.
+    /// Total bytes of messages between controllers.
     pub mesh_bytes: usize,
     /// Bytes of the largest message between controllers.
     pub largest_message: usize,
-    /// Messages of direct commands.
+    /// Messages of direct commands that controllers sent to workers.
     pub commands: usize,
-    /// Tasks that were lost because the leases of their workers expired, without workers that hung.
+    /// Tasks lost because the lease of their worker expired. Workers that were hung at the time are not
+    /// counted.
     pub lost_with_leases: usize,
 }
 
-/// Work inside the controllers.
+/// Work done by the running controllers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CoreWork {
-    /// Attempts and jobs that were visited because of an event.
+    /// Attempts and jobs that were examined because of an event.
     pub visits: u64,
-    /// Rounds of placement, each of which visits a whole shard.
+    /// Placement rounds, each of which examines a whole shard.
     pub placement_rounds: u64,
 }
 
 impl World {
-    /// A world with this many controllers, none of which has started yet.
+    /// Creates a simulation whose controllers start one after another, 0.1 s apart.
     pub fn new(seed: u64, controllers: usize) -> Self {
         let nodes = (0..controllers).map(Controller::new);
         let mut world = Self {
@@ -154,7 +158,7 @@
             network: Network::default(),
             violations: Vec::new(),
             log: Vec::new(),
-            work: Work::default(),
+            counters: Counters::default(),
             limits: Limits {
                 value_kb: 4.0,
                 txn_ops: 8,
@@ -162,58 +166,58 @@
                 write_rps: 25.0,
             },
             next_limits: None,
-            allowance: Allowance::default(),
-            features: features_in_run(),
+            rate_limiter: RateLimiter::default(),
+            features: default_features(),
             previous_version_nodes: BTreeSet::new(),
-            calm_since: 0.0,
-            crashed: 0.0,
+            last_fault_at: 0.0,
+            last_crash_at: 0.0,
             replay_buffer: Vec::new(),
             last_leader: None,
             shard_map_fault: None,
         };
         for node in 0..controllers {
-            world.at(0.1 * node as f64, Event::Restart { node });
+            world.schedule_at(0.1 * node as f64, Event::Restart { node });
         }
-        world.at(7.0, Event::AskUnknown);
-        world.at(5.0, Event::CheckStarvation);
+        world.schedule_at(7.0, Event::PollUnknownJob);
+        world.schedule_at(5.0, Event::CheckStarvation);
         world
     }
 
-    /// Schedules an event.
-    pub fn at(&mut self, time: f64, event: Event) {
+    /// Schedules an event at a virtual time.
+    pub fn schedule_at(&mut self, time: f64, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse(Timed(time, self.sequence, event)));
     }
 
     /// Schedules an event this many seconds from now.
-    fn after(&mut self, delay: f64, event: Event) {
-        self.at(self.now + delay, event);
+    fn schedule_after(&mut self, delay: f64, event: Event) {
+        self.schedule_at(self.now + delay, event);
     }
 
-    /// Adds a line to the log.
-    fn note(&mut self, text: String) {
+    /// Adds a line with the current virtual time to the log.
+    fn log_event(&mut self, text: String) {
         self.log.push(format!("{:8.3} {text}", self.now));
     }
 
     /// Records that a rule was violated.
-    pub fn record_violation(&mut self, rule: &str, what: String) {
-        let text = format!("{rule} at {:.3}: {what}", self.now);
-        self.note(text.clone());
+    pub fn record_violation(&mut self, rule: &str, details: String) {
+        let text = format!("{rule} at {:.3}: {details}", self.now);
+        self.log_event(text.clone());
         self.violations.push(text);
     }
 
-    /// Removes the violations of one rule, where a test stops before the rule can hold.
+    /// Removes the violations of one rule. Tests use it when they stop before the rule can hold.
     pub fn ignore_violations_of(&mut self, rule: &str) {
         self.violations
             .retain(|violation| !violation.starts_with(rule));
     }
 
-    /// Adds machines with GPUs that have booted.
+    /// Adds booted machines with GPUs, of type `g8`.
     pub fn add_machines(&mut self, count: usize, spot: bool) {
         self.add_machines_of("g8", count, spot);
     }
 
-    /// Adds machines without GPUs that have booted; the cloud offers more of them.
+    /// Adds booted machines without GPUs, of type `c16`, and lets the cloud offer that type.
     pub fn add_machines_without_gpus(&mut self, count: usize) {
         self.cloud.offer_without_gpus();
         self.add_machines_of("c16", count, false);
@@ -221,16 +225,16 @@
 
     fn add_machines_of(&mut self, kind: &str, count: usize, spot: bool) {
         for _ in 0..count {
-            let zone = ["a", "b"][self.cloud.count() % 2];
+            let zone = ["a", "b"][self.cloud.created_count() % 2];
             let machine = self.cloud.create(kind, zone, spot, self.now - 100.0);
             self.boot(&machine);
         }
     }
 
-    /// Adds a job that is submitted at a moment, and returns its number.
+    /// Adds a job that is submitted at the time `at`, and returns its index.
     pub fn add_job(&mut self, at: f64, spec: JobSpec, run_s: f64) -> usize {
         let job = self.users.add(spec, run_s);
-        self.at(at, Event::Submit { job });
+        self.schedule_at(at, Event::Submit { job });
         job
     }
 
@@ -239,8 +243,8 @@
         self.users.starts_of(job)
     }
 
-    /// Runs the simulation until a moment.
-    pub fn run(&mut self, until: f64) {
+    /// Handles all events up to and including the time `until`.
+    pub fn run_until(&mut self, until: f64) {
         while let Some(Reverse(Timed(time, _, _))) = self.events.peek() {
             if *time > until {
                 break;
@@ -263,18 +267,18 @@
                     self.step(node, vec![*input]);
                 }
             }
-            Event::State {
+            Event::StoreRequest {
                 node,
                 epoch,
                 call,
-                what,
-            } => self.store_request(node, epoch, call, what),
-            Event::Cloud {
+                request,
+            } => self.store_request(node, epoch, call, request),
+            Event::CloudRequest {
                 node,
                 epoch,
                 call,
-                what,
-            } => self.cloud_request(node, epoch, call, what),
+                request,
+            } => self.cloud_request(node, epoch, call, request),
             Event::DirectCommands {
                 node,
                 epoch,
@@ -284,14 +288,14 @@
             } => {
                 self.receive_direct_commands(node, epoch, call, &address, commands);
             }
-            Event::Mesh {
+            Event::MeshMessage {
                 from,
                 epoch,
                 call,
                 to,
                 message,
             } => {
-                self.ask_node(to, Asker::Sibling { from, epoch, call }, *message);
+                self.deliver_request(to, Requester::Sibling { from, epoch, call }, *message);
             }
             Event::Heartbeat {
                 machine,
@@ -300,64 +304,64 @@
                 live,
             } => {
                 let number = heartbeat.sequence;
-                let asker = Asker::Worker {
+                let requester = Requester::Worker {
                     machine,
                     number,
                     live,
                 };
-                self.ask_node(node, asker, Input::Heartbeat(RequestId(0), heartbeat));
+                self.deliver_request(node, requester, Input::Heartbeat(RequestId(0), heartbeat));
             }
             Event::HeartbeatResponse {
                 machine,
                 number,
                 answer,
             } => {
-                self.heartbeat_answered(&machine, number, answer);
+                self.receive_heartbeat_response(&machine, number, answer);
             }
             Event::WorkerTurn { machine } => self.worker_turn(&machine),
             Event::BootDone { machine } => self.boot(&machine),
-            Event::Submit { job } => self.user_asks(job, users::RequestKind::Submit),
-            Event::Cancel { job } => self.user_asks(job, users::RequestKind::Cancel),
-            Event::Poll { job } => self.user_asks(job, users::RequestKind::Poll),
+            Event::Submit { job } => self.send_user_request(job, users::RequestKind::Submit),
+            Event::Cancel { job } => self.send_user_request(job, users::RequestKind::Cancel),
+            Event::Poll { job } => self.send_user_request(job, users::RequestKind::Poll),
             Event::Probe { job, node, kind } => self.probe(job, node, kind),
-            Event::CancelDue { job } => self.cancel_due(job),
+            Event::CheckCancelledTasks { job } => self.check_cancelled_tasks(job),
             Event::CheckStarvation => self.check_starvation(),
-            Event::Expect { job, what } => self.expect(job, &what),
-            Event::AskUnknown => self.ask_unknown(),
+            Event::Expect { job, expected } => self.check_expectation(job, &expected),
+            Event::PollUnknownJob => self.poll_unknown_job(),
             Event::UserAnswer {
                 job,
                 kind,
-                asked,
+                sent_at,
                 answer,
             } => {
-                self.user_answered(job, kind, asked, answer);
+                self.receive_user_answer(job, kind, sent_at, answer);
             }
             Event::Restart { node } => self.restart(node),
             Event::Upgrade { node } => self.upgrade(node),
             Event::Resume { node, epoch } => self.resume(node, epoch),
             Event::UnusualRequest { until } => self.unusual_request(until),
-            Event::LimitsFall => {
+            Event::LimitsLowered => {
                 self.limits = self.next_limits.unwrap_or(self.limits);
-                self.note("the store lowers its limits".into());
+                self.log_event("the store lowers its limits".into());
             }
-            Event::Fault(fault) => self.fault(fault),
+            Event::Fault(fault) => self.begin_fault(fault),
             Event::FaultEnds(id) => self.network.end(id),
         }
     }
 
-    /// Checks that every request was served, once all faults are over.
+    /// Records a violation for every job that was not served. To be called after all faults have ended.
     pub fn check_served(&mut self) {
         for (id, problem) in self.unserved() {
             self.record_violation("not_served", format!("{id}: {problem}"));
         }
     }
 
-    /// The id of a job.
+    /// The id of the job with this index.
     pub fn job_id(&self, job: usize) -> JobId {
         self.users.id(job)
     }
 
-    /// The work inside all running controllers so far.
+    /// The sum of the work counters of all running controllers. A restart resets those of its controller.
     pub fn core_work(&self) -> CoreWork {
         let cores = self.nodes.iter().filter_map(|node| node.core.as_ref());
         let mut sum = CoreWork::default();
@@ -368,14 +372,14 @@
         sum
     }
 
-    /// How often a controller has become leader.
+    /// How many times the leader's key was written, that is, how many times a controller became leader.
     pub fn leaderships(&self) -> usize {
-        self.store.puts_of("ochredrum/leader")
+        self.store.put_count("ochredrum/leader")
     }
 
-    /// How often a team's record of grants was written.
+    /// How many times the stored record of a team's grants was written.
     pub fn grant_writes(&self, team: &str) -> usize {
-        self.store.puts_of(&format!("ochredrum/quota/{team}"))
+        self.store.put_count(&format!("ochredrum/quota/{team}"))
     }
 
     /// The controller that owns a team according to the stored shard map.
@@ -393,13 +397,17 @@
         owner["o"]["n"].as_str().map(str::to_owned)
     }
 
-    /// The stored value of a key.
-    pub fn stored(&self, key: &str) -> Option<serde_json::Value> {
+    /// The value of the first stored key that begins with `key`.
+    pub fn stored_value(&self, key: &str) -> Option<serde_json::Value> {
         self.store.values_under(key).next().cloned()
     }
 
-    /// How many tasks have started so far, restarts included.
+    /// The number of task starts on all machines so far, restarts included.
     pub fn starts(&self) -> u64 {
-        self.workers.values().map(|w| w.starts).sum::<u64>() + self.users.starts_on_removed
+        self.workers
+            .values()
+            .map(|worker| worker.starts)
+            .sum::<u64>()
+            + self.users.starts_on_removed_machines
     }
 }
