--- a/src/core/controller/deferred_heartbeats/tests.rs
+++ b/src/core/controller/deferred_heartbeats/tests.rs
@@ -35,7 +35,7 @@
     let answers = effects.into_iter().filter_map(|effect| match effect {
         Effect::Answer(_, answer) => {
             let to = match answer.body {
-                crate::core::effects::Body::Value(body) => {
+                crate::core::effects::Body::Json(body) => {
                     body["conductor"].as_str().map(str::to_owned)
                 }
                 _ => None,
--- a/src/core/controller/heartbeat_routing.rs
+++ b/src/core/controller/heartbeat_routing.rs
@@ -151,7 +151,7 @@
         if let Some(node) = &to {
             self.peers.record_redirect(node, self.outbox.now);
         }
-        let answer = Answer::value(MISDIRECTED, redirect_answer(to.as_ref()));
+        let answer = Answer::json(MISDIRECTED, redirect_answer(to.as_ref()));
         self.outbox.answer(request, answer);
     }
 
--- a/src/core/controller/hello.rs
+++ b/src/core/controller/hello.rs
@@ -293,7 +293,7 @@
             retry_after,
         }) => Answer {
             status,
-            body: body.map_or(Body::Empty, Body::Value),
+            body: body.map_or(Body::Empty, Body::Json),
             retry_after,
         },
         _ => Answer::unavailable(),
--- a/src/core/controller/user_requests.rs
+++ b/src/core/controller/user_requests.rs
@@ -128,7 +128,7 @@
             return self.user_requests.enqueue(request);
         }
         if let Some(problem) = problem {
-            let answer = Answer::value(422, serde_json::json!({"error": problem}));
+            let answer = Answer::json(422, serde_json::json!({"error": problem}));
             return self.reply(request.reply_to, answer);
         }
         let is_dependency_cancelled = spec
@@ -223,12 +223,12 @@
             UserRequest::Submit(id, _) if request.create_sent => {
                 let recorded = self.store.job(id).map(|job| job.record.status);
                 let status = recorded.unwrap_or(JobStatus::Pending);
-                let answer = Answer::value(201, status_answer(id, status));
+                let answer = Answer::json(201, status_answer(id, status));
                 self.reply(request.reply_to, answer);
             }
             UserRequest::Cancel(id) => {
                 self.notify_owner(id, team.as_ref());
-                let answer = Answer::value(200, status_answer(id, JobStatus::Cancelled));
+                let answer = Answer::json(200, status_answer(id, JobStatus::Cancelled));
                 self.reply(request.reply_to, answer);
             }
             // The write recorded that the job is cancelled because of a dependency.
@@ -260,7 +260,7 @@
             (_, None) => self.reply(request.reply_to, Answer::empty(404)),
             (UserRequest::Poll(_), Some(job)) => {
                 let (status, done, running) = self.displayed_progress(&id, &job.record);
-                let answer = Answer::value(200, progress_answer(&id, status, done, running));
+                let answer = Answer::json(200, progress_answer(&id, status, done, running));
                 self.reply(request.reply_to, answer);
             }
             (UserRequest::Cancel(_), Some(job)) if !is_final => {
@@ -268,7 +268,7 @@
             }
             (UserRequest::Submit(..) | UserRequest::Cancel(_), Some(job)) => {
                 let (status, ..) = self.displayed_progress(&id, &job.record);
-                let answer = Answer::value(200, status_answer(&id, status));
+                let answer = Answer::json(200, status_answer(&id, status));
                 self.reply(request.reply_to, answer);
             }
         }
@@ -420,7 +420,7 @@
 /// Converts an answer to the reply for the sibling that relayed the request. Only bodies for users are sent.
 fn to_mesh_reply(answer: Answer) -> MeshReply {
     let body = match answer.body {
-        Body::Value(body) => Some(body),
+        Body::Json(body) => Some(body),
         Body::Empty | Body::HeartbeatResponse(_) | Body::Status(_) => None,
     };
     MeshReply::Answer {
--- a/src/core/effects/mod.rs
+++ b/src/core/effects/mod.rs
@@ -112,7 +112,7 @@
     /// An empty body.
     Empty,
     /// A JSON object, such as the status of a job.
-    Value(Value),
+    Json(Value),
     /// The response to a worker's heartbeat.
     HeartbeatResponse(HeartbeatResponse),
     /// The status of the controller, for an operator.
@@ -121,10 +121,10 @@
 
 impl Answer {
     /// Creates an answer with a JSON body.
-    pub fn value(status: u16, body: Value) -> Self {
+    pub fn json(status: u16, body: Value) -> Self {
         Self {
             status,
-            body: Body::Value(body),
+            body: Body::Json(body),
             retry_after: None,
         }
     }
--- a/src/core/effects/pending.rs
+++ b/src/core/effects/pending.rs
@@ -128,8 +128,8 @@
 /// A transaction that writes chunks of the shard map.
 #[derive(Debug)]
 pub struct MapWrite {
-    /// The fencing token of the leader that sent the transaction.
-    pub(crate) token: Version,
+    /// The version of the leader's key under which the leader sent the transaction.
+    pub(crate) leader_key_version: Version,
     /// The writes of the transaction, one for each changed chunk.
     pub(crate) writes: Vec<Write>,
 }
@@ -148,28 +148,28 @@
     pub(crate) write: Write,
 }
 
-/// An operation of the leader in the cloud. A reply is ignored if the leader's fencing token has changed
-/// since.
+/// An operation of the leader in the cloud. A reply is ignored if the version of the leader's key has changed
+/// since the call.
 #[derive(Debug)]
 pub enum CloudOperation {
     /// Lists the rented machines.
     List {
-        /// The fencing token of the leader that sent the call.
-        token: Version,
+        /// The version of the leader's key under which the leader sent the call.
+        leader_key_version: Version,
         /// The machines of the previous pages.
         listed: Vec<ListedMachine>,
     },
     /// Rents machines.
     Rent {
-        /// The fencing token of the leader that sent the call.
-        token: Version,
+        /// The version of the leader's key under which the leader sent the call.
+        leader_key_version: Version,
         /// The requested machines.
         request: RentalRequest,
     },
     /// Returns machines.
     Release {
-        /// The fencing token of the leader that sent the call.
-        token: Version,
+        /// The version of the leader's key under which the leader sent the call.
+        leader_key_version: Version,
         /// The machines to return.
         machines: Vec<MachineId>,
     },
--- a/src/core/leader/cloud_requests.rs
+++ b/src/core/leader/cloud_requests.rs
@@ -220,7 +220,7 @@
         self.rental_in_flight = true;
         let rental = request.rental.clone();
         let operation = CloudOperation::Rent {
-            token: self.key_version,
+            leader_key_version: self.key_version,
             request,
         };
         outbox.call_cloud(Some(operation), CloudCall::Rent(rental));
@@ -241,7 +241,7 @@
             .collect();
         self.release_in_flight = true;
         let operation = CloudOperation::Release {
-            token: self.key_version,
+            leader_key_version: self.key_version,
             machines: machines.clone(),
         };
         outbox.call_cloud(Some(operation), CloudCall::Release(MachineIds { machines }));
@@ -262,7 +262,7 @@
         self.list_in_flight = true;
         let after = listed.last().map(|last| last.machine.to_string());
         let operation = CloudOperation::List {
-            token: self.key_version,
+            leader_key_version: self.key_version,
             listed,
         };
         outbox.call_cloud(Some(operation), CloudCall::List { after });
@@ -286,10 +286,15 @@
             self.pause_until = now + outbox.jitter(1.0 / self.config.deployment.cloud.rps);
         }
         match operation {
-            CloudOperation::List { token, .. }
-            | CloudOperation::Rent { token, .. }
-            | CloudOperation::Release { token, .. }
-                if token != self.key_version => {}
+            CloudOperation::List {
+                leader_key_version, ..
+            }
+            | CloudOperation::Rent {
+                leader_key_version, ..
+            }
+            | CloudOperation::Release {
+                leader_key_version, ..
+            } if leader_key_version != self.key_version => {}
             CloudOperation::List { listed, .. } => {
                 self.handle_list_page(outbox, listed, reply, owners)
             }
--- a/src/core/leader/map_writer.rs
+++ b/src/core/leader/map_writer.rs
@@ -110,7 +110,7 @@
         }
         self.write_in_flight = true;
         let pending = Pending::ShardMap(MapWrite {
-            token: leader_version,
+            leader_key_version: leader_version,
             writes: writes.clone(),
         });
         let transaction = Transaction {
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -195,7 +195,7 @@
         write: &MapWrite,
         reply: &StoreReply,
     ) {
-        if write.token == self.key_version {
+        if write.leader_key_version == self.key_version {
             self.map_writer
                 .handle_reply(outbox, store, &write.writes, reply);
         }
--- a/src/front.rs
+++ b/src/front.rs
@@ -100,7 +100,7 @@
 }
 
 fn bad_request_reply(problem: &str) -> Reply {
-    encode_answer(Answer::value(400, serde_json::json!({"error": problem})))
+    encode_answer(Answer::json(400, serde_json::json!({"error": problem})))
 }
 
 /// Answers one request, whose body must arrive within `body_timeout`.
@@ -165,7 +165,7 @@
 fn encode_answer(answer: Answer) -> Reply {
     let body = match &answer.body {
         Body::Empty => encode(&serde_json::json!({})),
-        Body::Value(value) => encode(value),
+        Body::Json(value) => encode(value),
         Body::HeartbeatResponse(response) => encode(response),
         Body::Status(status) => encode(status),
     };
--- a/tests/world/user_checks.rs
+++ b/tests/world/user_checks.rs
@@ -34,7 +34,7 @@
             return;
         };
         let job_status = match answer.map(|answer| answer.body) {
-            Some(Body::Value(body)) => body["stance"].as_str().unwrap_or("").to_owned(),
+            Some(Body::Json(body)) => body["stance"].as_str().unwrap_or("").to_owned(),
             _ => String::new(),
         };
         let user = &mut self.users.jobs[job];
--- a/tests/world/worker.rs
+++ b/tests/world/worker.rs
@@ -309,7 +309,7 @@
             }) => self.handle_response(id, sent, response),
             Some(Answer {
                 status: 421,
-                body: Body::Value(body),
+                body: Body::Json(body),
                 ..
             }) => {
                 let named = body["conductor"]
