--- a/src/core/shard/capacity_planning.rs
+++ b/src/core/shard/capacity_planning.rs
@@ -39,7 +39,7 @@
 const PLANS_PER_LEASE: f64 = 10.0;
 
 /// The maximum number of machines that a shard demands at once: as many as the cloud's API allows to be
-/// requested within `cancel_s`. A shard that has to grow several times over must be able to demand all
+/// requested within `cancel_s`. A shard that has to grow to several times its size must be able to demand all
 /// machines at once, because each further round of demand costs its users a boot time.
 #[expect(
     clippy::cast_possible_truncation,
@@ -76,7 +76,7 @@
         return now - job.runnable_since;
     }
     job.waits_since
-        .filter(|_| job.placed() == 0)
+        .filter(|_| job.placed_count() == 0)
         .map_or(0.0, |since| now - since)
 }
 
@@ -97,7 +97,7 @@
         self.plan_capacity(outbox, store, catalog, &mut demand);
         self.report_machines_needing_attention(&mut demand, now);
         demand.teams_out_of_attempts = self.teams_short_of_attempts();
-        self.sync_soon |= demand.machine_demands != self.demand.machine_demands;
+        self.sibling_update_requested |= demand.machine_demands != self.demand.machine_demands;
         self.demand = demand;
     }
 
@@ -139,15 +139,15 @@
         for tasks in work.ordinary {
             plan.place(tasks, demand);
         }
-        let soon_ready = self.soon_ready_jobs(store, usage, types, now);
-        let nothing_soon_ready = soon_ready.demands.is_empty();
-        for (machine, released) in &soon_ready.released {
+        let upcoming_dependents = self.upcoming_dependents(store, usage, types, now);
+        let has_no_upcoming_dependents = upcoming_dependents.demands.is_empty();
+        for (machine, released) in &upcoming_dependents.released {
             plan.add_released(machine, released);
         }
-        for tasks in soon_ready.demands {
+        for tasks in upcoming_dependents.demands {
             plan.place(tasks, demand);
         }
-        if demand.machine_demands.is_empty() && demand.queued == 0.0 && nothing_soon_ready {
+        if demand.machine_demands.is_empty() && demand.queued == 0.0 && has_no_upcoming_dependents {
             self.consolidate(plan.candidates(), catalog, now);
         }
         self.plan_opportunistic(&mut plan, work.opportunistic, types, demand);
@@ -218,9 +218,9 @@
             let need = job.need();
             let count = usage.tasks_within_limit(team_limits, &need, job.waiting().len());
             usage.add_tasks(&team_limits.name, &need, count);
-            let avoids_stranding_gpus = self.avoids_stranding_gpus(&id, catalog, now);
+            let must_keep_free_gpus_usable = self.must_keep_free_gpus_usable(&id, catalog, now);
             let count = u32::try_from(count).unwrap_or(u32::MAX);
-            let tasks = TaskDemand::queued(job, count, avoids_stranding_gpus);
+            let tasks = TaskDemand::queued(job, count, must_keep_free_gpus_usable);
             if job.is_opportunistic(&self.config) {
                 work.opportunistic.push(OpportunisticDemand {
                     job: id,
@@ -232,9 +232,9 @@
             }
         }
         let boot_s = longest_boot_s(types);
-        for spec in self.forecast.expected_jobs(&self.config, boot_s, now) {
+        for spec in self.forecast.expected_arrivals(&self.config, boot_s, now) {
             let count = spec.tasks;
-            work.ordinary.push(TaskDemand::expected(types, spec, count));
+            work.ordinary.push(TaskDemand::forecast(types, spec, count));
         }
         work
     }
@@ -280,7 +280,7 @@
             return false;
         };
         // A replacement would have to boot and to fetch the images that this machine has cached.
-        let idle_timeout_s = catalog.boot_s(&machine.type_name) + machine.longest_fetch();
+        let idle_timeout_s = catalog.boot_s(&machine.type_name) + machine.longest_fetch_s();
         let is_idle = machine.idle();
         let is_spare =
             machine.token_confirmed && machine.holds_only_opportunistic() && !candidate.is_in_use;
--- a/src/core/shard/opportunistic.rs
+++ b/src/core/shard/opportunistic.rs
@@ -6,16 +6,16 @@
 use std::collections::BTreeSet;
 
 impl Shard {
-    /// The machines that are kept for starved jobs, one for each job that runs on no spot instance. If the
-    /// machine were returned, another would be rented only after the job had starved again. A job of long
-    /// tasks would then never end.
+    /// The machines that are kept for starved jobs. A job that runs on no spot instance keeps one machine,
+    /// which it may share with other such jobs. If the machine were returned, another would be rented only
+    /// after the job had starved again. A job of long tasks would then never end.
     pub(crate) fn machines_kept_for_starved_jobs(&self) -> BTreeSet<MachineId> {
         let is_spot = |id: &MachineId| self.machines.get(id).is_some_and(|machine| machine.spot);
         let mut kept = BTreeSet::new();
         let starved = self
             .jobs
             .iter()
-            .filter(|(_, job)| job.starved && job.placed() > 0);
+            .filter(|(_, job)| job.starved && job.placed_count() > 0);
         for (id, _) in starved {
             let machines = self.task_index.machines_of(id);
             let has_machine = machines.iter().any(|id| is_spot(id) || kept.contains(id));
@@ -26,8 +26,8 @@
         kept
     }
 
-    /// Stops the opportunistic tasks of a machine that is to be returned. Tasks that cannot write a
-    /// checkpoint run to completion.
+    /// Stops the tasks of a machine that is to be returned and runs only opportunistic tasks. Tasks that
+    /// cannot write a checkpoint run to completion.
     pub(crate) fn stop_opportunistic_tasks(&mut self, id: &MachineId) {
         let Some(machine) = self.machines.get(id) else {
             return;
--- a/src/core/shard/owned_jobs.rs
+++ b/src/core/shard/owned_jobs.rs
@@ -94,7 +94,7 @@
     ) {
         let all_done = job.all_done();
         let exits = self.place_existing_attempts(id, &mut job);
-        if job.unreconciled() > 0 {
+        if job.unreconciled_count() > 0 {
             self.unreconciled_jobs.insert(id.clone());
         }
         self.forecast.record_arrival(&job.spec, job.runnable_since);
@@ -115,7 +115,7 @@
     }
 
     /// Sets a job's deadline to the earliest among its own and those of its dependents, and raises its
-    /// priority to the highest of its dependents'.
+    /// priority to the highest of its dependents'. Attempts of a job with dependents are not opportunistic.
     fn update_urgency(&mut self, store: &StoreReplica, id: &JobId, (now, wall_ms): (Time, u64)) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
--- a/src/core/shard/reconciliation.rs
+++ b/src/core/shard/reconciliation.rs
@@ -9,14 +9,14 @@
     /// Reconciles the teams whose machines are all reconciled. Tasks of such a team that no heartbeat has
     /// shown are not running.
     pub(crate) fn reconcile_teams(&mut self, store: &StoreReplica) {
-        self.remove_reconciled_machines(store);
+        self.update_unreconciled_machines(store);
         for incomplete_gang in self.reconcile_jobs() {
             self.stop_incomplete_gang(&incomplete_gang);
         }
     }
 
-    /// Removes reconciled and deleted machines from the lists of the teams that wait for them.
-    fn remove_reconciled_machines(&mut self, store: &StoreReplica) {
+    /// Removes reconciled and deleted machines from the sets of machines that teams wait for.
+    fn update_unreconciled_machines(&mut self, store: &StoreReplica) {
         let machines = &self.machines;
         let mapped_machines = &store.shard_map().machines;
         let is_reconciled = |id: &MachineId| {
@@ -44,7 +44,7 @@
         for id in std::mem::take(&mut self.unreconciled_jobs) {
             self.visits += 1;
             let job = self.jobs.get_mut(&id);
-            let Some(job) = job.filter(|job| job.unreconciled() > 0) else {
+            let Some(job) = job.filter(|job| job.unreconciled_count() > 0) else {
                 continue;
             };
             let team = self.teams.get(&job.spec.team);
@@ -54,7 +54,7 @@
             }
             job.reconcile();
             self.changed_since_round = true;
-            if job.is_gang() && job.placed() > 0 && !job.waiting().is_empty() {
+            if job.is_gang() && job.placed_count() > 0 && !job.waiting().is_empty() {
                 incomplete_gangs.push(id);
             }
         }
--- a/src/core/shard/round/snapshot.rs
+++ b/src/core/shard/round/snapshot.rs
@@ -58,14 +58,14 @@
             })
     }
 
-    /// The part of `free` that a task may use. A task that avoids stranding GPUs may not use the CPUs and
-    /// memory that the machine's free GPUs need.
+    /// The part of `free` that a task may use. A task that must keep free GPUs usable may not use the CPUs
+    /// and memory that belong to the machine's free GPUs.
     pub(super) fn usable_resources(
         &self,
         free: Resources,
-        avoids_stranding_gpus: bool,
+        must_keep_free_gpus_usable: bool,
     ) -> Resources {
-        if avoids_stranding_gpus {
+        if must_keep_free_gpus_usable {
             free.without_share_of_free_gpus(&self.total)
         } else {
             free
--- a/tests/world/start_rules.rs
+++ b/tests/world/start_rules.rs
@@ -1,4 +1,4 @@
-//! The rules that are checked when a task starts, and whether a job could start.
+//! Checks of the rules that apply when a task starts, and of whether a job has room to start.
 
 use super::worker::Worker;
 use super::{GPUS_MAX, LEASE_S, World};
@@ -6,17 +6,17 @@
 use ochredrum::wire::{JobKind, JobSpec, MachineType};
 use std::collections::BTreeMap;
 
-/// A start that was in flight when its job was cancelled has been executed within this many seconds.
+/// Seconds within which a start that was in flight when its job was cancelled has been executed.
 const IN_FLIGHT_S: f64 = 1.5;
 /// The team whose GPUs are limited to [`GPUS_MAX`].
 const LIMITED_TEAM: &str = "blue";
-/// Tolerance in comparisons of GPUs.
+/// Tolerance in comparisons of GPU counts, which are sums of floating-point numbers.
 const GPU_TOLERANCE: f64 = 1e-6;
 
-/// What is on the machines of the fleet when a task starts.
+/// The tasks on all machines at the start of a task, as far as they concern that task.
 #[derive(Default)]
 struct Survey {
-    /// Another machine, or another attempt, on which the same task is.
+    /// A machine that has another attempt of the same task, or another machine that has the task at all.
     duplicate_on: Option<MachineId>,
     /// GPUs that the limited team uses.
     limited_gpus: f64,
@@ -24,7 +24,7 @@
     zones: BTreeMap<String, u32>,
 }
 
-/// What the tasks of a worker that have not exited use.
+/// Resources that the tasks of a worker use, without tasks that have exited.
 #[derive(Default)]
 struct Usage {
     gpus: f64,
@@ -34,7 +34,7 @@
 }
 
 impl Usage {
-    /// Whether one more task fits on a machine.
+    /// Whether one more task of a job fits on the machine.
     fn leaves_room(&self, spec: &JobSpec, machine_type: &MachineType) -> bool {
         self.gpus + spec.gpus <= machine_type.gpus
             && self.cpus + spec.cpus <= machine_type.cpus
@@ -43,11 +43,12 @@
 }
 
 impl World {
+    /// Collects the tasks on all machines that concern the start of an attempt on machine `id`.
     fn survey(&self, id: &MachineId, task: &TaskId, attempt: Attempt) -> Survey {
         let mut survey = Survey::default();
         for worker in self.workers.values() {
-            let owned = self.cloud.get(&worker.id);
-            let zone = owned.map_or("?".into(), |owned| owned.zone.to_string());
+            let rented = self.cloud.get(&worker.id);
+            let zone = rented.map_or("?".into(), |rented| rented.zone.to_string());
             for ((other, same), running) in &worker.tasks {
                 if !running.is_on_machine() {
                     continue;
@@ -68,7 +69,7 @@
         survey
     }
 
-    /// Checks the rules about a task that starts: it has its image from now on.
+    /// Checks the rules that apply when a task starts, that is, when its image has been fetched.
     pub(super) fn check_start(&mut self, id: &MachineId, task: &TaskId, attempt: Attempt) {
         let Some(spec) = self.users.spec(&task.job).cloned() else {
             return;
@@ -86,13 +87,13 @@
         }
         self.check_place(id, task, &spec, &survey.zones);
         if let Some(needed) = self.users.unfinished_dependency(&task.job) {
-            let what = format!("{task} starts on {id}, {needed} is not done");
-            self.record_violation("too_early", what);
+            let details = format!("{task} starts on {id}, {needed} is not done");
+            self.record_violation("started_before_dependency", details);
         }
         self.check_not_cancelled(id, task);
     }
 
-    /// A task starts only on a machine, and in a zone, that its job allows.
+    /// Checks that a task starts on a machine, and in a zone, that its job allows.
     fn check_place(
         &mut self,
         id: &MachineId,
@@ -100,36 +101,36 @@
         spec: &JobSpec,
         zones: &BTreeMap<String, u32>,
     ) {
-        let Some(owned) = self.cloud.get(id) else {
+        let Some(rented) = self.cloud.get(id) else {
             return;
         };
-        let zone = owned.zone.clone();
+        let zone = rented.zone.clone();
         let half = spec.tasks.div_ceil(2);
         let wrong_type = spec
             .types
             .as_ref()
-            .is_some_and(|types| !types.contains(&owned.type_name));
-        let misplaced = (owned.spot && !spec.spot)
+            .is_some_and(|types| !types.contains(&rented.type_name));
+        let misplaced = (rented.spot && !spec.spot)
             || wrong_type
             || spec.zone.as_ref().is_some_and(|only| *only != zone)
             || (spec.one_zone && zones.len() > 1)
             || (spec.spread && zones.get(zone.as_str()).copied().unwrap_or(0) > half);
         if misplaced {
-            let what = format!("{task} on {id} in {zone}, job in {zones:?}");
-            self.record_violation("wrong_place", what);
+            let details = format!("{task} on {id} in {zone}, job in {zones:?}");
+            self.record_violation("wrong_place", details);
         }
     }
 
-    /// No task of a cancelled job starts, but for starts that were in flight when its user was told.
+    /// Checks that no task of a cancelled job starts, except for starts in flight when the user was told.
     fn check_not_cancelled(&mut self, id: &MachineId, task: &TaskId) {
         let reported_at = self.users.cancelled_reported_at(&task.job);
         if let Some(reported_at) = reported_at.filter(|at| *at < self.now) {
-            self.work.starts_after_cancel += 1;
-            // Without faults, what was in flight then has been stopped by now. A machine that hung executes what had
-            // reached it once it continues (command_faults day 28).
+            self.counters.starts_after_cancel += 1;
+            // Without faults, starts in flight at that time have been stopped by now. A machine that hung
+            // executes the commands it had received once it continues (command_faults scenario 28).
             let hung_until = self.workers.get(id).map_or(0.0, |worker| worker.hung_until);
             let executed_by = reported_at.max(hung_until) + IN_FLIGHT_S;
-            if self.has_been_calm(reported_at, LEASE_S * 2.0) && self.now > executed_by {
+            if self.was_fault_free(reported_at, LEASE_S * 2.0) && self.now > executed_by {
                 self.record_violation("started_cancelled", format!("{task} starts on {id}"));
             }
         }
@@ -138,11 +139,12 @@
         }
     }
 
-    /// Whether no fault was in effect from `before` seconds before a moment until now.
-    fn has_been_calm(&self, since: f64, before: f64) -> bool {
-        self.network.is_calm() && self.calm_since.max(self.crashed) < since - before
+    /// Whether no fault was in effect from `before` seconds before the time `since` until now.
+    fn was_fault_free(&self, since: f64, before: f64) -> bool {
+        self.network.has_no_faults() && self.last_fault_at.max(self.last_crash_at) < since - before
     }
 
+    /// The resources in use on a worker's machine.
     fn usage(&self, worker: &Worker) -> Usage {
         let occupying = worker
             .tasks
@@ -161,8 +163,8 @@
         })
     }
 
-    /// Whether some machine could run one task of a job, within its team's limit. Jobs whose tasks restrict one
-    /// another's places, or need more than one machine at once, are left out.
+    /// Whether some machine could run one task of a job within its team's limit. Always false for gangs and
+    /// for jobs with placement constraints among their tasks, for which one machine with room proves nothing.
     pub(super) fn has_room(&self, spec: &JobSpec) -> bool {
         if spec.kind == JobKind::Gang || spec.one_zone || spec.spread {
             return false;
@@ -173,19 +175,19 @@
             return false;
         }
         self.workers.values().any(|worker| {
-            let Some(owned) = self.cloud.get(&worker.id) else {
+            let Some(rented) = self.cloud.get(&worker.id) else {
                 return false;
             };
-            (spec.spot || !owned.spot)
-                && spec.zone.as_ref().is_none_or(|zone| *zone == owned.zone)
+            (spec.spot || !rented.spot)
+                && spec.zone.as_ref().is_none_or(|zone| *zone == rented.zone)
                 && self
                     .usage(worker)
                     .leaves_room(spec, &self.cloud.type_of(&worker.id))
         })
     }
 
-    /// Tasks of a job that are on machines.
-    pub(super) fn tasks_on(&self, job: &JobId) -> usize {
+    /// The number of tasks of a job that are on machines.
+    pub(super) fn tasks_on_machines(&self, job: &JobId) -> usize {
         let tasks = self.workers.values().flat_map(|worker| &worker.tasks);
         tasks
             .filter(|((task, _), running)| task.job == *job && running.is_on_machine())
