--- a/crates/quota-ledger/src/record.rs
+++ b/crates/quota-ledger/src/record.rs
@@ -91,7 +91,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum ChangeError {
     /// The other grants leave too little of the limit.
-    #[error("the grant would exceed what other grants leave of the limit")]
+    #[error("the other grants leave too little of the limit")]
     LimitReached,
     /// The record lists no grant of the holder.
     #[error("the holder has no grant in the record")]
