--- a/tests/failures/load.rs
+++ b/tests/failures/load.rs
@@ -5,8 +5,8 @@
 
 /// Number of controllers in the simulation.
 const CONTROLLERS: usize = 5;
-/// Suspicions before this time are not counted.
-const LOAD_BEGINS_S: f64 = 30.0;
+/// Suspicions before this time are not counted. The load begins ten seconds earlier.
+const COUNTING_BEGINS_S: f64 = 30.0;
 /// Duration of the load. `FAILURE_LOAD_SECONDS` selects another one.
 const LOAD_DURATION_S: f64 = 300.0;
 /// Seconds between two checks for suspicions.
@@ -18,7 +18,7 @@
         .ok()
         .and_then(|text| text.parse().ok());
     let seconds: f64 = seconds.unwrap_or(LOAD_DURATION_S);
-    let ends_at = LOAD_BEGINS_S + seconds;
+    let ends_at = COUNTING_BEGINS_S + seconds;
     let mut scenario =
         format!("seed 4\ncontrollers {CONTROLLERS}\nmachines 30\nat 2 job service 30 spread\n");
     scenario +=
@@ -28,7 +28,7 @@
         let at = 20.0 + 2.0 * job as f64;
         scenario += &format!("at {at} job array 8 run=4 gpus=1\n");
     }
-    let mut world = run_scenario(&format!("{scenario}until {LOAD_BEGINS_S}\n"));
+    let mut world = run_scenario(&format!("{scenario}until {COUNTING_BEGINS_S}\n"));
     world.ignore_violations_of("not_served");
     let mut suspicions = 0;
     let mut suspected = [false; CONTROLLERS];
--- a/tests/failures/measure.rs
+++ b/tests/failures/measure.rs
@@ -147,7 +147,7 @@
     (world, fails_at)
 }
 
-/// The controller that owns the busiest shard.
+/// The controller that owns the busiest shard, which is that of team `red`.
 pub fn busiest_owner(world: &World) -> usize {
     let owner = world
         .owner_of("red")
@@ -161,11 +161,11 @@
     let (process, owner) = (world.stored_value(&key), world.owner_of("red"));
     let lost_before = world.counters.lost_with_leases;
     let mut measured = FailoverMeasurement::default();
-    let later = JobSpec {
+    let later_job = JobSpec {
         gpus: 1.0,
         ..default_job(JobKind::Service, 2)
     };
-    let later = world.add_job(fails_at + SUBMIT_DELAY_S, later, 0.0);
+    let later = world.add_job(fails_at + SUBMIT_DELAY_S, later_job, 0.0);
     while world.now < fails_at + OBSERVATION_S {
         world.run_until(world.now + STEP_S);
         let since = Some(world.now - fails_at);
--- a/tests/failures/pairs.rs
+++ b/tests/failures/pairs.rs
@@ -23,8 +23,9 @@
 /// Largest share of the runs that may lose tasks.
 ///
 /// A worker waits 4 s for an answer, then 1 s, and its lease lasts 10 s from when its last answered heartbeat
-/// was sent. A worker that tries two controllers which keep it waiting is lost, whatever the others do. This
-/// happens if the second controller is the next one that the worker tries, or the new owner of the shard.
+/// was sent. A worker that tries two controllers which keep it waiting loses its lease, whatever the other
+/// controllers do. This happens if the second failed controller is the next one that the worker tries, or the
+/// new owner of the shard.
 fn max_losing_share(first: Failure, second: Failure) -> f64 {
     match (
         first.keeps_workers_waiting(),
@@ -67,7 +68,7 @@
                         lost.push(tasks);
                         if tasks > 0 {
                             println!(
-                                "  seed {seed}, {delay_s} s apart, second {second_offset} on: {tasks} tasks"
+                                "  seed {seed}, {delay_s} s apart, second failure at offset {second_offset}: {tasks} tasks"
                             );
                         }
                         let named = |rule| format!("{first:?}, {delay_s} s, {second:?}: {rule}");
--- a/tests/failures/table.rs
+++ b/tests/failures/table.rs
@@ -80,7 +80,8 @@
 /// Largest time from a failure to the shard map that names another owner. A silent cut from the workers takes
 /// longest: they wait 4 s for an answer before they report to another controller.
 const MAX_FAILOVER_S: f64 = 8.0;
-/// Largest time from then until the new owner may start all tasks of the shard: three heartbeat intervals.
+/// Largest time from the failover until the new owner may start all tasks of the shard: three heartbeat
+/// intervals.
 const MAX_RECONCILIATION_S: f64 = 3.0;
 
 /// Describes lost tasks, or a step of the failover that was late or did not take place.
--- a/tests/script/faults.rs
+++ b/tests/script/faults.rs
@@ -1,12 +1,12 @@
 //! Reads the faults of scenarios.
 
-use super::number;
+use super::parse_number;
 use crate::world::{
     CommandOutcome, Condition, CutManner, Direction, Endpoint, Fault, MachineCondition,
     ShardMapFault, UpgradeOrder,
 };
 
-fn endpoint(word: &str) -> Endpoint {
+fn parse_endpoint(word: &str) -> Endpoint {
     match word {
         "leader" => Endpoint::Leader,
         "controllers" => Endpoint::AllNodes,
@@ -23,23 +23,25 @@
 }
 
 /// Reads `last_first`, `leader_first`, `leader_last` or a list such as `2,0,1`. An absent order is ascending.
-fn upgrade_order(word: &str) -> UpgradeOrder {
+fn parse_upgrade_order(word: &str) -> UpgradeOrder {
     match word {
         "" => UpgradeOrder::Ascending,
         "last_first" => UpgradeOrder::Descending,
         "leader_first" => UpgradeOrder::LeaderFirst,
         "leader_last" => UpgradeOrder::LeaderLast,
         list => {
-            let nodes = list.split(',').map(|node| number(Some(&node)) as usize);
+            let nodes = list
+                .split(',')
+                .map(|node| parse_number(Some(&node)) as usize);
             UpgradeOrder::Listed(nodes.collect())
         }
     }
 }
 
 /// Reads `served`, `refused`, `unanswered` or `late=SECONDS`.
-fn command_outcome(word: &str) -> CommandOutcome {
+fn parse_command_outcome(word: &str) -> CommandOutcome {
     match word.split_once('=') {
-        Some(("late", seconds)) => CommandOutcome::Late(number(Some(&seconds))),
+        Some(("late", seconds)) => CommandOutcome::Late(parse_number(Some(&seconds))),
         None if word == "served" => CommandOutcome::Served,
         None if word == "refused" => CommandOutcome::Refused,
         None if word == "unanswered" => CommandOutcome::Unanswered,
@@ -48,7 +50,7 @@
 }
 
 /// Reads `hold`, `refused` or `reset`. Without any of them, messages are lost silently.
-fn cut_manner(words: &[&str]) -> CutManner {
+fn parse_cut_manner(words: &[&str]) -> CutManner {
     match words.iter().find(|word| !matches!(**word, "in" | "out")) {
         None => CutManner::Silent,
         Some(&"hold") => CutManner::Held,
@@ -60,7 +62,7 @@
 
 /// Reads the direction of a cut: `in` is traffic to the participant that is cut off, `out` is traffic from
 /// it. Without either, the cut concerns both.
-fn direction(words: &[&str]) -> Direction {
+fn parse_direction(words: &[&str]) -> Direction {
     match words.iter().find(|word| matches!(**word, "in" | "out")) {
         Some(&"in") => Direction::Incoming,
         Some(_) => Direction::Outgoing,
@@ -77,7 +79,7 @@
     }
 
     fn number(&self, position: usize) -> f64 {
-        number(self.0.get(position))
+        parse_number(self.0.get(position))
     }
 
     /// The number of a machine or controller, or a count.
@@ -86,7 +88,7 @@
     }
 
     fn endpoint(&self, position: usize) -> Endpoint {
-        endpoint(self.word(position))
+        parse_endpoint(self.word(position))
     }
 
     fn all_from(&self, position: usize) -> &[&str] {
@@ -103,26 +105,26 @@
 /// # Panics
 ///
 /// If the words are not a fault by the grammar.
-pub fn fault(words: &[&str]) -> Fault {
+pub fn parse_fault(words: &[&str]) -> Fault {
     let (name, arguments) = (words[0], Arguments(&words[1..]));
-    if let Some(condition) = deployment_condition(name) {
+    if let Some(condition) = parse_deployment_condition(name) {
         let seconds = arguments.number(0);
         return Fault::Condition { condition, seconds };
     }
-    if let Some(condition) = machine_condition(name) {
+    if let Some(condition) = parse_machine_condition(name) {
         return Fault::Machine {
             machine_index: arguments.index(0),
             condition,
             seconds: arguments.number(1),
         };
     }
-    process_fault(name, &arguments)
-        .or_else(|| machine_fault(name, &arguments))
-        .or_else(|| service_fault(name, &arguments))
+    parse_process_fault(name, &arguments)
+        .or_else(|| parse_machine_fault(name, &arguments))
+        .or_else(|| parse_service_fault(name, &arguments))
         .unwrap_or_else(|| panic!("unknown fault {name:?}"))
 }
 
-fn deployment_condition(name: &str) -> Option<Condition> {
+fn parse_deployment_condition(name: &str) -> Option<Condition> {
     Some(match name {
         "store_outage" => Condition::Outage,
         "cloud_outage" => Condition::CloudOutage,
@@ -140,7 +142,7 @@
     })
 }
 
-fn machine_condition(name: &str) -> Option<MachineCondition> {
+fn parse_machine_condition(name: &str) -> Option<MachineCondition> {
     Some(match name {
         "machine_inbound_lost" => MachineCondition::InboundLost,
         "machine_heartbeats_lost" => MachineCondition::HeartbeatsLost,
@@ -151,7 +153,7 @@
 }
 
 /// Reads a fault of controllers' processes.
-fn process_fault(name: &str, arguments: &Arguments) -> Option<Fault> {
+fn parse_process_fault(name: &str, arguments: &Arguments) -> Option<Fault> {
     Some(match name {
         "crash" => Fault::Crash {
             target: arguments.endpoint(0),
@@ -171,7 +173,7 @@
         },
         "upgrade" => Fault::Upgrade {
             interval_s: arguments.number(0),
-            order: upgrade_order(arguments.word(1)),
+            order: parse_upgrade_order(arguments.word(1)),
             batch_size: if arguments.word(2) == "pairs" { 2 } else { 1 },
         },
         "downgrade" => Fault::Downgrade {
@@ -182,7 +184,7 @@
 }
 
 /// Reads a fault of single machines.
-fn machine_fault(name: &str, arguments: &Arguments) -> Option<Fault> {
+fn parse_machine_fault(name: &str, arguments: &Arguments) -> Option<Fault> {
     Some(match name {
         "machine_dies" => Fault::MachineDies {
             machine_index: arguments.index(0),
@@ -215,7 +217,7 @@
             outcomes: arguments
                 .all_from(1)
                 .iter()
-                .map(|word| command_outcome(word))
+                .map(|word| parse_command_outcome(word))
                 .collect(),
         },
         _ => return None,
@@ -223,7 +225,7 @@
 }
 
 /// Reads a fault of the store, of the network between controllers and others, or of users.
-fn service_fault(name: &str, arguments: &Arguments) -> Option<Fault> {
+fn parse_service_fault(name: &str, arguments: &Arguments) -> Option<Fault> {
     Some(match name {
         "store_refuses" => Fault::Refuse {
             target: arguments.endpoint(0),
@@ -233,8 +235,8 @@
             target: arguments.endpoint(0),
             from: arguments.endpoint(1),
             seconds: arguments.number(2),
-            manner: cut_manner(arguments.all_from(3)),
-            direction: direction(arguments.all_from(3)),
+            manner: parse_cut_manner(arguments.all_from(3)),
+            direction: parse_direction(arguments.all_from(3)),
         },
         "crash_at_map_write" => Fault::AtShardMapWrite {
             nth: arguments.index(0),
--- a/tests/script/jobs.rs
+++ b/tests/script/jobs.rs
@@ -1,6 +1,6 @@
 //! Reads the jobs of scenarios.
 
-use super::number;
+use super::parse_number;
 use crate::world::FAILS_IMMEDIATELY;
 use ochredrum::ids::{Image, Team};
 use ochredrum::wire::{JobKind, JobSpec, Priority};
@@ -45,31 +45,32 @@
 /// Reads the words after `job` and returns the job and the seconds that each of its tasks runs.
 ///
 /// `array|gang|service TASKS [run=S] [gpus=N] [team=blue] [after=1,2] [spot] [spread] [always_fails] …`
-pub fn job(words: &[&str]) -> (JobSpec, f64) {
+pub fn parse_job(words: &[&str]) -> (JobSpec, f64) {
     let kind = match words[0] {
         "array" => JobKind::Array,
         "gang" => JobKind::Gang,
         "service" => JobKind::Service,
         other => panic!("unknown kind of job {other:?}"),
     };
-    let mut job = default_job(kind, number(words.get(1)) as u32);
+    let mut job = default_job(kind, parse_number(words.get(1)) as u32);
     let mut run_s = DEFAULT_RUN_S;
     for word in &words[2..] {
         match word.split_once('=') {
-            Some(("run", s)) => run_s = number(Some(&s)),
-            Some(("gpus", n)) => job.gpus = number(Some(&n)),
-            Some(("cpus", n)) => job.cpus = number(Some(&n)),
+            Some(("run", s)) => run_s = parse_number(Some(&s)),
+            Some(("gpus", n)) => job.gpus = parse_number(Some(&n)),
+            Some(("cpus", n)) => job.cpus = parse_number(Some(&n)),
             Some(("image", name)) => job.image = name.into(),
             // Names of machine types that do not exist: they make the job's record large.
             Some(("types", count)) => {
-                let names = (0..number(Some(&count)) as u32).map(|n| format!("type-{n:04}").into());
+                let names =
+                    (0..parse_number(Some(&count)) as u32).map(|n| format!("type-{n:04}").into());
                 job.types = Some(std::iter::once("g8".into()).chain(names).collect());
             }
             Some(("team", name)) => job.team = name.into(),
-            Some(("deadline", s)) => job.deadline_s = Some(number(Some(&s))),
+            Some(("deadline", s)) => job.deadline_s = Some(parse_number(Some(&s))),
             // Jobs are numbered in the order of the scenario's lines.
             Some(("after", list)) => {
-                let ids = list.split(',').map(|n| number(Some(&n)));
+                let ids = list.split(',').map(|n| parse_number(Some(&n)));
                 job.dependencies = ids.map(|n| format!("req-{n:06}").into()).collect();
             }
             Some(("zone", name)) => job.zone = Some(name.into()),
--- a/tests/script/mod.rs
+++ b/tests/script/mod.rs
@@ -6,8 +6,8 @@
 mod report;
 
 use crate::world::{Event, Limits, World, features_with_grants};
-use faults::fault;
-use jobs::job;
+use faults::parse_fault;
+use jobs::parse_job;
 use pest::Parser;
 
 pub use jobs::default_job;
@@ -28,7 +28,7 @@
 /// # Errors
 ///
 /// If the text does not match the grammar, with the line and column.
-pub fn statements(text: &str) -> Result<Vec<Vec<&str>>, Box<pest::error::Error<Rule>>> {
+pub fn parse_statements(text: &str) -> Result<Vec<Vec<&str>>, Box<pest::error::Error<Rule>>> {
     let scenario = ScenarioParser::parse(Rule::scenario, text)?;
     let statements = scenario
         .flatten()
@@ -53,7 +53,7 @@
     files.iter().map(read).collect()
 }
 
-fn number(word: Option<&&str>) -> f64 {
+fn parse_number(word: Option<&&str>) -> f64 {
     match word.and_then(|w| w.parse().ok()) {
         Some(number) => number,
         None => panic!("expected a number, found {word:?}"),
@@ -69,9 +69,9 @@
 }
 
 /// The value of the first setting with this name.
-fn setting(lines: &[Vec<&str>], name: &str) -> Option<f64> {
+fn find_setting(lines: &[Vec<&str>], name: &str) -> Option<f64> {
     let line = lines.iter().find(|words| words[0] == name);
-    line.map(|words| number(words.get(1)))
+    line.map(|words| parse_number(words.get(1)))
 }
 
 /// Runs a scenario to its end, then checks that every request was served and some task was started.
@@ -81,19 +81,25 @@
 /// If the text does not match the grammar.
 pub fn run_scenario(text: &str) -> World {
     print_log_if_requested();
-    let lines = match statements(text) {
+    let lines = match parse_statements(text) {
         Ok(lines) => lines,
         Err(error) => panic!("invalid scenario:\n{error}"),
     };
-    let seed = setting(&lines, "seed").map_or(1, |seed| seed as u64);
-    let controllers = setting(&lines, "controllers").map_or(DEFAULT_CONTROLLERS, |n| n as usize);
+    let seed = find_setting(&lines, "seed").map_or(1, |seed| seed as u64);
+    let controllers =
+        find_setting(&lines, "controllers").map_or(DEFAULT_CONTROLLERS, |n| n as usize);
     let mut world = World::new(seed, controllers);
     let mut jobs = Vec::new();
     for words in lines {
         match words[0] {
             "seed" | "controllers" => {}
-            "until" => world.run_until(number(words.get(1))),
-            "at" => schedule(&mut world, &mut jobs, number(words.get(1)), &words[2..]),
+            "until" => world.run_until(parse_number(words.get(1))),
+            "at" => schedule(
+                &mut world,
+                &mut jobs,
+                parse_number(words.get(1)),
+                &words[2..],
+            ),
             _ => apply_setting(&mut world, controllers, &words),
         }
     }
@@ -106,7 +112,7 @@
 
 /// Applies a setting of the deployment.
 fn apply_setting(world: &mut World, controllers: usize, words: &[&str]) {
-    let value = |position: usize| number(words.get(position));
+    let value = |position: usize| parse_number(words.get(position));
     match words[0] {
         "limits" => {
             world.limits.value_kb = value(1);
@@ -133,10 +139,10 @@
 /// Schedules the event of a statement `at`. `jobs` holds the jobs that the scenario has defined so far, in
 /// order.
 fn schedule(world: &mut World, jobs: &mut Vec<usize>, at: f64, words: &[&str]) {
-    let job_with_number = |jobs: &[usize]| jobs[number(words.get(1)) as usize - 1];
+    let job_with_number = |jobs: &[usize]| jobs[parse_number(words.get(1)) as usize - 1];
     match words[0] {
         "job" => {
-            let (spec, run_s) = job(&words[1..]);
+            let (spec, run_s) = parse_job(&words[1..]);
             jobs.push(world.add_job(at, spec, run_s));
         }
         "cancel" => world.schedule_at(
@@ -156,6 +162,6 @@
                 job: job_with_number(jobs),
             },
         ),
-        _ => world.schedule_at(at, Event::Fault(fault(words))),
+        _ => world.schedule_at(at, Event::Fault(parse_fault(words))),
     }
 }
--- a/tests/simulation/failover.rs
+++ b/tests/simulation/failover.rs
@@ -3,8 +3,8 @@
 use crate::script::{assert_no_reports, assert_no_violations, report, run_scenario};
 use crate::world::LEASE_S;
 
-/// A scenario in which an owner fails at the `fault`, on a shard map of seven values that are written two at
-/// a time.
+/// A scenario in which two controllers crash just after `fault` begins, on a shard map of seven values that
+/// are written two at a time.
 fn shard_map_fault_scenario(fault: &str) -> String {
     format!(
         "controllers 5\nlimits 0.6 2\nmachines 20\nat 2 job service 6 spread\n\
--- a/tests/simulation/generated_scenarios.rs
+++ b/tests/simulation/generated_scenarios.rs
@@ -1,7 +1,5 @@
-//! Scenarios generated from a seed. Each of them runs without and with grants.
-//!
-//! Each kind of scenario has an environment variable that selects other seeds, for example
-//! `RANDOM_DAYS=1-500`.
+//! Scenarios generated from a seed. All but those of two machine types run without and with grants, and have
+//! an environment variable that selects other seeds, for example `RANDOM_DAYS=1-500`.
 
 use crate::generated;
 use crate::script::{
--- a/tests/simulation/grants.rs
+++ b/tests/simulation/grants.rs
@@ -3,7 +3,8 @@
 use crate::script::{assert_no_violations, run_scenario};
 use crate::world::LEASE_S;
 
-/// Grants are written in batches: one-task jobs of a limited team, four a second for two minutes.
+/// Grants are written in batches, so few writes suffice for one-task jobs of a limited team that arrive
+/// four a second for two minutes.
 #[test]
 fn grants_cost_few_writes() {
     let seconds = 120.0;
--- a/tests/simulation/load.rs
+++ b/tests/simulation/load.rs
@@ -45,8 +45,8 @@
     scenario += "at 4 linearizability_probes 130\nat 4 cancel_at_completion 130\nuntil 240\n";
     let world = run_scenario(&scenario);
     assert_no_violations("many one-task jobs", &world);
-    // A job is written when created, when done or cancelled, and perhaps in between; the rest is leases and
-    // reads.
+    // A job is written when created, when done or cancelled, and perhaps in between. The other transactions
+    // write records of controllers and of the shard map.
     assert!(
         world.counters.store_bytes_written / 480 < 1500,
         "{:?}",
@@ -101,6 +101,7 @@
 #[derive(Debug)]
 struct DependencyCost {
     work: CoreWork,
+    /// Virtual time in which the work was done.
     seconds: f64,
 }
 
--- a/tests/simulation/scenario_files.rs
+++ b/tests/simulation/scenario_files.rs
@@ -1,7 +1,7 @@
 //! The scenario files in `tests/scenarios/`, and the reader of scenarios.
 
 use crate::script::{
-    assert_no_reports, reports_of_both_runs, run_scenario, scenario_files, statements,
+    assert_no_reports, parse_statements, reports_of_both_runs, run_scenario, scenario_files,
 };
 
 #[test]
@@ -31,11 +31,11 @@
         ("at 3 expect 1 happy", 1, 15),
         ("store_outage 5", 1, 1),
     ] {
-        let error = statements(text).expect_err(text);
+        let error = parse_statements(text).expect_err(text);
         let at = pest::error::LineColLocation::Pos((line, column));
         assert_eq!(error.line_col, at, "{text}: {error}");
     }
-    let read = statements("  seed 2 # two\n\nat 1.5\tcut n1 controllers 3 reset in");
+    let read = parse_statements("  seed 2 # two\n\nat 1.5\tcut n1 controllers 3 reset in");
     let words: Vec<Vec<&str>> = vec![
         vec!["seed", "2"],
         vec!["at", "1.5", "cut", "n1", "all", "3", "reset", "in"],
@@ -70,8 +70,8 @@
     );
 }
 
-/// Jobs that fail on every machine are only probed. Without that, their tasks started 220, 22 and 44 times,
-/// and the gang occupied whole machines.
+/// Jobs that fail on every machine are only probed: few of their tasks are started. Without that limit, their
+/// tasks started 220, 22 and 44 times, and the gang occupied whole machines.
 #[test]
 fn jobs_that_always_fail_are_only_probed() {
     let world = run_scenario(include_str!("../scenarios/jobs_that_always_fail.txt"));
--- a/tests/world/calls.rs
+++ b/tests/world/calls.rs
@@ -21,7 +21,7 @@
 const LOST_PROBABILITY: f64 = 0.3;
 /// Seconds until a transaction whose response is lost takes effect.
 const LOST_RESPONSE_DELAY_S: f64 = 0.002;
-/// Probability that a message affected by a cut of [`CutManner::Held`] is delivered after the cut.
+/// Probability that a controller's call under a cut of [`CutManner::Held`] is delivered after the cut.
 const HELD_PROBABILITY: f64 = 0.5;
 /// Seconds from the end of a cut until the messages that it held are delivered.
 pub(super) const HELD_DELIVERY_S: f64 = 0.01;
@@ -48,7 +48,7 @@
     /// Executes one effect that a controller has returned.
     pub(super) fn execute_effect(&mut self, node: usize, effect: Effect) {
         let epoch = self.nodes[node].epoch;
-        let previous = self.previous_version_nodes.contains(&node);
+        let is_previous_version = self.previous_version_nodes.contains(&node);
         match effect {
             Effect::Answer(request, answer) => {
                 if let Some(requester) = self.nodes[node].unanswered_requests.remove(&request) {
@@ -56,7 +56,7 @@
                 }
             }
             Effect::MeshAnswer(request, mut reply) => {
-                if previous {
+                if is_previous_version {
                     previous_version::strip_reply(&mut reply);
                 }
                 if let Some(requester) = self.nodes[node].unanswered_requests.remove(&request) {
@@ -64,7 +64,7 @@
                 }
             }
             Effect::Store(call, request) => {
-                let request = if previous {
+                let request = if is_previous_version {
                     previous_version::strip_write(request)
                 } else {
                     request
@@ -76,7 +76,7 @@
                 self.send_direct_commands(node, call, address, commands);
             }
             Effect::Mesh(call, to, mut message) => {
-                if previous {
+                if is_previous_version {
                     previous_version::strip_message(&mut message);
                 }
                 self.call_sibling(node, call, &to, message);
@@ -166,8 +166,9 @@
         });
     }
 
-    /// Sends a call over the network. The caller receives `unknown_outcome` at its timeout unless it was
-    /// answered before. A cut drops the call, or holds it and delivers it when the cut ends.
+    /// Sends a call over the network. If no cut affects it, the caller receives `unknown_outcome` at its
+    /// timeout unless it was answered before. Otherwise the manner of the cut determines whether the call is
+    /// delivered later, and which input the caller receives when.
     pub(super) fn send(&mut self, call: Call) {
         let Call {
             node,
--- a/tests/world/cloud.rs
+++ b/tests/world/cloud.rs
@@ -9,7 +9,7 @@
 
 /// Age of the state that a listing shows, in seconds.
 const LIST_LAG_S: f64 = 5.0;
-/// Number of machines from which on requests for more are refused.
+/// Number of machines at which the cloud refuses to rent more.
 const CAPACITY: usize = 24;
 
 /// A machine that has been rented.
@@ -20,10 +20,10 @@
     pub zone: Zone,
     /// Whether it is a spot instance.
     pub spot: bool,
-    created: f64,
+    created_at: f64,
     /// When it finished booting; `None` before.
-    running: Option<f64>,
-    /// When it disappears from the listing, if its machine died.
+    running_since: Option<f64>,
+    /// When it disappears from the listing; `None` unless it has died.
     unlisted_from: Option<f64>,
 }
 
@@ -36,7 +36,7 @@
     rentals: BTreeMap<String, MachineIds>,
     released: Vec<MachineId>,
     /// Number of machines that were ever created.
-    created: usize,
+    created_count: usize,
 }
 
 impl Default for Cloud {
@@ -46,7 +46,7 @@
             machines: BTreeMap::new(),
             rentals: BTreeMap::new(),
             released: Vec::new(),
-            created: 0,
+            created_count: 0,
         }
     }
 }
@@ -99,7 +99,7 @@
 
     /// The number of machines that were ever created.
     pub fn created_count(&self) -> usize {
-        self.created
+        self.created_count
     }
 
     /// A machine, unless it is unknown or was released.
@@ -107,16 +107,22 @@
         self.machines.get(machine)
     }
 
-    /// Creates a machine that begins to boot at the time `created`.
-    pub fn create(&mut self, type_name: &str, zone: &str, spot: bool, created: f64) -> MachineId {
-        self.created += 1;
-        let machine = MachineId::from(format!("m-{:06}", self.created));
+    /// Creates a machine that begins to boot at the time `created_at`.
+    pub fn create(
+        &mut self,
+        type_name: &str,
+        zone: &str,
+        spot: bool,
+        created_at: f64,
+    ) -> MachineId {
+        self.created_count += 1;
+        let machine = MachineId::from(format!("m-{:06}", self.created_count));
         let rented = RentedMachine {
             type_name: type_name.into(),
             zone: zone.into(),
             spot,
-            created,
-            running: None,
+            created_at,
+            running_since: None,
             unlisted_from: None,
         };
         self.machines.insert(machine.clone(), rented);
@@ -126,7 +132,7 @@
     /// Records that a machine has booted.
     pub fn mark_running(&mut self, machine: &MachineId, now: f64) {
         if let Some(rented) = self.machines.get_mut(machine) {
-            rented.running = Some(now);
+            rented.running_since = Some(now);
         }
     }
 
@@ -161,7 +167,7 @@
     /// The listing of the machines as they were at the time `as_of`.
     fn list(&self, as_of: f64) -> MachineList {
         let is_listed = |rented: &&RentedMachine| {
-            rented.created <= as_of && rented.unlisted_from.is_none_or(|from| from > as_of)
+            rented.created_at <= as_of && rented.unlisted_from.is_none_or(|from| from > as_of)
         };
         let listed = self.machines.iter().filter(|(_, rented)| is_listed(rented));
         let machines = listed
@@ -171,11 +177,11 @@
                 type_name: rented.type_name.clone(),
                 zone: rented.zone.clone(),
                 spot: rented.spot,
-                state: match rented.running {
+                state: match rented.running_since {
                     Some(since) if since <= as_of => MachineState::Running,
                     _ => MachineState::Booting,
                 },
-                age_s: as_of - rented.created,
+                age_s: as_of - rented.created_at,
             })
             .collect();
         MachineList {
--- a/tests/world/controllers.rs
+++ b/tests/world/controllers.rs
@@ -141,14 +141,14 @@
     /// Crashes a controller, which is restarted with the present version.
     pub(super) fn upgrade(&mut self, node: usize) {
         self.previous_version_nodes.remove(&node);
-        let leads = if self.leader() == Some(node) {
+        let leader_note = if self.leader() == Some(node) {
             ", the leader"
         } else {
             ""
         };
-        let previous = self.previous_version_nodes.len();
+        let remaining = self.previous_version_nodes.len();
         self.log_event(format!(
-            "n{node}{leads} is upgraded, {previous} of the previous version are left"
+            "n{node}{leader_note} is upgraded, {remaining} of the previous version are left"
         ));
         self.crash(node, RESTART_DELAY_S);
     }
@@ -228,7 +228,7 @@
         cores.any(|(other, core)| {
             core.reconciled_teams(self.clock(other))
                 .iter()
-                .any(|settled| settled.as_str() == team)
+                .any(|reconciled| reconciled.as_str() == team)
         })
     }
 
@@ -254,8 +254,8 @@
         self.step(node, vec![input]);
     }
 
-    /// Sends an answer back to the sender of a request, unless the network blocks it. No answer at all stands
-    /// for a broken connection.
+    /// Sends an answer back to the sender of a request, unless the network blocks it. If `answer` and `mesh`
+    /// are both `None`, the sender sees a broken connection.
     pub(super) fn send_answer(
         &mut self,
         node: usize,
@@ -331,8 +331,8 @@
         }
         let now = self.clock(node);
         let wall_ms = WALL_CLOCK_START_MS + (self.now * 1e3) as u64;
-        let previous = self.previous_version_nodes.contains(&node);
-        let batch = if previous {
+        let is_previous_version = self.previous_version_nodes.contains(&node);
+        let batch = if is_previous_version {
             batch
                 .into_iter()
                 .map(previous_version::strip_input)
@@ -382,7 +382,7 @@
 
     /// Pauses a slow process after its step.
     pub(super) fn pause_if_slow(&mut self, node: usize, epoch: u64) {
-        if let Some(pause) = self.network.pause_between_turns(node)
+        if let Some(pause) = self.network.slow_step_interval_s(node)
             && self.now >= self.nodes[node].paused_until
         {
             let until = self.now + pause;
--- a/tests/world/event.rs
+++ b/tests/world/event.rs
@@ -63,7 +63,7 @@
         answer: Option<Answer>,
     },
     /// A worker checks its lease, its tasks and its heartbeats.
-    WorkerTurn { machine: MachineId },
+    WorkerTick { machine: MachineId },
     /// A rented machine has booted.
     BootDone { machine: MachineId },
     /// A user submits a job.
@@ -82,8 +82,8 @@
     CheckCancelledTasks { job: usize },
     /// Checks for jobs that wait although they could run.
     CheckStarvation,
-    /// Checks the state that the scenario expects a job to be in. Otherwise the
-    /// scenario's faults do not interact as intended.
+    /// Checks that a job is in the state that the scenario expects. If it is not, the scenario's faults did
+    /// not interact as intended.
     Expect { job: usize, expected: String },
     /// A user sends an unusual request; further ones follow until the time `until`.
     UnusualRequest { until: f64 },
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -206,7 +206,8 @@
         self.violations.push(text);
     }
 
-    /// Removes the violations of one rule. Tests use it when they stop before the rule can hold.
+    /// Removes the violations of one rule found so far. Tests use it for a rule that need not hold in their
+    /// run, for example because they stop before jobs can have been served.
     pub fn ignore_violations_of(&mut self, rule: &str) {
         self.violations
             .retain(|violation| !violation.starts_with(rule));
@@ -223,10 +224,10 @@
         self.add_machines_of("c16", count, false);
     }
 
-    fn add_machines_of(&mut self, kind: &str, count: usize, spot: bool) {
+    fn add_machines_of(&mut self, type_name: &str, count: usize, spot: bool) {
         for _ in 0..count {
             let zone = ["a", "b"][self.cloud.created_count() % 2];
-            let machine = self.cloud.create(kind, zone, spot, self.now - 100.0);
+            let machine = self.cloud.create(type_name, zone, spot, self.now - 100.0);
             self.boot(&machine);
         }
     }
@@ -318,7 +319,7 @@
             } => {
                 self.receive_heartbeat_response(&machine, number, answer);
             }
-            Event::WorkerTurn { machine } => self.worker_turn(&machine),
+            Event::WorkerTick { machine } => self.worker_tick(&machine),
             Event::BootDone { machine } => self.boot(&machine),
             Event::Submit { job } => self.send_user_request(job, users::RequestKind::Submit),
             Event::Cancel { job } => self.send_user_request(job, users::RequestKind::Cancel),
--- a/tests/world/network.rs
+++ b/tests/world/network.rs
@@ -29,7 +29,7 @@
 }
 
 impl Endpoint {
-    /// Whether this endpoint or group includes `member`, seen in its exchange with `other`.
+    /// Whether this endpoint or group includes `member`, which exchanges a message with `other`.
     fn includes(&self, member: &Self, other: &Self) -> bool {
         match self {
             Self::Everyone => member != other,
@@ -46,7 +46,7 @@
 pub enum CutManner {
     /// The message is lost, and the sender waits until its timeout.
     Silent,
-    /// Some messages are delivered when the cut ends; the others are lost.
+    /// Heartbeats and some calls of controllers are delivered when the cut ends; other messages are lost.
     Held,
     /// The connection is refused at once.
     Refused,
@@ -85,7 +85,7 @@
     Slow { node: usize, pause: f64 },
 }
 
-/// A fault in effect with the id and the time of its end.
+/// A fault in effect, with its id and the time at which it ends.
 struct Entry {
     id: u64,
     until: f64,
@@ -153,9 +153,9 @@
             };
             let outgoing = a.includes(from, to) && b.includes(to, from);
             let incoming = b.includes(from, to) && a.includes(to, from);
-            let concerned = (outgoing && *direction != Direction::Incoming)
+            let affected = (outgoing && *direction != Direction::Incoming)
                 || (incoming && *direction != Direction::Outgoing);
-            concerned.then_some((entry.until, *manner))
+            affected.then_some((entry.until, *manner))
         })
     }
 
@@ -178,7 +178,7 @@
     }
 
     /// Seconds between the steps of a slow controller; `None` if it is not slow.
-    pub fn pause_between_turns(&self, node: usize) -> Option<f64> {
+    pub fn slow_step_interval_s(&self, node: usize) -> Option<f64> {
         self.entries.iter().find_map(|entry| match entry.fault {
             ActiveFault::Slow { node: slow, pause } if slow == node => Some(pause),
             _ => None,
--- a/tests/world/previous_version.rs
+++ b/tests/world/previous_version.rs
@@ -1,6 +1,7 @@
-//! Emulates controllers of the previous version: removes the fields and messages that version does not know
-//! from all that they read, write and send. They run the present core, so faults that were fixed since the
-//! previous version do not occur. `tests/compatibility.rs` checks the formats.
+//! Emulates controllers of the previous version: removes the fields that this version does not know from all
+//! that they read, write and send, and names the messages that they cannot read. They run the present core,
+//! so faults that were fixed since the previous version do not occur. `tests/compatibility.rs` checks the
+//! formats.
 
 use ochredrum::core::effects::{Input, StoreCall, StoreReply};
 use ochredrum::core::messages::mesh::{MeshMessage, MeshReply};
--- a/tests/world/services.rs
+++ b/tests/world/services.rs
@@ -76,7 +76,8 @@
         over
     }
 
-    /// Counts a write of the shard map and returns whether the fault occurs at this one.
+    /// Counts a write of the shard map if `fault` is to be injected, and returns whether it occurs at this
+    /// write.
     fn shard_map_fault_due(&mut self, fault: ShardMapFault) -> bool {
         let Some((left, _)) = self
             .shard_map_fault
@@ -93,7 +94,7 @@
         due
     }
 
-    /// Whether a transaction takes effect late and without an answer.
+    /// Decides whether a transaction takes effect late and without an answer.
     pub(super) fn takes_effect_late(&mut self, request: &StoreCall) -> bool {
         (writes_shard_map(request) && self.shard_map_fault_due(ShardMapFault::Late))
             || (self.network.has(Condition::LateWrites) && self.rng.random_bool(0.3))
--- a/tests/world/start_rules.rs
+++ b/tests/world/start_rules.rs
@@ -24,12 +24,13 @@
     zones: BTreeMap<String, u32>,
 }
 
-/// Resources that the tasks of a worker use, without tasks that have exited.
+/// Resources that the tasks of a worker use. Tasks that have exited use none.
 #[derive(Default)]
 struct Usage {
     gpus: f64,
     cpus: f64,
     memory_gb: f64,
+    /// GPUs that the limited team uses.
     limited_gpus: f64,
 }
 
--- a/tests/world/unusual_requests.rs
+++ b/tests/world/unusual_requests.rs
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Adds a user who submits the job and follows it to its end.
+    /// Adds a user who submits the job under a new id and polls it.
     fn submit_unusual(&mut self, spec: JobSpec) {
         let run_s = self.rng.random_range(1.0..4.0);
         self.add_job(self.now, spec, run_s);
--- a/tests/world/user_checks.rs
+++ b/tests/world/user_checks.rs
@@ -69,8 +69,8 @@
 
     /// Checks a job status that was reported to a user.
     ///
-    /// Answers to overlapping requests arrive in any order, so a request that was sent before an earlier
-    /// report may still receive an older status (random scenario 1026).
+    /// Answers to overlapping requests arrive in any order, so a request that was sent before a report was
+    /// received may be answered later with an older status (random scenario 1026).
     fn check_reported_status(&mut self, job: usize, kind: RequestKind, sent_at: f64, status: &str) {
         let user = &self.users.jobs[job];
         let id = user.id.clone();
@@ -196,8 +196,8 @@
         self.schedule_after(STARVATION_CHECK_INTERVAL_S, Event::CheckStarvation);
     }
 
-    /// Checks that a job is in the state that the scenario expects. Otherwise the scenario's faults
-    /// do not interact as intended.
+    /// Checks that a job is in the state that the scenario expects. If it is not, the scenario's faults did
+    /// not interact as intended.
     pub(super) fn check_expectation(&mut self, job: usize, expected: &str) {
         let user = &self.users.jobs[job];
         let id = user.id.clone();
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -15,7 +15,7 @@
     Submit,
     /// Polls a job. Repeated until the end of the simulation.
     Poll,
-    /// Cancels a job. Repeated until it is answered.
+    /// Cancels a job. Repeated until it is answered with the state of the job.
     Cancel,
     /// An extra poll, which schedules no further request.
     ProbePoll,
--- a/tests/world/worker.rs
+++ b/tests/world/worker.rs
@@ -19,7 +19,7 @@
 /// Minimum number of seconds between a heartbeat and the next one that reports a change.
 const MIN_CHANGE_REPORT_INTERVAL_S: f64 = 0.5;
 /// Seconds between a worker's checks of its lease and its tasks.
-const TURN_INTERVAL_S: f64 = 0.1;
+const WORKER_TICK_INTERVAL_S: f64 = 0.1;
 /// Probability that a heartbeat is recorded under [`Condition::ReplayToNextLeader`].
 const RECORDED_PROBABILITY: f64 = 0.3;
 /// The machine type in a heartbeat if the cloud no longer has the machine.
@@ -96,7 +96,7 @@
         self.next_heartbeat = now + RETRY_DELAY_S;
     }
 
-    /// Ends the session, in which all tasks are lost, and begins a new one.
+    /// Ends the session and all its tasks, and begins a new one.
     fn begin_session(&mut self, now: f64) {
         self.tasks.clear();
         self.agent_epoch += 1;
@@ -162,12 +162,12 @@
             starts: 0,
         };
         self.workers.insert(machine.clone(), worker);
-        self.schedule_turn(machine, 0.0);
+        self.schedule_worker_tick(machine, 0.0);
     }
 
-    fn schedule_turn(&mut self, id: &MachineId, delay: f64) {
+    fn schedule_worker_tick(&mut self, id: &MachineId, delay: f64) {
         let machine = id.clone();
-        self.schedule_after(delay, Event::WorkerTurn { machine });
+        self.schedule_after(delay, Event::WorkerTick { machine });
     }
 
     /// Notifies a machine that the cloud will terminate it in this many seconds.
@@ -180,7 +180,7 @@
     }
 
     /// Performs a periodic check of a worker's lease, tasks and heartbeats.
-    pub(super) fn worker_turn(&mut self, id: &MachineId) {
+    pub(super) fn worker_tick(&mut self, id: &MachineId) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(id) else {
             return;
@@ -201,11 +201,11 @@
             self.report_if_due(id);
         }
         if self.workers.contains_key(id) {
-            self.schedule_turn(id, TURN_INTERVAL_S);
+            self.schedule_worker_tick(id, WORKER_TICK_INTERVAL_S);
         }
     }
 
-    /// Terminates the machine of a worker when its termination notice is over.
+    /// Removes a worker whose machine the cloud terminates, and releases the machine.
     fn remove_worker(&mut self, id: &MachineId) {
         if let Some(worker) = self.workers.remove(id) {
             self.users.starts_on_removed_machines += worker.starts;
@@ -360,7 +360,7 @@
         if now < worker.hung_until {
             // They are executed when the worker continues, whether or not the sender still waits.
             let (until, address) = (
-                worker.hung_until + TURN_INTERVAL_S * 1.5,
+                worker.hung_until + WORKER_TICK_INTERVAL_S * 1.5,
                 address.to_owned(),
             );
             return self.schedule_at(
