--- a/src/core/controller/acquired_machines.rs
+++ b/src/core/controller/acquired_machines.rs
@@ -1,6 +1,6 @@
 //! Inspects machines that this controller's shard has acquired. Their workers may still wait for an answer
-//! from a process that has ended, so each machine is sent a direct message without commands at once. The
-//! message's fencing token invalidates everything that was sent under an earlier token. The machine's
+//! from a process that has ended, so a direct message without commands is sent to each machine immediately.
+//! The message's fencing token invalidates everything that was sent under an earlier token. The machine's
 //! answer is a heartbeat that shows the new token.
 
 use crate::core::Core;
@@ -49,7 +49,7 @@
                 shard.apply_inspection_reply(&self.store, &self.catalog, &heartbeat, now);
             }
             WorkerReply::Fenced(heartbeat) if heartbeat.machine == *machine_id => {
-                // Its agent epoch has advanced; it is inspected once more for each later epoch.
+                // The agent epoch has advanced, so the machine is inspected again, once for each later epoch.
                 let contact = self
                     .contacts
                     .get_mut(machine_id)
--- a/src/core/controller/acquired_machines/tests.rs
+++ b/src/core/controller/acquired_machines/tests.rs
@@ -9,8 +9,8 @@
 const NOW: Time = 100.0;
 const TOKEN: FencingToken = FencingToken(9);
 
-/// A core whose shard has acquired machine m-1, which the former owner last answered at `answered`, and
-/// which knows the machine's address and agent epoch.
+/// Creates a core whose shard has acquired machine m-1. The former owner last answered the machine at
+/// `answered`. The core knows the machine's address and agent epoch.
 fn core_with_acquired_machine(answered: Time) -> Core {
     let mut core = running_core(2, NOW);
     let id = MachineId::from("m-1");
@@ -102,12 +102,12 @@
 fn answer_from_an_ended_agent_epoch_changes_nothing() {
     let mut core = core_with_acquired_machine(NOW);
     let shard = core.shard.as_mut().unwrap();
-    let gone = shard.machines.get_mut(&MachineId::from("m-1")).unwrap();
-    gone.accept_heartbeat(
+    let acquired = shard.machines.get_mut(&MachineId::from("m-1")).unwrap();
+    acquired.accept_heartbeat(
         &heartbeat("m-1", 1, 1, FencingToken(8)),
         HeartbeatOrigin::Periodic,
     );
-    gone.end_epoch();
+    acquired.end_epoch();
     core.handle_inspection_reply(
         &"m-1".into(),
         WorkerReply::Executed(heartbeat("m-1", 1, 8, TOKEN)),
--- a/src/core/controller/catalog.rs
+++ b/src/core/controller/catalog.rs
@@ -11,7 +11,8 @@
 /// Time between two queries for the machine types, in multiples of the delay of the cloud's machine list.
 const REFRESH_INTERVAL_LAGS: f64 = 6.0;
 
-/// Pause after a failed query before jitter, as a number of requests at the cloud's rate limit.
+/// Pause after a failed query before jitter, as the number of requests that the cloud's rate limit permits
+/// during the pause.
 const RETRY_PAUSE_REQUESTS: f64 = 1.5;
 
 impl Core {
--- a/src/core/controller/deferred_heartbeats.rs
+++ b/src/core/controller/deferred_heartbeats.rs
@@ -19,8 +19,8 @@
 /// Time for which the heartbeat of a machine that awaits another owner is deferred, in heartbeat intervals.
 const OWNER_CHANGE_WAIT_HEARTBEATS: f64 = 0.7;
 
-/// Greatest number of deferred heartbeats, as a part of the limit on file descriptors.
-const DEFERRED_PER_SOCKET: f64 = 0.25;
+/// Maximum number of deferred heartbeats, as a fraction of the limit on file descriptors.
+const DEFERRED_PER_FILE_DESCRIPTOR: f64 = 0.25;
 
 /// The event that a deferred heartbeat awaits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,6 +48,7 @@
 /// The heartbeats that this controller defers, and the limit on their number.
 pub struct DeferredHeartbeats {
     heartbeats: Vec<DeferredHeartbeat>,
+    /// Maximum number of deferred heartbeats.
     limit: usize,
     /// Seconds between two heartbeats of a worker.
     interval_s: Time,
@@ -57,12 +58,12 @@
     /// Creates an empty collection. Its limit depends on the settings.
     pub fn new(config: &Config) -> Self {
         let deployment = &config.deployment;
-        let sockets = deployment.limits.fd_limit as f64;
+        let file_descriptors = deployment.limits.fd_limit as f64;
         #[expect(
             clippy::cast_possible_truncation,
-            reason = "a part of the file descriptors, rounded down"
+            reason = "a fraction of the file descriptors, rounded down"
         )]
-        let limit = (sockets * DEFERRED_PER_SOCKET) as usize;
+        let limit = (file_descriptors * DEFERRED_PER_FILE_DESCRIPTOR) as usize;
         Self {
             heartbeats: Vec::new(),
             limit,
@@ -93,14 +94,14 @@
     Answer,
     /// Redirect its worker to the machine's owner, which answers workers.
     Redirect(ControllerName),
-    /// Route it again, because the owner, which its worker cannot reach, has a new token for the machine.
+    /// Route it again. Its worker could not reach the owner, which now has a new token for the machine.
     RouteAgain,
     /// Send its worker to another controller, because the time limit has passed.
     GiveUp,
 }
 
 impl Core {
-    /// Defers a heartbeat until the shard map has changed, and requests a sync with the store.
+    /// Defers a heartbeat until the shard map has changed, and requests a read of the store.
     pub(super) fn defer_heartbeat(
         &mut self,
         request: RequestId,
@@ -138,8 +139,8 @@
     }
 
     fn disposition(&self, deferred: &DeferredHeartbeat) -> Disposition {
-        let owners = &self.store.shard_map().machines;
-        let owner = owners.get(&deferred.heartbeat.machine);
+        let shard_map = self.store.shard_map();
+        let owner = shard_map.machines.get(&deferred.heartbeat.machine);
         if owner.is_some_and(|owner| owner.node == self.config.controller) && self.may_answer() {
             return Disposition::Answer;
         }
@@ -183,14 +184,14 @@
                 self.send_to_next_controller(deferred.request, &deferred.owner.node)
             }
             DeferralReason::Failover | DeferralReason::MapChange => {
-                self.redirect_to_reachable(deferred.request);
+                self.redirect_to_reachable_sibling(deferred.request);
             }
         }
     }
 
     /// Redirects a worker to the next controller by name that answers siblings and can serve workers,
     /// starting over from the first name. If there is none, answers that this controller is unavailable.
-    pub(super) fn redirect_to_reachable(&mut self, request: RequestId) {
+    pub(super) fn redirect_to_reachable_sibling(&mut self, request: RequestId) {
         let now = self.outbox.now;
         let serves = |node: &&ControllerName| self.can_serve(node);
         let after = self
--- a/src/core/controller/deferred_heartbeats/tests.rs
+++ b/src/core/controller/deferred_heartbeats/tests.rs
@@ -14,7 +14,7 @@
     }
 }
 
-/// A core whose sibling n0, the owner of m-1, stops answering one second after the start. `after` seconds
+/// Creates a core whose sibling n0 owns m-1 and stops answering one second after the start. `after` seconds
 /// have passed since then, during which n2 still answers.
 fn core_whose_sibling_fails(after: Time) -> Core {
     let mut core = running_core(2, START);
@@ -150,7 +150,7 @@
         core.store
             .apply_write(&crate::wire::Write::Delete { key: key.into() }, 31);
     }
-    core.redirect_to_reachable(RequestId(1));
+    core.redirect_to_reachable_sibling(RequestId(1));
     assert_eq!(answers(&mut core), [(503, None)]);
 }
 
--- a/src/core/controller/failure_detection.rs
+++ b/src/core/controller/failure_detection.rs
@@ -6,11 +6,10 @@
 //! - Suspicion alone changes no ownership. Workers are not redirected to a suspected sibling
 //!   ([`crate::core::controller::heartbeat_routing`]).
 //! - If a quorum confirms that the leader has failed, another controller takes over the leader's key.
-//!   That is safe at any time, since each write of the shard map has that key as a precondition
-//!   (link 2 of the safety argument).
-//! - A shard is failed over only as link 1 of that argument allows. A controller that has partially
-//!   failed steps down, so that the failover need not wait until its lease expires. The controller ends the
-//!   lease itself. If the store refuses its calls, a sibling ends the lease.
+//!   That is safe at any time, since each write of the shard map has that key as a precondition.
+//! - A shard is failed over only under the conditions that [`crate::core::membership::ownership`] describes.
+//!   A controller that has partially failed steps down, so that the failover need not wait until its lease
+//!   expires. The controller ends the lease itself. If the store refuses its calls, a sibling ends the lease.
 
 use crate::core::Core;
 use crate::core::controller::ownership::StepDownReason;
@@ -22,8 +21,8 @@
 use failure_detector::{ControllerContacts, Evidence, PartialFailure, Stage, StageChange};
 use std::collections::BTreeSet;
 
-/// Part of the ownership lease's lifetime by which a sibling's last contact with the store has to be later
-/// than this controller's own. Only such a contact shows that the store serves siblings but not this
+/// Time by which a sibling's last contact with the store must be later than this controller's own, in
+/// lifetimes of the ownership lease. Only such a contact shows that the store serves the sibling but not this
 /// controller.
 const LATER_CONTACT_TTLS: f64 = 0.1;
 
@@ -34,8 +33,8 @@
 /// Time for which a heartbeat that a sibling relayed counts as recent, in intervals between heartbeats.
 const RECENT_RELAY_INTERVALS: f64 = 2.0;
 
-/// Time after the last answer of a process that has ended until its key is gone, in lifetimes of the
-/// ownership lease. It is more than one, because the last renewal may be later than the last answer.
+/// Time from the last answer of a process that has ended until its key is gone, in lifetimes of the
+/// ownership lease. It is more than one lifetime, because the last renewal may be later than the last answer.
 const LEASE_EXPIRY_TTLS: f64 = 1.2;
 
 /// Time for which an abandoned lease is reported to siblings, in worker leases.
@@ -155,7 +154,7 @@
         if self.shard.is_none() || !self.detection.take_self_check(interval, now) {
             return;
         }
-        let Some(failure) = self.own_contact().partial_failure() else {
+        let Some(failure) = self.collect_contacts().partial_failure() else {
             return;
         };
         match failure {
@@ -174,10 +173,11 @@
         self.peers.send_hellos_soon(now);
     }
 
-    /// This controller's contact with workers and the store, and that of its siblings for comparison.
-    fn own_contact(&self) -> ControllerContacts {
+    /// Collects this controller's contacts with workers and the store, and for comparison those of its
+    /// siblings.
+    fn collect_contacts(&self) -> ControllerContacts {
         let workers = &self.config.deployment.workers;
-        let mut contact = ControllerContacts {
+        let mut contacts = ControllerContacts {
             report_s: workers.report_s,
             lease_s: workers.lease_s,
             key_lifetime_s: self.ownership.ttl(),
@@ -186,40 +186,40 @@
         };
         // This examines all machines of the shard, so it runs only if workers are silent.
         if let Some(shard) = &self.shard
-            && contact.worker_silence_s > workers.report_s
+            && contacts.worker_silence_s > workers.report_s
         {
-            self.add_worker_contact(shard, &mut contact);
+            self.add_worker_contacts(shard, &mut contacts);
         }
         if self.acts_on_failures() && self.detection.store_refusals() > 0 {
-            self.add_store_contact(&mut contact);
+            self.add_store_contacts(&mut contacts);
         }
-        contact
+        contacts
     }
 
-    fn add_worker_contact(&self, shard: &Shard, contact: &mut ControllerContacts) {
+    fn add_worker_contacts(&self, shard: &Shard, contacts: &mut ControllerContacts) {
         let now = self.outbox.now;
-        contact.machines = shard.machine_count();
-        contact.others_redirect_workers = self.peers.sibling_redirects_workers(now);
+        contacts.machines = shard.machine_count();
+        contacts.others_redirect_workers = self.peers.sibling_redirects_workers(now);
         if self.acts_on_failures() {
-            let since = now - contact.report_s * RECENT_RELAY_INTERVALS;
-            contact.machines_reaching_others = shard.machines_relayed_since(since);
+            let since = now - contacts.report_s * RECENT_RELAY_INTERVALS;
+            contacts.machines_reaching_others = shard.machines_relayed_since(since);
         }
     }
 
-    fn add_store_contact(&self, contact: &mut ControllerContacts) {
+    fn add_store_contacts(&self, contacts: &mut ControllerContacts) {
         let now = self.outbox.now;
         let silence = self.store.seconds_since_store_reply(now);
         let later = now - silence + self.ownership.ttl() * LATER_CONTACT_TTLS;
-        contact.store_silence_s = silence;
-        contact.refusals = self.detection.store_refusals();
-        contact.others_reachable = self.peers.reachable_siblings(now).count();
-        contact.others_served_by_store = self.peers.count_with_store_contact(later, now);
+        contacts.store_silence_s = silence;
+        contacts.refusals = self.detection.store_refusals();
+        contacts.others_reachable = self.peers.reachable_siblings(now).count();
+        contacts.others_served_by_store = self.peers.count_with_store_contact(later, now);
     }
 
     /// Whether renewing the lease would keep the key of a process that cannot act: its ownership has ended,
     /// and it receives nothing from the store or from any sibling. Its renewals may still reach the store,
     /// and would then prevent the failover of its shard forever. Renewals resume once the store or a
-    /// sibling is heard.
+    /// sibling answers.
     pub(crate) fn renewal_would_delay_failover(&self) -> bool {
         let now = self.outbox.now;
         self.acts_on_failures()
@@ -256,8 +256,9 @@
         self.peers.reads_store(sibling, self.outbox.now) && self.store.node(sibling).is_some()
     }
 
-    /// Whether a worker that is redirected to this process would get no answer: it is this controller
-    /// itself, it has no key, or it has failed.
+    /// Whether a worker would get no answer if it were redirected to this owner. That is so if the owner is
+    /// not registered in the store or has failed. It is also so if the owner is a process of this controller,
+    /// which could not answer the worker itself.
     pub(crate) fn is_unreachable_owner(&self, node: &ControllerName, incarnation: u64) -> bool {
         *node == self.config.controller
             || !self.store.is_registered(node, incarnation)
--- a/src/core/controller/failure_detection/tests.rs
+++ b/src/core/controller/failure_detection/tests.rs
@@ -42,7 +42,7 @@
     ProcessId::new(node.into(), incarnation)
 }
 
-/// The leader n0 has been silent for 2.5 s. The other siblings answer.
+/// Creates a core whose leader n0 has been silent for 2.5 s. The other siblings answer.
 fn core_without_its_leader() -> Core {
     let mut core = running_core(4, START);
     record_answers(&mut core, &["n0", "n2", "n3", "n4"], START, START + 1.0);
@@ -88,7 +88,7 @@
 /// A controller that has just stepped down still reads the store. If it is the first by name and counts as a
 /// candidate, the others wait for it, and the takeover of leadership is delayed.
 #[test]
-fn sibling_without_a_key_does_not_precede_as_successor() {
+fn sibling_without_a_key_is_not_preferred_as_successor() {
     let mut core = core_without_its_leader();
     let now = core.outbox.now;
     assert!(!core.has_preferred_successor(), "n0 is not heard");
--- a/src/core/controller/heartbeat_routing.rs
+++ b/src/core/controller/heartbeat_routing.rs
@@ -33,15 +33,16 @@
             self.peers.record_worker_contact(self.outbox.now);
             return self.outbox.answer(request, answer);
         }
-        let owners = &self.store.shard_map().machines;
-        match owners.get(&heartbeat.machine).cloned() {
+        let shard_map = self.store.shard_map();
+        match shard_map.machines.get(&heartbeat.machine).cloned() {
             Some(owner) => self.route_to_owner(request, heartbeat, owner),
             None => self.route_unassigned(request, &heartbeat),
         }
     }
 
-    /// Routes the heartbeat of a machine that has no owner. The leader notes the machine, so that it can
-    /// assign it. Any other controller redirects the worker to the leader.
+    /// Routes the heartbeat of a machine that has no owner. The leader records the machine, so that it can
+    /// assign it, and redirects the worker to any other controller. Any other controller redirects the worker
+    /// to the leader.
     fn route_unassigned(&mut self, request: RequestId, heartbeat: &Heartbeat) {
         let holds_lease = self.ownership.holds_lease(self.outbox.now);
         if let Some(leader) = self.leader.as_mut().filter(|_| holds_lease) {
@@ -95,8 +96,8 @@
             && self.peers.is_reachable(&owner.node, self.outbox.now)
     }
 
-    /// Whether a worker must not be sent to its machine's owner, because the owner answers no worker. If the
-    /// owner is only suspected, a worker that comes from it proves that.
+    /// Whether a worker must not be sent to its machine's owner, because the owner answers no worker. A
+    /// suspected owner counts as such for workers that come from it.
     fn awaits_failover(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
         if !self.acts_on_failures() {
             return false;
@@ -127,7 +128,7 @@
         reason: DeferralReason,
     ) {
         if self.deferred_heartbeats.is_full() || !self.reads_store() {
-            return self.redirect_to_reachable(request);
+            return self.redirect_to_reachable_sibling(request);
         }
         self.defer_heartbeat(request, heartbeat, owner, reason);
     }
--- a/src/core/controller/heartbeat_routing/relays.rs
+++ b/src/core/controller/heartbeat_routing/relays.rs
@@ -17,8 +17,8 @@
 /// Time for which a token counts as new, in worker leases.
 const NEW_TOKEN_LEASES: f64 = 0.5;
 
-/// Greatest number of relays in flight, as a part of the limit on file descriptors.
-const RELAYS_PER_SOCKET: f64 = 0.05;
+/// Maximum number of relays in flight, as a fraction of the limit on file descriptors.
+const RELAYS_PER_FILE_DESCRIPTOR: f64 = 0.05;
 
 /// When the relaying of one machine's heartbeats began, and when its worker last sent one here.
 struct RelayedMachine {
@@ -51,7 +51,9 @@
 pub struct HeartbeatRelays {
     lease_s: Time,
     machines: BTreeMap<MachineId, RelayedMachine>,
+    /// Number of relays in flight.
     pub(super) in_flight: usize,
+    /// Maximum number of relays in flight.
     limit: usize,
     next_prune: Time,
     /// When each token in the shard map was first seen by this process.
@@ -63,14 +65,14 @@
 }
 
 impl HeartbeatRelays {
-    /// Creates the record without any machine. The limits depend on the settings.
+    /// Creates the collection without relayed machines. The limits depend on the settings.
     pub fn new(config: &Config) -> Self {
-        let sockets = config.deployment.limits.fd_limit as f64;
+        let file_descriptors = config.deployment.limits.fd_limit as f64;
         #[expect(
             clippy::cast_possible_truncation,
-            reason = "a small part of the file descriptors, rounded up"
+            reason = "a small fraction of the file descriptors, rounded up"
         )]
-        let limit = (sockets * RELAYS_PER_SOCKET).ceil() as usize;
+        let limit = (file_descriptors * RELAYS_PER_FILE_DESCRIPTOR).ceil() as usize;
         Self {
             lease_s: config.deployment.workers.lease_s,
             machines: BTreeMap::new(),
@@ -122,24 +124,24 @@
         {
             return;
         }
-        let owners = store.shard_map();
+        let shard_map = store.shard_map();
         // The age of the first map's tokens is unknown. Workers have probably shown them to the owners
         // already.
         let since = if is_first { Time::NEG_INFINITY } else { now };
         let known = std::mem::take(&mut self.first_seen);
-        for owner in owners.machines.values() {
+        for owner in shard_map.machines.values() {
             let seen = known.get(&owner.token).copied().unwrap_or(since);
             self.first_seen.entry(owner.token).or_insert(seen);
         }
         self.sent_to_owner.retain(|id, token| {
-            let owner = owners.machines.get(id);
+            let owner = shard_map.machines.get(id);
             owner.is_some_and(|owner| owner.token == *token)
         });
     }
 
-    /// Whether a worker must try its owner before its heartbeats are relayed. With a new token it must,
-    /// once: it may know the token without having been there. A worker whose heartbeats are relayed already
-    /// could not reach the owner, whatever its token.
+    /// Whether a worker must try its owner before its heartbeats are relayed. It must do so once for a new
+    /// token, which it may know without having been at the owner. A worker whose heartbeats are already
+    /// relayed could not reach the owner, whatever its token.
     pub(super) fn must_try_owner(
         &mut self,
         machine: &MachineId,
@@ -156,7 +158,8 @@
         is_new && self.sent_to_owner.insert(machine.clone(), token) != Some(token)
     }
 
-    /// Removes machines whose workers send no heartbeats here any more, at most once per time limit.
+    /// Removes machines whose workers have sent no heartbeat here for [`FORGET_LEASES`]. Does so at most once
+    /// in that time.
     fn prune(&mut self, now: Time) {
         if now < self.next_prune {
             return;
--- a/src/core/controller/hello.rs
+++ b/src/core/controller/hello.rs
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Updates the unresponsive machines and the machine contacts, which hellos contain also for other
-    /// shards.
+    /// Updates the unresponsive machines and the machine contacts. Hellos may also contain those of other
+    /// shards' machines.
     fn update_machine_information(&mut self) {
         let now = self.outbox.now;
         if let Some(shard) = &self.shard {
@@ -109,8 +109,8 @@
         } else {
             MachineContacts::default()
         };
-        let refused = self.leader.as_ref().map(Leader::unavailable_offers);
-        Some(shard.peer_update_for(node, &self.store, refused, images, contacts))
+        let unavailable_offers = self.leader.as_ref().map(Leader::unavailable_offers);
+        Some(shard.peer_update_for(node, &self.store, unavailable_offers, images, contacts))
     }
 
     /// Handles a sibling's message.
@@ -145,8 +145,8 @@
         if hello.bounded_staleness {
             self.peers.record_bounded_staleness(&sender);
         }
-        // A delayed hello is applied, too: a delay makes the recorded time of the last answer later, which is
-        // safe.
+        // The unresponsive machines of a delayed hello are recorded, too. A delay makes the recorded time of
+        // the last answer to a worker later, which is safe.
         self.unresponsive.record(hello.unresponsive, now);
         let is_newest =
             self.peers
--- a/src/core/controller/machine_claims.rs
+++ b/src/core/controller/machine_claims.rs
@@ -9,15 +9,16 @@
 impl Core {
     /// Whether this controller should claim a machine: neither it nor the machine's worker can reach the
     /// owner, although the owner is registered in the store. A worker that has not shown the owner's token
-    /// may still reach the owner, unless it is in this controller's zone, where siblings are heard but not
-    /// the owner.
+    /// may still reach the owner. It is assumed to be cut off if it is in this controller's zone, and this
+    /// controller reaches a sibling but not the owner. With failure detection, a machine is not claimed if
+    /// the owner's lease expires soon.
     pub(crate) fn should_claim(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
         let now = self.outbox.now;
-        let owner_is_live = self.store.is_registered(&owner.node, owner.incarnation);
+        let owner_is_registered = self.store.is_registered(&owner.node, owner.incarnation);
         let shows_owners_token = heartbeat.token == owner.token;
         let same_zone = heartbeat.zone == self.config.zone && self.peers.any_reachable(now);
         owner.node != self.config.controller
-            && owner_is_live
+            && owner_is_registered
             && (shows_owners_token || same_zone)
             && !self.peers.is_reachable(&owner.node, now)
             && !(self.acts_on_failures() && self.lease_expires_soon(&owner.node))
@@ -35,11 +36,11 @@
         owner: &ShardOwner,
     ) {
         let now = self.outbox.now;
-        let owners = self.store.shard_map();
+        let shard_map = self.store.shard_map();
         let is_claimed = !self.deferred_heartbeats.is_full()
             && self
                 .claims
-                .add(&heartbeat.machine, owner.token, owners, now);
+                .add(&heartbeat.machine, owner.token, shard_map, now);
         if !is_claimed {
             return self.send_to_next_controller(request, &owner.node);
         }
--- a/src/core/controller/ownership.rs
+++ b/src/core/controller/ownership.rs
@@ -167,8 +167,8 @@
         })
     }
 
-    /// If this process is to write the leader's key, the key's present version, or 0 if the key does not
-    /// exist.
+    /// The version of the leader's key that this process is to replace, or 0 if the key does not exist. None
+    /// if this process is not to write the key.
     fn leader_key_version_to_claim(&self) -> Option<Version> {
         if self.store.leader().is_none() && self.ownership.holds_lease(self.outbox.now) {
             return Some(0);
@@ -221,7 +221,7 @@
     fn handle_key_write_reply(&mut self, reply: &StoreReply) {
         let delay = self.outbox.jitter(self.ownership.retry_delay());
         self.ownership.key_write_finished(self.outbox.now + delay);
-        // The next sync of the store replica shows whether the key was written.
+        // The next read of the store shows whether the key was written.
         self.store.request_read();
         if *reply == StoreReply::LeaseNotFound {
             self.step_down(StepDownReason::LeaseExpired, 0.0);
@@ -240,8 +240,8 @@
         self.ownership.renewal_failed(retry_at);
     }
 
-    /// Gives up the lease, the shard and leadership, as a restart would, and continues as a new
-    /// incarnation. The new incarnation requests no lease for `pause` seconds.
+    /// Gives up the lease, the shard and leadership, and continues as a new incarnation, as after a restart.
+    /// The new incarnation requests no lease for `pause` seconds.
     pub(crate) fn step_down(&mut self, reason: StepDownReason, pause: Time) {
         let now = self.outbox.now;
         tracing::info!(%reason, "stepping down: this controller gives up its lease and shard");
--- a/src/core/controller/status.rs
+++ b/src/core/controller/status.rs
@@ -152,7 +152,7 @@
                 gpus: team_limits.gpus,
             },
             owner: owner.map(|owner| owner.node.to_string()),
-            grants_kept_since: since.map(|term| term.0),
+            grants_kept_since: since.map(|token| token.0),
             record: record_state(stored, since),
             grants: grants.collect(),
             folded: ledger
@@ -193,8 +193,8 @@
     Capacity { cpus, gpus }
 }
 
-/// Returns whether owners rely on a team's grant record. They do if every owner since `since` has complied
-/// with the team's grants and the record began at or after that token.
+/// Returns the state of a team's grant record. Owners rely on it if every owner since token `since` has
+/// complied with the team's grants and the record began at or after that token.
 fn record_state(stored: Option<&StoredLedger>, since: Option<FencingToken>) -> RecordState {
     match stored.map(|stored| stored.ledger.as_ref()) {
         None => RecordState::None,
--- a/src/core/controller/user_requests.rs
+++ b/src/core/controller/user_requests.rs
@@ -84,8 +84,8 @@
         if !self.store.is_complete() || self.user_requests.waiting.len() as f64 > max_waiting {
             return self.relay_or_reject(request);
         }
-        let is_silent = self.store.seconds_since_store_reply(now) > MAX_STORE_SILENCE;
-        if is_silent
+        let is_store_silent = self.store.seconds_since_store_reply(now) > MAX_STORE_SILENCE;
+        if is_store_silent
             && matches!(reply_to, ReplyTo::User(_))
             && self.peers.sibling_reading_store(now).is_some()
         {
@@ -251,7 +251,7 @@
             return self.user_requests.enqueue(request);
         }
         match (&request.operation, known) {
-            // The earlier create may be applied or not. Repeating it determines the outcome.
+            // The earlier write may have created the record or not. Repeating it determines the outcome.
             (UserRequest::Submit(..), None) if request.create_sent => {
                 request.not_before = self.outbox.now + self.outbox.jitter(BUSY_RETRY_PAUSE);
                 self.user_requests.enqueue(request);
--- a/src/core/effects/pacing/tests.rs
+++ b/src/core/effects/pacing/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn refusals_lengthen_the_pause_and_a_served_request_ends_it() {
+fn refusals_lengthen_the_pause_and_a_served_request_resets_it() {
     let config = Config::parse(crate::config::TEST_SETTINGS).unwrap();
     let mut pacing = Pacing::new(&config);
     let shortest = SHORTEST_PAUSE_WRITES / config.deployment.state.write_rps;
@@ -14,8 +14,8 @@
     );
     pacing.record_refusal(1.0, 1.0);
     assert!(!pacing.may_send(1.0 + shortest * 1.99) && pacing.may_send(1.0 + shortest * 2.0));
-    for again in 2..20 {
-        pacing.record_refusal(f64::from(again), 1.0);
+    for second in 2..20 {
+        pacing.record_refusal(f64::from(second), 1.0);
     }
     assert!(
         pacing.may_send(19.0 + shortest * 8.0),
--- a/src/core/effects/pending.rs
+++ b/src/core/effects/pending.rs
@@ -43,18 +43,18 @@
         /// When the hello was sent.
         sent: Time,
     },
-    /// A user's request that was forwarded to a sibling.
+    /// A user's request that was relayed to a sibling.
     RelayedRequest {
         /// The user's request, which the sibling's reply answers.
         request: RequestId,
     },
-    /// A heartbeat that was forwarded to the owner of its machine.
+    /// A heartbeat that was relayed to the owner of its machine.
     RelayedHeartbeat {
         /// The worker's request that contained the heartbeat.
         request: RequestId,
-        /// The owner of the machine, which the heartbeat was forwarded to.
+        /// The owner of the machine, to which the heartbeat was relayed.
         owner: ShardOwner,
-        /// The forwarded heartbeat.
+        /// The relayed heartbeat.
         heartbeat: Box<Heartbeat>,
     },
     /// A message to a sibling whose reply is ignored.
@@ -189,7 +189,7 @@
 pub(crate) enum ReplyTo {
     /// The user, who sent the request to this controller.
     User(RequestId),
-    /// A sibling that forwarded the request. The request is not forwarded again.
+    /// A sibling that relayed the request. The request is not relayed again.
     Sibling(RequestId),
 }
 
--- a/src/core/messages/mesh.rs
+++ b/src/core/messages/mesh.rs
@@ -15,14 +15,14 @@
 pub enum MeshMessage {
     /// The periodic message to every sibling.
     Hello(Box<Hello>),
-    /// A user's submission of a job, forwarded because the sender cannot answer it.
+    /// A user's submission of a job, relayed because the sender cannot answer it.
     Submit(JobId, Box<JobSpec>),
     /// A submission of a job with dependencies. A release without dependencies cannot decode this message, so
     /// it never accepts the job without its dependencies.
     SubmitDependent(JobId, Box<JobSpec>),
-    /// A user's query of a job's status, forwarded because the sender cannot answer it.
+    /// A user's query of a job's status, relayed because the sender cannot answer it.
     Poll(JobId),
-    /// A user's cancellation of a job, forwarded because the sender cannot answer it.
+    /// A user's cancellation of a job, relayed because the sender cannot answer it.
     Cancel(JobId),
     /// The heartbeat of a worker that cannot reach the owner of its machine. A release without this message
     /// refuses it, and the worker is then redirected to the owner.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -60,7 +60,8 @@
     /// The state of the leader's work. `None` unless this process is the leader.
     leader: Option<Leader>,
     catalog: Catalog,
-    /// Images on machines that siblings have reported before this process has a shard.
+    /// Images on machines that are known while this process has no shard: from siblings, and from the shard
+    /// that it gave up. The next shard takes them.
     image_hints: ImageHints,
     unresponsive: UnresponsiveMachines,
     relays: HeartbeatRelays,
@@ -132,8 +133,8 @@
         shard.map(Shard::reconciled_teams).unwrap_or_default()
     }
 
-    /// Returns the numbers of examined attempts and jobs, and of placement rounds, so far. The shard's
-    /// computing time is proportional to them.
+    /// Returns two counts since the shard was created: the attempts and jobs that were examined, and the
+    /// placement rounds. The shard's computing time is proportional to them.
     pub fn work_counts(&self) -> (u64, u64) {
         self.shard
             .as_ref()
@@ -237,17 +238,18 @@
             self.shard = Some(Shard::new(&self.config, incarnation, image_hints, now));
             self.peers.record_worker_contact(now);
         }
-        let term = self.ownership.leader_key_version(&self.store);
-        if self.leader.as_ref().map(Leader::key_version) != term {
+        let key_version = self.ownership.leader_key_version(&self.store);
+        if self.leader.as_ref().map(Leader::key_version) != key_version {
             // A shard map that is at least as new as the leader's key contains every change of earlier
             // leaders.
-            let readable_term = term.filter(|term| self.store.revision() >= *term);
-            self.leader = readable_term.map(|term| self.begin_leading(term));
+            let read_version = key_version.filter(|version| self.store.revision() >= *version);
+            self.leader = read_version.map(|version| self.begin_leading(version));
         }
     }
 
-    fn begin_leading(&self, term: Version) -> Leader {
-        tracing::info!(term, "leading");
-        Leader::new(&self.config, term, &self.store, self.outbox.now)
+    /// Creates the leader's state for this version of the leader's key.
+    fn begin_leading(&self, key_version: Version) -> Leader {
+        tracing::info!(term = key_version, "leading");
+        Leader::new(&self.config, key_version, &self.store, self.outbox.now)
     }
 }
--- a/src/core/model/resources.rs
+++ b/src/core/model/resources.rs
@@ -40,21 +40,21 @@
         }
     }
 
-    /// This amount without `taken`. An amount below zero is not cut off.
-    pub fn minus(&self, taken: &Resources) -> Resources {
+    /// This amount less `other`. The result may be negative.
+    pub fn minus(&self, other: &Resources) -> Resources {
         Resources {
-            cpus: self.cpus - taken.cpus,
-            gpus: self.gpus - taken.gpus,
-            memory_gb: self.memory_gb - taken.memory_gb,
+            cpus: self.cpus - other.cpus,
+            gpus: self.gpus - other.gpus,
+            memory_gb: self.memory_gb - other.memory_gb,
         }
     }
 
     /// The sum of both amounts.
-    pub fn plus(&self, given: &Resources) -> Resources {
+    pub fn plus(&self, other: &Resources) -> Resources {
         Resources {
-            cpus: self.cpus + given.cpus,
-            gpus: self.gpus + given.gpus,
-            memory_gb: self.memory_gb + given.memory_gb,
+            cpus: self.cpus + other.cpus,
+            gpus: self.gpus + other.gpus,
+            memory_gb: self.memory_gb + other.memory_gb,
         }
     }
 
--- a/src/core/store/dependencies.rs
+++ b/src/core/store/dependencies.rs
@@ -93,7 +93,7 @@
     }
 
     /// Applies a new record of a job. `previous` is the record that it replaces; `job` looks up the records
-    /// of other jobs. Adds the jobs that the scheduler has to evaluate again to `changed`.
+    /// of other jobs. Adds to `changed` the jobs that the scheduler has to evaluate again.
     pub fn apply_record<'a>(
         &mut self,
         id: &JobId,
--- a/src/core/store/replica.rs
+++ b/src/core/store/replica.rs
@@ -171,8 +171,8 @@
         self.shard_map_changes
     }
 
-    /// The revision at which a reader has this shard map: the newer of the last read and the newest chunk. A
-    /// write of this process to the map may be newer than the last read.
+    /// The revision of the store that the shard map reflects: that of the last read, or the version of the
+    /// newest chunk if that is newer, as after a write of this process.
     pub fn map_revision(&self) -> Version {
         let newest = self.map_chunks.values().map(|chunk| chunk.version).max();
         newest.unwrap_or(0).max(self.revision)
@@ -183,7 +183,7 @@
         self.ledgers.get(team)
     }
 
-    /// The fencing token from which on every owner of a team has complied with its grants. `None` if unknown.
+    /// The fencing token since which every owner of a team has complied with its grants. `None` if unknown.
     pub fn grants_kept_since(&self, team: &Team) -> Option<FencingToken> {
         self.shard_map.grants_kept_since.get(team).copied()
     }
@@ -253,8 +253,8 @@
         })
     }
 
-    /// Whether a job whose record holds no team may match `since`. A cancellation without a recorded time is
-    /// older than `since.wall_ms` if a record with a higher version is.
+    /// Whether a cancelled job may match `since` although its record lacks the time or the team. It was
+    /// cancelled before `since.wall_ms` if a job whose final record is newer ended before that time.
     pub fn has_unattributed_cancellation_since(&self, since: CancelledSince) -> bool {
         let Some(newest) = self.cancelled_jobs.newest_unattributed() else {
             return false;
--- a/src/core/store/replica/apply.rs
+++ b/src/core/store/replica/apply.rs
@@ -1,4 +1,4 @@
-//! Applying puts and removals of the store to the replica.
+//! Applies the puts and removals of the store to the replica.
 
 use crate::core::records::job_record::JobRecord;
 use crate::core::records::keys::{LEADER_KEY, StoreKey, node_key, quota_key};
@@ -115,7 +115,8 @@
         self.ledgers.insert(team, StoredLedger { version, ledger });
     }
 
-    /// Removes a key unless a newer value is known. Ignores job records, which the store never removes.
+    /// Removes a key unless a newer value is known. Ignores job records and machine types, which controllers
+    /// never remove, and unknown keys.
     fn remove(&mut self, key: &str, version: Version) {
         match StoreKey::parse(key) {
             StoreKey::Leader => {
--- a/src/core/store/replica/reads.rs
+++ b/src/core/store/replica/reads.rs
@@ -74,7 +74,7 @@
 }
 
 impl StoreReplica {
-    /// Requests that a read is sent as soon as the rate permits, because an answer waits for it.
+    /// Requests that a read be sent as soon as the rate permits, because an answer waits for it.
     pub fn request_read(&mut self) {
         self.reads.requested = true;
     }
--- a/src/core/test_support.rs
+++ b/src/core/test_support.rs
@@ -99,7 +99,7 @@
 
 /// Returns two machine types that differ in GPUs and price: `g4` and `g8`.
 pub fn machine_types() -> Vec<MachineType> {
-    let of = |name: &str, gpus: f64, price: f64| MachineType {
+    let machine_type = |name: &str, gpus: f64, price: f64| MachineType {
         name: name.into(),
         cpus: 64.0,
         gpus,
@@ -111,7 +111,7 @@
         boot_s: 10.0,
         zones: vec!["a".into(), "b".into()],
     };
-    vec![of("g4", 4.0, 10.0), of("g8", 8.0, 16.0)]
+    vec![machine_type("g4", 4.0, 10.0), machine_type("g8", 8.0, 16.0)]
 }
 
 /// Creates the heartbeat of a machine of type `g8` on which no task runs.
@@ -163,18 +163,21 @@
     let mut config = Config::parse(&settings).unwrap();
     config.features = Features::parse(include_str!("../../deploy/failure-detection.toml")).unwrap();
     let mut core = Core::new(config, 1);
-    let own = ProcessRecord {
+    let own_record = ProcessRecord {
         incarnation: core.ownership.incarnation(),
         lease: OWN_LEASE,
         ..process_record("n1")
     };
-    let records = names.iter().map(|name| process_record(name)).chain([own]);
+    let records = names
+        .iter()
+        .map(|name| process_record(name))
+        .chain([own_record]);
     let mut entries: Vec<Entry> = records
         .map(|record| entry(&node_key(&record.node), &record))
         .collect();
     entries.push(entry(LEADER_KEY, &process_record("n0")));
     let effects = core.step(now - 0.1, 0, Vec::new());
-    let listing = effects.into_iter().find_map(|effect| match effect {
+    let listing_call = effects.into_iter().find_map(|effect| match effect {
         Effect::Store(call, StoreCall::List { .. }) => Some(call),
         _ => None,
     });
@@ -183,7 +186,7 @@
         more: false,
         revision: 20,
     });
-    core.step(now, 0, vec![Input::Store(listing.unwrap(), listed)]);
+    core.step(now, 0, vec![Input::Store(listing_call.unwrap(), listed)]);
     core.ownership.hold(OWN_LEASE, now);
     core.update_roles();
     assert!(core.shard.is_some());
