--- a/crates/failure-detector/src/settings.rs
+++ b/crates/failure-detector/src/settings.rs
@@ -9,7 +9,8 @@
 pub const MIN_SUSPECT_HEARTBEATS: f64 = 2.0;
 /// Fraction of the usual threshold that applies if workers have switched from the controller to the observer.
 const CORROBORATED_FRACTION: f64 = 0.8;
-/// Highest threshold in heartbeat intervals, however slow the controller or the observer is.
+/// Highest threshold in heartbeat intervals, however slow the controller or the observer is. It holds for the
+/// default [`SUSPECT_HEARTBEATS`] and changes in proportion to a configured number.
 const MAX_SUSPECT_HEARTBEATS: f64 = 12.0;
 /// An observer has paused if two of its steps are more than this many heartbeat intervals apart.
 const PROCESS_PAUSE_HEARTBEATS: f64 = 2.0;
@@ -42,7 +43,8 @@
     pub opinion_ttl_s: Seconds,
     /// Time after which refuted suspicions no longer raise the threshold.
     pub refutation_ttl_s: Seconds,
-    /// Largest factor by which a slow observer, and refuted suspicions, raise a threshold; 1 disables both.
+    /// Largest factor by which a slow observer raises a threshold, and by which refuted suspicions do; 1
+    /// disables both.
     pub max_threshold_factor: f64,
     /// Number of observers, this one included, that must suspect a controller to confirm its failure.
     pub quorum: usize,
--- a/crates/failure-detector/tests/model.rs
+++ b/crates/failure-detector/tests/model.rs
@@ -31,8 +31,9 @@
 const DURATION_S: f64 = 60.0;
 /// A failure is confirmed within this time: 15 heartbeats.
 const CONFIRMED_WITHIN_S: f64 = 7.5;
-/// Stages do not depend on events that are older than this.
-const MEMORY_S: f64 = 9.0;
+/// Two nodes that have been connected for longer than this have a stable connection: no opinion and no
+/// missing answer from before still counts.
+const STABLE_AFTER_S: f64 = 9.0;
 
 enum Message {
     Heartbeat {
@@ -229,11 +230,11 @@
         both_run && self.link_delivers(one, other) && self.link_delivers(other, one)
     }
 
-    /// Counts the other nodes that have been connected to a node for longer than `MEMORY_S`.
+    /// Counts the other nodes that have a stable connection to a node.
     fn count_stable_connections(&self, node: usize) -> usize {
         let others = (0..self.nodes.len()).filter(|other| *other != node);
         others
-            .filter(|other| self.now - self.last_disconnected[node][*other] > MEMORY_S)
+            .filter(|other| self.now - self.last_disconnected[node][*other] > STABLE_AFTER_S)
             .count()
     }
 
--- a/src/core/leader/assignment.rs
+++ b/src/core/leader/assignment.rs
@@ -69,9 +69,9 @@
         owner.is_some_and(|owner| owner.node == *node)
     }
 
-    /// Assigns each new machine to the controller for which it was rented. If that is unknown or has no team,
-    /// the controller with the fewest machines of the same kind gets it. Controllers without a team get no
-    /// machines.
+    /// Assigns each new machine to the controller for which it was rented. If that controller is unknown, not
+    /// live or without a team, the one with the fewest machines of the same kind gets it. Controllers without
+    /// a team get no machines.
     pub(super) fn assign_new_machines(&mut self, live: &LiveProcesses) {
         if self.unassigned_machines.is_empty() {
             return;
@@ -109,8 +109,8 @@
     }
 
     /// Renews the fencing tokens that owners asked to have renewed: those of machines that may have lost
-    /// commands, and those of teams that have few attempt numbers left. A request about an outdated token is
-    /// dropped.
+    /// commands, and those of teams that have few attempt numbers left. A request is dropped if its sender is
+    /// no longer the owner, or if the machine's token has changed since.
     pub(super) fn renew_tokens(&mut self, live: &LiveProcesses) {
         let mut demands = std::mem::take(&mut self.demands);
         for (node, demand) in &mut demands {
--- a/src/core/leader/cloud_requests.rs
+++ b/src/core/leader/cloud_requests.rs
@@ -1,7 +1,8 @@
 //! The leader's requests to the cloud, and the machines known from the replies.
 //!
-//! At most one request of each kind is in flight, and the rate of requests stays within the cloud's limit. A
-//! rental with unknown outcome is retried under the same request name; the cloud executes each name once.
+//! At most one request of each kind is in flight. A rate limiter keeps the requests within the cloud's limit;
+//! only the further pages of a list are requested without it. A rental with unknown outcome is retried under
+//! the same request name, because the cloud executes each name only once.
 
 use crate::config::Config;
 use crate::core::effects::outbox::Outbox;
@@ -115,7 +116,7 @@
         self.unavailable.contains_key(offer)
     }
 
-    /// Makes offers available again whose time has passed.
+    /// Makes each offer available again that was marked as unavailable until `now` or earlier.
     pub(super) fn expire_unavailable(&mut self, now: Time) {
         self.unavailable.retain(|_, until| now < *until);
     }
@@ -273,7 +274,7 @@
         now >= self.pause_until && self.call_rate.take(now)
     }
 
-    /// Handles the reply to a request; `shard_map` is the present one.
+    /// Handles the reply to a request; `shard_map` includes unwritten changes.
     pub(super) fn handle_reply(
         &mut self,
         outbox: &mut Outbox,
@@ -306,7 +307,8 @@
         }
     }
 
-    /// Handles one page of the list: requests the next page, or applies the list when it is complete.
+    /// Handles one page of the list: requests the next page, or applies the list if it is complete or has
+    /// reached [`MAX_LISTED_MACHINES`].
     fn handle_list_page(
         &mut self,
         outbox: &mut Outbox,
@@ -327,7 +329,8 @@
         }
     }
 
-    /// Records the kinds of the listed machines and which of them are pending; queues failed ones for return.
+    /// Queues the return of failed machines, records booting ones that are not in the shard map as pending,
+    /// and records the kinds of all others.
     fn apply_list(&mut self, list: Vec<ListedMachine>, shard_map: &ShardMap, now: Time) {
         for listed in list {
             let id = listed.machine;
--- a/src/core/leader/failover.rs
+++ b/src/core/leader/failover.rs
@@ -26,9 +26,10 @@
 }
 
 impl Leader {
-    /// Reassigns each shard whose owner's lease has expired: to the restarted process of the same controller,
-    /// or else to one other controller. A shard is not divided, so teams stay with the machines that run
-    /// their tasks. Returns the preconditions under which the leases count as expired.
+    /// Assigns teams without an owner. Reassigns the shard of each failed process whose ownership has
+    /// certainly ended: to the restarted process of the same controller, or else to one other controller. A
+    /// shard is not divided, so teams stay with the machines that run their tasks. Returns the preconditions
+    /// under which the ownership of these processes has ended.
     pub(super) fn fail_over_shards(
         &mut self,
         store: &StoreReplica,
@@ -56,9 +57,9 @@
                 successor = %successor.node,
                 "shard reassigned after the failure of its owner"
             );
-            // The lease was found expired at this version of the process's key.
-            let registered = store.node(&process.node).map_or(0, |stored| stored.version);
-            preconditions.push(precondition(&node_key(&process.node), registered));
+            // The ownership was found to have ended at this version of the process's key; 0 if it is absent.
+            let key_version = store.node(&process.node).map_or(0, |stored| stored.version);
+            preconditions.push(precondition(&node_key(&process.node), key_version));
             self.fail_over_shard(&process, &successor, unresponsive, live);
         }
         preconditions
--- a/src/core/leader/grants.rs
+++ b/src/core/leader/grants.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Whether the owner and all other live processes respect grants.
+    /// Whether grants are enabled, and the owner and all other live processes respect them.
     pub(crate) fn keeps_grants(&self, owner: &ShardOwner) -> bool {
         grants_are_enabled(&self.config) && self.grant_keepers.contains(&owner.process())
     }
--- a/src/core/leader/machine_transfers.rs
+++ b/src/core/leader/machine_transfers.rs
@@ -12,7 +12,7 @@
 use crate::wire::Priority;
 use std::collections::BTreeSet;
 
-/// Interval between two transfers of machines in use, in worker leases.
+/// Minimum interval between two transfers of machines in use, in worker leases.
 const URGENT_TRANSFER_INTERVAL_LEASES: f64 = 0.25;
 
 impl Leader {
@@ -97,9 +97,10 @@
         pool
     }
 
-    /// Picks a machine in use with enough free GPUs for an urgent demand that the cloud has no capacity for.
-    /// The machine's own shard must have only less urgent demands. Machines in use are transferred one at a
-    /// time, because the effect of a transfer has to show before the next one.
+    /// Picks a machine in use for a demand of queued tasks if none of its on-demand kinds can be rented at
+    /// present. The machine needs enough GPUs that are free or used by tasks of normal or low priority, and
+    /// its own shard must have only less urgent demands. Machines in use are transferred one at a time,
+    /// because the effect of a transfer has to show before the next one.
     fn take_machine_in_use(
         &mut self,
         demand: &MachineDemand,
--- a/src/core/leader/map_writer.rs
+++ b/src/core/leader/map_writer.rs
@@ -39,8 +39,8 @@
 /// Writes the changes of a [`ShardMapEditor`], one transaction at a time.
 pub(super) struct MapWriter {
     /// The versions of the stored values on which the editor's copy is based; the preconditions of writes.
-    /// The replica's versions would be wrong: it may receive a write with unknown outcome late, and the next
-    /// write would undo that one.
+    /// The replica's versions would be wrong: a write with unknown outcome may reach the replica late, and
+    /// the next write would then undo it.
     stored_versions: BTreeMap<String, Version>,
     /// Limit on the size of one value in KiB: the configured limit, halved at each rejection.
     value_kb: f64,
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -62,7 +62,7 @@
     grant_keepers: BTreeSet<ProcessId>,
     /// When the next periodic rebalancing is due.
     next_rebalance: Time,
-    /// When each machine was reassigned after a claim; such a machine can't reach its former owner.
+    /// Machines that were reassigned after a claim, and when. Such a machine can't reach its former owner.
     claimed_machines: BTreeMap<MachineId, Time>,
     /// Earliest time at which the next machine in use may be transferred for queued tasks.
     next_urgent_transfer: Time,
@@ -70,7 +70,7 @@
     zone_contact: ZoneContact,
     /// When rentals and returns are next planned.
     next_scaling_plan: Time,
-    /// This process was paused and its state may still be stale; scaling waits until it has caught up.
+    /// Whether this process was paused and its state may still be stale. No scaling is planned meanwhile.
     catching_up: bool,
 }
 
@@ -178,8 +178,8 @@
         self.cloud.send_due(outbox);
     }
 
-    /// Whether the shard map may change. A fresh deployment waits until all its controllers are registered,
-    /// so that the shards start equal, but at most for one ownership lease.
+    /// Whether the shard map may change. In a fresh deployment it may change once all controllers are
+    /// registered, so that the shards start equal, or once the lifetime of an ownership lease has passed.
     fn may_assign(&self, live: &LiveProcesses, ownership: &OwnershipLease, now: Time) -> bool {
         live.count() >= self.config.controller_count()
             || !self.editor.shard_map().teams.is_empty()
--- a/src/core/leader/pending_machines.rs
+++ b/src/core/leader/pending_machines.rs
@@ -12,8 +12,8 @@
 /// Multiple of its boot time after which a machine is late; most machines are ready before that.
 const LATE_BOOT_TIMES: f64 = 1.6;
 
-/// Number of late machines that are replaced by new rentals, or [`REPLACED_FRACTION`] of them if that is
-/// more. If most machines are late, their replacements would be late as well.
+/// Number of late machines that may be replaced by new rentals, if [`REPLACED_FRACTION`] of them is not more.
+/// The number is limited because, if most machines are late, their replacements would be late as well.
 const MIN_REPLACED_MACHINES: usize = 2;
 
 /// Fraction of the late machines that are replaced, if that is more than [`MIN_REPLACED_MACHINES`].
@@ -97,7 +97,7 @@
     }
 }
 
-/// Number of machines to replace, given the number of late ones.
+/// Maximum number of machines to replace, given the number of late ones.
 #[expect(
     clippy::cast_possible_truncation,
     reason = "a rounded fraction of a count fits into the type of the count"
--- a/src/core/leader/rebalance.rs
+++ b/src/core/leader/rebalance.rs
@@ -1,6 +1,6 @@
 //! Periodic rebalancing of the shards: teams are spread evenly over the controllers, the machines of
-//! controllers without a team are redistributed, and one machine moves from the shard with the least queued
-//! work to the shard with the most.
+//! controllers without a team are redistributed, and one machine moves from a shard without queued work to
+//! the shard with the most.
 
 use crate::core::leader::Leader;
 use crate::core::leader::live_processes::LiveProcesses;
@@ -27,8 +27,9 @@
         self.move_machine_to_longest_queue(live);
     }
 
-    /// Moves one team from the controller with the most teams to the one with the fewest, such as a restarted
-    /// controller. The team's tasks keep running on their machines.
+    /// Moves one team without queued tasks from the controller with the most teams to the one with the
+    /// fewest, such as a restarted controller, if that has at least two fewer. The team's tasks keep running
+    /// on their machines.
     fn balance_teams(&mut self, live: &LiveProcesses) {
         let most = live.nodes().max_by_key(|node| self.team_count(node));
         let fewest = live.nodes().min_by_key(|node| self.team_count(node));
--- a/src/core/leader/scaling.rs
+++ b/src/core/leader/scaling.rs
@@ -135,7 +135,7 @@
             .filter(is_reachable)
             .collect();
         // Expected machines that were rented for an unknown shard, or that their shard no longer needs, count
-        // for the first shard that lacks machines.
+        // for the first shard that lacks machines of any kind.
         let for_any_shard = expected_machines
             .iter()
             .filter(|pending| pending.node.is_none());
--- a/src/core/leader/shard_map_editor.rs
+++ b/src/core/leader/shard_map_editor.rs
@@ -4,8 +4,8 @@
 //! Only the leader writes the map, and only values that changed. The versions of the leader key and of the
 //! replaced values are preconditions. A machine is used only after it is in the stored map, so the map lists
 //! every machine that may run tasks. A fencing token combines the leader key's version (high bits) with a
-//! counter of the leader's changes (low bits). It is never used twice, and increases with every change and
-//! every leader.
+//! counter of the tokens issued under that version (low bits). No token is issued twice, and each is higher
+//! than all earlier ones, including those of earlier leaders.
 
 mod machine_chunks;
 
@@ -16,7 +16,7 @@
 use crate::ids::{FencingToken, MachineId, Team, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Number of low bits of a fencing token; they count the changes under one version of the leader key.
+/// Number of low bits of a fencing token; they count the tokens issued under one version of the leader key.
 const TOKEN_COUNT_BITS: u32 = 16;
 
 /// Fraction of the tokens of one leader key version after which the key is claimed again, long before they
@@ -32,7 +32,7 @@
     /// Version of the leader key; the high bits of new fencing tokens.
     leader_version: Version,
     /// Number of fencing tokens issued so far; the low bits of the last one.
-    issued_tokens: u64,
+    issued_token_count: u64,
     chunks: MachineChunks,
     /// Whether the value that lists the teams has to be rewritten.
     teams_dirty: bool,
@@ -78,7 +78,7 @@
         Self {
             shard_map: ShardMap::read(stored.values().map(|chunk| &chunk.record)),
             leader_version,
-            issued_tokens: 0,
+            issued_token_count: 0,
             chunks,
             teams_dirty: false,
             dirty_chunks,
@@ -88,7 +88,7 @@
     /// Replaces the working copy by the stored map; the numbering of fencing tokens continues.
     pub fn reload(&mut self, stored: &BTreeMap<String, Versioned<ShardMapChunk>>, value_kb: f64) {
         *self = Self {
-            issued_tokens: self.issued_tokens,
+            issued_token_count: self.issued_token_count,
             ..Self::new(self.leader_version, stored, value_kb)
         };
     }
@@ -100,15 +100,15 @@
 
     /// Issues an unused fencing token; None if none are left under this version of the leader key.
     pub fn next_token(&mut self) -> Option<FencingToken> {
-        self.issued_tokens += 1;
-        (self.issued_tokens < 1 << TOKEN_COUNT_BITS).then_some(FencingToken(
-            (self.leader_version << TOKEN_COUNT_BITS) | self.issued_tokens,
+        self.issued_token_count += 1;
+        (self.issued_token_count < 1 << TOKEN_COUNT_BITS).then_some(FencingToken(
+            (self.leader_version << TOKEN_COUNT_BITS) | self.issued_token_count,
         ))
     }
 
     /// Whether so many fencing tokens are used that the leader key should be claimed again.
     pub fn tokens_running_low(&self) -> bool {
-        self.issued_tokens as f64 > f64::from(1 << TOKEN_COUNT_BITS) * RECLAIM_KEY_FRACTION
+        self.issued_token_count as f64 > f64::from(1 << TOKEN_COUNT_BITS) * RECLAIM_KEY_FRACTION
     }
 
     /// Sets the owner of a team.
@@ -156,7 +156,8 @@
         }
     }
 
-    /// Takes the changed values with their keys, up to `limit` values and about `bytes` bytes in all.
+    /// Takes the changed values with their keys, up to `limit` values. No further value is added once the
+    /// chunks of machines have `bytes` bytes; the teams and newly split chunks do not count towards that.
     pub fn take_dirty(&mut self, limit: usize, bytes: usize) -> Vec<(String, ShardMapChunk)> {
         let mut values = Vec::new();
         let mut size = 0;
--- a/src/core/leader/shard_map_editor/machine_chunks.rs
+++ b/src/core/leader/shard_map_editor/machine_chunks.rs
@@ -66,8 +66,8 @@
         Some(chunk)
     }
 
-    /// Moves the machines beyond a chunk's capacity, at most one chunkful, to a new chunk and returns its
-    /// number; None if the chunk is within its capacity.
+    /// Moves the machines beyond a chunk's capacity to a new chunk, as far as they fit there, and returns the
+    /// number of the new chunk; None if the chunk is within its capacity.
     pub(super) fn split_off(&mut self, chunk: usize) -> Option<usize> {
         let excess = self.machines_in(chunk).skip(self.capacity);
         let excess: Vec<MachineId> = excess.take(self.capacity).cloned().collect();
--- a/src/core/membership/ownership/consents.rs
+++ b/src/core/membership/ownership/consents.rs
@@ -70,7 +70,7 @@
     /// granted to the process may still be valid.
     pub fn try_consent(&mut self, process: &ProcessId, now: Time) -> bool {
         let has_no_valid_extension = if *process == self.process() {
-            // This controller's own vote counts towards its ownership for as long as the ownership lasts.
+            // While its ownership lasts, this controller counts towards the majority that extends it.
             !self.holds_lease(now)
         } else {
             self.extensions.has_none_granted_to(&process.node, now)
@@ -107,7 +107,7 @@
     }
 
     /// Returns whether the ownership of a process has certainly ended, so that the leader may assign its
-    /// shard to others. Requests the consent of siblings until then.
+    /// shard to others. While the process has no key, requests the consent of siblings.
     pub fn confirm_ownership_ended(
         &mut self,
         process: &ProcessId,
--- a/src/core/membership/peers.rs
+++ b/src/core/membership/peers.rs
@@ -184,7 +184,7 @@
     }
 
     /// Returns which images the hello that is sent to a sibling now must list. A new process is sent all of
-    /// them once. Every few hellos list those of this shard.
+    /// them once. Otherwise, one in `HELLOS_PER_IMAGE_LIST` hellos lists those of this shard.
     pub fn take_image_scope(&mut self, sibling: &ControllerName) -> ImageScope {
         let peer = self.peers.get_mut(sibling);
         if peer.is_some_and(|peer| std::mem::take(&mut peer.needs_all_images)) {
@@ -228,7 +228,7 @@
 
     /// Records a hello with this sequence number from a sibling's process. Returns whether the hello is newer
     /// than all others from this process. If it is not, it was delayed in the network, and its content is
-    /// ignored.
+    /// ignored. So is a hello from a sibling that is not configured.
     pub fn hello_received(
         &mut self,
         from: &ProcessId,
@@ -356,7 +356,7 @@
             .any(|(_, peer)| peer.redirects_workers)
     }
 
-    /// Records an answer to a hello from a sibling's process that reads the store.
+    /// Records that a sibling's process, which can read the store, answered a hello.
     #[cfg(test)]
     pub fn record_answer(&mut self, sibling: &ControllerName, incarnation: u64, now: Time) {
         self.detector
--- a/src/core/membership/process_pause.rs
+++ b/src/core/membership/process_pause.rs
@@ -4,7 +4,7 @@
 //! information about siblings and workers is out of date. That it received no messages during the pause
 //! is no evidence of their failure. The ownership lease expires by the clock and needs no special
 //! handling. Until the process has read the store again, and every worker has had time to send a
-//! heartbeat, it concludes nothing from missing messages, returns no machine and plans no new one.
+//! heartbeat, it concludes nothing from missing messages, and plans neither rentals nor returns of machines.
 
 use crate::config::Config;
 use crate::core::model::time::Time;
--- a/src/core/membership/process_pause/tests.rs
+++ b/src/core/membership/process_pause/tests.rs
@@ -14,7 +14,7 @@
 /// A pause is reported once. The process has caught up when it has read the store and workers have had time
 /// to send heartbeats.
 #[test]
-fn process_catches_up_until_it_read_the_store_and_workers_could_send_heartbeats() {
+fn process_is_catching_up_until_it_has_read_the_store_and_workers_could_send_heartbeats() {
     let mut process_pause = process_pause();
     assert_eq!(process_pause.record_step(10.0), None, "the first step");
     assert_eq!(
