--- a/src/core/controller/deferred_heartbeats.rs
+++ b/src/core/controller/deferred_heartbeats.rs
@@ -189,8 +189,8 @@
         }
     }
 
-    /// Redirects a worker to the next controller by name that answers siblings and can serve workers,
-    /// starting over from the first name. If there is none, answers that this controller is unavailable.
+    /// Redirects a worker to the next sibling by name that is reachable and can serve workers. The first name
+    /// follows the last one. If there is no such sibling, answers that this controller is unavailable.
     pub(super) fn redirect_to_reachable_sibling(&mut self, request: RequestId) {
         let now = self.outbox.now;
         let serves = |node: &&ControllerName| self.can_serve(node);
--- a/src/core/controller/failure_detection.rs
+++ b/src/core/controller/failure_detection.rs
@@ -3,8 +3,8 @@
 //! The [`failure_detector`] assigns each sibling a stage. This module passes evidence to it and acts on the
 //! stages:
 //!
-//! - Suspicion alone changes no ownership. Workers are not redirected to a suspected sibling
-//!   ([`crate::core::controller::heartbeat_routing`]).
+//! - Suspicion alone changes no ownership. A worker that comes from a suspected sibling is not redirected
+//!   back to it ([`crate::core::controller::heartbeat_routing`]).
 //! - If a quorum confirms that the leader has failed, another controller takes over the leader's key.
 //!   That is safe at any time, since each write of the shard map has that key as a precondition.
 //! - A shard is failed over only under the conditions that [`crate::core::membership::ownership`] describes.
--- a/src/core/controller/inputs.rs
+++ b/src/core/controller/inputs.rs
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Records whether the store answered, refused the call or did not reply.
+    /// Records whether the store answered, refused the call or did not reply. A busy store changes nothing.
     fn record_store_contact(&mut self, reply: &StoreReply) {
         match reply {
             StoreReply::Refused => self.detection.record_store_refusal(),
--- a/src/core/controller/user_requests.rs
+++ b/src/core/controller/user_requests.rs
@@ -386,9 +386,10 @@
         let mut index = 0;
         // A resumed request that has to wait again is appended, so this loop visits it as well.
         while let Some(request) = self.user_requests.waiting.get(index) {
-            let is_late = now > request.received + max_wait(&request.operation) || is_cut_off;
+            let is_late_or_cut_off =
+                now > request.received + max_wait(&request.operation) || is_cut_off;
             let is_pause_over = request.not_before > request.received && request.not_before <= now;
-            if is_late {
+            if is_late_or_cut_off {
                 let request = self.user_requests.waiting.swap_remove(index);
                 self.relay_or_reject(request);
             } else if is_pause_over && self.store.current_as_of() >= request.read_after {
--- a/src/core/effects/pending.rs
+++ b/src/core/effects/pending.rs
@@ -103,7 +103,8 @@
         /// When the call was sent.
         sent: Time,
     },
-    /// Ends the lease of this process.
+    /// Ends a lease: that of this process, of an earlier process of this controller, or of a sibling's
+    /// process that abandoned it.
     End,
 }
 
--- a/src/core/messages/shard_update.rs
+++ b/src/core/messages/shard_update.rs
@@ -35,7 +35,7 @@
     /// For the leader: the machines that the sender's shard lacks or can spare.
     #[serde(rename = "need")]
     pub demand: CapacityDemand,
-    /// From the leader: the offers without capacity in the cloud. `None` from other controllers.
+    /// From the leader: the offers that cannot be rented at present. `None` from other controllers.
     #[serde(rename = "refused")]
     pub unavailable_offers: Option<BTreeSet<MachineOffer>>,
     /// The images on the sender's machines, included in every few hellos only. A new process receives all
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -125,8 +125,8 @@
         self.peers.detector().stage(sibling)
     }
 
-    /// Returns the teams whose tasks this controller can start. There are none unless its ownership lease is
-    /// valid and it owns machines. Each of them is reconciled.
+    /// Returns the teams whose tasks this controller can start, which are the reconciled teams. There are
+    /// none unless its ownership lease is valid and it owns machines.
     pub fn reconciled_teams(&self, now: Time) -> Vec<Team> {
         let shard = self.shard.as_ref().filter(|shard| shard.has_machines());
         let shard = shard.filter(|_| self.ownership.holds_lease(now));
--- a/src/core/model/token_bucket.rs
+++ b/src/core/model/token_bucket.rs
@@ -2,7 +2,7 @@
 
 use crate::core::model::time::Time;
 
-/// A token bucket. It fills at a constant rate and holds at most the tokens of one second, and at least one.
+/// A token bucket that fills at a constant rate. Its capacity is the tokens of one second, but at least one.
 #[derive(Debug)]
 pub struct TokenBucket {
     /// Tokens per second.
