--- a/src/core/jobs/job.rs
+++ b/src/core/jobs/job.rs
@@ -74,11 +74,11 @@
     pub write_alone: bool,
     /// Size in bytes of the smallest record that the store has rejected; `usize::MAX` if it has rejected none.
     /// Only smaller records are written.
-    pub refused_bytes: usize,
+    pub smallest_refused_bytes: usize,
     /// Whether some of its tasks have run. Waiting tasks then include lost ones, which have to be restarted.
     pub has_started: bool,
     /// Since when placement has found no machine for some of its tasks; `None` if there are no such tasks.
-    pub waits_since: Option<Time>,
+    pub unplaced_since: Option<Time>,
     /// Whether it is an opportunistic job that has waited so long that it keeps a machine of its own until it
     /// ends.
     pub starved: bool,
@@ -125,9 +125,9 @@
             write_in_flight: false,
             write_after: 0.0,
             write_alone: false,
-            refused_bytes: usize::MAX,
+            smallest_refused_bytes: usize::MAX,
             has_started: false,
-            waits_since: None,
+            unplaced_since: None,
             starved: false,
         }
     }
--- a/src/core/leader/shard_map_editor.rs
+++ b/src/core/leader/shard_map_editor.rs
@@ -76,7 +76,7 @@
             }
         }
         Self {
-            owners: ShardMap::read(stored.values().map(|chunk| &chunk.record)),
+            owners: ShardMap::from_chunks(stored.values().map(|chunk| &chunk.record)),
             leader_version,
             changes: 0,
             chunks,
--- a/src/core/records/shard_map.rs
+++ b/src/core/records/shard_map.rs
@@ -78,7 +78,7 @@
 
 impl ShardMap {
     /// Merges stored chunks into one map. Later chunks take precedence.
-    pub fn read<'a>(chunks: impl Iterator<Item = &'a ShardMapChunk>) -> Self {
+    pub fn from_chunks<'a>(chunks: impl Iterator<Item = &'a ShardMapChunk>) -> Self {
         let mut map = Self::default();
         for chunk in chunks {
             map.grants_kept_since
--- a/src/core/shard/capacity_planning.rs
+++ b/src/core/shard/capacity_planning.rs
@@ -75,7 +75,7 @@
     if !job.has_started {
         return now - job.runnable_since;
     }
-    job.waits_since
+    job.unplaced_since
         .filter(|_| job.placed_count() == 0)
         .map_or(0.0, |since| now - since)
 }
--- a/src/core/shard/round.rs
+++ b/src/core/shard/round.rs
@@ -100,7 +100,7 @@
         };
         let max_wait_s = self.config.deployment.workers.cancel_s;
         let has_waited_long = job
-            .waits_since
+            .unplaced_since
             .is_some_and(|since| now - since > max_wait_s);
         !has_waited_long
             && !job.is_opportunistic(&self.config)
@@ -145,7 +145,8 @@
             self.preempt_for_unplaced_tasks(id, selected.unplaced, snapshots, usage, round);
         }
         if let Some(job) = self.jobs.get_mut(id) {
-            job.waits_since = (selected.unplaced > 0).then(|| job.waits_since.unwrap_or(round.now));
+            job.unplaced_since =
+                (selected.unplaced > 0).then(|| job.unplaced_since.unwrap_or(round.now));
         }
         placements.len()
     }
--- a/src/core/store/replica/apply.rs
+++ b/src/core/store/replica/apply.rs
@@ -156,7 +156,7 @@
     fn rebuild_shard_map(&mut self) {
         self.shard_map_changes += 1;
         let chunks = self.map_chunks.values().map(|chunk| &chunk.record);
-        self.shard_map = ShardMap::read(chunks);
+        self.shard_map = ShardMap::from_chunks(chunks);
     }
 }
 
