--- a/crates/quota-ledger/src/amount.rs
+++ b/crates/quota-ledger/src/amount.rs
@@ -68,12 +68,12 @@
     }
 
     /// Adds `other`. Sums saturate at `u64::MAX` thousandths.
-    pub fn plus(&self, other: &Self) -> Self {
+    pub fn saturating_add(&self, other: &Self) -> Self {
         self.combine(other, u64::saturating_add)
     }
 
     /// Subtracts `other`. A resource of which `other` has more becomes 0.
-    pub fn minus(&self, other: &Self) -> Self {
+    pub fn saturating_sub(&self, other: &Self) -> Self {
         self.combine(other, u64::saturating_sub)
     }
 
--- a/crates/quota-ledger/src/headroom.rs
+++ b/crates/quota-ledger/src/headroom.rs
@@ -4,9 +4,9 @@
 
 use crate::amount::{Amount, Limit};
 
-/// Fraction of the headroom. A holder with less unused capacity requests more.
+/// A holder whose unused capacity is below this fraction of the headroom requests more.
 const LOW_WATERMARK_FRACTION: f64 = 0.5;
-/// Multiple of the headroom. A holder with more unused capacity returns the surplus.
+/// A holder whose unused capacity is above this multiple of the headroom returns the surplus.
 const HIGH_WATERMARK_MULTIPLE: f64 = 2.0;
 
 /// Decides when grants grow and shrink.
@@ -51,13 +51,13 @@
         }
         let headroom = self.headroom_amount(limit);
         let needed_with_headroom = |multiple: f64| {
-            let with_headroom = needed.plus(&headroom.scaled(multiple));
+            let with_headroom = needed.saturating_add(&headroom.scaled(multiple));
             limit.amount().min(&with_headroom).max(needed)
         };
         if !grant.covers(&needed_with_headroom(LOW_WATERMARK_FRACTION)) {
             GrantTarget::Grow(needed_with_headroom(1.0).max(grant))
         } else if !needed
-            .plus(&headroom.scaled(HIGH_WATERMARK_MULTIPLE))
+            .saturating_add(&headroom.scaled(HIGH_WATERMARK_MULTIPLE))
             .covers(grant)
         {
             GrantTarget::ShrinkLater(needed_with_headroom(1.0).min(grant))
--- a/crates/quota-ledger/src/holder.rs
+++ b/crates/quota-ledger/src/holder.rs
@@ -8,7 +8,7 @@
 use crate::headroom::{GrantTarget, HeadroomPolicy};
 use crate::record::{HolderId, TeamLedger};
 
-/// Former holders for which there is evidence that they can't start tasks under their grants any more.
+/// Former holders for which there is evidence that they cannot start tasks under their grants any more.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum EndedHolders {
     /// No such holder is known.
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Demand {
     /// Capacity that the holder's own grant must cover: all tasks that it started and that may be running,
-    /// including starts in flight, and tasks that it has inherited before.
+    /// including starts in flight, and tasks that it inherited earlier.
     pub used: Amount,
     /// Additional capacity of waiting tasks that could start at once if it were granted.
     pub waiting: Amount,
@@ -109,7 +109,7 @@
         }
         self.version = version;
         self.ledger = ledger;
-        // A write that expects an earlier version can't be executed any more.
+        // A write that expects an earlier version cannot be executed any more.
         self.in_doubt
             .take_if(|in_doubt| in_doubt.expected_version != version);
     }
@@ -218,7 +218,7 @@
         }
         let needed = self.requestable_amount(&ledger, demand);
         if ledger.grant(&self.id).is_none() {
-            let desired = needed.plus(&self.headroom_policy.headroom_amount(&self.limit));
+            let desired = needed.saturating_add(&self.headroom_policy.headroom_amount(&self.limit));
             return Some(self.with_resized_grant(&ledger.add_holder(&self.id), desired, needed));
         }
         let desired = self.target_amount(now, &ledger, needed)?;
@@ -241,7 +241,8 @@
         } else {
             demand.first_waiting
         };
-        self.limit.limited_part(&demand.used.plus(&waiting))
+        self.limit
+            .limited_part(&demand.used.saturating_add(&waiting))
     }
 
     /// The record after this holder took over the grants of ended holders; `None` if those have no grants.
@@ -274,10 +275,10 @@
     fn first_grant_amount(&self, demand: &Demand) -> Amount {
         let running = self
             .limit
-            .limited_part(&demand.used.plus(&demand.inherited));
+            .limited_part(&demand.used.saturating_add(&demand.inherited));
         let waiting = self.limit.limited_part(&demand.waiting);
         let headroom = self.headroom_policy.headroom_amount(&self.limit);
-        let desired = running.plus(&waiting).plus(&headroom);
+        let desired = running.saturating_add(&waiting).saturating_add(&headroom);
         running.max(&self.limit.amount().min(&desired))
     }
 
@@ -320,7 +321,7 @@
         let recalled = grant.map_or(Amount::ZERO, |grant| grant.wanted);
         // A lowered limit does not reduce an existing grant.
         let amount = desired.min(&ledger.available(&self.id, &self.limit).max(&held));
-        let lacking = needed.minus(&amount);
+        let lacking = needed.saturating_sub(&amount);
         // The recall does not shrink while capacity is lacking. That avoids further writes.
         let lacking = if lacking.is_zero() {
             lacking
--- a/crates/quota-ledger/src/record.rs
+++ b/crates/quota-ledger/src/record.rs
@@ -87,7 +87,7 @@
     Invalid(String),
 }
 
-/// Why a record can't be changed as requested.
+/// Why a record cannot be changed as requested.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum ChangeError {
     /// The other grants leave too little of the limit.
@@ -159,13 +159,13 @@
     /// that `holder` did not start.
     pub fn granted_to_others(&self, holder: &HolderId) -> Amount {
         let others = self.grants.iter().filter(|grant| grant.holder != *holder);
-        others.fold(self.folded, |sum, grant| sum.plus(&grant.amount))
+        others.fold(self.folded, |sum, grant| sum.saturating_add(&grant.amount))
     }
 
     /// The sum of the recalls of all holders except `holder`.
     pub fn wanted_by_others(&self, holder: &HolderId) -> Amount {
         let others = self.grants.iter().filter(|grant| grant.holder != *holder);
-        others.fold(Amount::ZERO, |sum, grant| sum.plus(&grant.wanted))
+        others.fold(Amount::ZERO, |sum, grant| sum.saturating_add(&grant.wanted))
     }
 
     /// Whether `holder` must yield to another holder that lacks capacity. Among those that lack capacity,
@@ -187,7 +187,9 @@
 
     /// The most that `holder` may be granted: the limit minus all other grants.
     pub fn available(&self, holder: &HolderId, limit: &Limit) -> Amount {
-        limit.amount().minus(&self.granted_to_others(holder))
+        limit
+            .amount()
+            .saturating_sub(&self.granted_to_others(holder))
     }
 
     /// Adds a holder with an empty grant, unless the record lists it already.
@@ -242,7 +244,7 @@
             .retain(|grant| !former.contains(&grant.holder) || grant.holder == *holder);
         let removed = self
             .granted_to_others(holder)
-            .minus(&next.granted_to_others(holder));
+            .saturating_sub(&next.granted_to_others(holder));
         next.add_inherited(holder, inherited.min(&removed))
     }
 
@@ -261,7 +263,9 @@
     /// Adds `inherited` to the grant of `holder`.
     fn add_inherited(&self, holder: &HolderId, inherited: Amount) -> Result<Self, ChangeError> {
         self.grant(holder).ok_or(ChangeError::NotAHolder)?;
-        Ok(self.with_changed_grant(holder, |grant| grant.amount = grant.amount.plus(&inherited)))
+        Ok(self.with_changed_grant(holder, |grant| {
+            grant.amount = grant.amount.saturating_add(&inherited)
+        }))
     }
 
     /// Reduces the grant of a holder that starts no more tasks to `still_used`, the capacity of its tasks
@@ -291,7 +295,7 @@
     }
 
     /// Adds the oldest grants to the sum until at most [`MAX_GRANTS`] are listed. A holder that is no longer
-    /// listed can't change its grant, but the grant still counts against the limit.
+    /// listed cannot change its grant, but the grant still counts against the limit.
     fn fold_oldest_grants(&mut self, joining: &HolderId) {
         while self.grants.len() > MAX_GRANTS {
             let oldest = self
@@ -300,7 +304,7 @@
                 .position(|grant| grant.holder != *joining);
             let Some(oldest) = oldest else { return };
             let grant = self.grants.remove(oldest);
-            self.folded = self.folded.plus(&grant.amount);
+            self.folded = self.folded.saturating_add(&grant.amount);
         }
     }
 }
--- a/crates/quota-ledger/tests/model/mod.rs
+++ b/crates/quota-ledger/tests/model/mod.rs
@@ -597,7 +597,7 @@
         let waiting = std::mem::take(&mut controller.waiting);
         let term = controller.term;
         for task in waiting {
-            let needed = used.plus(&Amount::covering(0.0, task.gpus));
+            let needed = used.saturating_add(&Amount::covering(0.0, task.gpus));
             if !grant.covers(&needed) {
                 self.controllers[node].waiting.push(task);
                 continue;
--- a/crates/quota-ledger/tests/record.rs
+++ b/crates/quota-ledger/tests/record.rs
@@ -169,7 +169,7 @@
     assert!(holder.propose(15.0, &demand(1.0, 0.0)).is_some());
     holder.record_outcome(WriteOutcome::Unknown);
     assert_eq!(holder.usable_grant(), gpus(3.0));
-    // A later write of another holder shows that the write was not executed and can't be any more.
+    // A later write of another holder shows that the write was not executed and cannot be any more.
     let others = TeamLedger::create(&id(1), gpus(8.0)).add_holder(&id(2));
     holder.observe_record(7, Some(others));
     assert_eq!(holder.usable_grant(), gpus(8.0));
--- a/src/cloud_client.rs
+++ b/src/cloud_client.rs
@@ -49,7 +49,7 @@
             (Method::GET, path, Vec::new())
         }
         CloudCall::Rent(rental) => (Method::POST, "/rentals".into(), encode(rental)),
-        CloudCall::Release(names) => (Method::POST, "/rentals/release".into(), encode(names)),
+        CloudCall::Release(machines) => (Method::POST, "/rentals/release".into(), encode(machines)),
     }
 }
 
--- a/src/core/controller/status.rs
+++ b/src/core/controller/status.rs
@@ -170,7 +170,7 @@
         let (own, inherited) = usage.own_and_inherited(&team_limits.name);
         Some(OwnedTeamStatus {
             basis: basis_status(team.grant.as_ref()),
-            used: capacity(&own.plus(&inherited)),
+            used: capacity(&own.saturating_add(&inherited)),
             inherited: capacity(&inherited),
             unknown_machines: team.unreconciled.len(),
         })
--- a/src/core/jobs/failures.rs
+++ b/src/core/jobs/failures.rs
@@ -36,7 +36,7 @@
 
 impl JobFailures {
     /// Records that a task failed on this machine. `longest_interval` is the longest time between two probes
-    /// in seconds. Returns whether the job is considered to fail on every machine because of this failure.
+    /// in seconds. Returns true if the job is considered to fail on every machine since this failure.
     pub fn record_failure(
         &mut self,
         machine: &MachineId,
--- a/src/core/jobs/failures/tests.rs
+++ b/src/core/jobs/failures/tests.rs
@@ -10,7 +10,7 @@
     failures
 }
 
-/// Any number of failures on one machine must not make the job count as failing on every machine.
+/// Failures on one machine, however many, must not make the job count as failing on every machine.
 #[test]
 fn failures_on_one_machine_do_not_mark_the_job_as_failing() {
     let failures = failures_on(&["m-1", "m-1", "m-1", "m-1"]);
--- a/src/core/jobs/job.rs
+++ b/src/core/jobs/job.rs
@@ -42,7 +42,7 @@
     pub version: Version,
     /// The highest of its own priority and the priorities of the jobs that depend on it.
     pub priority: Priority,
-    /// Since when it has been able to run: it was accepted and all its dependencies were done.
+    /// When it became able to run: it had been accepted, and all its dependencies were done.
     pub runnable_since: Time,
     /// Whether unfinished jobs depend on it.
     pub has_dependents: bool,
@@ -75,7 +75,7 @@
     /// Size in bytes of the smallest record that the store has rejected; `usize::MAX` if it has rejected none.
     /// Only smaller records are written.
     pub smallest_refused_bytes: usize,
-    /// Whether some of its tasks have run. Waiting tasks then include lost ones, which have to be restarted.
+    /// Whether some of its tasks have run. Waiting tasks may then include lost ones, which have to be restarted.
     pub has_started: bool,
     /// Since when placement has found no machine for some of its tasks; `None` if there are no such tasks.
     pub unplaced_since: Option<Time>,
@@ -86,8 +86,8 @@
 
 impl Job {
     /// Creates a job of which only the stored record is known. `runnable_since` is the time since which it
-    /// has been able to run. `reconciled` says that no machine can hold any of its tasks; they are then
-    /// waiting.
+    /// has been able to run. If `reconciled`, no machine can hold any of its tasks, and those that are not
+    /// done are waiting.
     pub fn new(
         spec: Rc<JobSpec>,
         record: Rc<JobRecord>,
--- a/src/core/machines/claims.rs
+++ b/src/core/machines/claims.rs
@@ -1,10 +1,10 @@
 //! Claims of machines that are partitioned from their owners.
 //!
 //! A network partition between two zones may separate machines in one zone from their owner in the other.
-//! Their heartbeats cannot be relayed, so their leases would expire. A controller that receives their
-//! heartbeats claims them in its own key, and the leader reassigns them to that controller like any other
-//! machine. Their tasks keep running and stay with their teams. A claim alone grants nothing. The leader
-//! ignores a claim whose token is no longer the one in the shard map.
+//! Their heartbeats cannot be relayed to that owner, so their leases would expire. A controller that receives
+//! their heartbeats claims them in its own key, and the leader reassigns them to that controller like any
+//! other machine. Their tasks keep running and stay with their teams. A claim alone grants nothing. The
+//! leader ignores a claim whose token is no longer the one in the shard map.
 
 use crate::config::Config;
 use crate::core::model::time::Time;
@@ -13,7 +13,7 @@
 use crate::ids::{FencingToken, MachineId};
 use std::collections::BTreeMap;
 
-/// Time for which a claim is valid, in worker leases. A reassigned machine also stays with the claimant for
+/// Time for which a claim is valid, in durations of a worker's lease. A reassigned machine also stays with the claimant for
 /// this time, even if the claimant owns no team.
 pub(crate) const CLAIM_VALIDITY_LEASES: f64 = 3.0;
 
@@ -27,7 +27,7 @@
 struct Claim {
     /// The token under which the machine was owned when it was claimed.
     token: FencingToken,
-    /// When the claim was last made or repeated.
+    /// When the claim was last made or renewed.
     renewed_at: Time,
 }
 
@@ -36,7 +36,7 @@
     claims: BTreeMap<MachineId, Claim>,
     /// Maximum number of claims that the stored value can hold.
     capacity: usize,
-    /// Seconds for which a claim is valid after it was last made.
+    /// Seconds for which a claim is valid after it was last made or renewed.
     valid_s: Time,
 }
 
--- a/src/core/machines/claims/tests.rs
+++ b/src/core/machines/claims/tests.rs
@@ -2,8 +2,8 @@
 use crate::core::records::shard_map::ShardOwner;
 use crate::core::test_support::{config, owner};
 
-/// Guards against fulfilled claims that stay in the stored value for three leases: a zone with more machines
-/// than the value holds would then be claimed only in part.
+/// Guards against claims that stay in the stored value for three leases although the leader has granted them:
+/// if a zone has more machines than the value can hold, only a part of them would then be claimed.
 #[test]
 fn outdated_and_expired_claims_free_capacity_for_others() {
     let mut claims = MachineClaims::new(&config());
--- a/src/core/machines/machine/capacity.rs
+++ b/src/core/machines/machine/capacity.rs
@@ -9,22 +9,23 @@
 impl Machine {
     /// Returns the resources that are free now.
     pub fn free(&self) -> Resources {
-        self.free_besides(|_| true)
+        self.unused_by(|_| true)
     }
 
     /// Returns the resources that are free once every attempt with a requested stop has ended.
     pub fn free_after_stops(&self) -> Resources {
-        self.free_besides(|tracked| tracked.stop.is_none())
+        self.unused_by(|tracked| tracked.stop.is_none())
     }
 
-    /// Returns the resources that are free once opportunistic work has been preempted as well.
+    /// Returns the resources that are free once every attempt with a requested stop has ended and all
+    /// opportunistic work has been preempted.
     pub fn free_for_other_work(&self) -> Resources {
-        self.free_besides(|tracked| tracked.stop.is_none() && !tracked.opportunistic)
+        self.unused_by(|tracked| tracked.stop.is_none() && !tracked.opportunistic)
     }
 
     /// Returns the total resources minus those of the attempts that satisfy `is_counted`. Returns no
     /// resources if those of a counted attempt are unknown.
-    fn free_besides(&self, is_counted: impl Fn(&TrackedAttempt) -> bool) -> Resources {
+    fn unused_by(&self, is_counted: impl Fn(&TrackedAttempt) -> bool) -> Resources {
         let mut free = self.total;
         let counted = self
             .attempts
--- a/src/core/machines/machine/heartbeat_order.rs
+++ b/src/core/machines/machine/heartbeat_order.rs
@@ -20,9 +20,11 @@
         /// Whether it begins a later agent epoch. All attempts of the earlier epoch have then ended.
         new_epoch: bool,
     },
-    /// The worker waits for the response, but a newer message of the same epoch was received before.
+    /// A newer message of the same epoch was received before. A periodic heartbeat must still be answered,
+    /// because the worker waits for the response.
     Superseded,
-    /// The heartbeat is a copy of an earlier one or belongs to an epoch that is over. It must be ignored.
+    /// The heartbeat belongs to an epoch that is over, or it is periodic and not newer than the last periodic
+    /// one. It must be ignored.
     Duplicate,
 }
 
@@ -50,7 +52,7 @@
         self.ended_epoch
     }
 
-    /// Ends the present epoch: later messages of it are duplicates.
+    /// Ends the present epoch: later messages of it count as duplicates.
     pub(super) fn end_epoch(&mut self) {
         self.ended_epoch = self.epoch;
     }
--- a/src/core/machines/machine/image_cache.rs
+++ b/src/core/machines/machine/image_cache.rs
@@ -5,8 +5,8 @@
 use crate::ids::Image;
 use std::collections::BTreeMap;
 
-/// Factor on the expected duration of a fetch. The actual rate deviates from the published rate by up to a
-/// third.
+/// Expected duration of a fetch, relative to its duration at the published rate. The actual rate deviates
+/// from the published rate by up to a third.
 const FETCH_TIME_FACTOR: f64 = 1.2;
 
 /// Minimum remaining time of a fetch in progress, as a fraction of its expected duration. An overdue fetch is
@@ -26,7 +26,8 @@
         self.images.iter().any(|(known, _)| known == image)
     }
 
-    /// Records the use of an image. If it was not in the cache and exceeds the capacity, evicts others.
+    /// Records the use of an image. An image that was not in the cache is added; others are then evicted until
+    /// the capacity is no longer exceeded or only the new image is left.
     fn record_use(&mut self, image: &Image, gb: f64) {
         if let Some(index) = self.images.iter().position(|(known, _)| known == image) {
             let entry = self.images.remove(index);
@@ -46,7 +47,7 @@
 }
 
 impl Machine {
-    /// Records that a task has used this image, so that the image is on the machine.
+    /// Records that a task has used this image, which is therefore on the machine.
     pub fn record_image_use(&mut self, image: &Image, gb: f64) {
         self.image_cache.record_use(image, gb);
     }
--- a/src/core/machines/starts_in_flight.rs
+++ b/src/core/machines/starts_in_flight.rs
@@ -3,9 +3,9 @@
 //!
 //! A start is sent in direct messages, each on its own connection, and in responses to the machine's
 //! heartbeats. The attempt may begin on the machine until every message that carried its start is known to
-//! have been executed, refused or never sent. The machine's heartbeats do not change this. If such an attempt
-//! were taken to be absent, or if the worker forgot its exit, it could begin while the task runs elsewhere
-//! (`docs/incidents/2026-12-start-under-way.md`).
+//! have been executed, refused or never sent. A heartbeat that does not report the attempt does not change
+//! this. If such an attempt were taken to be absent, or if the worker forgot its exit, it could begin while
+//! the task runs elsewhere (`docs/incidents/2026-12-start-under-way.md`).
 //!
 //! A message is also void if the machine has reported a higher fencing token or a later agent epoch: the
 //! worker executes nothing that was sent under an earlier one. The entries outlive the attempts. They also
@@ -85,7 +85,7 @@
 }
 
 impl StartsInFlight {
-    /// Records that a direct message with these starts is sent. Messages without starts are not tracked.
+    /// Records that a direct message with these starts was sent. Messages without starts are not tracked.
     pub fn record_direct_message(
         &mut self,
         machine: &MachineId,
--- a/src/core/records/job_record.rs
+++ b/src/core/records/job_record.rs
@@ -115,7 +115,7 @@
 /// Tasks of a cancelled job that may still be running.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TerminatingTasks {
-    /// The team of the job, to whose limit the tasks count.
+    /// The team of the job. The tasks count towards its limit.
     #[serde(rename = "t")]
     pub team: Team,
     /// Number of tasks that were not done when the job was cancelled.
@@ -132,7 +132,8 @@
         matches!(self.status, JobStatus::Done | JobStatus::Cancelled)
     }
 
-    /// Returns the final record of this job if it is done at `wall_ms`, a wall-clock time in milliseconds.
+    /// Returns the final record of this job when it is done. `wall_ms` is the wall-clock time of its end in
+    /// milliseconds.
     pub fn to_done(&self, wall_ms: u64) -> Self {
         let (done, ended_ms) = (TaskIndexRanges::default(), Some(wall_ms));
         Self {
@@ -144,8 +145,8 @@
         }
     }
 
-    /// Returns the final record of this job if it is cancelled at `wall_ms`, a wall-clock time in
-    /// milliseconds.
+    /// Returns the final record of this job when it is cancelled. `wall_ms` is the wall-clock time of its end
+    /// in milliseconds.
     pub fn to_cancelled(&self, wall_ms: u64) -> Self {
         let terminating = self.spec.as_ref().map(|spec| TerminatingTasks {
             team: spec.team.clone(),
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Returns the final record of this job if it is cancelled because a dependency was cancelled. The
+    /// Returns the final record of this job when it is cancelled because a dependency was cancelled. The
     /// dependency was never done, so no task of this job has started and none can be running.
     pub fn to_cancelled_unstarted(&self, wall_ms: u64) -> Self {
         let mut record = self.to_cancelled(wall_ms);
--- a/src/core/scheduling/usage.rs
+++ b/src/core/scheduling/usage.rs
@@ -86,7 +86,7 @@
     /// counts up to the amount granted to them; if the team's usage `is_unknown`, that whole amount counts.
     fn apply_grant(&mut self, limit: &Limit, own: Amount, outstanding: &Amount, is_unknown: bool) {
         self.granted = Some(own);
-        self.grantable = Some(limit.amount().minus(outstanding).max(&own));
+        self.grantable = Some(limit.amount().saturating_sub(outstanding).max(&own));
         let (cpus, gpus) = outstanding.cpus_and_gpus();
         let count_inherited = |counted: f64, granted: f64, is_limited: bool| match is_limited {
             true if is_unknown => granted,
@@ -261,7 +261,7 @@
             return Default::default();
         };
         let own = used.own.amount();
-        (own, used.total.amount().minus(&own))
+        (own, used.total.amount().saturating_sub(&own))
     }
 
     /// Resources of all tasks of the team that wait only for a larger grant, and those of the first of them.
--- a/src/inbox/tests.rs
+++ b/src/inbox/tests.rs
@@ -16,7 +16,7 @@
 }
 
 /// While the core takes no inputs, users' requests are rejected first, then health checks and heartbeats,
-/// then siblings' messages, each without a wait. Inputs that the core takes free capacity again.
+/// then siblings' messages, each without a wait. Once the core takes inputs, there is capacity again.
 #[tokio::test(flavor = "current_thread")]
 async fn a_full_inbox_rejects_users_first_and_siblings_last() {
     let (queue, mut inputs) = mpsc::unbounded_channel();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,7 +13,6 @@
 pub mod ids;
 pub mod inbox;
 pub mod mesh;
-
 pub mod service;
 pub mod status;
 pub mod status_client;
