--- a/src/core/leader/shard_map_editor.rs
+++ b/src/core/leader/shard_map_editor.rs
@@ -76,7 +76,7 @@
             }
         }
         Self {
-            shard_map: ShardMap::read(stored.values().map(|chunk| &chunk.record)),
+            shard_map: ShardMap::from_chunks(stored.values().map(|chunk| &chunk.record)),
             leader_version,
             issued_token_count: 0,
             chunks,
