--- a/src/core/jobs/job.rs
+++ b/src/core/jobs/job.rs
@@ -72,10 +72,11 @@
     /// Whether its next write is a transaction of its own, because a transaction with records of other jobs
     /// failed.
     pub write_alone: bool,
-    /// Size in bytes of the smallest record that the store has rejected; `usize::MAX` if it has rejected none.
-    /// Only smaller records are written.
-    pub smallest_refused_bytes: usize,
-    /// Whether some of its tasks have run. Waiting tasks may then include lost ones, which have to be restarted.
+    /// Size in bytes of the smallest record that the store has rejected; `usize::MAX` if there is none. Only
+    /// smaller records are written.
+    pub smallest_rejected_bytes: usize,
+    /// Whether some of its tasks have run. Waiting tasks may then include lost ones, which have to be
+    /// restarted.
     pub has_started: bool,
     /// Since when placement has found no machine for some of its tasks; `None` if there are no such tasks.
     pub unplaced_since: Option<Time>,
@@ -125,7 +126,7 @@
             write_in_flight: false,
             write_after: 0.0,
             write_alone: false,
-            smallest_refused_bytes: usize::MAX,
+            smallest_rejected_bytes: usize::MAX,
             has_started: false,
             unplaced_since: None,
             starved: false,
--- a/src/core/machines/claims.rs
+++ b/src/core/machines/claims.rs
@@ -13,8 +13,8 @@
 use crate::ids::{FencingToken, MachineId};
 use std::collections::BTreeMap;
 
-/// Time for which a claim is valid, in durations of a worker's lease. A reassigned machine also stays with the claimant for
-/// this time, even if the claimant owns no team.
+/// Time for which a claim is valid, in durations of a worker's lease. A reassigned machine also stays with
+/// the claimant for this time, even if the claimant owns no team.
 pub(crate) const CLAIM_VALIDITY_LEASES: f64 = 3.0;
 
 /// Fraction of the size limit of a stored value that claims may use.
--- a/src/core/machines/machine/image_cache.rs
+++ b/src/core/machines/machine/image_cache.rs
@@ -26,8 +26,8 @@
         self.images.iter().any(|(known, _)| known == image)
     }
 
-    /// Records the use of an image. An image that was not in the cache is added; others are then evicted until
-    /// the capacity is no longer exceeded or only the new image is left.
+    /// Records the use of an image. An image that was not in the cache is added. Others are then evicted
+    /// until the capacity is no longer exceeded or only the new image is left.
     fn record_use(&mut self, image: &Image, gb: f64) {
         if let Some(index) = self.images.iter().position(|(known, _)| known == image) {
             let entry = self.images.remove(index);
--- a/src/core/machines/machine/tests.rs
+++ b/src/core/machines/machine/tests.rs
@@ -5,7 +5,7 @@
     test_support::heartbeat("m-1", agent_epoch, sequence, FencingToken(1))
 }
 
-/// Copies of heartbeats arrive seconds to minutes late. They must not change the state of the machine.
+/// Copies of heartbeats may arrive seconds to minutes late. They must not change the state of the machine.
 #[test]
 fn duplicate_and_superseded_heartbeats_are_recognized() {
     let mut machine = Machine::new("m-1".into(), FencingToken(1), 0.0);
--- a/src/core/machines/unresponsive.rs
+++ b/src/core/machines/unresponsive.rs
@@ -1,12 +1,12 @@
 //! Declarations that a machine is unresponsive.
 //!
 //! An owner that has received no heartbeat of a machine for most of a lease declares the machine
-//! unresponsive. From then on it answers no heartbeat under the present fencing token: a machine that sends
-//! heartbeats again needs a new token before it is answered. The time of the last answer under the declared token is therefore final. The next
-//! owner can count the lease from that time instead of from the change of owner. A declaration is valid only
-//! if the shard map contains its token as `previous_token`, the token directly before the present one. The
-//! leader sets `previous_token` if it knows that the owner declared the machine unresponsive under that
-//! token.
+//! unresponsive. From then on it answers no heartbeat under the present fencing token: a machine that
+//! sends heartbeats again needs a new token before it is answered. The time of the last answer under the
+//! declared token is therefore final. The next owner can count the lease from that time instead of from
+//! the change of owner. A declaration is valid only if the shard map contains its token as
+//! `previous_token`, the token directly before the present one. The leader sets `previous_token` if it
+//! knows that the owner declared the machine unresponsive under that token.
 
 use crate::core::messages::shard_update::UnresponsiveMachine;
 use crate::core::model::time::{MAX_CLOCK_DRIFT, Time};
--- a/src/core/shard/progress_records.rs
+++ b/src/core/shard/progress_records.rs
@@ -178,7 +178,7 @@
         // The job was accepted under a larger limit on values, so its progress is not recorded before it
         // completes.
         let too_large = !record.is_final() && bytes as f64 > value_limit;
-        if too_large || bytes >= job.smallest_refused_bytes {
+        if too_large || bytes >= job.smallest_rejected_bytes {
             job.unrecorded_since = None;
             return None;
         }
@@ -308,7 +308,7 @@
                     bytes,
                     "store rejected a job record: the job continues, records of this size or larger are not written"
                 );
-                job.smallest_refused_bytes = job.smallest_refused_bytes.min(bytes);
+                job.smallest_rejected_bytes = job.smallest_rejected_bytes.min(bytes);
             }
             _ => {
                 // The job was cancelled meanwhile, the write was not executed, or its outcome is unknown. The
