--- a/src/core/controller/catalog.rs
+++ b/src/core/controller/catalog.rs
@@ -1,4 +1,4 @@
-//! Keeping the machine types current, from the cloud and from the store.
+//! Updates the catalog of machine types from the cloud and from the store.
 
 use crate::core::Core;
 use crate::core::effects::pending::Pending;
@@ -8,41 +8,43 @@
 use crate::core::records::versioned::{precondition, put};
 use crate::wire::{MachineTypes, Transaction};
 
-/// Time between two requests for the machine types, in lags of the cloud's list.
-const REFRESH_LAGS: f64 = 6.0;
+/// Time between two queries for the machine types, in multiples of the delay of the cloud's machine list.
+const REFRESH_INTERVAL_LAGS: f64 = 6.0;
 
-/// Pause after a failed request, as the time that so many requests take at the cloud's rate limit.
-const RETRY_REQUESTS: f64 = 1.5;
+/// Pause after a failed query before jitter, as the number of requests that the cloud's rate limit permits
+/// during the pause.
+const RETRY_PAUSE_REQUESTS: f64 = 1.5;
 
 impl Core {
-    /// Asks the cloud for the machine types, which every controller needs, and as the leader also stores them:
-    /// so controllers that start while the cloud is unavailable can accept jobs and place tasks. The leader, who
-    /// rents machines, asks repeatedly; other controllers until they know them.
-    pub(crate) fn catalog_when_due(&mut self) {
+    /// Queries the cloud for the machine types if a query is due. The leader rents machines, so it repeats
+    /// the query regularly. Other controllers query until they know the types. The leader also stores the
+    /// types, so that controllers that start while the cloud is unavailable can accept jobs and place tasks.
+    pub(crate) fn refresh_catalog_when_due(&mut self) {
         let catalog = &mut self.catalog;
-        if let (false, Some(stored)) = (catalog.known(), self.store.machine_types()) {
+        if let (false, Some(stored)) = (catalog.is_known(), self.store.machine_types()) {
             catalog.types.clone_from(&stored.record.types);
         }
         if self.leader.is_some()
-            && catalog.known()
-            && self.outbox.now >= catalog.next_store
+            && catalog.is_known()
+            && self.outbox.now >= catalog.next_store_write
             && self.outbox.may_write()
         {
-            catalog.next_store = self.outbox.now + self.config.deployment.cloud.list_lag_s.max(1.0);
-            self.store_types();
+            catalog.next_store_write =
+                self.outbox.now + self.config.deployment.cloud.list_lag_s.max(1.0);
+            self.write_machine_types();
         }
         let catalog = &mut self.catalog;
-        if !catalog.asking
-            && self.outbox.now >= catalog.next
-            && (!catalog.known() || self.leader.is_some())
+        if !catalog.is_query_pending
+            && self.outbox.now >= catalog.next_query
+            && (!catalog.is_known() || self.leader.is_some())
         {
-            catalog.asking = true;
+            catalog.is_query_pending = true;
             self.outbox.call_cloud(None, CloudCall::Types);
         }
     }
 
-    /// Stores the machine types, if they differ from what is stored and are not too large.
-    fn store_types(&mut self) {
+    /// Writes the machine types to the store if they differ from the stored ones and fit into one value.
+    fn write_machine_types(&mut self) {
         let Some(leader) = &self.leader else { return };
         let record = MachineTypes {
             types: self.catalog.types.clone(),
@@ -69,21 +71,23 @@
             .call_store(Pending::MachineTypes(write), StoreCall::Commit(transaction));
     }
 
-    /// Takes in the cloud's reply to a request for the machine types.
-    pub(crate) fn catalog_reply(&mut self, reply: CloudReply) {
+    /// Applies the cloud's reply to a query for the machine types and schedules the next query.
+    pub(crate) fn handle_catalog_reply(&mut self, reply: CloudReply) {
         let now = self.outbox.now;
         let cloud = &self.config.deployment.cloud;
         let lag_s: Time = cloud.list_lag_s.max(1.0);
-        self.catalog.asking = false;
+        self.catalog.is_query_pending = false;
         match reply {
             CloudReply::Types(types) if !types.types.is_empty() => {
                 if self.catalog.types != types.types {
-                    self.catalog.next_store = self.catalog.next_store.min(now);
+                    self.catalog.next_store_write = self.catalog.next_store_write.min(now);
                 }
                 self.catalog.types = types.types;
-                self.catalog.next = now + lag_s * REFRESH_LAGS;
+                self.catalog.next_query = now + lag_s * REFRESH_INTERVAL_LAGS;
+            }
+            _ => {
+                self.catalog.next_query = now + self.outbox.jitter(RETRY_PAUSE_REQUESTS / cloud.rps)
             }
-            _ => self.catalog.next = now + self.outbox.jitter(RETRY_REQUESTS / cloud.rps),
         }
     }
 }
--- a/src/core/controller/deferred_heartbeats/tests.rs
+++ b/src/core/controller/deferred_heartbeats/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::core::effects::Effect;
 use crate::core::records::shard_map::ShardEntry;
-use crate::core::test_support::{answered_until, heartbeat, map, owner, running_core};
+use crate::core::test_support::{apply_shard_map, heartbeat, owner, record_answers, running_core};
 use crate::ids::FencingToken;
 
 const START: Time = 100.0;
@@ -14,14 +14,14 @@
     }
 }
 
-/// A core whose sibling n0, the owner of m-1, stops answering one second after the start. `after` seconds
+/// Creates a core whose sibling n0 owns m-1 and stops answering one second after the start. `after` seconds
 /// have passed since then, during which n2 still answers.
 fn core_whose_sibling_fails(after: Time) -> Core {
     let mut core = running_core(2, START);
-    map(&mut core.store, 30, vec![shard_with_machine(owner("n0"))]);
-    answered_until(&mut core, &["n0", "n2"], START, START + 1.0);
+    apply_shard_map(&mut core.store, 30, vec![shard_with_machine(owner("n0"))]);
+    record_answers(&mut core, &["n0", "n2"], START, START + 1.0);
     if after > 0.0 {
-        answered_until(&mut core, &["n2"], START + 1.0, START + 1.0 + after);
+        record_answers(&mut core, &["n2"], START + 1.0, START + 1.0 + after);
     }
     core.store.record_store_reply(core.outbox.now);
     core.outbox.take_effects();
@@ -35,7 +35,7 @@
     let answers = effects.into_iter().filter_map(|effect| match effect {
         Effect::Answer(_, answer) => {
             let to = match answer.body {
-                crate::core::effects::Body::Value(body) => {
+                crate::core::effects::Body::Json(body) => {
                     body["conductor"].as_str().map(str::to_owned)
                 }
                 _ => None,
@@ -56,7 +56,7 @@
 fn assert_deferred_until_next_owner(mut core: Core) {
     core.answer_deferred_heartbeats();
     assert_eq!(answers(&mut core), []);
-    map(
+    apply_shard_map(
         &mut core.store,
         32,
         vec![shard_with_machine(ShardOwner {
@@ -100,7 +100,7 @@
     );
     worker_sends_heartbeat(&mut core, FencingToken(9));
     let (now, report_s) = (core.outbox.now, core.config.deployment.workers.report_s);
-    answered_until(&mut core, &["n2"], now, now + report_s);
+    record_answers(&mut core, &["n2"], now, now + report_s);
     core.answer_deferred_heartbeats();
     assert_eq!(answers(&mut core), [(421, Some("n2".into()))]);
 }
@@ -127,7 +127,7 @@
     );
     core.answer_deferred_heartbeats();
     assert_eq!(answers(&mut core), []);
-    map(
+    apply_shard_map(
         &mut core.store,
         32,
         vec![shard_with_machine(ShardOwner {
@@ -150,7 +150,7 @@
         core.store
             .apply_write(&crate::wire::Write::Delete { key: key.into() }, 31);
     }
-    core.redirect_to_reachable(RequestId(1));
+    core.redirect_to_reachable_sibling(RequestId(1));
     assert_eq!(answers(&mut core), [(503, None)]);
 }
 
@@ -158,7 +158,7 @@
 fn controller_that_cannot_read_the_store_redirects_workers_to_one_that_can() {
     let mut core = core_whose_sibling_fails(0.0);
     let now = core.outbox.now;
-    answered_until(&mut core, &["n0", "n2"], now, now + 5.0);
+    record_answers(&mut core, &["n0", "n2"], now, now + 5.0);
     worker_sends_heartbeat(&mut core, FencingToken(3));
     assert_eq!(answers(&mut core), [(421, Some("n2".into()))]);
 }
--- a/src/core/controller/failure_detection/tests.rs
+++ b/src/core/controller/failure_detection/tests.rs
@@ -4,7 +4,7 @@
 use crate::core::model::time::Time;
 use crate::core::records::keys::LEADER_KEY;
 use crate::core::records::versioned::precondition;
-use crate::core::test_support::{OWN_LEASE, answered_until, running_core};
+use crate::core::test_support::{OWN_LEASE, record_answers, running_core};
 use crate::wire::Transaction;
 use failure_detector::{Incarnation, Opinion};
 
@@ -42,11 +42,11 @@
     ProcessId::new(node.into(), incarnation)
 }
 
-/// The leader n0 has been silent for 2.5 s. The other siblings answer.
+/// Creates a core whose leader n0 has been silent for 2.5 s. The other siblings answer.
 fn core_without_its_leader() -> Core {
     let mut core = running_core(4, START);
-    answered_until(&mut core, &["n0", "n2", "n3", "n4"], START, START + 1.0);
-    answered_until(&mut core, &["n2", "n3", "n4"], START + 1.0, START + 3.5);
+    record_answers(&mut core, &["n0", "n2", "n3", "n4"], START, START + 1.0);
+    record_answers(&mut core, &["n2", "n3", "n4"], START + 1.0, START + 3.5);
     core.ownership.hold(OWN_LEASE, core.outbox.now);
     core.store.record_store_reply(core.outbox.now);
     core
@@ -88,7 +88,7 @@
 /// A controller that has just stepped down still reads the store. If it is the first by name and counts as a
 /// candidate, the others wait for it, and the takeover of leadership is delayed.
 #[test]
-fn sibling_without_a_key_does_not_precede_as_successor() {
+fn sibling_without_a_key_is_not_preferred_as_successor() {
     let mut core = core_without_its_leader();
     let now = core.outbox.now;
     assert!(!core.has_preferred_successor(), "n0 is not heard");
@@ -108,17 +108,17 @@
     let mut core = running_core(4, START);
     let incarnation = core.ownership.incarnation();
     let others = ["n0", "n2", "n3", "n4"];
-    answered_until(&mut core, &others, START, START + 1.0);
+    record_answers(&mut core, &others, START, START + 1.0);
     for _ in 0..3 {
         let pending = Pending::OwnershipLease(OwnershipCall::End);
-        core.store_reply(pending, StoreReply::Refused);
+        core.handle_store_reply(pending, StoreReply::Refused);
     }
     core.step_down_on_partial_failure(OWN_LEASE);
     assert!(
         core.shard.is_some(),
         "one second without the store is too short"
     );
-    answered_until(&mut core, &others, START + 1.0, START + 2.0);
+    record_answers(&mut core, &others, START + 1.0, START + 2.0);
     core.step_down_on_partial_failure(OWN_LEASE);
     assert!(core.shard.is_none() && core.ownership.incarnation() != incarnation);
     let reported = core
--- a/src/core/controller/heartbeat_routing.rs
+++ b/src/core/controller/heartbeat_routing.rs
@@ -30,18 +30,19 @@
     /// otherwise.
     pub(crate) fn receive_heartbeat(&mut self, request: RequestId, heartbeat: Heartbeat) {
         if let Some(answer) = self.handle_heartbeat(&heartbeat) {
-            self.peers.note_worker_contact(self.outbox.now);
+            self.peers.record_worker_contact(self.outbox.now);
             return self.outbox.answer(request, answer);
         }
-        let owners = &self.store.shard_map().machines;
-        match owners.get(&heartbeat.machine).cloned() {
+        let shard_map = self.store.shard_map();
+        match shard_map.machines.get(&heartbeat.machine).cloned() {
             Some(owner) => self.route_to_owner(request, heartbeat, owner),
             None => self.route_unassigned(request, &heartbeat),
         }
     }
 
-    /// Routes the heartbeat of a machine that has no owner. The leader notes the machine, so that it can
-    /// assign it. Any other controller redirects the worker to the leader.
+    /// Routes the heartbeat of a machine that has no owner. The leader records the machine, so that it can
+    /// assign it, and redirects the worker to any other controller. Any other controller redirects the worker
+    /// to the leader.
     fn route_unassigned(&mut self, request: RequestId, heartbeat: &Heartbeat) {
         let holds_lease = self.ownership.holds_lease(self.outbox.now);
         if let Some(leader) = self.leader.as_mut().filter(|_| holds_lease) {
@@ -95,8 +96,8 @@
             && self.peers.is_reachable(&owner.node, self.outbox.now)
     }
 
-    /// Whether a worker must not be sent to its machine's owner, because the owner answers no worker. If the
-    /// owner is only suspected, a worker that comes from it proves that.
+    /// Whether a worker must not be sent to its machine's owner, because the owner answers no worker. A
+    /// suspected owner counts as such for workers that come from it.
     fn awaits_failover(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
         if !self.acts_on_failures() {
             return false;
@@ -127,7 +128,7 @@
         reason: DeferralReason,
     ) {
         if self.deferred_heartbeats.is_full() || !self.reads_store() {
-            return self.redirect_to_reachable(request);
+            return self.redirect_to_reachable_sibling(request);
         }
         self.defer_heartbeat(request, heartbeat, owner, reason);
     }
@@ -149,9 +150,9 @@
     /// Redirects a worker to controller `to`, or to any other if that is None.
     pub(super) fn redirect(&mut self, request: RequestId, to: Option<ControllerName>) {
         if let Some(node) = &to {
-            self.peers.note_redirect(node, self.outbox.now);
+            self.peers.record_redirect(node, self.outbox.now);
         }
-        let answer = Answer::value(MISDIRECTED, redirect_answer(to.as_ref()));
+        let answer = Answer::json(MISDIRECTED, redirect_answer(to.as_ref()));
         self.outbox.answer(request, answer);
     }
 
@@ -159,7 +160,7 @@
     /// redirected to an owner that it can't reach waits there for 4 s. Its lease could then expire before its
     /// machine has a new owner.
     pub(crate) fn send_to_next_controller(&mut self, request: RequestId, owner: &ControllerName) {
-        self.peers.note_redirect(owner, self.outbox.now);
+        self.peers.record_redirect(owner, self.outbox.now);
         self.outbox.answer(request, Answer::unavailable());
     }
 
@@ -171,7 +172,7 @@
             owner = %node,
             "heartbeat relayed: its worker cannot reach the machine's owner"
         );
-        self.peers.note_redirect(&node, now);
+        self.peers.record_redirect(&node, now);
         self.peers.detector_mut().worker_left(&node, now);
         let message = MeshMessage::Heartbeat(Box::new(heartbeat.clone()));
         let pending = Pending::RelayedHeartbeat {
--- a/src/core/controller/hello.rs
+++ b/src/core/controller/hello.rs
@@ -1,4 +1,4 @@
-//! The hellos that controllers exchange, and the dispatch of all requests and replies between them.
+//! Exchanges hellos with siblings, and dispatches all messages and replies of siblings.
 
 use crate::core::Core;
 use crate::core::effects::pending::Pending;
@@ -13,24 +13,24 @@
 use crate::ids::{ControllerName, Version};
 
 impl Core {
-    /// Sends a hello to every sibling if the next ones are due, except to those that have not
-    /// answered the last one.
-    pub(crate) fn hello_when_due(&mut self) {
+    /// Sends a hello to every sibling if the next round is due. Skips siblings that have not answered the
+    /// previous hello.
+    pub(crate) fn send_hellos_when_due(&mut self) {
         let now = self.outbox.now;
         if !self.peers.hello_is_due(now) {
             return;
         }
         let delay = self.outbox.jitter(self.peers.hello_interval());
         let number = self.peers.begin_hello_round(now + delay);
-        self.refresh_machine_knowledge();
+        self.update_machine_information();
         let hello = self.hello_without_update(number);
-        let nodes: Vec<ControllerName> = self.peers.nodes().cloned().collect();
+        let nodes: Vec<ControllerName> = self.peers.names().cloned().collect();
         for node in nodes {
             if !self.peers.begin_hello(&node) {
                 continue;
             }
             let hello = Hello {
-                update: self.update_for(&node),
+                update: self.peer_update_for(&node),
                 ..hello.clone()
             };
             let pending = Pending::Hello {
@@ -42,12 +42,13 @@
         }
     }
 
-    /// Updates what hellos contain about machines beyond this shard's own state.
-    fn refresh_machine_knowledge(&mut self) {
+    /// Updates the unresponsive machines and the machine contacts. Hellos may also contain those of other
+    /// shards' machines.
+    fn update_machine_information(&mut self) {
         let now = self.outbox.now;
         if let Some(shard) = &self.shard {
             self.unresponsive
-                .note(shard.unresponsive_machines(now), now);
+                .record(shard.unresponsive_machines(now), now);
         }
         if self.store.is_complete() {
             self.unresponsive.prune(self.store.shard_map());
@@ -55,7 +56,7 @@
         }
     }
 
-    /// A hello with everything that is the same for all siblings.
+    /// Creates a hello with the fields that are the same for all siblings.
     fn hello_without_update(&self, number: u64) -> Hello {
         let now = self.outbox.now;
         let process = self.ownership.process();
@@ -69,35 +70,36 @@
                 .leased_shard()
                 .map(Shard::all_task_counts)
                 .unwrap_or_default(),
-            unresponsive: self.unresponsive.all(now),
+            unresponsive: self.unresponsive.declarations(now),
             update: None,
-            final_states_after: self.wanted_final_states(),
+            final_states_after: self.wanted_final_states_after(),
             bounded_staleness: true,
             detection: self.detection_report(),
         }
     }
 
-    /// The shard, while this process may act as its owner.
+    /// Returns the shard if the ownership lease is valid.
     fn leased_shard(&self) -> Option<&Shard> {
         let holds_lease = self.ownership.holds_lease(self.outbox.now);
         self.shard.as_ref().filter(|_| holds_lease)
     }
 
-    /// The version after which siblings are asked for final states, while syncs with the store fail.
-    fn wanted_final_states(&self) -> Option<Version> {
+    /// Returns the version after which to request final states from siblings. `None` while reads of the store
+    /// succeed, and while the replica is incomplete.
+    fn wanted_final_states_after(&self) -> Option<Version> {
         let is_behind = self.outbox.now - self.store.current_as_of() > self.peers.recent_window();
         (is_behind && self.store.is_complete()).then(|| self.store.final_states_known_up_to())
     }
 
-    /// The state of this shard for a sibling's shard, while this process may act as its owner.
-    fn update_for(&mut self, node: &ControllerName) -> Option<PeerUpdate> {
+    /// Creates this shard's update for the sibling `node`. `None` unless the ownership lease is valid.
+    fn peer_update_for(&mut self, node: &ControllerName) -> Option<PeerUpdate> {
         self.leased_shard()?;
         let scope = self.peers.take_image_scope(node);
         let shard = self.shard.as_ref()?;
         let (images, contacts) = match scope {
             ImageScope::AllKnown => (
                 shard.images_on_all_machines(),
-                self.contacts.with(shard.machine_contacts()),
+                self.contacts.extended_with(shard.machine_contacts()),
             ),
             ImageScope::OwnMachines => (shard.images_on_owned_machines(), shard.machine_contacts()),
             ImageScope::None => (ImageHints::default(), MachineContacts::default()),
@@ -107,19 +109,21 @@
         } else {
             MachineContacts::default()
         };
-        let refused = self.leader.as_ref().map(Leader::unavailable_offers);
-        Some(shard.peer_update_for(node, &self.store, refused, images, contacts))
+        let unavailable_offers = self.leader.as_ref().map(Leader::unavailable_offers);
+        Some(shard.peer_update_for(node, &self.store, unavailable_offers, images, contacts))
     }
 
-    /// A sibling sends a request.
-    pub(crate) fn mesh_message(&mut self, request: RequestId, message: MeshMessage) {
+    /// Handles a sibling's message.
+    pub(crate) fn handle_mesh_message(&mut self, request: RequestId, message: MeshMessage) {
         match message {
-            MeshMessage::Hello(hello) => self.hello(request, *hello),
+            MeshMessage::Hello(hello) => self.handle_hello(request, *hello),
             MeshMessage::Submit(id, spec) | MeshMessage::SubmitDependent(id, spec) => {
-                self.relayed_request(request, UserRequest::Submit(id, spec));
+                self.handle_relayed_request(request, UserRequest::Submit(id, spec));
+            }
+            MeshMessage::Poll(id) => self.handle_relayed_request(request, UserRequest::Poll(id)),
+            MeshMessage::Cancel(id) => {
+                self.handle_relayed_request(request, UserRequest::Cancel(id))
             }
-            MeshMessage::Poll(id) => self.relayed_request(request, UserRequest::Poll(id)),
-            MeshMessage::Cancel(id) => self.relayed_request(request, UserRequest::Cancel(id)),
             MeshMessage::Heartbeat(heartbeat) => self.answer_relayed_heartbeat(request, &heartbeat),
             MeshMessage::Cancelled(_) => {
                 self.store.request_read();
@@ -129,7 +133,7 @@
     }
 
     /// Applies a sibling's hello and replies to it.
-    fn hello(&mut self, request: RequestId, hello: Hello) {
+    fn handle_hello(&mut self, request: RequestId, hello: Hello) {
         let now = self.outbox.now;
         let sender = ProcessId::new(hello.from, hello.incarnation);
         self.peers
@@ -139,10 +143,11 @@
             return self.outbox.answer_sibling(request, MeshReply::Acknowledged);
         }
         if hello.bounded_staleness {
-            self.peers.note_bounded_staleness(&sender);
+            self.peers.record_bounded_staleness(&sender);
         }
-        // True whenever it was sent: a delay only makes the statement weaker.
-        self.unresponsive.note(hello.unresponsive, now);
+        // The unresponsive machines of a delayed hello are recorded, too. A delay makes the recorded time of
+        // the last answer to a worker later, which is safe.
+        self.unresponsive.record(hello.unresponsive, now);
         let is_newest =
             self.peers
                 .hello_received(&sender, hello.sequence_number, hello.task_counts);
@@ -164,14 +169,14 @@
         let reply = HelloReply {
             grants_extension,
             consents,
-            ..self.hello_reply(&sender, hello.final_states_after)
+            ..self.build_hello_reply(&sender, hello.final_states_after)
         };
         self.outbox.answer_sibling(request, MeshReply::Hello(reply));
     }
 
-    /// A reply to a hello that grants and consents to nothing. `final_states_after`: the version after
-    /// which the sender asked for final states.
-    fn hello_reply(&self, to: &ProcessId, final_states_after: Option<Version>) -> HelloReply {
+    /// Creates a reply to a hello, without a grant of a lease extension and without consents.
+    /// `final_states_after` is the version after which the sender requested final states.
+    fn build_hello_reply(&self, to: &ProcessId, final_states_after: Option<Version>) -> HelloReply {
         HelloReply {
             incarnation: self.ownership.incarnation(),
             grants_extension: false,
@@ -185,7 +190,7 @@
         }
     }
 
-    /// Applies the state of a sibling's shard.
+    /// Applies the update of a sibling's shard.
     fn apply_update(&mut self, sender: &ProcessId, mut update: PeerUpdate) {
         self.contacts.extend(std::mem::take(&mut update.contacts));
         if let Some(leader) = self.leader.as_mut() {
@@ -203,24 +208,24 @@
         }
     }
 
-    /// Whether final states may be sent to a process. A replica that is being read again knows what it
-    /// knew before, but one that was never complete says nothing. A process whose key is gone gets
-    /// none, since its ownership is to end.
+    /// Returns whether final states may be sent to a process. A replica that was once complete keeps its
+    /// content while it is read again, but one that has never been complete may lack final states. A process
+    /// that is not registered receives none, because they would prolong its ownership.
     fn may_send_final_states(&self, to: &ProcessId) -> bool {
         self.store.is_complete() && self.store.is_registered(&to.node, to.incarnation)
     }
 
-    /// A request to a sibling was answered, or there will be no answer.
-    pub(crate) fn mesh_reply(&mut self, pending: Pending, reply: Option<MeshReply>) {
+    /// Handles the reply to a message to a sibling. `reply` is `None` if the message failed.
+    pub(crate) fn handle_mesh_reply(&mut self, pending: Pending, reply: Option<MeshReply>) {
         match pending {
             Pending::Hello { node, sent } => {
                 self.peers.hello_finished(&node);
                 if let Some(MeshReply::Hello(reply)) = reply {
-                    self.hello_answered(&node, sent, reply);
+                    self.handle_hello_reply(&node, sent, reply);
                 }
             }
             Pending::RelayedRequest { request } => {
-                self.outbox.answer(request, relayed_answer(reply));
+                self.outbox.answer(request, from_mesh_reply(reply));
             }
             Pending::RelayedHeartbeat {
                 request,
@@ -237,8 +242,8 @@
         }
     }
 
-    /// A sibling has answered the hello that was sent to it at `sent`.
-    fn hello_answered(&mut self, node: &ControllerName, sent: Time, reply: HelloReply) {
+    /// Applies a sibling's reply to the hello that was sent to it at `sent`.
+    fn handle_hello_reply(&mut self, node: &ControllerName, sent: Time, reply: HelloReply) {
         let now = self.outbox.now;
         self.peers.hello_answered(node, sent, &reply, now);
         if let Some(report) = reply.detection {
@@ -260,26 +265,27 @@
         self.ownership.consents_received(node, &reply.consents);
     }
 
-    /// Whether this controller's reads of the store work.
+    /// Returns whether the replica is complete and the store has replied recently.
     pub(crate) fn reads_store(&self) -> bool {
         let silence = self.store.seconds_since_store_reply(self.outbox.now);
         self.store.is_complete() && silence < self.peers.recent_window()
     }
 
-    /// Answers a health check: whether this controller can take requests, since it reads the store, or
-    /// reaches a sibling that may. (In an outage for all controllers, to stay in rotation costs users
-    /// less than to leave it and return.)
-    pub(crate) fn health(&mut self, request: RequestId) {
-        let is_able = self.store.is_complete()
-            && self.catalog.known()
+    /// Answers a health check with 200 if this controller can serve requests, and with 503 otherwise. Its
+    /// replica must be complete, it must know the machine types, and it must read the store or reach a
+    /// sibling. The sibling need not read the store: if all controllers are cut off from the store, staying in
+    /// the load balancer costs users less than leaving and returning.
+    pub(crate) fn answer_health_check(&mut self, request: RequestId) {
+        let is_healthy = self.store.is_complete()
+            && self.catalog.is_known()
             && (self.reads_store() || self.peers.any_reachable(self.outbox.now));
         self.outbox
-            .answer(request, Answer::empty(if is_able { 200 } else { 503 }));
+            .answer(request, Answer::empty(if is_healthy { 200 } else { 503 }));
     }
 }
 
-/// The answer to a user's request that was relayed to a sibling.
-fn relayed_answer(reply: Option<MeshReply>) -> Answer {
+/// Converts a sibling's reply to a relayed request into the answer for the user.
+fn from_mesh_reply(reply: Option<MeshReply>) -> Answer {
     match reply {
         Some(MeshReply::Answer {
             status,
@@ -287,7 +293,7 @@
             retry_after,
         }) => Answer {
             status,
-            body: body.map_or(Body::Empty, Body::Value),
+            body: body.map_or(Body::Empty, Body::Json),
             retry_after,
         },
         _ => Answer::unavailable(),
--- a/src/core/controller/status.rs
+++ b/src/core/controller/status.rs
@@ -1,11 +1,11 @@
-//! The status of this controller, its teams and its siblings, for operators ([`crate::status`]).
+//! Builds the status of this controller, its teams and its siblings for operators ([`crate::status`]).
 
 use crate::config::TeamLimits;
 use crate::core::Core;
 use crate::core::effects::{Answer, Body, RequestId};
 use crate::core::model::process::ProcessId;
 use crate::core::records::versioned::StoredLedger;
-use crate::core::scheduling::usage::{Basis, are_on};
+use crate::core::scheduling::usage::{QuotaBasis, grants_are_enabled};
 use crate::core::shard::grants::TeamGrant;
 use crate::ids::{ControllerName, FencingToken};
 use crate::status::{
@@ -16,9 +16,9 @@
 use quota_ledger::Amount;
 use std::collections::BTreeMap;
 
-/// How much a process owns.
+/// The numbers of teams and machines that one process owns.
 #[derive(Default)]
-struct Owned {
+struct OwnedCounts {
     teams: usize,
     machines: usize,
 }
@@ -45,7 +45,7 @@
             incarnation: self.ownership.incarnation(),
             leads: self.leads(now),
             entitled: self.ownership.holds_lease(now),
-            grants_on: are_on(&self.config),
+            grants_on: grants_are_enabled(&self.config),
             teams: teams
                 .map(|team_limits| self.team_status(team_limits))
                 .collect(),
@@ -55,11 +55,11 @@
         }
     }
 
-    /// How each sibling is judged, and on what evidence.
+    /// Returns the failure detector's stage of each sibling, with the evidence for it.
     fn sibling_statuses(&self) -> Vec<SiblingStatus> {
         let now = self.outbox.now;
         let detector = self.peers.detector();
-        let status = |(node, evidence): (ControllerName, Evidence)| {
+        let sibling_status = |(node, evidence): (ControllerName, Evidence)| {
             let opinions = detector.received_opinions(&node, now).into_iter();
             let opinions = opinions.map(|opinion| OpinionStatus {
                 observer: opinion.observer.to_string(),
@@ -69,7 +69,7 @@
             });
             SiblingStatus {
                 controller: node.to_string(),
-                stage: stage(evidence.stage),
+                stage: stage_status(evidence.stage),
                 incarnation: evidence.incarnation.map(|incarnation| incarnation.0),
                 silence_s: evidence.silence_s,
                 threshold_s: evidence.threshold_s,
@@ -80,33 +80,40 @@
                 told: opinions.collect(),
             }
         };
-        detector.evidence(now).into_iter().map(status).collect()
+        detector
+            .evidence(now)
+            .into_iter()
+            .map(sibling_status)
+            .collect()
     }
 
-    /// Processes that own teams or machines although they have failed or their keys have expired.
+    /// Returns the processes that still own teams or machines although they have failed or are not
+    /// registered.
     fn hand_over_statuses(&self) -> Vec<HandOverStatus> {
-        let owners = self.store.shard_map();
-        let mut owned: BTreeMap<ProcessId, Owned> = BTreeMap::new();
-        for owner in owners.teams.values() {
+        let shard_map = self.store.shard_map();
+        let mut owned: BTreeMap<ProcessId, OwnedCounts> = BTreeMap::new();
+        for owner in shard_map.teams.values() {
             owned.entry(owner.process()).or_default().teams += 1;
         }
-        for owner in owners.machines.values() {
+        for owner in shard_map.machines.values() {
             owned.entry(owner.process()).or_default().machines += 1;
         }
-        let status = |(process, Owned { teams, machines }): (ProcessId, Owned)| {
-            let waits_for = self.hand_over_wait(&process)?;
-            Some(HandOverStatus {
-                controller: process.node.to_string(),
-                incarnation: process.incarnation,
-                teams,
-                machines,
-                waits_for,
-            })
-        };
-        owned.into_iter().filter_map(status).collect()
+        let hand_over_status =
+            |(process, OwnedCounts { teams, machines }): (ProcessId, OwnedCounts)| {
+                let waits_for = self.hand_over_wait(&process)?;
+                Some(HandOverStatus {
+                    controller: process.node.to_string(),
+                    incarnation: process.incarnation,
+                    teams,
+                    machines,
+                    waits_for,
+                })
+            };
+        owned.into_iter().filter_map(hand_over_status).collect()
     }
 
-    /// What the failover of a process's shard waits for; None if the process has not failed.
+    /// Returns the event that the failover of a process's shard waits for. `None` if the process has not
+    /// failed.
     fn hand_over_wait(&self, process: &ProcessId) -> Option<HandOverWait> {
         if self.store.is_registered(&process.node, process.incarnation) {
             let failed = self.peers.detector().has_failed(&process.node);
@@ -120,7 +127,7 @@
         Some(HandOverWait::Consents { given, needed })
     }
 
-    /// A team's limits, its owner and its grants as they are stored.
+    /// Returns a team's limits, its owner and its grants, as the store replica contains them.
     fn team_status(&self, team_limits: &TeamLimits) -> TeamStatus {
         let since = self.store.grants_kept_since(&team_limits.name);
         let stored = self.store.ledger(&team_limits.name);
@@ -145,7 +152,7 @@
                 gpus: team_limits.gpus,
             },
             owner: owner.map(|owner| owner.node.to_string()),
-            grants_kept_since: since.map(|term| term.0),
+            grants_kept_since: since.map(|token| token.0),
             record: record_state(stored, since),
             grants: grants.collect(),
             folded: ledger
@@ -155,23 +162,23 @@
         }
     }
 
-    /// What this controller knows of a team in its own shard.
+    /// Returns the usage of a team that this controller owns. `None` if it does not own the team.
     fn owned_team_status(&self, team_limits: &TeamLimits) -> Option<OwnedTeamStatus> {
         let shard = self.shard.as_ref()?;
         let team = shard.teams.get(&team_limits.name)?;
         let usage = shard.usage(&self.store, self.outbox.wall_ms);
         let (own, inherited) = usage.own_and_inherited(&team_limits.name);
         Some(OwnedTeamStatus {
-            basis: basis(team.grant.as_ref()),
-            used: capacity(&own.plus(&inherited)),
+            basis: basis_status(team.grant.as_ref()),
+            used: capacity(&own.saturating_add(&inherited)),
             inherited: capacity(&inherited),
             unknown_machines: team.unreconciled.len(),
         })
     }
 }
 
-/// The stage as operators see it.
-fn stage(stage: Stage) -> StageStatus {
+/// Converts a stage of the failure detector to its form in the status.
+fn stage_status(stage: Stage) -> StageStatus {
     match stage {
         Stage::Alive => StageStatus::Alive,
         Stage::Suspected => StageStatus::Suspected,
@@ -180,30 +187,36 @@
     }
 }
 
-/// The amount in CPUs and GPUs.
+/// Converts an amount to numbers of CPUs and GPUs.
 fn capacity(amount: &Amount) -> Capacity {
-    let (cpus, gpus) = amount.units();
+    let (cpus, gpus) = amount.cpus_and_gpus();
     Capacity { cpus, gpus }
 }
 
-/// Whether a team's record of grants is relied on; it is if grants have been kept to since before it began.
+/// Returns the state of a team's grant record. Owners rely on it if every owner since token `since` has
+/// complied with the team's grants and the record began at or after that token.
 fn record_state(stored: Option<&StoredLedger>, since: Option<FencingToken>) -> RecordState {
     match stored.map(|stored| stored.ledger.as_ref()) {
         None => RecordState::None,
         Some(None) => RecordState::Damaged,
-        Some(Some(ledger)) if since.is_some_and(|since| ledger.began() >= since.0) => {
+        Some(Some(ledger)) if since.is_some_and(|since| ledger.creator_term() >= since.0) => {
             RecordState::ReliedOn
         }
         Some(Some(_)) => RecordState::NotReliedOn,
     }
 }
 
-/// What the owner's decisions on the team's limits are based on.
-fn basis(grant: Option<&TeamGrant>) -> BasisStatus {
+/// Returns the basis of the owner's decisions on a team's limits.
+fn basis_status(grant: Option<&TeamGrant>) -> BasisStatus {
     match grant.map(TeamGrant::basis) {
-        None | Some(Basis::Counting { beginning: None }) => BasisStatus::Counting,
-        Some(Basis::Counting { beginning: Some(_) }) => BasisStatus::Beginning,
-        Some(Basis::Undecided) => BasisStatus::Undecided,
-        Some(Basis::Granted { .. }) => BasisStatus::Granted,
+        None
+        | Some(QuotaBasis::Counting {
+            unconfirmed_grant: None,
+        }) => BasisStatus::Counting,
+        Some(QuotaBasis::Counting {
+            unconfirmed_grant: Some(_),
+        }) => BasisStatus::Beginning,
+        Some(QuotaBasis::Undecided) => BasisStatus::Undecided,
+        Some(QuotaBasis::Granted { .. }) => BasisStatus::Granted,
     }
 }
--- a/src/core/leader/cloud_requests.rs
+++ b/src/core/leader/cloud_requests.rs
@@ -1,7 +1,8 @@
 //! The leader's requests to the cloud, and the machines known from the replies.
 //!
-//! At most one request of each kind is in flight, and the rate of requests stays within the cloud's limit. A
-//! rental with unknown outcome is retried under the same request name; the cloud executes each name once.
+//! At most one request of each kind is in flight. A rate limiter keeps the requests within the cloud's limit;
+//! only the further pages of a list are requested without it. A rental with unknown outcome is retried under
+//! the same request name, because the cloud executes each name only once.
 
 use crate::config::Config;
 use crate::core::effects::outbox::Outbox;
@@ -115,7 +116,7 @@
         self.unavailable.contains_key(offer)
     }
 
-    /// Makes offers available again whose time has passed.
+    /// Makes each offer available again that was marked as unavailable until `now` or earlier.
     pub(super) fn expire_unavailable(&mut self, now: Time) {
         self.unavailable.retain(|_, until| now < *until);
     }
@@ -141,12 +142,12 @@
     }
 
     /// The pending machines that are expected to send a heartbeat in time.
-    pub(super) fn expected(
+    pub(super) fn expected_machines(
         &self,
         catalog: &Catalog,
         now: Time,
     ) -> impl Iterator<Item = &PendingMachine> {
-        self.pending.expected(catalog, now)
+        self.pending.expected_machines(catalog, now)
     }
 
     /// Whether the machine is queued to be returned or its release is in flight.
@@ -161,7 +162,7 @@
 
     /// Queues the return of rented machines that have sent no heartbeat for several boot times.
     pub(super) fn queue_overdue_releases(&mut self, catalog: &Catalog, now: Time) {
-        for id in self.pending.overdue(catalog, now) {
+        for id in self.pending.overdue_machines(catalog, now) {
             if self.pending_releases.insert(id.clone()) {
                 tracing::info!(machine = %id, "rented machine sent no heartbeat in time and is returned");
             }
@@ -216,12 +217,12 @@
         {
             return;
         }
-        let order = self.open_rentals.remove(0);
+        let request = self.open_rentals.remove(0);
         self.rental_in_flight = true;
-        let rental = order.rental.clone();
+        let rental = request.rental.clone();
         let operation = CloudOperation::Rent {
-            token: self.key_version,
-            request: order,
+            leader_key_version: self.key_version,
+            request,
         };
         outbox.call_cloud(Some(operation), CloudCall::Rent(rental));
     }
@@ -241,7 +242,7 @@
             .collect();
         self.release_in_flight = true;
         let operation = CloudOperation::Release {
-            token: self.key_version,
+            leader_key_version: self.key_version,
             machines: machines.clone(),
         };
         outbox.call_cloud(Some(operation), CloudCall::Release(MachineIds { machines }));
@@ -257,13 +258,13 @@
         self.send_list_page(outbox, Vec::new());
     }
 
-    /// Requests the page of the list that follows the machines in `seen`.
-    fn send_list_page(&mut self, outbox: &mut Outbox, seen: Vec<ListedMachine>) {
+    /// Requests the page of the list that follows the machines in `listed`.
+    fn send_list_page(&mut self, outbox: &mut Outbox, listed: Vec<ListedMachine>) {
         self.list_in_flight = true;
-        let after = seen.last().map(|listed| listed.machine.to_string());
+        let after = listed.last().map(|last| last.machine.to_string());
         let operation = CloudOperation::List {
-            token: self.key_version,
-            listed: seen,
+            leader_key_version: self.key_version,
+            listed,
         };
         outbox.call_cloud(Some(operation), CloudCall::List { after });
     }
@@ -273,29 +274,34 @@
         now >= self.pause_until && self.call_rate.take(now)
     }
 
-    /// Handles the reply to a request; `owners` is the shard map.
+    /// Handles the reply to a request; `shard_map` includes unwritten changes.
     pub(super) fn handle_reply(
         &mut self,
         outbox: &mut Outbox,
         operation: CloudOperation,
         reply: CloudReply,
-        owners: &ShardMap,
+        shard_map: &ShardMap,
     ) {
         let now = outbox.now;
         if matches!(reply, CloudReply::Refused | CloudReply::Unknown) {
             self.pause_until = now + outbox.jitter(1.0 / self.config.deployment.cloud.rps);
         }
         match operation {
-            CloudOperation::List { token, .. }
-            | CloudOperation::Rent { token, .. }
-            | CloudOperation::Release { token, .. }
-                if token != self.key_version => {}
-            CloudOperation::List { listed: seen, .. } => {
-                self.handle_list_page(outbox, seen, reply, owners)
+            CloudOperation::List {
+                leader_key_version, ..
             }
-            CloudOperation::Rent { request: order, .. } => {
+            | CloudOperation::Rent {
+                leader_key_version, ..
+            }
+            | CloudOperation::Release {
+                leader_key_version, ..
+            } if leader_key_version != self.key_version => {}
+            CloudOperation::List { listed, .. } => {
+                self.handle_list_page(outbox, listed, reply, shard_map)
+            }
+            CloudOperation::Rent { request, .. } => {
                 self.rental_in_flight = false;
-                self.handle_rental_reply(order, reply, now);
+                self.handle_rental_reply(request, reply, now);
             }
             CloudOperation::Release { machines, .. } => {
                 self.release_in_flight = false;
@@ -306,29 +312,31 @@
         }
     }
 
-    /// Handles one page of the list: requests the next page, or applies the list when it is complete.
+    /// Handles one page of the list: requests the next page, or applies the list if it is complete or has
+    /// reached [`MAX_LISTED_MACHINES`].
     fn handle_list_page(
         &mut self,
         outbox: &mut Outbox,
-        mut seen: Vec<ListedMachine>,
+        mut listed: Vec<ListedMachine>,
         reply: CloudReply,
-        owners: &ShardMap,
+        shard_map: &ShardMap,
     ) {
         self.list_in_flight = false;
         let CloudReply::List(page) = reply else {
             return;
         };
         let more = page.more && !page.machines.is_empty();
-        seen.extend(page.machines);
-        if more && seen.len() < MAX_LISTED_MACHINES {
-            self.send_list_page(outbox, seen);
+        listed.extend(page.machines);
+        if more && listed.len() < MAX_LISTED_MACHINES {
+            self.send_list_page(outbox, listed);
         } else {
-            self.apply_list(seen, owners, outbox.now);
+            self.apply_list(listed, shard_map, outbox.now);
         }
     }
 
-    /// Records the kinds of the listed machines and which of them are pending; queues failed ones for return.
-    fn apply_list(&mut self, list: Vec<ListedMachine>, owners: &ShardMap, now: Time) {
+    /// Queues the return of failed machines, records booting ones that are not in the shard map as pending,
+    /// and records the kinds of all others.
+    fn apply_list(&mut self, list: Vec<ListedMachine>, shard_map: &ShardMap, now: Time) {
         for listed in list {
             let id = listed.machine;
             let offer = MachineOffer {
@@ -338,10 +346,11 @@
             };
             if listed.state == MachineState::Failed {
                 self.pending_releases.insert(id);
-            } else if listed.state == MachineState::Booting && !owners.machines.contains_key(&id) {
+            } else if listed.state == MachineState::Booting && !shard_map.machines.contains_key(&id)
+            {
                 let pending = PendingMachine {
                     offer,
-                    rented: now - listed.age_s,
+                    rented_at: now - listed.age_s,
                     node: None,
                 };
                 self.pending.add_listed(id, pending);
@@ -352,8 +361,8 @@
     }
 
     /// Handles the reply to a rental.
-    fn handle_rental_reply(&mut self, order: RentalRequest, reply: CloudReply, now: Time) {
-        let rental = &order.rental;
+    fn handle_rental_reply(&mut self, request: RentalRequest, reply: CloudReply, now: Time) {
+        let rental = &request.rental;
         let offer = MachineOffer {
             type_name: rental.type_name.clone(),
             zone: rental.zone.clone(),
@@ -375,10 +384,10 @@
                 if u32::try_from(rented).is_ok_and(|rented| rented < rental.count) {
                     self.unavailable.insert(offer.clone(), retry_at);
                 }
-                for (id, node) in names.machines.into_iter().zip(order.nodes) {
+                for (id, node) in names.machines.into_iter().zip(request.nodes) {
                     let pending = PendingMachine {
                         offer: offer.clone(),
-                        rented: now,
+                        rented_at: now,
                         node: Some(node),
                     };
                     self.pending.add(id, pending);
@@ -390,7 +399,7 @@
             // The rental was not executed; the next plan requests what is still needed.
             CloudReply::Refused => {}
             // The outcome is unknown. A retry under the same name rents nothing twice.
-            _ => self.open_rentals.push(order),
+            _ => self.open_rentals.push(request),
         }
     }
 
--- a/src/core/leader/failover.rs
+++ b/src/core/leader/failover.rs
@@ -26,9 +26,10 @@
 }
 
 impl Leader {
-    /// Reassigns each shard whose owner's lease has expired: to the restarted process of the same controller,
-    /// or else to one other controller. A shard is not divided, so teams stay with the machines that run
-    /// their tasks. Returns the preconditions under which the leases count as expired.
+    /// Assigns teams without an owner. Reassigns the shard of each failed process whose ownership has
+    /// certainly ended: to the restarted process of the same controller, or else to one other controller. A
+    /// shard is not divided, so teams stay with the machines that run their tasks. Returns the preconditions
+    /// under which the ownership of these processes has ended.
     pub(super) fn fail_over_shards(
         &mut self,
         store: &StoreReplica,
@@ -56,9 +57,9 @@
                 successor = %successor.node,
                 "shard reassigned after the failure of its owner"
             );
-            // The lease was found expired at this version of the process's key.
-            let registered = store.node(&process.node).map_or(0, |stored| stored.version);
-            preconditions.push(precondition(&node_key(&process.node), registered));
+            // The ownership was found to have ended at this version of the process's key; 0 if it is absent.
+            let key_version = store.node(&process.node).map_or(0, |stored| stored.version);
+            preconditions.push(precondition(&node_key(&process.node), key_version));
             self.fail_over_shard(&process, &successor, unresponsive, live);
         }
         preconditions
@@ -66,7 +67,7 @@
 
     /// Assigns each configured team without an owner to the controller with the fewest teams.
     fn assign_unowned_teams(&mut self, live: &LiveProcesses, peers: &Peers) {
-        let owned = &self.editor.owners().teams;
+        let owned = &self.editor.shard_map().teams;
         let configured = self.config.deployment.teams.iter().map(|team| &team.name);
         let unowned = configured.filter(|team| !owned.contains_key(*team));
         for team in unowned.cloned().collect::<Vec<Team>>() {
@@ -78,7 +79,7 @@
 
     /// Processes that own teams or machines and are no longer registered in the store.
     fn failed_owners(&self, live: &LiveProcesses) -> BTreeSet<ProcessId> {
-        let owners = self.editor.owners().owning_processes().into_iter();
+        let owners = self.editor.shard_map().owning_processes().into_iter();
         owners.filter(|process| !live.contains(process)).collect()
     }
 
@@ -103,8 +104,8 @@
         unresponsive: &UnresponsiveMachines,
         live: &LiveProcesses,
     ) {
-        let owners = self.editor.owners();
-        let of_failed = |owner: &ShardOwner| owner.is(&failed.node, failed.incarnation);
+        let owners = self.editor.shard_map();
+        let of_failed = |owner: &ShardOwner| owner.is_process(&failed.node, failed.incarnation);
         let teams = owners.teams.iter().filter(|(_, owner)| of_failed(owner));
         let teams: Vec<Team> = teams.map(|(team, _)| team.clone()).collect();
         let machines = owners.machines.iter();
@@ -136,7 +137,9 @@
     live: &LiveProcesses,
 ) -> FailedOverMachine {
     // If the failed process had declared the machine unresponsive, no process answers it any more.
-    let previous_token = unresponsive.answered(id, owner.token).map(|_| owner.token);
+    let previous_token = unresponsive
+        .last_answered(id, owner.token)
+        .map(|_| owner.token);
     // Otherwise the owner before the failed process, if live, may still have to release the machine.
     let previous_owner = owner
         .previous_owner
--- a/src/core/leader/grants.rs
+++ b/src/core/leader/grants.rs
@@ -4,7 +4,7 @@
 use crate::core::leader::Leader;
 use crate::core::model::process::ProcessId;
 use crate::core::records::shard_map::ShardOwner;
-use crate::core::scheduling::usage::are_on;
+use crate::core::scheduling::usage::grants_are_enabled;
 use crate::core::store::replica::StoreReplica;
 use crate::ids::{FencingToken, Team};
 use std::collections::BTreeSet;
@@ -26,7 +26,7 @@
     /// Records for each team without an entry that grants are respected since its present owner's token,
     /// provided that the owner respects them.
     pub(super) fn record_grants_kept_since(&mut self) {
-        let owners = self.editor.owners();
+        let owners = self.editor.shard_map();
         let unrecorded = owners.teams.iter().filter(|(team, owner)| {
             !owners.grants_kept_since.contains_key(*team) && self.keeps_grants(owner)
         });
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Whether the owner and all other live processes respect grants.
+    /// Whether grants are enabled, and the owner and all other live processes respect them.
     pub(crate) fn keeps_grants(&self, owner: &ShardOwner) -> bool {
-        are_on(&self.config) && self.grant_keepers.contains(&owner.process())
+        grants_are_enabled(&self.config) && self.grant_keepers.contains(&owner.process())
     }
 }
--- a/src/core/leader/machine_transfers.rs
+++ b/src/core/leader/machine_transfers.rs
@@ -12,8 +12,8 @@
 use crate::wire::Priority;
 use std::collections::BTreeSet;
 
-/// Interval between two transfers of machines in use, in worker leases.
-const URGENT_MOVE_INTERVAL_LEASES: f64 = 0.25;
+/// Minimum interval between two transfers of machines in use, in worker leases.
+const URGENT_TRANSFER_INTERVAL_LEASES: f64 = 0.25;
 
 impl Leader {
     /// Transfers machines to the shards that lack some; demands of opportunistic work are served last.
@@ -97,9 +97,10 @@
         pool
     }
 
-    /// Picks a machine in use with enough free GPUs for an urgent demand that the cloud has no capacity for.
-    /// The machine's own shard must have only less urgent demands. Machines in use are transferred one at a
-    /// time, because the effect of a transfer has to show before the next one.
+    /// Picks a machine in use for a demand of queued tasks if none of its on-demand kinds can be rented at
+    /// present. The machine needs enough GPUs that are free or used by tasks of normal or low priority, and
+    /// its own shard must have only less urgent demands. Machines in use are transferred one at a time,
+    /// because the effect of a transfer has to show before the next one.
     fn take_machine_in_use(
         &mut self,
         demand: &MachineDemand,
@@ -108,12 +109,14 @@
     ) -> Option<SpareMachine> {
         let urgency = demand.urgency.filter(|_| !demand.opportunistic)?;
         let mut on_demand = demand.any_of.iter().filter(|offer| !offer.spot);
-        if now < self.next_urgent_move || !on_demand.all(|offer| self.cloud.is_unavailable(offer)) {
+        if now < self.next_urgent_transfer
+            || !on_demand.all(|offer| self.cloud.is_unavailable(offer))
+        {
             return None;
         }
         let found = self.machine_with_most_free_gpus(demand, to, urgency)?;
-        self.next_urgent_move =
-            now + self.config.deployment.workers.lease_s * URGENT_MOVE_INTERVAL_LEASES;
+        self.next_urgent_transfer =
+            now + self.config.deployment.workers.lease_s * URGENT_TRANSFER_INTERVAL_LEASES;
         Some(found)
     }
 
--- a/src/core/leader/rebalance.rs
+++ b/src/core/leader/rebalance.rs
@@ -1,6 +1,6 @@
 //! Periodic rebalancing of the shards: teams are spread evenly over the controllers, the machines of
-//! controllers without a team are redistributed, and one machine moves from the shard with the least queued
-//! work to the shard with the most.
+//! controllers without a team are redistributed, and one machine moves from a shard without queued work to
+//! the shard with the most.
 
 use crate::core::leader::Leader;
 use crate::core::leader::live_processes::LiveProcesses;
@@ -27,8 +27,9 @@
         self.move_machine_to_longest_queue(live);
     }
 
-    /// Moves one team from the controller with the most teams to the one with the fewest, such as a restarted
-    /// controller. The team's tasks keep running on their machines.
+    /// Moves one team without queued tasks from the controller with the most teams to the one with the
+    /// fewest, such as a restarted controller, if that has at least two fewer. The team's tasks keep running
+    /// on their machines.
     fn balance_teams(&mut self, live: &LiveProcesses) {
         let most = live.nodes().max_by_key(|node| self.team_count(node));
         let fewest = live.nodes().min_by_key(|node| self.team_count(node));
@@ -49,7 +50,7 @@
     /// learns which tasks run on which machines.
     fn team_without_queue(&self, node: &ControllerName) -> Option<Team> {
         let demand = self.demands.get(node)?;
-        let mut teams = self.editor.owners().teams.iter();
+        let mut teams = self.editor.shard_map().teams.iter();
         let last = teams.rfind(|(team, owner)| {
             owner.node == *node && demand.teams_without_queue.contains(team)
         });
@@ -61,10 +62,10 @@
     fn redistribute_teamless_shards(&mut self, live: &LiveProcesses) {
         let with_teams = live.nodes().filter(|node| self.team_count(node) > 0);
         let with_teams: Vec<&ControllerName> = with_teams.collect();
-        let machines = self.editor.owners().machines.iter();
+        let machines = self.editor.shard_map().machines.iter();
         let teamless: Vec<(MachineId, ControllerName)> = machines
             .filter(|(_, owner)| live.has_node(&owner.node) && self.team_count(&owner.node) == 0)
-            .filter(|(id, _)| !self.claimed.contains_key(*id))
+            .filter(|(id, _)| !self.claimed_machines.contains_key(*id))
             .map(|(id, owner)| (id.clone(), owner.node.clone()))
             .collect();
         for ((id, from), to) in teamless.iter().zip(with_teams.into_iter().cycle()) {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,8 +1,7 @@
-//! The state machine of a controller. It does no I/O: batches of [`Input`]s and the time go in, [`Effect`]s come out.
-//! The same inputs, times and seed give the same effects.
+//! The state machine of a controller. It performs no I/O: each step takes a batch of [`Input`]s and the time,
+//! and returns [`Effect`]s. The same inputs, times and seed produce the same effects.
 //!
-//! [`Core`] owns all state. The folders beside this module import one another in one direction only; see
-//! `docs/architecture.md`.
+//! [`Core`] owns all state. The dependencies between the submodules are acyclic; see `docs/architecture.md`.
 
 pub mod controller;
 pub mod effects;
@@ -43,11 +42,11 @@
 use rand::rngs::StdRng;
 use std::rc::Rc;
 
-/// Bits by which a drawn incarnation is shortened: the rest leaves room to count up whenever the process begins anew,
-/// and is exact as a number of 53 bits.
+/// High bits of the random incarnation that stay zero. A JSON number represents integers of 53 bits exactly;
+/// the shorter incarnation leaves room for the increment at each step-down.
 const INCARNATION_SPARE_BITS: u32 = 12;
 
-/// One controller: all of its state, and the order in which it is brought up to date.
+/// The state of one controller, and the order in which each step updates it.
 pub struct Core {
     config: Rc<Config>,
     outbox: Outbox,
@@ -55,12 +54,14 @@
     user_requests: UserRequests,
     peers: Peers,
     ownership: OwnershipLease,
-    /// The shard of this process, while it is registered in the store.
+    /// The shard of this process. `None` until the process is registered in the store, and after it steps
+    /// down.
     shard: Option<Shard>,
-    /// What only a leader does, while this process is the leader.
+    /// The state of the leader's work. `None` unless this process is the leader.
     leader: Option<Leader>,
     catalog: Catalog,
-    /// Images of machines that siblings have told of before there is a shard.
+    /// Images on machines that are known while this process has no shard: from siblings, and from the shard
+    /// that it gave up. The next shard takes them.
     image_hints: ImageHints,
     unresponsive: UnresponsiveMachines,
     relays: HeartbeatRelays,
@@ -72,7 +73,8 @@
 }
 
 impl Core {
-    /// A controller that has just started. The seed determines its incarnation and every random draw.
+    /// Creates the state of a controller that has just started. `seed` determines its incarnation and every
+    /// random number.
     pub fn new(config: Config, seed: u64) -> Self {
         let config = Rc::new(config);
         let mut rng = StdRng::seed_from_u64(seed);
@@ -98,79 +100,85 @@
         }
     }
 
-    /// Handles a batch of inputs, then does everything that is due. `now` is the steady clock in seconds, `wall_ms` the
-    /// time of day in milliseconds.
+    /// Handles a batch of inputs, performs all work that is due, and returns the effects. `now` is the time
+    /// of the monotonic clock in seconds. `wall_ms` is the Unix time in milliseconds.
     pub fn step(&mut self, now: Time, wall_ms: u64, batch: Vec<Input>) -> Vec<Effect> {
         self.outbox.begin_step(now, wall_ms);
         self.peers.detector_mut().begin_step(now);
         if let Some(paused) = self.process_pause.record_step(now) {
-            self.resumed(paused);
+            self.handle_pause(paused);
         }
         for input in batch {
-            self.input(input);
+            self.handle_input(input);
         }
         self.advance();
         self.outbox.take_effects()
     }
 
-    /// Whether this controller is the leader and its ownership lease is valid.
+    /// Returns whether this controller is the leader and its ownership lease is valid.
     pub fn leads(&self, now: Time) -> bool {
         self.leader.is_some() && self.ownership.holds_lease(now)
     }
 
-    /// The failure detector's judgement of a sibling.
-    pub fn stage_of(&self, sibling: &ControllerName) -> Stage {
+    /// Returns the failure detector's stage of a sibling.
+    pub fn sibling_stage(&self, sibling: &ControllerName) -> Stage {
         self.peers.detector().stage(sibling)
     }
 
-    /// The teams whose tasks this controller can start: its ownership lease is valid, it owns machines, and the teams are
-    /// reconciled.
-    pub fn teams(&self, now: Time) -> Vec<Team> {
+    /// Returns the teams whose tasks this controller can start, which are the reconciled teams. There are
+    /// none unless its ownership lease is valid and it owns machines.
+    pub fn reconciled_teams(&self, now: Time) -> Vec<Team> {
         let shard = self.shard.as_ref().filter(|shard| shard.has_machines());
         let shard = shard.filter(|_| self.ownership.holds_lease(now));
         shard.map(Shard::reconciled_teams).unwrap_or_default()
     }
 
-    /// Attempts and jobs examined so far because something happened to them, and rounds of placement: what the work of
-    /// the shard is in proportion to.
-    pub fn work(&self) -> (u64, u64) {
-        self.shard.as_ref().map(Shard::work).unwrap_or_default()
+    /// Returns two counts since the shard was created: the attempts and jobs that were examined, and the
+    /// placement rounds. The shard's computing time is proportional to them.
+    pub fn work_counts(&self) -> (u64, u64) {
+        self.shard
+            .as_ref()
+            .map(Shard::work_counts)
+            .unwrap_or_default()
     }
 
-    /// Starts that the last guard has held back so far. Any at all is a fault of the tracking of attempts.
+    /// Returns the number of starts so far that were held back because another attempt of the task may still
+    /// run. A number above 0 shows a fault in the tracking of attempts.
     pub fn starts_held_back(&self) -> u64 {
         let shard = self.shard.as_ref();
         shard.map_or(0, |shard| shard.starts_held_back)
     }
 
-    /// The process was paused while its clock went on ([`ProcessPause`]).
-    fn resumed(&mut self, paused: Time) {
+    /// Handles the end of a pause of the process ([`ProcessPause`]): worker silence is measured from now on,
+    /// and the store is read again.
+    fn handle_pause(&mut self, paused: Time) {
         tracing::info!(seconds = %format_args!("{paused:.1}"), "process was paused");
-        self.peers.note_worker_contact(self.outbox.now);
+        self.peers.record_worker_contact(self.outbox.now);
         self.store.request_read();
     }
 
-    /// Everything that is due at this time. Knowledge comes first (the store, siblings), then the right to act on it,
-    /// then the shard and the leader's work, and last what waits for their results.
+    /// Performs all work that is due. Information from the store and from siblings is updated first, then the
+    /// ownership lease and the roles that depend on it, then the shard and the leader's work. The messages
+    /// that contain their results come last.
     fn advance(&mut self) {
         let now = self.outbox.now;
         let catching_up = self
             .process_pause
             .is_catching_up(self.store.current_as_of(), now);
-        self.sync_when_due();
+        self.read_store_when_due();
         self.time_out_user_requests();
         self.update_sibling_stages();
         self.relays.track_tokens(&self.store, now);
         self.maintain_ownership();
-        self.catalog_when_due();
-        self.take_roles();
+        self.refresh_catalog_when_due();
+        self.update_roles();
         if self.ownership.holds_lease(now) {
             self.advance_shard(catching_up);
             self.advance_leader(catching_up);
             self.inspect_acquired_machines();
         }
         self.answer_deferred_heartbeats();
-        self.hello_when_due();
+        self.send_hellos_when_due();
     }
 
     fn advance_shard(&mut self, catching_up: bool) {
@@ -187,10 +195,10 @@
         );
         shard.plan_capacity_when_due(&self.outbox, &self.store, &self.catalog);
         if !shard.has_machines() {
-            // There is no worker to hear from, so silence is no evidence of a failure.
-            self.peers.note_worker_contact(now);
+            // No worker sends heartbeats to this controller, so their absence is no evidence of a failure.
+            self.peers.record_worker_contact(now);
         }
-        if shard.take_sync_soon() {
+        if shard.take_sibling_update_request() {
             self.peers.send_hellos_soon(now);
         }
     }
@@ -212,13 +220,14 @@
             &self.catalog,
             &self.unresponsive,
         );
-        if self.ownership.take_unsent_request() && self.acts_on_failures() {
+        if self.ownership.take_unsent_consent_request() && self.acts_on_failures() {
             self.peers.send_hellos_soon(self.outbox.now);
         }
     }
 
-    /// The shard begins once this process is registered. Leading begins and ends with the leader's key.
-    fn take_roles(&mut self) {
+    /// Creates the shard once this process is registered, and creates or drops the leader's state when the
+    /// leader's key changes.
+    fn update_roles(&mut self) {
         let now = self.outbox.now;
         let incarnation = self.ownership.incarnation();
         let is_registered = self
@@ -227,18 +236,20 @@
         if self.shard.is_none() && is_registered && self.ownership.holds_lease(now) {
             let image_hints = std::mem::take(&mut self.image_hints);
             self.shard = Some(Shard::new(&self.config, incarnation, image_hints, now));
-            self.peers.note_worker_contact(now);
+            self.peers.record_worker_contact(now);
         }
-        let term = self.ownership.leader_key_version(&self.store);
-        if self.leader.as_ref().map(Leader::key_version) != term {
-            // The map as of the revision of the leader's key has every change of earlier leaders.
-            let readable_term = term.filter(|term| self.store.revision() >= *term);
-            self.leader = readable_term.map(|term| self.begin_leading(term));
+        let key_version = self.ownership.leader_key_version(&self.store);
+        if self.leader.as_ref().map(Leader::key_version) != key_version {
+            // A shard map that is at least as new as the leader's key contains every change of earlier
+            // leaders.
+            let read_version = key_version.filter(|version| self.store.revision() >= *version);
+            self.leader = read_version.map(|version| self.begin_leading(version));
         }
     }
 
-    fn begin_leading(&self, term: Version) -> Leader {
-        tracing::info!(term, "leading");
-        Leader::new(&self.config, term, &self.store, self.outbox.now)
+    /// Creates the leader's state for this version of the leader's key.
+    fn begin_leading(&self, key_version: Version) -> Leader {
+        tracing::info!(term = key_version, "leading");
+        Leader::new(&self.config, key_version, &self.store, self.outbox.now)
     }
 }
--- a/src/core/scheduling/constraints.rs
+++ b/src/core/scheduling/constraints.rs
@@ -1,4 +1,4 @@
-//! Constraints of a single job: which machines it accepts and when it has to start.
+//! Constraints of a single job: the machines that it accepts, and the latest time of its start.
 
 use crate::config::{Config, TeamLimits};
 use crate::core::jobs::job::Job;
@@ -6,13 +6,18 @@
 use crate::ids::{MachineTypeName, Zone};
 use crate::wire::JobSpec;
 
-/// Factor on the submitter's run time estimate when deciding by when a machine has to be ready.
-/// Estimates are often too low by half and sometimes by more, and a job that is late only because of an
-/// image fetch has still missed its objective.
+/// Factor applied to the submitter's run time estimate to compute when a machine has to be ready.
+/// Estimates are often too low by half and sometimes by more. A job that is late only because of an image
+/// fetch has missed its objective too.
 pub(crate) const RUN_TIME_ESTIMATE_MARGIN: f64 = 2.0;
 
-/// Whether the job accepts machines of this type and zone, spot instances or not.
-pub fn allowed(spec: &JobSpec, type_name: &MachineTypeName, zone: &Zone, spot: bool) -> bool {
+/// Whether the job accepts machines of this type in this zone. `spot` states whether they are spot instances.
+pub fn accepts_machine(
+    spec: &JobSpec,
+    type_name: &MachineTypeName,
+    zone: &Zone,
+    spot: bool,
+) -> bool {
     (spec.spot || !spot)
         && accepts_type(spec, type_name)
         && spec.zone.as_ref().is_none_or(|only| only == zone)
@@ -25,8 +30,8 @@
         .is_none_or(|types| types.contains(type_name))
 }
 
-/// When the job has to start at the latest to meet its objectives and its deadline, if it runs for as long
-/// as estimated.
+/// The latest start at which the job meets its objectives and its deadline if its run time equals the
+/// estimate.
 pub fn start_deadline(config: &Config, job: &Job) -> Time {
     start_deadline_with_margin(config, job, 1.0)
 }
@@ -37,19 +42,19 @@
     let wait_objective = config.wait_objective(&spec.class);
     let finish_objective = config
         .finish_objective(&spec.class)
-        .map(|objective_s| job.submitted + objective_s);
+        .map(|objective_s| job.runnable_since + objective_s);
     let finish_deadline = [finish_objective, job.deadline]
         .into_iter()
         .flatten()
         .min_by(Time::total_cmp);
     let start_to_finish = finish_deadline.map(|at| at - spec.estimate_s * estimate_margin);
-    let start_objective = wait_objective.map(|objective_s| job.submitted + objective_s);
+    let start_objective = wait_objective.map(|objective_s| job.runnable_since + objective_s);
     [start_objective, start_to_finish]
         .into_iter()
         .flatten()
         .min_by(Time::total_cmp)
-        // Without an objective, a job should start within one cancellation time of its submission.
-        .unwrap_or(job.submitted + config.deployment.workers.cancel_s)
+        // A job without objectives and deadline should start within `cancel_s` of becoming runnable.
+        .unwrap_or(job.runnable_since + config.deployment.workers.cancel_s)
 }
 
 /// The limits of the job's team; `None` if the team is not configured.
--- a/src/core/shard/grants.rs
+++ b/src/core/shard/grants.rs
@@ -14,12 +14,12 @@
 use crate::core::model::time::Time;
 use crate::core::records::keys::{quota_key, teams_key};
 use crate::core::records::versioned::{precondition, put};
-use crate::core::scheduling::usage::{Basis, Usage, limit_of};
+use crate::core::scheduling::usage::{QuotaBasis, Usage, limit_of};
 use crate::core::shard::Shard;
 use crate::core::store::replica::StoreReplica;
 use crate::ids::{FencingToken, Team, Version};
 use crate::wire::{Precondition, Transaction, Write};
-use quota_ledger::{Demand, Ended, Holder, HolderId, Outcome, Proposal};
+use quota_ledger::{Demand, EndedHolders, Holder, HolderId, Proposal, WriteOutcome};
 
 /// Average delay before a failed write is retried, in seconds.
 const RETRY_PAUSE_S: Time = 0.1;
@@ -31,16 +31,16 @@
 pub struct TeamGrant {
     holder: Holder,
     /// The fencing token since which all owners have kept to their grants; `None` until the shard map has
-    /// named one. It is kept if the map no longer names one, as a process that has worked under a grant does
-    /// so for as long as it owns the team.
+    /// named one. It is kept if the map no longer names one, because a process that has worked under a grant
+    /// continues to do so for as long as it owns the team.
     grants_kept_since: Option<FencingToken>,
-    /// The team must not have a record, because it has no limit or because the store rejects the record.
+    /// Whether the team must not have a record, because it has no limit or because the store rejected one.
     is_record_disabled: bool,
     /// The version of the record at the last read: 0 if there was no record, `None` before the first read.
     seen_version: Option<Version>,
     /// Earliest time of the next write of the record.
     write_after: Time,
-    basis: Basis,
+    basis: QuotaBasis,
 }
 
 impl TeamGrant {
@@ -68,12 +68,12 @@
             is_record_disabled: !limit.is_limited(),
             seen_version: None,
             write_after: Time::NEG_INFINITY,
-            basis: Basis::Undecided,
+            basis: QuotaBasis::Undecided,
         })
     }
 
     /// How the owner accounts for the team's quota, as of the last read of the record.
-    pub fn basis(&self) -> Basis {
+    pub fn basis(&self) -> QuotaBasis {
         self.basis
     }
 
@@ -88,28 +88,29 @@
             self.seen_version = Some(version);
             let reliable_ledger = stored
                 .and_then(|stored| stored.ledger.as_ref())
-                .filter(|ledger| kept_since.is_some_and(|since| ledger.began() >= since.0));
-            self.holder.observe(version, reliable_ledger.cloned());
+                .filter(|ledger| kept_since.is_some_and(|since| ledger.creator_term() >= since.0));
+            self.holder
+                .observe_record(version, reliable_ledger.cloned());
         }
         // Other processes rely on a record for as long as it exists, so no task starts until it is deleted.
         let has_record_to_delete = self.is_record_disabled && version != 0;
         self.basis = if store.revision() < gained_at_revision || has_record_to_delete {
-            Basis::Undecided
+            QuotaBasis::Undecided
         } else if self.holder.ledger().is_some() {
-            let (own, outstanding) = (self.holder.grant(), self.holder.outstanding());
-            Basis::Granted { own, outstanding }
+            let (own, outstanding) = (self.holder.usable_grant(), self.holder.granted_to_others());
+            QuotaBasis::Granted { own, outstanding }
         } else {
-            Basis::Counting {
-                beginning: self.holder.first_grant_in_doubt(),
+            QuotaBasis::Counting {
+                unconfirmed_grant: self.holder.first_grant_in_doubt(),
             }
         };
     }
 
     /// Proposes the next change of the record if one is needed and allowed at this time.
     fn propose_change(&mut self, now: Time, demand: &Demand) -> Option<Proposal> {
-        let may_create_record = self.grants_kept_since.is_some() || self.holder.ledger().is_some();
-        let is_undecided = self.basis == Basis::Undecided;
-        if is_undecided || self.is_record_disabled || !may_create_record || now < self.write_after {
+        let may_write_record = self.grants_kept_since.is_some() || self.holder.ledger().is_some();
+        let is_undecided = self.basis == QuotaBasis::Undecided;
+        if is_undecided || self.is_record_disabled || !may_write_record || now < self.write_after {
             return None;
         }
         self.holder.propose(now, demand)
@@ -174,23 +175,23 @@
         let team = self.teams.get_mut(name)?;
         let is_reconciled = team.unreconciled.is_empty() && usage.is_known(name);
         let (used, inherited) = usage.own_and_inherited(name);
-        let (waiting, next) = usage.blocked_by_grant(name);
-        let ended = if is_reconciled {
-            Ended::AllOthers
+        let (waiting, first_waiting) = usage.blocked_by_grant(name);
+        let ended_holders = if is_reconciled {
+            EndedHolders::AllOthers
         } else {
-            Ended::None
+            EndedHolders::None
         };
         let demand = Demand {
             used,
             waiting,
-            next,
-            ended,
+            first_waiting,
+            ended_holders,
             inherited,
         };
         team.grant.as_mut()?.propose_change(now, &demand)
     }
 
-    /// Reduces the grants of lost teams to what tasks that were started here may still use.
+    /// Reduces the grants of lost teams to the resources that tasks started here may still use.
     pub(crate) fn release_grants(
         &mut self,
         outbox: &mut Outbox,
@@ -207,8 +208,8 @@
             };
             let (used, _) = usage.own_and_inherited(name);
             let released = match grant.basis {
-                Basis::Granted { .. } => grant.holder.release(used),
-                Basis::Undecided | Basis::Counting { .. } => None,
+                QuotaBasis::Granted { .. } => grant.holder.propose_release(used),
+                QuotaBasis::Undecided | QuotaBasis::Counting { .. } => None,
             };
             if let Some(released) = released.filter(|_| outbox.may_write()) {
                 self.write_record(outbox, store, name, &released, false);
@@ -316,9 +317,9 @@
             return;
         }
         grant.holder.record_outcome(match reply {
-            StoreReply::Committed(version) => Outcome::Committed(version),
-            StoreReply::Unknown => Outcome::Unknown,
-            _ => Outcome::NotExecuted,
+            StoreReply::Committed(version) => WriteOutcome::Committed(version),
+            StoreReply::Unknown => WriteOutcome::Unknown,
+            _ => WriteOutcome::NotExecuted,
         });
         match reply {
             StoreReply::Committed(_) => {}
@@ -326,7 +327,7 @@
                 tracing::error!(
                     team = %written.team,
                     bytes = written.write.value_bytes(),
-                    "store rejected a quota grant record: the team continues without grants"
+                    "store rejected a quota grant record: any existing record is deleted, then the team continues without grants"
                 );
                 grant.is_record_disabled = true;
             }
--- a/src/core/shard/opportunistic/tests.rs
+++ b/src/core/shard/opportunistic/tests.rs
@@ -10,7 +10,7 @@
 use crate::core::scheduling::packing::candidate::{PackingCandidate, TaskDemand};
 use crate::core::shard::owned_jobs::describe_attempt;
 use crate::core::store::replica::StoreReplica;
-use crate::core::test_support::{config, record, service, shard, types};
+use crate::core::test_support::{config, machine_types, record, service, shard};
 use crate::ids::{Attempt, FencingToken, MachineTypeName, TaskId, Zone};
 use crate::wire::{JobKind, JobSpec, Priority};
 use std::collections::BTreeSet;
@@ -39,13 +39,13 @@
     starved: bool,
     unavailable: &BTreeSet<MachineOffer>,
 ) -> CapacityDemand {
-    let (types, mut demand) = (types(), CapacityDemand::default());
+    let (types, mut demand) = (machine_types(), CapacityDemand::default());
     let mut plan = Plan::new(&types, unavailable, Vec::new(), 400);
     let mut rental_budget = worthwhile_rentals(&types, machine_seconds(&types, spec, spec.tasks));
     if starved {
         rental_budget = rental_budget.max(1);
     }
-    let tasks = TaskDemand::expected(&types, spec.clone(), spec.tasks);
+    let tasks = TaskDemand::forecast(&types, spec.clone(), spec.tasks);
     plan.place_opportunistic(tasks, starved, &mut rental_budget, &mut demand);
     demand
 }
@@ -110,7 +110,7 @@
 /// A starved job may rent one machine of any type, so that it runs even if no spot instance is available.
 #[test]
 fn a_starved_job_may_rent_one_machine_of_any_type() {
-    let types = types();
+    let types = machine_types();
     let all_spot_offers: BTreeSet<MachineOffer> = types
         .iter()
         .flat_map(|machine_type| {
@@ -132,11 +132,11 @@
 /// Resources of opportunistic tasks count as free for all other tasks, so no machine is rented for these.
 #[test]
 fn other_tasks_are_planned_on_the_resources_of_opportunistic_tasks() {
-    let (types, unavailable) = (types(), BTreeSet::new());
+    let (types, unavailable) = (machine_types(), BTreeSet::new());
     let full = total_resources(&types[1]);
     let candidate = PackingCandidate {
         free: full,
-        opportunistic: full,
+        opportunistic_resources: full,
         ..PackingCandidate::empty(
             Some("m-1".into()),
             MachineOffer::from((MachineTypeName::from("g8"), Zone::from("a"), false)),
@@ -147,13 +147,13 @@
         CapacityDemand::default(),
     );
     plan.place(
-        TaskDemand::expected(&types, service("chat", "x", 1.0), 2),
+        TaskDemand::forecast(&types, service("chat", "x", 1.0), 2),
         &mut demand,
     );
     assert_eq!(demand.machines_wanted(), 0);
     // Further opportunistic tasks may not use the same resources.
     plan.reserve_opportunistic();
-    let tasks = TaskDemand::expected(&types, opportunistic_array(30.0), 1);
+    let tasks = TaskDemand::forecast(&types, opportunistic_array(30.0), 1);
     plan.place_opportunistic(tasks, false, &mut 1, &mut demand);
     assert_eq!(demand.machines_wanted(), 1);
 }
@@ -161,7 +161,7 @@
 /// A spot instance is not worth renting if its price per task is more than 1.5 times the lowest.
 #[test]
 fn an_expensive_spot_instance_is_not_cost_effective() {
-    let mut types = types();
+    let mut types = machine_types();
     let spec = opportunistic_array(30.0);
     assert!(is_cost_effective(&types, &spot_offer("g4"), &spec));
     types[0].spot_price *= 2.0;
@@ -179,11 +179,11 @@
 /// A shard with one machine of 64 CPUs that has confirmed its token and runs one task of the array.
 fn shard_with_an_opportunistic_task(spot: bool) -> (Shard, Outbox, StoreReplica) {
     let (mut shard, outbox, store) = shard();
-    let mut machine = Machine::named("m-1".into(), FencingToken(9), 0.0);
+    let mut machine = Machine::new("m-1".into(), FencingToken(9), 0.0);
     (machine.is_owned, machine.token_confirmed, machine.spot) = (true, true, spot);
     machine.type_name = "g8".into();
     machine.address = "m-1".into();
-    machine.set_type(&types());
+    machine.set_type(&machine_types());
     let mut tracked = TrackedAttempt::new(0.0);
     let mut spec = (*opportunistic_array(30.0)).clone();
     (spec.checkpoint_interval_s, spec.checkpoint_write_s) = (5.0, 2.0);
@@ -201,7 +201,7 @@
 fn a_machine_with_only_opportunistic_tasks_is_emptied_unless_it_is_a_spot_instance() {
     for spot in [false, true] {
         let (mut shard, mut outbox, store) = shard_with_an_opportunistic_task(spot);
-        let catalog = Catalog::with_types(types());
+        let catalog = Catalog::with_types(machine_types());
         let stop_grace = |shard: &Shard| {
             let machine = &shard.machines[&MachineId::from("m-1")];
             machine.attempts.values().next().unwrap().stop
@@ -230,14 +230,14 @@
     let (mut shard, _, _) = shard_with_an_opportunistic_task(false);
     let machine = shard.machines.get_mut(&MachineId::from("m-1")).unwrap();
     let opportunistic = (TaskId::parse("req-000001/0").unwrap(), Attempt(1));
-    machine.note_end(&opportunistic, 50.0);
+    machine.update_idle_since(&opportunistic, 50.0);
     assert_eq!(machine.idle_since, 0.0);
     let other = (TaskId::parse("req-000002/0").unwrap(), Attempt(1));
     let mut tracked = TrackedAttempt::new(0.0);
     describe_attempt(&mut tracked, &shard.config, &service("chat", "x", 1.0));
     machine.attempts.insert(other.clone(), tracked);
     assert!(!machine.holds_only_opportunistic());
-    machine.note_end(&other, 60.0);
+    machine.update_idle_since(&other, 60.0);
     assert_eq!(machine.idle_since, 60.0);
 }
 
@@ -253,7 +253,7 @@
         true,
     );
     assert!(job.is_opportunistic(&config));
-    job.needed = true;
+    job.has_dependents = true;
     assert!(!job.is_opportunistic(&config));
 }
 
--- a/src/core/shard/owned_jobs.rs
+++ b/src/core/shard/owned_jobs.rs
@@ -68,18 +68,18 @@
     ) -> Option<Job> {
         let spec = record.spec.as_ref()?;
         let team = self.teams.get(&spec.team)?;
-        let dependencies_done_ms = store.dependencies_done_ms(record)?;
+        let runnable_since_ms = store.runnable_since_ms(record)?;
         // The team's previous owner may have started every job that it read before it saw the change of the
         // shard map. The versions decide which jobs these are, not the time at which a job appeared here: a
         // leader that assigns the team to itself knows its own write before its next sync brings jobs that
         // were written earlier. A job with recorded progress has been started.
         let never_started = version > team.gained_at_revision && record.done.is_empty();
         let reconciled = team.unreconciled.is_empty() || never_started;
-        let age = wall_ms.saturating_sub(dependencies_done_ms) as f64 / MS_PER_S;
+        let age = wall_ms.saturating_sub(runnable_since_ms) as f64 / MS_PER_S;
         let mut job = Job::new(spec.clone(), record.clone(), version, now - age, reconciled);
         if job.is_gang() && !job.done.is_empty() {
             // The tasks of a gang complete together, so one recorded task means that all are done.
-            (0..spec.tasks).for_each(|index| job.set(index, Task::Done, None));
+            (0..spec.tasks).for_each(|index| job.set_task(index, Task::Done, None));
         }
         Some(job)
     }
@@ -94,10 +94,10 @@
     ) {
         let all_done = job.all_done();
         let exits = self.place_existing_attempts(id, &mut job);
-        if job.unreconciled() > 0 {
+        if job.unreconciled_count() > 0 {
             self.unreconciled_jobs.insert(id.clone());
         }
-        self.forecast.arrived(&job.spec, job.submitted);
+        self.forecast.record_arrival(&job.spec, job.runnable_since);
         self.jobs.insert(id.clone(), job);
         self.update_urgency(store, id, (now, wall_ms));
         self.changed_since_round = true;
@@ -115,7 +115,7 @@
     }
 
     /// Sets a job's deadline to the earliest among its own and those of its dependents, and raises its
-    /// priority to the highest of its dependents'.
+    /// priority to the highest of its dependents'. Attempts of a job with dependents are not opportunistic.
     fn update_urgency(&mut self, store: &StoreReplica, id: &JobId, (now, wall_ms): (Time, u64)) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -133,7 +133,7 @@
             .flatten()
             .min_by(Time::total_cmp);
         let Some(urgency) = inherited else { return };
-        let is_newly_needed = !std::mem::replace(&mut job.needed, true);
+        let is_newly_needed = !std::mem::replace(&mut job.has_dependents, true);
         let is_more_urgent = urgency.priority > job.priority;
         if !is_newly_needed && !is_more_urgent {
             return;
--- a/src/core/shard/owned_jobs/attempts.rs
+++ b/src/core/shard/owned_jobs/attempts.rs
@@ -53,8 +53,8 @@
                 ));
             } else if matches!(job.task(index), Some(Task::Waiting | Task::Unreconciled)) {
                 let placed = Task::Placed(location.machine_id.clone(), location.attempt);
-                job.set(index, placed, Some(location.zone));
-                job.began |= tracked.started_at.is_some();
+                job.set_task(index, placed, Some(location.zone));
+                job.has_started |= tracked.started_at.is_some();
             }
         });
         exits
@@ -102,7 +102,7 @@
             })
     }
 
-    /// Returns the indexes of the job's tasks that have an attempt that has not exited.
+    /// Returns the indexes of the job's tasks with an attempt that has not exited.
     pub(in crate::core::shard) fn tasks_on_machines(&mut self, id: &JobId) -> BTreeSet<u32> {
         let mut tasks = BTreeSet::new();
         self.for_each_attempt(id, |location, tracked| {
--- a/src/core/shard/progress_records/tests.rs
+++ b/src/core/shard/progress_records/tests.rs
@@ -3,7 +3,7 @@
 use crate::core::jobs::job::Task;
 use crate::core::machines::unresponsive::UnresponsiveMachines;
 use crate::core::records::shard_map::ShardEntry;
-use crate::core::test_support::{map, owner, record, shard};
+use crate::core::test_support::{apply_shard_map, owner, record, shard};
 use std::rc::Rc;
 
 /// Returns the pending record writes of a sent transaction together with the transaction.
@@ -27,14 +27,14 @@
         teams: vec!["red".into()],
         machines: vec![],
     };
-    map(&mut store, 5, vec![shard_entry]);
+    apply_shard_map(&mut store, 5, vec![shard_entry]);
     shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     let id = JobId::from("req-000001");
     store.apply_write(&put(&job_key(&id), &record(false), None), 9);
     shard.apply_job_record(&store, &id, &Rc::new(record(false)), 9, (0.0, 0));
     let finish_task = |shard: &mut Shard, index| {
         let job = shard.jobs.get_mut(&id).unwrap();
-        job.set(index, Task::Done, None);
+        job.set_task(index, Task::Done, None);
         shard.queue_for_recording(&id, 0.0);
     };
     let record_at = |shard: &mut Shard, outbox: &mut Outbox, now: Time| {
@@ -65,15 +65,15 @@
         teams: vec!["red".into()],
         machines: vec![],
     };
-    map(&mut store, 5, vec![shard_entry]);
+    apply_shard_map(&mut store, 5, vec![shard_entry]);
     shard.apply_map_changes(&mut outbox, &store, &UnresponsiveMachines::default());
     let id = |number: u32| JobId::from(format!("req-{number:06}"));
     for number in 0..11 {
         store.apply_write(&put(&job_key(&id(number)), &record(false), None), 9);
         shard.apply_job_record(&store, &id(number), &Rc::new(record(false)), 9, (0.0, 0));
         let job = shard.jobs.get_mut(&id(number)).unwrap();
-        job.set(0, Task::Done, None);
-        job.set(1, Task::Done, None);
+        job.set_task(0, Task::Done, None);
+        job.set_task(1, Task::Done, None);
         shard.queue_for_recording(&id(number), 1.0);
     }
     let send_records_at = |shard: &mut Shard, outbox: &mut Outbox, now| {
--- a/src/core/shard/round/queue.rs
+++ b/src/core/shard/round/queue.rs
@@ -19,7 +19,7 @@
     /// See [`Shard::is_deferred`].
     is_deferred: bool,
     start_deadline: Time,
-    submitted: Time,
+    runnable_since: Time,
 }
 
 impl QueueRank {
@@ -28,7 +28,7 @@
             .then(self.is_beyond_guarantee.cmp(&other.is_beyond_guarantee))
             .then(self.is_deferred.cmp(&other.is_deferred))
             .then(self.start_deadline.total_cmp(&other.start_deadline))
-            .then(self.submitted.total_cmp(&other.submitted))
+            .then(self.runnable_since.total_cmp(&other.runnable_since))
     }
 }
 
@@ -37,9 +37,9 @@
     pub(crate) fn queued_jobs(&self, usage: &Usage, now: Time) -> Vec<JobId> {
         let mut queue: Vec<(QueueRank, &JobId)> = Vec::new();
         for (id, job) in &self.jobs {
-            // The constraints of such a job depend on the machines of all its tasks.
+            // Zone constraints depend on the machines of all tasks, and a gang starts only as a whole.
             let needs_all_tasks_known = job.spec.spread || job.spec.one_zone || job.is_gang();
-            if job.waiting().is_empty() || (job.unreconciled() > 0 && needs_all_tasks_known) {
+            if job.waiting().is_empty() || (job.unreconciled_count() > 0 && needs_all_tasks_known) {
                 continue;
             }
             queue.push((self.queue_rank(job, usage, now), id));
@@ -55,7 +55,7 @@
             is_deferred: self.is_deferred(job),
             // Jobs whose deadlines have passed get equal deadlines, so that the oldest comes first.
             start_deadline: start_deadline(&self.config, job).max(now),
-            submitted: job.submitted,
+            runnable_since: job.runnable_since,
         }
     }
 
@@ -63,14 +63,14 @@
     pub(crate) fn is_within_guarantee(&self, job: &Job, usage: &Usage) -> bool {
         let need = job.need();
         team_limits(&self.config, &job.spec)
-            .is_some_and(|team_limits| usage.guaranteed(team_limits, need.cpus, need.gpus))
+            .is_some_and(|team_limits| usage.is_within_guarantee(team_limits, need.cpus, need.gpus))
     }
 
     /// Whether the job is placed after all others that have the same priority and are equally within or
     /// beyond their guarantee. This holds for opportunistic jobs that have begun, and for jobs that fail on
     /// every machine.
     fn is_deferred(&self, job: &Job) -> bool {
-        let is_begun_opportunistic = job.began && job.is_opportunistic(&self.config);
+        let is_begun_opportunistic = job.has_started && job.is_opportunistic(&self.config);
         is_begun_opportunistic || job.failures.fails_everywhere()
     }
 
@@ -78,7 +78,7 @@
     /// starts only one task at a time, as a probe, unless it is a gang.
     pub(super) fn startable_tasks(&self, job: &Job, now: Time) -> Vec<u32> {
         let is_probe = job.failures.fails_everywhere();
-        if is_probe && (job.placed() > 0 || !job.failures.may_probe(now)) {
+        if is_probe && (job.placed_count() > 0 || !job.failures.may_probe(now)) {
             return Vec::new();
         }
         let max_tasks = if is_probe && !job.is_gang() {
@@ -86,7 +86,7 @@
         } else {
             MAX_STARTS_PER_ROUND
         };
-        let is_ready = |index: &u32| {
+        let may_start_now = |index: &u32| {
             job.retries
                 .get(index)
                 .is_none_or(|retry| retry.not_before <= now)
@@ -94,7 +94,7 @@
         job.waiting()
             .iter()
             .copied()
-            .filter(is_ready)
+            .filter(may_start_now)
             .take(max_tasks)
             .collect()
     }
--- a/src/core/shard/round/snapshot.rs
+++ b/src/core/shard/round/snapshot.rs
@@ -2,7 +2,7 @@
 
 use crate::core::model::resources::Resources;
 use crate::core::model::time::Time;
-use crate::core::scheduling::constraints::allowed;
+use crate::core::scheduling::constraints::accepts_machine;
 use crate::core::shard::Shard;
 use crate::ids::{Image, MachineId, MachineTypeName, Zone};
 use crate::wire::{JobSpec, Priority};
@@ -58,14 +58,14 @@
             })
     }
 
-    /// The part of `free` that a task may use. A task that avoids stranding GPUs may not use the CPUs and
-    /// memory that the machine's free GPUs need.
+    /// The part of `free` that a task may use. A task that must keep free GPUs usable may not use the CPUs
+    /// and memory that belong to the machine's free GPUs.
     pub(super) fn usable_resources(
         &self,
         free: Resources,
-        avoids_stranding_gpus: bool,
+        must_keep_free_gpus_usable: bool,
     ) -> Resources {
-        if avoids_stranding_gpus {
+        if must_keep_free_gpus_usable {
             free.without_share_of_free_gpus(&self.total)
         } else {
             free
@@ -109,7 +109,7 @@
 
     /// Whether the job accepts the machine's type and zone, and a spot instance if the machine is one.
     pub(crate) fn is_allowed_for(&self, spec: &JobSpec) -> bool {
-        allowed(spec, &self.type_name, &self.zone, self.spot)
+        accepts_machine(spec, &self.type_name, &self.zone, self.spot)
     }
 }
 
--- a/src/core/shard/shard_log.rs
+++ b/src/core/shard/shard_log.rs
@@ -62,7 +62,7 @@
                 free_cpus = machines.free.cpus.round(),
                 free_gpus = machines.free.gpus.round(),
                 free_memory_gb = machines.free.memory_gb.round(),
-                "machines of a type"
+                "owned machines of one machine offer"
             );
         }
     }
@@ -98,8 +98,8 @@
         for job in self.jobs.values() {
             let tasks = classes.entry(&job.spec.class).or_default();
             tasks.waiting += job.waiting().len();
-            tasks.unreconciled += job.unreconciled();
-            tasks.placed += job.placed();
+            tasks.unreconciled += job.unreconciled_count();
+            tasks.placed += job.placed_count();
         }
         classes
     }
--- a/src/core/shard/sibling_updates.rs
+++ b/src/core/shard/sibling_updates.rs
@@ -35,9 +35,10 @@
 }
 
 impl Shard {
-    /// Returns whether siblings need an update before the next regular exchange, and clears the request.
-    pub(crate) fn take_sync_soon(&mut self) -> bool {
-        std::mem::take(&mut self.sync_soon)
+    /// Returns whether siblings need an update before the next regular exchange of updates, and clears the
+    /// request for it.
+    pub(crate) fn take_sibling_update_request(&mut self) -> bool {
+        std::mem::take(&mut self.sibling_update_requested)
     }
 
     /// Creates this shard's update for the sibling `node`. `refused` contains the offers that the cloud
@@ -145,7 +146,7 @@
         mut update: PeerUpdate,
     ) {
         if update.wants_observations {
-            self.sync_soon |= self.listeners.insert(from.clone());
+            self.sibling_update_requested |= self.listeners.insert(from.clone());
         } else {
             self.listeners.remove(from);
         }
@@ -170,7 +171,7 @@
         for (id, token) in update.reconciled {
             // An observation by a previous owner or under an earlier token is outdated.
             let is_current =
-                |owner: &ShardOwner| owner.is(from, incarnation) && owner.token == token;
+                |owner: &ShardOwner| owner.is_process(from, incarnation) && owner.token == token;
             if store.shard_map().machines.get(&id).is_some_and(is_current) {
                 let observation = observations.remove(&id);
                 self.apply_observation(outbox, store, &id, token, &coverage, observation);
@@ -184,13 +185,13 @@
         for machine in self.machines.values_mut() {
             let is_previous_owner = machine.previous_owner.as_ref() == Some(sender);
             if is_previous_owner && revision >= machine.owned_since_revision {
-                machine.previous_owner_released(now);
+                machine.record_previous_owner_release(now);
             }
         }
     }
 
     /// Applies the observation of a sibling's reconciled machine: of the teams that the update covers, only
-    /// the observed tasks may run on it. Without an observation, none of them does.
+    /// the observed tasks may run on it. Without an observation, no task of these teams does.
     fn apply_observation(
         &mut self,
         outbox: &mut Outbox,
@@ -207,12 +208,12 @@
         let machine = self
             .machines
             .entry(id.clone())
-            .or_insert_with(|| Machine::named(id.clone(), token, now));
+            .or_insert_with(|| Machine::new(id.clone(), token, now));
         if machine.is_owned {
             return;
         }
         // The machine has confirmed its owner's token, or its agent epoch has ended.
-        self.starts_in_flight.shown(id, token, 0);
+        self.starts_in_flight.discard_outdated(id, token, 0);
         let shown = match observation {
             Some(observation) => self.apply_observed_tasks(outbox, store, id, observation),
             None => BTreeSet::new(),
--- a/src/core/shard/tracking.rs
+++ b/src/core/shard/tracking.rs
@@ -1,10 +1,10 @@
 //! Reconciles the machines' heartbeats with the attempts and jobs known to this process.
 //!
-//! An attempt may be on a machine from the moment its start is issued. It is tracked until the machine
-//! reports its end or is known to be empty, and as long as its start may still arrive
-//! ([`crate::core::machines::starts_in_flight`]). A machine is known to be empty when its agent epoch has
-//! advanced, when its deletion was confirmed, or when its lease must have expired since its last answered
-//! heartbeat ([`crate::core::shard::lease_expiry`]).
+//! An attempt may be on a machine from the moment its start is issued. It is tracked until the machine's
+//! heartbeats no longer show it or the machine is known to be empty. It stays tracked beyond that for as long
+//! as its start may still arrive ([`crate::core::machines::starts_in_flight`]). A machine is known to be empty
+//! when its agent epoch has advanced, when its deletion was confirmed, or when its lease must have expired
+//! since its last answered heartbeat ([`crate::core::shard::lease_expiry`]).
 
 mod attempt_end;
 mod cordon;
@@ -25,8 +25,8 @@
 use crate::wire::{Command, ExitReason, Heartbeat, HeartbeatResponse, ReportedTask, TaskState};
 use std::collections::BTreeSet;
 
-/// Number of heartbeats without an attempt, although earlier responses carried its start, after which the
-/// attempt is considered absent.
+/// Number of heartbeats that do not show an issued attempt, after which it is considered absent. The
+/// responses to the earlier ones carried its start.
 const MISSED_HEARTBEATS_UNTIL_ABSENT: u32 = 3;
 
 /// As [`MISSED_HEARTBEATS_UNTIL_ABSENT`], for an attempt whose stop was requested.
@@ -47,7 +47,7 @@
             .get_mut(&heartbeat.machine)
             .filter(|machine| machine.is_owned)?;
         if machine.total == Resources::default() || machine.address != heartbeat.address {
-            machine.describe(heartbeat, catalog.types());
+            machine.update_description(heartbeat, catalog.types());
         }
         if heartbeat.token > machine.token {
             // The machine has a newer owner or token that this process has not read from the shard map yet.
@@ -57,7 +57,8 @@
         if freshness == Freshness::Duplicate {
             return Some(Answer::unavailable());
         }
-        self.starts_in_flight.reported(&heartbeat.machine);
+        self.starts_in_flight
+            .clear_heartbeat_response(&heartbeat.machine);
         if let Freshness::New { new_epoch } = freshness {
             let origin = HeartbeatOrigin::Periodic;
             self.apply_heartbeat(store, heartbeat, new_epoch, origin, now);
@@ -78,19 +79,24 @@
         if machine.unresponsive {
             // Siblings rely on the machine no longer being answered under its current token.
             machine.needs_new_token = true;
-            self.sync_soon |= self.demand.request_new_token(&machine.id, machine.token);
+            self.sibling_update_requested |=
+                self.demand.request_new_token(&machine.id, machine.token);
             return Some(Answer::unavailable());
         }
         machine.last_answered = now;
         machine.known_empty = false;
-        // Until a heartbeat has shown the token, the response carries the token and only stops for finished
-        // jobs. The heartbeat must be answered, because the answer keeps the machine's tasks alive. A machine
-        // whose owner changes repeatedly might otherwise never receive those stops.
+        // Until a heartbeat has shown the token, the response carries the token and no commands other than
+        // stops for finished jobs. The heartbeat must be answered, because the answer keeps the machine's
+        // tasks alive. Without these stops, tasks of finished jobs might never end on a machine whose owner
+        // changes repeatedly.
         let commands = if machine.token_confirmed {
             let channel = CommandChannel::HeartbeatResponse;
             let batch = machine.commands(&self.starts_in_flight, channel);
-            self.starts_in_flight
-                .answered(&machine.id, heartbeat.agent_epoch, batch.starts);
+            self.starts_in_flight.record_heartbeat_response(
+                &machine.id,
+                heartbeat.agent_epoch,
+                batch.starts,
+            );
             batch.commands
         } else {
             stops_for_finished_jobs(heartbeat, store)
@@ -117,7 +123,7 @@
     ) {
         let machine_id = &heartbeat.machine;
         self.starts_in_flight
-            .shown(machine_id, heartbeat.token, heartbeat.agent_epoch);
+            .discard_outdated(machine_id, heartbeat.token, heartbeat.agent_epoch);
         if new_epoch {
             self.drop_attempts_of_earlier_epoch(machine_id, now);
         }
@@ -132,7 +138,7 @@
         let newly_confirmed = !std::mem::replace(&mut machine.token_confirmed, true);
         if newly_confirmed {
             machine.idle_since = now;
-            self.sync_soon = true;
+            self.sibling_update_requested = true;
             self.changed_since_round = true;
         }
         machine.unreachable = false;
@@ -141,8 +147,8 @@
     }
 
     /// Drops the attempts of the previous agent epoch when the worker has begun a new one. Those attempts
-    /// have ended, and the worker executes no command that was sent in that epoch. If the worker's lease had
-    /// expired, responses may not reach the worker, so it has to show a new token.
+    /// have ended, and the worker executes no command that was sent in that epoch. The worker's lease may have
+    /// expired because responses do not reach it, so a machine that had confirmed its token needs a new one.
     fn drop_attempts_of_earlier_epoch(&mut self, machine_id: &MachineId, now: Time) {
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
@@ -240,7 +246,7 @@
             }
             // If another controller owns the job's team, that controller handles the attempt. If the job is
             // not known yet, the attempt is reconciled once the job is.
-            self.sync_soon |= changed && !job_is_finished;
+            self.sibling_update_requested |= changed && !job_is_finished;
             return;
         }
         self.reconcile_with_job(machine_id, &key);
@@ -312,8 +318,8 @@
         let here = Task::Placed(machine_id.clone(), *attempt);
         match job.task(task.index) {
             Some(Task::Unreconciled | Task::Waiting) if !tracked.exited() => {
-                job.set(task.index, here, Some(&machine.zone));
-                job.began = true;
+                job.set_task(task.index, here, Some(&machine.zone));
+                job.has_started = true;
             }
             Some(intended) if *intended != here && tracked.request_immediate_stop() => {
                 tracing::info!(
@@ -326,7 +332,7 @@
             }
             _ => {}
         }
-        job.began |= tracked.started_at.is_some();
+        job.has_started |= tracked.started_at.is_some();
     }
 }
 
--- a/src/core/shard/tracking/attempt_end.rs
+++ b/src/core/shard/tracking/attempt_end.rs
@@ -13,7 +13,8 @@
 /// Delay before a start that a machine refused is retried, in heartbeat intervals.
 const REFUSED_START_RETRY_HEARTBEATS: f64 = 0.5;
 
-/// Retry delay in seconds after this many failures: 1 s after the first, doubled with each further failure.
+/// Retry delay in seconds after this many failures: 1 s after the first, doubled with each further failure
+/// up to [`MAX_BACKOFF_FAILURES`].
 fn backoff_s(failures: u32) -> Time {
     2f64.powi(failures.min(MAX_BACKOFF_FAILURES) as i32 - 1)
 }
@@ -32,7 +33,7 @@
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
-        machine.note_end(&key, now);
+        machine.update_idle_since(&key, now);
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -44,8 +45,8 @@
         if reason == ExitReason::Done && job.spec.kind != JobKind::Service {
             // The worker may forget this exit only after the store has recorded it.
             let zone = is_placed_here.then_some(&machine.zone);
-            job.set(task.index, Task::Done, zone);
-            job.failures.prove();
+            job.set_task(task.index, Task::Done, zone);
+            job.failures.record_long_run();
             if job.is_gang() {
                 self.complete_gang(&task.job);
             }
@@ -87,9 +88,9 @@
         }
     }
 
-    /// Updates the task that was placed in a lost attempt. The task waits, unless another attempt of it may
-    /// still be on a machine: it is then placed in that attempt, because no new one may start until a surplus
-    /// attempt has ended.
+    /// Updates the task that was placed in a lost attempt, and stops the rest of its gang. If another attempt
+    /// of the task may still be on a machine, the task is placed in that attempt, because no new attempt may
+    /// start before that one has ended. Otherwise the task waits.
     fn handle_lost_attempt(&mut self, machine_id: &MachineId, task: &TaskId, attempt: Attempt) {
         let other = self.find_live_attempt(task);
         let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -99,10 +100,10 @@
             return;
         }
         let zone = self.machines.get(machine_id).map(|machine| &machine.zone);
-        job.set(task.index, Task::Waiting, zone);
+        job.set_task(task.index, Task::Waiting, zone);
         if let Some((machine, attempt)) = other {
             let zone = self.machines.get(&machine).map(|machine| &machine.zone);
-            job.set(task.index, Task::Placed(machine, attempt), zone);
+            job.set_task(task.index, Task::Placed(machine, attempt), zone);
         }
         self.stop_rest_of_gang(&task.job, attempt);
     }
@@ -135,7 +136,7 @@
             machine.needs_new_token = true;
             return;
         }
-        machine.note_end(&key, now);
+        machine.update_idle_since(&key, now);
         if machine.attempts.remove(&key).is_none() {
             return;
         }
--- a/src/core/shard/tracking/cordon.rs
+++ b/src/core/shard/tracking/cordon.rs
@@ -1,11 +1,11 @@
-//! Cordons machines on which several jobs fail that fail on no other machine.
+//! Cordons machines that seem faulty: several jobs have failed on the machine and on no other.
 
 use crate::core::model::time::Time;
 use crate::core::shard::Shard;
 use crate::ids::{JobId, MachineId, TaskId};
 use std::collections::BTreeSet;
 
-/// Duration for which a faulty machine is cordoned, in leases of a worker.
+/// Duration for which a faulty machine is cordoned, in durations of a worker's lease.
 const CORDON_DURATION_LEASES: f64 = 20.0;
 
 /// Number of jobs that must have failed on a machine, and on no other, before the machine is considered
@@ -23,7 +23,9 @@
             return;
         };
         let longest_interval = self.config.deployment.workers.cancel_s;
-        let fails_everywhere = job.failures.failed(machine_id, longest_interval, now);
+        let fails_everywhere = job
+            .failures
+            .record_failure(machine_id, longest_interval, now);
         machine.failed_jobs.insert(task.job.clone());
         let failures = job.retries.get(&task.index).map(|retry| retry.failures);
         tracing::info!(
@@ -37,15 +39,15 @@
                 job = %task.job,
                 "job fails on every machine: only probes of it are started until one runs"
             );
-            self.forecast.withdraw(&job.spec);
+            self.forecast.remove_job(&job.spec);
         }
         let failed_on = job.failures.machines().clone();
         self.cordon_if_faulty(machine_id, now);
         self.uncordon_if_not_faulty(&failed_on, now);
     }
 
-    /// Cordons a machine on which several jobs failed that failed on no other machine. A job that was
-    /// submitted with a mistake fails on every machine, so it says nothing about a particular machine.
+    /// Cordons the machine if several jobs have failed on it and on no other machine. A job that was submitted
+    /// with a mistake fails on every machine, so it says nothing about a particular machine.
     fn cordon_if_faulty(&mut self, machine_id: &MachineId, now: Time) {
         let jobs = &self.jobs;
         let Some(machine) = self.machines.get_mut(machine_id) else {
@@ -70,7 +72,7 @@
         let fails_here_only = |job: &&JobId| {
             self.jobs
                 .get(*job)
-                .is_some_and(|job| job.failures.on_one_machine_only())
+                .is_some_and(|job| job.failures.failed_on_one_machine())
         };
         self.machines.get(machine_id).is_some_and(|machine| {
             let failed = machine.failed_jobs.iter();
--- a/src/core/shard/tracking/tests.rs
+++ b/src/core/shard/tracking/tests.rs
@@ -7,7 +7,7 @@
 use crate::core::records::shard_map::{ShardEntry, ShardOwner};
 use crate::core::records::versioned::put;
 use crate::core::shard::commands::MAX_UNANSWERED_MESSAGES;
-use crate::core::test_support::{map, owner, record, shard};
+use crate::core::test_support::{apply_shard_map, owner, record, shard};
 use crate::ids::{Attempt, FencingToken};
 use std::rc::Rc;
 
@@ -56,7 +56,7 @@
             teams: vec!["red".into()],
             machines: vec!["m-2".into()],
         };
-        map(&mut self.store, version, vec![first, rest]);
+        apply_shard_map(&mut self.store, version, vec![first, rest]);
         let unresponsive = UnresponsiveMachines::default();
         self.shard
             .apply_map_changes(&mut self.outbox, &self.store, &unresponsive);
@@ -69,7 +69,7 @@
             teams: vec!["red".into()],
             machines: vec!["m-2".into()],
         };
-        map(&mut self.store, 8, vec![rest]);
+        apply_shard_map(&mut self.store, 8, vec![rest]);
         let unresponsive = UnresponsiveMachines::default();
         self.shard
             .apply_map_changes(&mut self.outbox, &self.store, &unresponsive);
@@ -252,7 +252,8 @@
     assert!(machine.needs_new_token, "a new token voids the start");
 }
 
-/// As above, with heartbeats that do not show the task while the earlier message is in flight.
+/// Two messages with the same start are in flight, and heartbeats do not show the task. Neither these
+/// heartbeats nor the failure to send the later message proves that the attempt is absent.
 #[test]
 fn attempt_missing_from_heartbeats_is_kept_while_its_start_is_in_flight() {
     let mut fixture = Fixture::new();
@@ -515,7 +516,7 @@
     let mut fixture = Fixture::new();
     fixture.start(0);
     let job = fixture.shard.jobs.get_mut(&JOB.into()).unwrap();
-    job.set(0, Task::Waiting, None);
+    job.set_task(0, Task::Waiting, None);
     assert_eq!(
         fixture.starts_in_placement_round(),
         1,
--- a/tests/world/cloud.rs
+++ b/tests/world/cloud.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the cloud: machine types, rented machines, and a listing that lags behind.
+//! A simulated cloud: machine types, rented machines, and a listing that shows an earlier state.
 
 use ochredrum::core::effects::{CloudCall, CloudReply};
 use ochredrum::ids::{MachineId, MachineTypeName, Zone};
@@ -7,32 +7,36 @@
 };
 use std::collections::BTreeMap;
 
-/// Seconds by which the listing lags behind.
+/// Age of the state that a listing shows, in seconds.
 const LIST_LAG_S: f64 = 5.0;
-/// Machines that there may be at once before requests for more are refused.
+/// Number of machines at which the cloud refuses to rent more.
 const CAPACITY: usize = 24;
 
 /// A machine that has been rented.
-pub struct Owned {
-    /// Its type.
+pub struct RentedMachine {
+    /// The name of its machine type.
     pub type_name: MachineTypeName,
-    /// Its zone.
+    /// The zone in which it runs.
     pub zone: Zone,
     /// Whether it is a spot instance.
     pub spot: bool,
-    created: f64,
-    running: Option<f64>,
+    created_at: f64,
+    /// When it finished booting; `None` before.
+    running_since: Option<f64>,
+    /// When it disappears from the listing; `None` unless it has died.
     unlisted_from: Option<f64>,
 }
 
 /// The machines and types of the cloud.
 pub struct Cloud {
-    /// Machines with GPUs are offered in every simulation, others in some.
+    /// The offered types. The type with GPUs is always offered, the one without only in some simulations.
     types: Vec<MachineType>,
-    machines: BTreeMap<MachineId, Owned>,
+    machines: BTreeMap<MachineId, RentedMachine>,
+    /// The machines of each rental by its request id, so that a repeated request rents no more.
     rentals: BTreeMap<String, MachineIds>,
-    deleted: Vec<MachineId>,
-    created: usize,
+    released: Vec<MachineId>,
+    /// Number of machines that were ever created.
+    created_count: usize,
 }
 
 impl Default for Cloud {
@@ -41,8 +45,8 @@
             types: vec![type_with_gpus()],
             machines: BTreeMap::new(),
             rentals: BTreeMap::new(),
-            deleted: Vec::new(),
-            created: 0,
+            released: Vec::new(),
+            created_count: 0,
         }
     }
 }
@@ -62,7 +66,7 @@
     }
 }
 
-/// Small and cheap; it fetches images slowly.
+/// A small, cheap type that fetches images slowly.
 fn type_without_gpus() -> MachineType {
     MachineType {
         name: "c16".into(),
@@ -78,14 +82,14 @@
 }
 
 impl Cloud {
-    /// Offers a second machine type, without GPUs.
+    /// Adds the machine type without GPUs to those on offer.
     pub fn offer_without_gpus(&mut self) {
         self.types.push(type_without_gpus());
     }
 
-    /// The type of a machine; the type with GPUs if the machine is unknown.
+    /// The type of a machine, or the type with GPUs if the machine is unknown.
     pub fn type_of(&self, machine: &MachineId) -> MachineType {
-        let name = self.machines.get(machine).map(|owned| &owned.type_name);
+        let name = self.machines.get(machine).map(|rented| &rented.type_name);
         let machine_type = self
             .types
             .iter()
@@ -93,52 +97,58 @@
         machine_type.cloned().unwrap_or_else(type_with_gpus)
     }
 
-    /// Machines that were ever created.
-    pub fn count(&self) -> usize {
-        self.created
+    /// The number of machines that were ever created.
+    pub fn created_count(&self) -> usize {
+        self.created_count
     }
 
-    /// A machine that has not been released.
-    pub fn get(&self, machine: &MachineId) -> Option<&Owned> {
+    /// A machine, unless it is unknown or was released.
+    pub fn get(&self, machine: &MachineId) -> Option<&RentedMachine> {
         self.machines.get(machine)
     }
 
-    /// Creates a machine, which boots from `created` on.
-    pub fn create(&mut self, type_name: &str, zone: &str, spot: bool, created: f64) -> MachineId {
-        self.created += 1;
-        let machine = MachineId::from(format!("m-{:06}", self.created));
-        let owned = Owned {
+    /// Creates a machine that begins to boot at the time `created_at`.
+    pub fn create(
+        &mut self,
+        type_name: &str,
+        zone: &str,
+        spot: bool,
+        created_at: f64,
+    ) -> MachineId {
+        self.created_count += 1;
+        let machine = MachineId::from(format!("m-{:06}", self.created_count));
+        let rented = RentedMachine {
             type_name: type_name.into(),
             zone: zone.into(),
             spot,
-            created,
-            running: None,
+            created_at,
+            running_since: None,
             unlisted_from: None,
         };
-        self.machines.insert(machine.clone(), owned);
+        self.machines.insert(machine.clone(), rented);
         machine
     }
 
-    /// A machine has booted.
-    pub fn up(&mut self, machine: &MachineId, now: f64) {
-        if let Some(owned) = self.machines.get_mut(machine) {
-            owned.running = Some(now);
+    /// Records that a machine has booted.
+    pub fn mark_running(&mut self, machine: &MachineId, now: f64) {
+        if let Some(rented) = self.machines.get_mut(machine) {
+            rented.running_since = Some(now);
         }
     }
 
-    /// A machine died: from then on it is no longer listed.
-    pub fn died(&mut self, machine: &MachineId, unlisted_from: f64) {
-        if let Some(owned) = self.machines.get_mut(machine) {
-            owned.unlisted_from = Some(unlisted_from);
+    /// Removes a machine that died from the listing, from the given time on.
+    pub fn stop_listing_from(&mut self, machine: &MachineId, unlisted_from: f64) {
+        if let Some(rented) = self.machines.get_mut(machine) {
+            rented.unlisted_from = Some(unlisted_from);
         }
     }
 
-    /// Machines that were released since the last call.
-    pub fn take_deleted(&mut self) -> Vec<MachineId> {
-        std::mem::take(&mut self.deleted)
+    /// Returns the machines that were released since the last call.
+    pub fn take_released(&mut self) -> Vec<MachineId> {
+        std::mem::take(&mut self.released)
     }
 
-    /// Answers a request; also returns the machines that begin to boot.
+    /// Handles a request. Returns its reply and the machines that begin to boot.
     pub fn call(&mut self, now: f64, call: CloudCall) -> (CloudReply, Vec<MachineId>) {
         let reply = match call {
             CloudCall::Types => CloudReply::Types(MachineTypes {
@@ -154,24 +164,24 @@
         (reply, Vec::new())
     }
 
-    /// The listing as of a moment.
+    /// The listing of the machines as they were at the time `as_of`.
     fn list(&self, as_of: f64) -> MachineList {
-        let is_listed = |owned: &&Owned| {
-            owned.created <= as_of && owned.unlisted_from.is_none_or(|from| from > as_of)
+        let is_listed = |rented: &&RentedMachine| {
+            rented.created_at <= as_of && rented.unlisted_from.is_none_or(|from| from > as_of)
         };
-        let listed = self.machines.iter().filter(|(_, owned)| is_listed(owned));
+        let listed = self.machines.iter().filter(|(_, rented)| is_listed(rented));
         let machines = listed
-            .map(|(id, owned)| ListedMachine {
+            .map(|(id, rented)| ListedMachine {
                 machine: id.clone(),
                 address: Some(id.to_string()),
-                type_name: owned.type_name.clone(),
-                zone: owned.zone.clone(),
-                spot: owned.spot,
-                state: match owned.running {
+                type_name: rented.type_name.clone(),
+                zone: rented.zone.clone(),
+                spot: rented.spot,
+                state: match rented.running_since {
                     Some(since) if since <= as_of => MachineState::Running,
                     _ => MachineState::Booting,
                 },
-                age_s: as_of - owned.created,
+                age_s: as_of - rented.created_at,
             })
             .collect();
         MachineList {
@@ -180,7 +190,7 @@
         }
     }
 
-    /// Rents machines. A repeated request is answered as the first time and rents no more.
+    /// Rents machines. A repeated request receives the first reply again and rents no more machines.
     fn rent(&mut self, now: f64, rental: Rental) -> (CloudReply, Vec<MachineId>) {
         if let Some(names) = self.rentals.get(&rental.request) {
             return (CloudReply::Rented(names.clone()), Vec::new());
@@ -204,7 +214,7 @@
     fn release(&mut self, names: MachineIds) {
         for machine in names.machines {
             if self.machines.remove(&machine).is_some() {
-                self.deleted.push(machine);
+                self.released.push(machine);
             }
         }
     }
--- a/tests/world/commands.rs
+++ b/tests/world/commands.rs
@@ -1,4 +1,4 @@
-//! Direct commands on their way to workers: served, refused, delayed or unanswered.
+//! Transmission of direct commands to workers: they are served, refused, delayed or unanswered.
 
 use super::calls::{Call, NO_EPOCH};
 use super::faults::{Condition, MachineCondition};
@@ -9,26 +9,26 @@
 use ochredrum::wire::DirectCommands;
 use rand::Rng;
 
-/// How long a controller waits for the response to direct commands.
+/// Seconds that a controller waits for the response to direct commands.
 const RESPONSE_TIMEOUT_S: f64 = LEASE_S / 10.0;
-/// Part of the direct commands that a condition concerns.
-const AFFECTED_PART: f64 = 0.4;
+/// Probability that a condition affects a message of direct commands.
+const AFFECTED_PROBABILITY: f64 = 0.4;
 
-/// What happens to one message of direct commands.
+/// The outcome of one message of direct commands.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum CommandFate {
-    /// Executed and answered.
+pub enum CommandOutcome {
+    /// The commands are executed and answered.
     Served,
     /// The connection is refused at once.
     Refused,
-    /// Executed this many seconds later, without a response.
+    /// The commands are executed this many seconds later, and no response is sent.
     Late(f64),
-    /// Executed at once, but the response is lost.
+    /// The commands are executed at once, but the response is lost.
     Unanswered,
 }
 
 impl World {
-    /// A controller sends direct commands, each message on a connection of its own.
+    /// Sends direct commands of a controller to a worker. Each message has its own connection.
     pub(super) fn send_direct_commands(
         &mut self,
         node: usize,
@@ -36,13 +36,13 @@
         address: String,
         commands: DirectCommands,
     ) {
-        self.work.commands += 1;
+        self.counters.commands += 1;
         let epoch = self.nodes[node].epoch;
         let machine = MachineId::from(address.as_str());
-        let lost = Input::Worker(call, WorkerReply::Unknown);
-        let unsent = Input::Worker(call, WorkerReply::NotSent);
-        let fate = self.command_fate(&machine);
-        let answer_to = if fate == CommandFate::Served {
+        let unknown_outcome = Input::Worker(call, WorkerReply::Unknown);
+        let not_delivered = Input::Worker(call, WorkerReply::NotSent);
+        let outcome = self.command_outcome(&machine);
+        let answer_to = if outcome == CommandOutcome::Served {
             epoch
         } else {
             NO_EPOCH
@@ -54,49 +54,50 @@
             address,
             commands,
         };
-        match fate {
-            CommandFate::Refused => {
+        match outcome {
+            CommandOutcome::Refused => {
                 let delay = self.latency();
-                self.input_after(delay, node, epoch, unsent);
+                self.schedule_input(delay, node, epoch, not_delivered);
             }
-            CommandFate::Late(delay) => {
-                self.after(delay, event);
-                self.input_after(RESPONSE_TIMEOUT_S, node, epoch, lost);
+            CommandOutcome::Late(delay) => {
+                self.schedule_after(delay, event);
+                self.schedule_input(RESPONSE_TIMEOUT_S, node, epoch, unknown_outcome);
             }
-            CommandFate::Served | CommandFate::Unanswered => self.send(Call {
+            CommandOutcome::Served | CommandOutcome::Unanswered => self.send(Call {
                 node,
                 to: Endpoint::Machine(machine),
                 timeout: RESPONSE_TIMEOUT_S,
                 event,
-                lost,
-                unsent,
+                unknown_outcome,
+                not_delivered,
             }),
         }
     }
 
-    /// The fate that the scenario has set for the next message to this machine, or one drawn by the present conditions.
-    fn command_fate(&mut self, machine: &MachineId) -> CommandFate {
-        if let Some(fate) = self.network.next_command_fate(machine) {
-            return fate;
+    /// The outcome that the scenario has set for the next message to this machine; otherwise one that depends
+    /// on the conditions in effect.
+    fn command_outcome(&mut self, machine: &MachineId) -> CommandOutcome {
+        if let Some(outcome) = self.network.next_command_outcome(machine) {
+            return outcome;
         }
         if self
             .network
             .machine_has(machine, MachineCondition::RefusesCommands)
             || (self.network.has(Condition::RefusedCommands) && self.is_affected())
         {
-            return CommandFate::Refused;
+            return CommandOutcome::Refused;
         }
         if self.network.has(Condition::LateCommands) && self.is_affected() {
-            return CommandFate::Late(self.rng.random_range(0.05..16.0));
+            return CommandOutcome::Late(self.rng.random_range(0.05..16.0));
         }
         if self.network.has(Condition::LostCommandResponses) && self.is_affected() {
-            return CommandFate::Unanswered;
+            return CommandOutcome::Unanswered;
         }
-        CommandFate::Served
+        CommandOutcome::Served
     }
 
-    /// Draws whether a condition concerns a message.
+    /// Draws whether a condition affects a message.
     fn is_affected(&mut self) -> bool {
-        self.rng.random_bool(AFFECTED_PART)
+        self.rng.random_bool(AFFECTED_PROBABILITY)
     }
 }
