--- a/tests/world/calls.rs
+++ b/tests/world/calls.rs
@@ -181,17 +181,17 @@
         let from = Endpoint::Node(node);
         let epoch = self.nodes[node].epoch;
         if self.network.passes(&from, &to) {
-            let delay = self.latency();
+            let delay = self.draw_latency();
             self.schedule_after(delay, event);
             return self.schedule_input(timeout, node, epoch, unknown_outcome);
         }
         match self.network.cut_manner(&from, &to) {
             Some(CutManner::Refused) => {
-                let delay = self.latency();
+                let delay = self.draw_latency();
                 self.schedule_input(delay, node, epoch, not_delivered);
             }
             Some(CutManner::Reset) => {
-                let delay = self.latency();
+                let delay = self.draw_latency();
                 self.schedule_input(delay, node, epoch, unknown_outcome);
             }
             Some(CutManner::Held) if self.rng.random_bool(HELD_PROBABILITY) => {
@@ -211,7 +211,7 @@
     }
 
     /// Draws the seconds that a message takes to arrive.
-    pub(super) fn latency(&mut self) -> f64 {
+    pub(super) fn draw_latency(&mut self) -> f64 {
         if self.rng.random_bool(SLOW_PROBABILITY) {
             self.rng.random_range(0.05..0.4)
         } else {
@@ -222,7 +222,7 @@
     /// Sends the answer to a call back to its controller, unless a cut blocks it.
     pub(super) fn reply(&mut self, node: usize, epoch: u64, from: Endpoint, input: Input) {
         if self.network.passes(&from, &Endpoint::Node(node)) {
-            let delay = self.latency();
+            let delay = self.draw_latency();
             self.schedule_input(delay, node, epoch, input);
         }
     }
--- a/tests/world/commands.rs
+++ b/tests/world/commands.rs
@@ -41,7 +41,7 @@
         let machine = MachineId::from(address.as_str());
         let unknown_outcome = Input::Worker(call, WorkerReply::Unknown);
         let not_delivered = Input::Worker(call, WorkerReply::NotSent);
-        let outcome = self.command_outcome(&machine);
+        let outcome = self.choose_command_outcome(&machine);
         let answer_to = if outcome == CommandOutcome::Served {
             epoch
         } else {
@@ -56,7 +56,7 @@
         };
         match outcome {
             CommandOutcome::Refused => {
-                let delay = self.latency();
+                let delay = self.draw_latency();
                 self.schedule_input(delay, node, epoch, not_delivered);
             }
             CommandOutcome::Late(delay) => {
@@ -74,30 +74,30 @@
         }
     }
 
-    /// The outcome that the scenario has set for the next message to this machine; otherwise one that depends
-    /// on the conditions in effect.
-    fn command_outcome(&mut self, machine: &MachineId) -> CommandOutcome {
-        if let Some(outcome) = self.network.next_command_outcome(machine) {
+    /// Takes the outcome that the scenario has set for the next message to this machine. If there is none,
+    /// draws one by the conditions in effect.
+    fn choose_command_outcome(&mut self, machine: &MachineId) -> CommandOutcome {
+        if let Some(outcome) = self.network.take_next_command_outcome(machine) {
             return outcome;
         }
         if self
             .network
             .machine_has(machine, MachineCondition::RefusesCommands)
-            || (self.network.has(Condition::RefusedCommands) && self.is_affected())
+            || (self.network.has(Condition::RefusedCommands) && self.draw_is_affected())
         {
             return CommandOutcome::Refused;
         }
-        if self.network.has(Condition::LateCommands) && self.is_affected() {
+        if self.network.has(Condition::LateCommands) && self.draw_is_affected() {
             return CommandOutcome::Late(self.rng.random_range(0.05..16.0));
         }
-        if self.network.has(Condition::LostCommandResponses) && self.is_affected() {
+        if self.network.has(Condition::LostCommandResponses) && self.draw_is_affected() {
             return CommandOutcome::Unanswered;
         }
         CommandOutcome::Served
     }
 
     /// Draws whether a condition affects a message.
-    fn is_affected(&mut self) -> bool {
+    fn draw_is_affected(&mut self) -> bool {
         self.rng.random_bool(AFFECTED_PROBABILITY)
     }
 }
--- a/tests/world/controllers.rs
+++ b/tests/world/controllers.rs
@@ -263,7 +263,7 @@
         answer: Option<Answer>,
         mesh: Option<MeshReply>,
     ) {
-        let delay = self.latency();
+        let delay = self.draw_latency();
         match requester {
             Requester::User { job, kind, sent_at } => {
                 // Users ignore answers after their timeout.
--- a/tests/world/faults.rs
+++ b/tests/world/faults.rs
@@ -419,7 +419,7 @@
     }
 
     /// Draws the seconds until a duplicate of a heartbeat arrives; `None` if it is not duplicated.
-    pub(super) fn duplicate_delay(&mut self) -> Option<f64> {
+    pub(super) fn draw_duplicate_delay(&mut self) -> Option<f64> {
         (self.network.has(Condition::DuplicateHeartbeats)
             && self.rng.random_bool(DUPLICATED_PROBABILITY))
         .then(|| self.rng.random_range(0.5..LEASE_S * 2.5))
--- a/tests/world/network.rs
+++ b/tests/world/network.rs
@@ -206,7 +206,7 @@
     }
 
     /// Removes and returns the outcome that is set for the next message of direct commands to a machine.
-    pub fn next_command_outcome(&mut self, machine: &MachineId) -> Option<CommandOutcome> {
+    pub fn take_next_command_outcome(&mut self, machine: &MachineId) -> Option<CommandOutcome> {
         self.command_outcomes.get_mut(machine)?.pop_front()
     }
 }
--- a/tests/world/start_rules.rs
+++ b/tests/world/start_rules.rs
@@ -16,7 +16,7 @@
 /// The tasks on all machines at the start of a task, as far as they concern that task.
 #[derive(Default)]
 struct Survey {
-    /// A machine that has another attempt of the same task, or another machine that has the task at all.
+    /// A machine with another attempt of the same task, or another machine with any attempt of it.
     duplicate_on: Option<MachineId>,
     /// GPUs that the limited team uses.
     limited_gpus: f64,
@@ -166,6 +166,7 @@
 
     /// Whether some machine could run one task of a job within its team's limit. Always false for gangs and
     /// for jobs with placement constraints among their tasks, for which one machine with room proves nothing.
+    /// A job's list of machine types is ignored.
     pub(super) fn has_room(&self, spec: &JobSpec) -> bool {
         if spec.kind == JobKind::Gang || spec.one_zone || spec.spread {
             return false;
--- a/tests/world/worker.rs
+++ b/tests/world/worker.rs
@@ -63,7 +63,7 @@
 
 impl Worker {
     /// Creates its next heartbeat.
-    fn heartbeat(&mut self, now: f64, cloud: &Cloud) -> Heartbeat {
+    fn create_heartbeat(&mut self, now: f64, cloud: &Cloud) -> Heartbeat {
         self.sequence += 1;
         let rented = cloud.get(&self.id);
         let tasks = self
@@ -232,7 +232,7 @@
             worker.changed = false;
             worker.last_heartbeat = now;
             worker.next_heartbeat = now + HEARTBEAT_INTERVAL_S * self.rng.random_range(0.75..1.25);
-            let heartbeat = worker.heartbeat(now, &self.cloud);
+            let heartbeat = worker.create_heartbeat(now, &self.cloud);
             let node = worker.node;
             worker.in_flight = Some((heartbeat.sequence, now));
             self.send_heartbeat(id, node, heartbeat);
@@ -258,11 +258,11 @@
         {
             return;
         }
-        if let Some(delay) = self.duplicate_delay() {
+        if let Some(delay) = self.draw_duplicate_delay() {
             self.schedule_after(delay, event(&heartbeat, false));
         }
         if self.network.passes(&me, &to) {
-            let delay = self.latency();
+            let delay = self.draw_latency();
             self.schedule_after(delay, event(&heartbeat, true));
             return;
         }
@@ -271,7 +271,7 @@
         }
         if let Some(CutManner::Refused | CutManner::Reset) = self.network.cut_manner(&me, &to) {
             let (machine, number) = (id.clone(), heartbeat.sequence);
-            let delay = self.latency();
+            let delay = self.draw_latency();
             self.schedule_after(
                 delay,
                 Event::HeartbeatResponse {
@@ -384,7 +384,7 @@
         let Some(worker) = self.workers.get_mut(&id) else {
             return;
         };
-        let heartbeat = worker.heartbeat(now, &self.cloud);
+        let heartbeat = worker.create_heartbeat(now, &self.cloud);
         let reply = if fenced {
             WorkerReply::Fenced(heartbeat)
         } else {
