--- a/src/config.rs
+++ b/src/config.rs
@@ -110,7 +110,7 @@
 /// A team's guarantee and limit; 0 means that there is none.
 #[derive(Debug, Clone, Deserialize)]
 pub struct TeamLimits {
-    /// Name of the team.
+    /// Name of the team, as job submissions give it.
     pub name: Team,
     /// CPUs that the team is guaranteed.
     #[serde(default)]
--- a/src/core/controller/hello.rs
+++ b/src/core/controller/hello.rs
@@ -145,8 +145,9 @@
         if hello.bounded_staleness {
             self.peers.record_bounded_staleness(&sender);
         }
-        // The unresponsive machines of a delayed hello are recorded, too. A delay makes the recorded time of
-        // the last answer to a worker later, which is safe.
+        // The unresponsive machines of a delayed hello are recorded, too. The delay makes the recorded time
+        // of the last answer to a worker later. This is safe, because the next owner counts the worker's
+        // lease from that time and so only waits longer.
         self.unresponsive.record(hello.unresponsive, now);
         let is_newest =
             self.peers
@@ -273,8 +274,8 @@
 
     /// Answers a health check with 200 if this controller can serve requests, and with 503 otherwise. Its
     /// replica must be complete, it must know the machine types, and it must read the store or reach a
-    /// sibling. The sibling need not read the store: if all controllers are cut off from the store, staying in
-    /// the load balancer costs users less than leaving and returning.
+    /// sibling. The sibling need not read the store: if all controllers are cut off from the store, staying
+    /// in the load balancer costs users less than leaving and returning.
     pub(crate) fn answer_health_check(&mut self, request: RequestId) {
         let is_healthy = self.store.is_complete()
             && self.catalog.is_known()
--- a/src/core/controller/machine_claims.rs
+++ b/src/core/controller/machine_claims.rs
@@ -7,11 +7,11 @@
 use crate::wire::Heartbeat;
 
 impl Core {
-    /// Whether this controller should claim a machine: neither it nor the machine's worker can reach the
-    /// owner, although the owner is registered in the store. A worker that has not shown the owner's token
+    /// Whether this controller should claim a machine: the owner is registered in the store, but neither this
+    /// controller nor the machine's worker can reach it. A worker that has not shown the owner's token
     /// may still reach the owner. It is assumed to be cut off if it is in this controller's zone, and this
     /// controller reaches a sibling but not the owner. With failure detection, a machine is not claimed if
-    /// the owner's lease expires soon.
+    /// the owner's lease expires soon, since its shard is then failed over.
     pub(crate) fn should_claim(&self, heartbeat: &Heartbeat, owner: &ShardOwner) -> bool {
         let now = self.outbox.now;
         let owner_is_registered = self.store.is_registered(&owner.node, owner.incarnation);
--- a/src/core/effects/mod.rs
+++ b/src/core/effects/mod.rs
@@ -54,9 +54,9 @@
     Status(RequestId),
     /// A message of a sibling, which expects a [`MeshReply`].
     Mesh(RequestId, MeshMessage),
-    /// The reply to a call to the store.
+    /// The store's reply to the call with this id; [`StoreReply::Unknown`] if no valid reply arrived.
     Store(CallId, StoreReply),
-    /// The reply to a call to the cloud.
+    /// The cloud's reply to the call with this id; [`CloudReply::Unknown`] if no valid reply arrived.
     Cloud(CallId, CloudReply),
     /// The reply to commands sent to a worker.
     Worker(CallId, WorkerReply),
@@ -85,9 +85,9 @@
     Answer(RequestId, Answer),
     /// Answer a message of a sibling.
     MeshAnswer(RequestId, MeshReply),
-    /// Call the store.
+    /// Call the store. The reply arrives as [`Input::Store`] with the same id.
     Store(CallId, StoreCall),
-    /// Call the cloud.
+    /// Call the cloud. The reply arrives as [`Input::Cloud`] with the same id.
     Cloud(CallId, CloudCall),
     /// Send commands to the worker at this address.
     Worker(CallId, String, DirectCommands),
@@ -167,12 +167,12 @@
     },
     /// Commit a compare-and-swap transaction.
     Commit(Transaction),
-    /// Create a lease.
+    /// Create a lease, to which keys can be attached.
     LeaseCreate {
         /// The time to live of the lease in milliseconds.
         ttl_ms: u64,
     },
-    /// Renew a lease.
+    /// Renew a lease, which expires otherwise.
     LeaseRenew {
         /// The id that the store gave the lease.
         lease: u64,
--- a/src/core/effects/pacing.rs
+++ b/src/core/effects/pacing.rs
@@ -8,13 +8,13 @@
 use crate::config::Config;
 use crate::core::model::time::Time;
 
-/// The shortest pause, as the number of writes that the store serves during the pause.
+/// The shortest pause, as the number of writes that the rate limit permits in that time.
 const SHORTEST_PAUSE_WRITES: f64 = 2.0;
 
 /// The pause is doubled at most this many times.
 const MAX_DOUBLINGS: u32 = 3;
 
-/// The time at which delayed requests may be sent, with a pause that doubles at each refusal.
+/// The end of the current pause, and the number of refusals, which determines the length of the next pause.
 #[derive(Debug)]
 pub struct Pacing {
     /// Seconds of the pause after the first refusal.
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Resets the length of the next pause after the store has served a request outside a pause.
+    /// Records that the store has served a request. Outside a pause, this makes the next pause the shortest.
     pub fn record_success(&mut self, now: Time) {
         if self.may_send(now) {
             self.refusals = 0;
--- a/src/core/effects/pending.rs
+++ b/src/core/effects/pending.rs
@@ -188,7 +188,7 @@
 /// The receiver of the answer to a user's request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum ReplyTo {
-    /// The user, who sent the request to this controller.
+    /// The user, if the request came directly to this controller.
     User(RequestId),
     /// A sibling that relayed the request. The request is not relayed again.
     Sibling(RequestId),
--- a/src/core/leader/cloud_requests.rs
+++ b/src/core/leader/cloud_requests.rs
@@ -360,7 +360,7 @@
         }
     }
 
-    /// Handles the reply to a rental.
+    /// Handles the cloud's reply to a rental. If the outcome is unknown, the rental is kept for a retry.
     fn handle_rental_reply(&mut self, request: RentalRequest, reply: CloudReply, now: Time) {
         let rental = &request.rental;
         let offer = MachineOffer {
@@ -396,7 +396,7 @@
             CloudReply::NoCapacity => {
                 self.unavailable.insert(offer, retry_at);
             }
-            // The rental was not executed; the next plan requests what is still needed.
+            // The rental was not executed; the next plan requests the machines that are still needed.
             CloudReply::Refused => {}
             // The outcome is unknown. A retry under the same name rents nothing twice.
             _ => self.open_rentals.push(request),
--- a/src/core/leader/failover.rs
+++ b/src/core/leader/failover.rs
@@ -16,7 +16,7 @@
 use failure_detector::Stage;
 use std::collections::BTreeSet;
 
-/// A machine of a failed process, and what its owner record tells the next owner about the former ones.
+/// A machine of a failed process, and the former owners that the next owner has to take into account.
 struct FailedOverMachine {
     id: MachineId,
     /// Live process that may still have to release the machine.
@@ -129,7 +129,7 @@
     }
 }
 
-/// Determines what the next owner of a failed process's machine needs to know about former owners.
+/// Determines the former owners that the next owner of a failed process's machine has to take into account.
 fn failed_over_machine(
     id: &MachineId,
     owner: &ShardOwner,
--- a/src/core/leader/machine_transfers.rs
+++ b/src/core/leader/machine_transfers.rs
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Removes transferred machines from the reports of what shards can spare.
+    /// Removes transferred machines from the controllers' reports of machines that they can spare.
     pub(super) fn remove_transferred(&mut self, transferred: &BTreeSet<MachineId>) {
         if !transferred.is_empty() {
             for demand in self.demands.values_mut() {
--- a/src/core/leader/map_writer.rs
+++ b/src/core/leader/map_writer.rs
@@ -20,8 +20,8 @@
 /// Smallest limit on one value, in KiB. A value with a single machine and its owner can't be split further.
 const MIN_VALUE_KB: f64 = 0.25;
 
-/// Pause after a successful write, as the number of writes that the permitted rate allows in that time. It
-/// leaves the rest of the rate to other writes.
+/// Pause after a successful write, as the number of writes that the store permits in that time. During the
+/// pause, the permitted rate is left to other writes.
 const PAUSE_WRITES_AFTER_SUCCESS: f64 = 6.0;
 
 /// Pause after a conflict, in writes at the permitted rate. It is short, because nothing was written and
@@ -39,8 +39,8 @@
 /// Writes the changes of a [`ShardMapEditor`], one transaction at a time.
 pub(super) struct MapWriter {
     /// The versions of the stored values on which the editor's copy is based; the preconditions of writes.
-    /// The replica's versions would be wrong: a write with unknown outcome may reach the replica late, and
-    /// the next write would then undo it.
+    /// The replica's versions would be wrong: a write with unknown outcome may reach the replica after the
+    /// editor was reloaded. A precondition on its version would hold, and the next write would undo it.
     stored_versions: BTreeMap<String, Version>,
     /// Limit on the size of one value in KiB: the configured limit, halved at each rejection.
     value_kb: f64,
@@ -50,7 +50,8 @@
     writes_per_s: f64,
     write_in_flight: bool,
     next_write: Time,
-    /// The stored map may differ from the editor's copy, because a write failed or its outcome is unknown.
+    /// Whether the stored map may differ from the editor's copy: the last write failed, or its outcome is
+    /// unknown.
     must_reload: bool,
 }
 
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -42,7 +42,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// The leader's state. It lasts as long as the process holds the leader key at one version.
+/// The state of a process as the leader, under one version of the leader key.
 pub struct Leader {
     config: Rc<Config>,
     /// Version of the leader key under which this process became leader.
@@ -64,7 +64,7 @@
     next_rebalance: Time,
     /// Machines that were reassigned after a claim, and when. Such a machine can't reach its former owner.
     claimed_machines: BTreeMap<MachineId, Time>,
-    /// Earliest time at which the next machine in use may be transferred for queued tasks.
+    /// Earliest time at which another machine that is in use may be transferred for queued tasks.
     next_urgent_transfer: Time,
     cloud: CloudRequests,
     zone_contact: ZoneContact,
--- a/src/core/leader/shard_map_editor.rs
+++ b/src/core/leader/shard_map_editor.rs
@@ -111,7 +111,7 @@
         self.issued_token_count as f64 > f64::from(1 << TOKEN_COUNT_BITS) * RECLAIM_KEY_FRACTION
     }
 
-    /// Sets the owner of a team.
+    /// Sets the owner of a team, and marks the chunk with the teams' owners as changed.
     pub fn set_team(&mut self, team: &Team, owner: ShardOwner) {
         self.shard_map.teams.insert(team.clone(), owner);
         self.teams_dirty = true;
@@ -141,7 +141,7 @@
         self.set_grants_kept_since(team, since);
     }
 
-    /// Sets the owner of a machine.
+    /// Sets the owner of a machine, and marks its chunk as changed. A new machine is assigned to a chunk.
     pub fn set_machine(&mut self, id: &MachineId, owner: ShardOwner) {
         let chunk = self.chunks.find_or_assign_chunk(id);
         self.shard_map.machines.insert(id.clone(), owner);
--- a/src/core/leader/zone_contact.rs
+++ b/src/core/leader/zone_contact.rs
@@ -13,13 +13,13 @@
 /// unreachable. Fewer may have failed independently.
 const MIN_UNRESPONSIVE_MACHINES: usize = 3;
 
-/// Fraction of a zone's machines that must be unresponsive for the zone to count as unreachable. The owners
-/// of the others may have received them too recently to tell.
+/// Fraction of a zone's machines that must be unresponsive for the zone to count as unreachable. The
+/// others may have been assigned to their owners too recently to be declared unresponsive yet.
 const UNRESPONSIVE_FRACTION: f64 = 0.5;
 
-/// Worker leases for which a zone counts as unreachable after its machines last indicated that. Unresponsive
-/// machines are returned after about as many leases, and from then on nothing indicates the state of the
-/// zone.
+/// Worker leases for which a zone continues to count as unreachable after enough of its machines were last
+/// unresponsive. Unresponsive machines are returned after about as many leases, and from then on nothing
+/// indicates the state of the zone.
 const UNREACHABLE_LEASES: f64 = 3.0;
 
 /// The zones that count as unreachable at present.
--- a/src/core/machines/machine/attempt.rs
+++ b/src/core/machines/machine/attempt.rs
@@ -35,7 +35,7 @@
     pub phase: Phase,
     /// When its start was issued, or when a heartbeat first reported it if this process did not start it.
     pub issued_at: Time,
-    /// When it was first known to be on the machine with its image fetched.
+    /// When it was first known to be on the machine with its image fetched; `None` before.
     pub started_at: Option<Time>,
     /// Grace period in seconds of the requested stop; `None` if no stop was requested.
     pub stop: Option<f64>,
--- a/src/core/machines/machine/capacity.rs
+++ b/src/core/machines/machine/capacity.rs
@@ -23,8 +23,8 @@
         self.unused_by(|tracked| tracked.stop.is_none() && !tracked.opportunistic)
     }
 
-    /// Returns the total resources minus those of the attempts that satisfy `is_counted`. Returns no
-    /// resources if those of a counted attempt are unknown.
+    /// Returns the total resources minus those of the attempts that satisfy `is_counted`. If the resources
+    /// of a counted attempt are unknown, nothing counts as free.
     fn unused_by(&self, is_counted: impl Fn(&TrackedAttempt) -> bool) -> Resources {
         let mut free = self.total;
         let counted = self
@@ -74,8 +74,8 @@
         self.attempts.values().all(TrackedAttempt::exited)
     }
 
-    /// Updates `idle_since` when an attempt has ended or is dropped: the machine is idle from `now` on if no
-    /// other attempt runs that is not opportunistic. The end of an opportunistic attempt changes nothing.
+    /// Updates `idle_since` when an attempt has ended or is dropped. The machine is idle from `now` on if all
+    /// other attempts have ended or are opportunistic. The end of an opportunistic attempt changes nothing.
     pub fn update_idle_since(&mut self, key: &AttemptKey, now: Time) {
         if self
             .attempts
--- a/src/core/machines/machine/image_cache.rs
+++ b/src/core/machines/machine/image_cache.rs
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Returns the expected duration in seconds of a fetch that shares the rate with no other fetch.
+    /// Returns the expected duration in seconds of a fetch while no other fetch is in progress.
     pub fn fetch_s(&self, gb: f64) -> Time {
         gb / self.fetch_rate * FETCH_TIME_FACTOR
     }
@@ -104,7 +104,8 @@
         }
     }
 
-    /// Returns the images that are being fetched, and since when.
+    /// Returns the images that are being fetched. The fetch of an image counts from the first start that
+    /// needs it.
     fn fetches_in_progress(&self) -> BTreeMap<&Image, Time> {
         let mut fetching: BTreeMap<&Image, Time> = BTreeMap::new();
         let without_image = self
--- a/src/core/membership/peers.rs
+++ b/src/core/membership/peers.rs
@@ -43,11 +43,12 @@
     reads_store: bool,
     /// Whether it had recently redirected workers to this controller when it last answered.
     redirects_workers: bool,
-    /// Latest time since which the store is known to have answered the sibling.
+    /// The latest time for which reports show that the store answered the sibling then or later.
     store_contact: Time,
     hello_in_flight: bool,
     newest_hello: HelloNumber,
-    /// Incarnation that stated that its staleness is bounded. None if no process has.
+    /// Incarnation of the last process that stated that its ownership ends a bounded time after its key is
+    /// deleted; `None` if none has.
     bounded_staleness: Option<u64>,
     /// Whether its process is new to this controller and must be sent all known images and contacts.
     needs_all_images: bool,
--- a/src/core/membership/process_pause.rs
+++ b/src/core/membership/process_pause.rs
@@ -1,10 +1,10 @@
 //! Detects that the process was paused, for example because its host was suspended.
 //!
 //! The clock continues during a pause. When the process resumes, all its timers have elapsed, and its
-//! information about siblings and workers is out of date. That it received no messages during the pause
-//! is no evidence of their failure. The ownership lease expires by the clock and needs no special
-//! handling. Until the process has read the store again, and every worker has had time to send a
-//! heartbeat, it concludes nothing from missing messages, and plans neither rentals nor returns of machines.
+//! information about siblings and workers is out of date. The absence of messages during the pause is
+//! no evidence that they have failed. The ownership lease expires by the clock and needs no special handling.
+//! Until the process has read the store again, and every worker has had time to send a heartbeat, it
+//! concludes nothing from missing messages, and plans neither rentals nor returns of machines.
 
 use crate::config::Config;
 use crate::core::model::time::Time;
--- a/src/core/membership/process_pause/tests.rs
+++ b/src/core/membership/process_pause/tests.rs
@@ -59,7 +59,7 @@
     );
 }
 
-/// Machines that were idle before a pause must not be returned before the owner has read what has changed.
+/// Machines that were idle before a pause must not be returned before the owner has read the changes.
 #[test]
 fn capacity_is_not_planned_while_catching_up_after_a_pause() {
     let (mut shard, mut outbox, store) = shard();
--- a/src/core/records/keys.rs
+++ b/src/core/records/keys.rs
@@ -32,7 +32,7 @@
     MachineTypes,
     /// The record of a controller's registered process.
     Node(ControllerName),
-    /// A chunk of the shard map.
+    /// A chunk of the shard map: the owners of teams or those of some machines.
     ShardMapChunk,
     /// The grant record of a team.
     Ledger(Team),
--- a/src/core/shard/grants.rs
+++ b/src/core/shard/grants.rs
@@ -1,11 +1,11 @@
 //! Quota grants: the owner of a team with a limit starts the team's tasks under a grant
 //! ([`quota_ledger`]).
 //!
-//! The record of grants bounds what a team's earlier owners may have started. A new owner can therefore use
-//! the rest of the limit at once and does not have to count everything that they might have started. It
-//! relies on the record only if every owner since the record's creation has kept to its grants; the shard map
-//! says since which fencing token that holds. Every write by an owner also has the version of the map's list
-//! of teams as a precondition, so a process that has lost a team can no longer enlarge its grant.
+//! The record of grants bounds the tasks that a team's earlier owners may have started. A new owner can
+//! therefore use the rest of the limit at once, without counting all these tasks. It relies on the
+//! record only if every owner since the record's creation has kept to its grants; the shard map says since
+//! which fencing token that holds. Every write by an owner also has the version of the map's list of teams
+//! as a precondition, so a process that has lost a team can no longer enlarge its grant.
 
 use crate::config::{Config, TeamLimits};
 use crate::core::effects::outbox::Outbox;
--- a/src/core/shard/lease_expiry.rs
+++ b/src/core/shard/lease_expiry.rs
@@ -59,9 +59,9 @@
     }
 
     /// Marks machines as empty whose leases must have expired without another process answering them. Only a
-    /// shard map that was read after the expiry proves this. Without this condition, a process whose ownership
-    /// lease was extended by siblings, or that reads the store slowly, could mark a machine as empty that a
-    /// sibling now owns.
+    /// shard map that was read after the expiry proves this. Without this condition, a process whose
+    /// ownership lease was extended by siblings, or that reads the store slowly, could mark a machine as
+    /// empty that a sibling now owns.
     pub(crate) fn expire_machines(&mut self, store: &StoreReplica, now: Time) {
         let lease = self.max_lease_s();
         let expired: Vec<MachineId> = self
--- a/src/core/shard/opportunistic.rs
+++ b/src/core/shard/opportunistic.rs
@@ -6,9 +6,10 @@
 use std::collections::BTreeSet;
 
 impl Shard {
-    /// The machines that are kept for starved jobs. A job that runs on no spot instance keeps one machine,
-    /// which it may share with other such jobs. If the machine were returned, another would be rented only
-    /// after the job had starved again. A job of long tasks would then never end.
+    /// The machines that are kept for starved jobs. If a starved job runs on no spot instance, one of its
+    /// machines is kept; several such jobs may share it. If the machine were returned, another would be
+    /// rented only after the job had starved again. A job of long tasks would then never end. A spot instance
+    /// needs no entry here, because it is kept for any opportunistic work.
     pub(crate) fn machines_kept_for_starved_jobs(&self) -> BTreeSet<MachineId> {
         let is_spot = |id: &MachineId| self.machines.get(id).is_some_and(|machine| machine.spot);
         let mut kept = BTreeSet::new();
--- a/src/core/shard/reconciliation.rs
+++ b/src/core/shard/reconciliation.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeSet;
 
 impl Shard {
-    /// Reconciles the teams whose machines are all reconciled. Tasks of such a team that no heartbeat has
-    /// shown are not running.
+    /// Reconciles the teams whose machines are all reconciled. A task of such a team is not running if no
+    /// heartbeat has reported it.
     pub(crate) fn reconcile_teams(&mut self, store: &StoreReplica) {
         self.update_unreconciled_machines(store);
         for incomplete_gang in self.reconcile_jobs() {
--- a/src/core/shard/tracking.rs
+++ b/src/core/shard/tracking.rs
@@ -1,10 +1,10 @@
 //! Reconciles the machines' heartbeats with the attempts and jobs known to this process.
 //!
 //! An attempt may be on a machine from the moment its start is issued. It is tracked until the machine's
-//! heartbeats no longer show it or the machine is known to be empty. It stays tracked beyond that for as long
-//! as its start may still arrive ([`crate::core::machines::starts_in_flight`]). A machine is known to be empty
-//! when its agent epoch has advanced, when its deletion was confirmed, or when its lease must have expired
-//! since its last answered heartbeat ([`crate::core::shard::lease_expiry`]).
+//! heartbeats no longer show it or the machine is known to be empty. It stays tracked beyond that for as
+//! long as its start may still arrive ([`crate::core::machines::starts_in_flight`]). A machine is known to
+//! be empty when its agent epoch has advanced, when its deletion was confirmed, or when its lease must have
+//! expired since its last answered heartbeat ([`crate::core::shard::lease_expiry`]).
 
 mod attempt_end;
 mod cordon;
@@ -147,8 +147,9 @@
     }
 
     /// Drops the attempts of the previous agent epoch when the worker has begun a new one. Those attempts
-    /// have ended, and the worker executes no command that was sent in that epoch. The worker's lease may have
-    /// expired because responses do not reach it, so a machine that had confirmed its token needs a new one.
+    /// have ended, and the worker executes no command that was sent in that epoch. The worker's lease may
+    /// have expired because responses do not reach it, so a machine that had confirmed its token needs a new
+    /// one.
     fn drop_attempts_of_earlier_epoch(&mut self, machine_id: &MachineId, now: Time) {
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
--- a/src/core/shard/tracking/cordon.rs
+++ b/src/core/shard/tracking/cordon.rs
@@ -46,8 +46,8 @@
         self.uncordon_if_not_faulty(&failed_on, now);
     }
 
-    /// Cordons the machine if several jobs have failed on it and on no other machine. A job that was submitted
-    /// with a mistake fails on every machine, so it says nothing about a particular machine.
+    /// Cordons the machine if several jobs have failed on it and on no other machine. A job that was
+    /// submitted with a mistake fails on every machine, so it says nothing about a particular machine.
     fn cordon_if_faulty(&mut self, machine_id: &MachineId, now: Time) {
         let jobs = &self.jobs;
         let Some(machine) = self.machines.get_mut(machine_id) else {
--- a/src/core/test_support.rs
+++ b/src/core/test_support.rs
@@ -19,7 +19,7 @@
 use rand::SeedableRng;
 use std::rc::Rc;
 
-/// Creates the record of a pending service of two tasks of team `red`, whose task 1 is done if `task_1_done`.
+/// Creates the record of a pending service of team `red` with two tasks. Task 1 is done if `task_1_done`.
 pub fn record(task_1_done: bool) -> JobRecord {
     let spec = serde_json::json!({"c": "chat", "t": "red", "k": "standing", "p": "critical",
         "n": 2, "cpu": 1.0, "gpu": 1.0, "mem": 1.0, "img": "i", "igb": 1.0, "est": 0.0,
@@ -130,7 +130,7 @@
     }
 }
 
-/// The lease to which the key of [`running_core`] is attached.
+/// Id of the store lease to which the process key of the controller of [`running_core`] is attached.
 pub const OWN_LEASE: u64 = 5;
 
 /// Creates the record that a sibling's process registers, with incarnation 1 and lease 9.
--- a/src/status_client.rs
+++ b/src/status_client.rs
@@ -15,7 +15,7 @@
     /// The async runtime cannot be started.
     #[error("cannot start the runtime: {0}")]
     Runtime(std::io::Error),
-    /// No process listens at the address.
+    /// No connection could be made, for example because no process listens at the address.
     #[error("{0} can't be reached (is it the address of mesh_addr?)")]
     Unreachable(SocketAddr),
     /// The answer took too long, or the connection failed. Holds the address and the timeout in seconds.
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -100,7 +100,7 @@
     /// Address of the machine's worker; `None` until it has one.
     #[serde(default)]
     pub address: Option<String>,
-    /// Name of the machine's type.
+    /// Name of the machine's type, as in the cloud's list of types.
     #[serde(rename = "breed")]
     pub type_name: MachineTypeName,
     /// Zone in which the machine was rented.
--- a/src/wire/job_spec.rs
+++ b/src/wire/job_spec.rs
@@ -115,7 +115,8 @@
     pub dependencies: Vec<JobId>,
 }
 
-/// Serializes job ids as one string without their common prefix, so that hundreds fit into a stored value.
+/// Serializes job ids as one string, separated by spaces and without their common prefix, so that hundreds
+/// of ids fit into a stored value.
 fn serialize_dependencies<S: Serializer>(
     dependencies: &[JobId],
     serializer: S,
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -18,7 +18,7 @@
     pub machine: MachineId,
     /// The address at which the worker accepts commands.
     pub address: String,
-    /// Name of the machine's type.
+    /// Name of the machine's type, as in the cloud's list of types.
     #[serde(rename = "breed")]
     pub type_name: MachineTypeName,
     /// Zone in which the machine runs.
--- a/tests/world/controllers.rs
+++ b/tests/world/controllers.rs
@@ -62,7 +62,7 @@
 
 /// The sender of a request to a controller.
 pub enum Requester {
-    /// A user.
+    /// A user, about one of the jobs in the world or with an unusual request.
     User {
         /// The index of the job; `None` for an unusual submission and for a poll of an unknown job.
         job: Option<usize>,
--- a/tests/world/faults.rs
+++ b/tests/world/faults.rs
@@ -207,7 +207,7 @@
         nodes
     }
 
-    /// Begins a fault.
+    /// Logs and begins a fault. A fault at a later event, such as a shard map write, is only prepared.
     pub(super) fn begin_fault(&mut self, fault: Fault) {
         self.log_event(format!("fault {fault:?}"));
         match fault {
--- a/tests/world/users.rs
+++ b/tests/world/users.rs
@@ -25,7 +25,7 @@
     Unusual,
 }
 
-/// A user, who has one job.
+/// A user with one job.
 pub(super) struct User {
     pub id: JobId,
     pub spec: JobSpec,
