--- a/tests/simulation/scenario_files.rs
+++ b/tests/simulation/scenario_files.rs
@@ -38,7 +38,7 @@
     let read = parse_statements("  seed 2 # two\n\nat 1.5\tcut n1 controllers 3 reset in");
     let words: Vec<Vec<&str>> = vec![
         vec!["seed", "2"],
-        vec!["at", "1.5", "cut", "n1", "all", "3", "reset", "in"],
+        vec!["at", "1.5", "cut", "n1", "controllers", "3", "reset", "in"],
     ];
     assert_eq!(read.ok(), Some(words));
 }
