--- a/tests/world/faults.rs
+++ b/tests/world/faults.rs
@@ -207,7 +207,7 @@
         nodes
     }
 
-    /// Begins a fault.
+    /// Logs and begins a fault. A fault at a later event, such as a shard map write, is only prepared.
     pub(super) fn begin_fault(&mut self, fault: Fault) {
         self.log_event(format!("fault {fault:?}"));
         match fault {
@@ -419,7 +419,7 @@
     }
 
     /// Draws the seconds until a duplicate of a heartbeat arrives; `None` if it is not duplicated.
-    pub(super) fn duplicate_delay(&mut self) -> Option<f64> {
+    pub(super) fn draw_duplicate_delay(&mut self) -> Option<f64> {
         (self.network.has(Condition::DuplicateHeartbeats)
             && self.rng.random_bool(DUPLICATED_PROBABILITY))
         .then(|| self.rng.random_range(0.5..LEASE_S * 2.5))
